--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"sorrelvalve/choose/configure"
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/configure"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/cuefile"
 	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"strings"
 
-	"sorrelvalve/choose/plan"
-	"sorrelvalve/choose/replay"
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/plan"
+	"sorrelvalve/decision/replay"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/cuefile"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/trace"
--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -20,7 +20,7 @@
 
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/stand/bed"
 )
 
@@ -185,7 +185,7 @@
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	return ask.Write(os.Stdout, s)
+	return permitclient.Write(os.Stdout, s)
 }
 
 func main() {
--- a/cmd/valvefleet/release.go
+++ b/cmd/valvefleet/release.go
@@ -14,9 +14,9 @@
 	"text/tabwriter"
 	"time"
 
-	"sorrelvalve/choose/release"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/release"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
 )
 
 type releaseCmd struct {
@@ -41,7 +41,7 @@
 	if u, err := user.Current(); err == nil {
 		c.Who = u.Username
 	}
-	client := ask.New(k.Keepers)
+	client := permitclient.New(k.Keepers)
 	defer client.Close()
 	ctx, end := context.WithTimeout(context.Background(), drainWait)
 	defer end()
@@ -146,7 +146,7 @@
 }
 
 func (c releaseSt) Run() error {
-	client := ask.New(c.Keepers)
+	client := permitclient.New(c.Keepers)
 	defer client.Close()
 	ctx, end := context.WithTimeout(context.Background(), drainWait)
 	defer end()
--- a/cmd/valvekeeper/main.go
+++ b/cmd/valvekeeper/main.go
@@ -18,10 +18,10 @@
 
 	"github.com/alecthomas/kong"
 
-	"sorrelvalve/choose/permit"
+	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/daemon"
-	"sorrelvalve/internal/keeper"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/internal/permitclient"
+	"sorrelvalve/internal/permitserver"
 )
 
 type command struct {
@@ -45,7 +45,7 @@
 }
 
 func (c serveCmd) Run() error {
-	o := keeper.Options{Name: c.Name, Dir: c.Dir, Bind: c.Bind, New: c.New, Join: c.Join, Log: daemon.NewLog(os.Stderr).WithField("keeper", c.Name)}
+	o := permitserver.Options{Name: c.Name, Dir: c.Dir, Bind: c.Bind, New: c.New, Join: c.Join, Log: daemon.NewLog(os.Stderr).WithField("keeper", c.Name)}
 	listen := ""
 	for _, s := range c.Peer {
 		name, addrs, ok := strings.Cut(s, "=")
@@ -56,11 +56,11 @@
 		if name == c.Name {
 			listen = http
 		}
-		o.Peers = append(o.Peers, keeper.Peer{Name: name, Raft: raft, HTTP: http})
+		o.Peers = append(o.Peers, permitserver.Peer{Name: name, Raft: raft, HTTP: http})
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	k, err := keeper.Start(o)
+	k, err := permitserver.Start(o)
 	if err != nil {
 		return err
 	}
@@ -88,8 +88,8 @@
 // askWait bounds each: two elections and the answer.
 const askWait = 10 * time.Second
 
-func (c clients) ask(f func(ctx context.Context, k *ask.Client) error) error {
-	k := ask.New(c.Keepers)
+func (c clients) ask(f func(ctx context.Context, k *permitclient.Client) error) error {
+	k := permitclient.New(c.Keepers)
 	defer k.Close()
 	ctx, end := context.WithTimeout(context.Background(), askWait)
 	defer end()
@@ -104,7 +104,7 @@
 	if u, err := user.Current(); err == nil {
 		x.Who = u.Username
 	}
-	return c.ask(func(ctx context.Context, k *ask.Client) error {
+	return c.ask(func(ctx context.Context, k *permitclient.Client) error {
 		a, err := k.Do(ctx, x)
 		if err == nil && !a.OK {
 			err = fmt.Errorf("%s: %s", x.Kind, a.Why)
@@ -144,14 +144,14 @@
 }
 
 func (c replaceCmd) Run() error {
-	x := ask.Exchange{Out: c.Out}
+	x := permitclient.Exchange{Out: c.Out}
 	if c.In != "" {
 		var ok bool
 		if x.Name, x.Raft, ok = strings.Cut(c.In, "="); !ok || x.Name == "" {
 			return fmt.Errorf("NAME=RAFT expected, %q there", c.In)
 		}
 	}
-	return c.ask(func(ctx context.Context, k *ask.Client) error { return k.Replace(ctx, x) })
+	return c.ask(func(ctx context.Context, k *permitclient.Client) error { return k.Replace(ctx, x) })
 }
 
 type setCmd struct {
@@ -184,7 +184,7 @@
 }
 
 func (c statusCmd) Run() error {
-	return c.ask(func(ctx context.Context, k *ask.Client) error {
+	return c.ask(func(ctx context.Context, k *permitclient.Client) error {
 		st, err := k.State(ctx)
 		if err != nil {
 			return err
@@ -192,7 +192,7 @@
 		if c.JSON {
 			return json.NewEncoder(os.Stdout).Encode(st)
 		}
-		return ask.Write(os.Stdout, st)
+		return permitclient.Write(os.Stdout, st)
 	})
 }
 
--- a/choose/expect/expect.go
+++ b/decision/expect/expect.go
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 )
 
 // Expectation is one, as an operator writes it: either a message and what it comes to, or an order of two methods.
--- a/choose/expect/expect_test.go
+++ b/decision/expect/expect_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 )
 
 func settings() Settings {
--- a/choose/spread/spread.go
+++ b/decision/gossip/gossip.go
@@ -3,7 +3,7 @@
 // heard the same hold the same. It is bounded by bytes and count, for each origin and in all. It does no I/O and has no
 // clock of its own; an instance must be guarded by its owner. It must never read what a record says, nor let a damaged
 // one in.
-package spread
+package gossip
 
 import (
 	"cmp"
--- a/choose/spread/spread_test.go
+++ b/decision/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package spread
+package gossip
 
 import (
 	"bytes"
--- a/choose/hearing/hearing.go
+++ b/decision/health/health.go
@@ -4,7 +4,7 @@
 // nothing of others until it has listened again. It does no I/O and has no clock; an instance must be guarded by its
 // owner. It must never take silence for departure: who falls silent stays on the roster until it has left or was declared
 // gone.
-package hearing
+package health
 
 import (
 	"cmp"
--- a/choose/hearing/hearing_test.go
+++ b/decision/health/health_test.go
@@ -1,4 +1,4 @@
-package hearing
+package health
 
 import (
 	"fmt"
--- a/choose/hearing/identity.go
+++ b/decision/health/identity.go
@@ -1,4 +1,4 @@
-package hearing
+package health
 
 // This file owns which start of its name a server is. Nothing that lasts tells it, and no clock: it learns from its peers
 // which starts they have seen, and goes one further. It must never give way to a former life of its own.
--- a/choose/judge/judge.go
+++ b/decision/outlier/outlier.go
@@ -4,7 +4,7 @@
 // the worst first, never more than a stated part of the pool. It also says who asks after a member that is out, and how
 // much of the callers' RPCs one that returns gets. It does no I/O and has no clock; an instance must be guarded by its
 // owner. It must never keep a member out on the word of somebody who is no longer heard.
-package judge
+package outlier
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"math"
 	"slices"
 
-	"sorrelvalve/choose/evidence"
+	"sorrelvalve/decision/evidence"
 )
 
 // Rules are what an operator sets. Times are ms.
--- a/choose/judge/judge_test.go
+++ b/decision/outlier/outlier_test.go
@@ -1,4 +1,4 @@
-package judge
+package outlier
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"sorrelvalve/choose/evidence"
+	"sorrelvalve/decision/evidence"
 )
 
 var rules = Rules{MinShare: 0.5, Outlier: 4, Failures: 5, Hold: 2000, Return: 5000}
--- a/choose/plan/plan.go
+++ b/decision/plan/plan.go
@@ -9,7 +9,7 @@
 	"math/rand"
 	"slices"
 
-	"sorrelvalve/choose/replay"
+	"sorrelvalve/decision/replay"
 )
 
 // Knobs are what is searched. The zero value leaves all as it is.
--- a/choose/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -4,8 +4,8 @@
 	"math/rand"
 	"testing"
 
-	"sorrelvalve/choose/replay"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/replay"
 )
 
 // A customer whose quota is a hundredth of what it sends, with RPCs over it counting for nothing, and cores that are
--- a/choose/share/book.go
+++ b/decision/quota/book.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 // This file owns a server's parts of many bounds: one for each customer, and some for the services below. A part takes room only
 // while something is taken of it or lent; what is not in the table has all that it owns. It must never make room by
--- a/choose/share/book_test.go
+++ b/decision/quota/book_test.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 import (
 	"fmt"
--- a/choose/share/loans.go
+++ b/decision/quota/loans.go
@@ -1,4 +1,4 @@
-package share
+package quota
 
 // This file owns what servers say to one another about loans: who is asked, how much, what an ask is answered, and when a
 // loan goes back. It must never grant what is not booked first, nor book what was not asked for.
--- a/choose/share/share.go
+++ b/decision/quota/quota.go
@@ -4,7 +4,7 @@
 // construction, whoever hears nothing, crashes or stalls, as long as no more servers run than were counted and clocks differ
 // by no more than was stated. It does no I/O and has no clock; an instance must be guarded by its owner. It must never use
 // what it can't prove to be its own at that moment.
-package share
+package quota
 
 import (
 	"math"
--- a/choose/release/plan.go
+++ b/decision/release/plan.go
@@ -1,6 +1,6 @@
 // Package release decides how a new version of settings comes to all servers of a fleet: in waves, each compared with the servers
 // that do not have it yet, halted or taken back where it is worse or where too much is not known. It is a state machine beside
-// choose/permit's: commands go in, in one order that keepers agree on, and the same commands give the same state everywhere;
+// decision/permit's: commands go in, in one order that keepers agree on, and the same commands give the same state everywhere;
 // time comes in with them, as durations of the leader's own clock. It does no I/O, has no clock and draws nothing. It must
 // never assign a version to a server before its wave, nor leave one with a version that was taken back.
 package release
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -19,7 +19,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/retry"
+	"sorrelvalve/decision/retry"
 )
 
 var (
--- a/internal/back/engine/engine_test.go
+++ b/internal/back/engine/engine_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/retry"
+	"sorrelvalve/decision/retry"
 )
 
 // soon bounds what must come at once; it is long only so that a busy machine fails no test.
--- a/internal/back/engine/runner.go
+++ b/internal/back/engine/runner.go
@@ -5,7 +5,7 @@
 import (
 	"errors"
 
-	"sorrelvalve/choose/retry"
+	"sorrelvalve/decision/retry"
 	"sorrelvalve/internal/gate"
 )
 
--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"sorrelvalve/choose/retry"
+	"sorrelvalve/decision/retry"
 	"sorrelvalve/internal/gate"
 	wire "sorrelvalve/internal/uwsgi"
 )
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -1,5 +1,5 @@
 // Package pools has the work of methods done by uwsgi application servers, as the operator's file says. Package
-// choose/pool chooses the member, choose/retry whether an attempt is made again; here is what carries that out: the
+// decision/pool chooses the member, decision/retry whether an attempt is made again; here is what carries that out: the
 // locks, the clock, the connections. It must never make a second attempt that these have not allowed, and each run that
 // it takes ends exactly once.
 package pools
@@ -14,9 +14,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/evidence"
-	"sorrelvalve/choose/pool"
-	"sorrelvalve/choose/retry"
+	"sorrelvalve/decision/evidence"
+	"sorrelvalve/decision/pool"
+	"sorrelvalve/decision/retry"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
 )
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"sorrelvalve/choose/pool"
+	"sorrelvalve/decision/pool"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/stand"
--- a/internal/cuefile/cuefile.go
+++ b/internal/cuefile/cuefile.go
@@ -17,7 +17,7 @@
 	cueerrors "cuelang.org/go/cue/errors"
 	"cuelang.org/go/cue/token"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/operator"
 )
 
--- a/internal/cuefile/cuefile_test.go
+++ b/internal/cuefile/cuefile_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/operator"
 )
 
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"sorrelvalve/choose/configure"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/configure"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -14,9 +14,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/configure"
-	"sorrelvalve/choose/route"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/configure"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/back/pools"
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/front/uwsgi"
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/recovery"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/store"
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -10,7 +10,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"sorrelvalve/choose/replay"
+	"sorrelvalve/decision/replay"
 	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/trace"
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -2,7 +2,7 @@
 
 // This file owns a server's parts of the budgets that its fleet shares: their lock, their clock, their messages over
 // membership's packets, and what the gate and the pools ask. How much a server may use, lend or ask for is said by
-// choose/share. It must never let through what that has not, nor hold its lock while it sends.
+// decision/quota. It must never let through what that has not, nor hold its lock while it sends.
 
 import (
 	"cmp"
@@ -15,10 +15,10 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"sorrelvalve/choose/count"
-	"sorrelvalve/choose/share"
-	"sorrelvalve/choose/spread"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/count"
+	"sorrelvalve/decision/gossip"
+	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/operator"
 )
 
@@ -30,11 +30,11 @@
 type Budgets struct {
 	f      *Fleet
 	origin time.Time
-	rules  atomic.Pointer[map[string]share.Rules]
+	rules  atomic.Pointer[map[string]quota.Rules]
 	linger atomic.Pointer[map[string]float64] // ms, by pool
 
 	mu     sync.Mutex
-	book   *share.Book
+	book   *quota.Book
 	parted time.Duration // of the wall clock from the own one, at the last look
 	steps  int
 	wrong  int // packets that could not be read
@@ -56,7 +56,7 @@
 	x.take(b)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.book = share.NewBook(f.self.Life, int64(f.self.Life), x.now(), func(key string) (share.Rules, bool) {
+	x.book = quota.NewBook(f.self.Life, int64(f.self.Life), x.now(), func(key string) (quota.Rules, bool) {
 		r, is := (*x.rules.Load())[key]
 		return r, is
 	})
@@ -230,7 +230,7 @@
 	if !ok {
 		b.wrong++
 	}
-	var out []share.Keyed
+	var out []quota.Keyed
 	for _, m := range all {
 		out = append(out, b.book.Receive(b.now(), from, m)...)
 	}
@@ -242,8 +242,8 @@
 const packetBytes = 1100
 
 // send packs what goes to one peer together.
-func (b *Budgets) send(all []share.Keyed) {
-	slices.SortStableFunc(all, func(x, y share.Keyed) int { return cmp.Compare(x.To, y.To) })
+func (b *Budgets) send(all []quota.Keyed) {
+	slices.SortStableFunc(all, func(x, y quota.Keyed) int { return cmp.Compare(x.To, y.To) })
 	var raw []byte
 	for i := range all {
 		raw = appendLoan(raw, &all[i])
@@ -259,7 +259,7 @@
 const mostInPacket = 256
 
 // appendLoan writes a message as fleet.proto has it.
-func appendLoan(b []byte, m *share.Keyed) []byte {
+func appendLoan(b []byte, m *quota.Keyed) []byte {
 	var x []byte
 	number := func(f protowire.Number, v uint64) {
 		if v != 0 {
@@ -285,20 +285,20 @@
 }
 
 // parseLoans reads a packet of them; what makes no sense is left out, and told.
-func parseLoans(raw []byte) (all []share.Keyed, ok bool) {
+func parseLoans(raw []byte) (all []quota.Keyed, ok bool) {
 	sense := true
 	whole := fields(raw, func(num protowire.Number, v []byte, _ uint64) {
 		if num != 1 || len(all) >= mostInPacket {
 			return
 		}
-		var m share.Keyed
+		var m quota.Keyed
 		good := fields(v, func(num protowire.Number, v []byte, n uint64) {
 			x := math.Float64frombits(n)
 			switch num {
 			case 1:
 				m.Key = string(v)
 			case 2:
-				m.Kind = share.MessageKind(min(n, 255))
+				m.Kind = quota.MessageKind(min(n, 255))
 			case 3:
 				m.Number = n
 			case 4:
@@ -314,14 +314,14 @@
 			case 9:
 				m.Renews = n
 			case 10:
-				m.Why = share.Why(min(n, 255))
+				m.Why = quota.Why(min(n, 255))
 			}
 		})
 		finite := true
 		for _, x := range [...]float64{m.Amount, m.For, m.Worth, m.Has} {
 			finite = finite && x >= 0 && x <= 1e12
 		}
-		if good && finite && m.Key != "" && m.Kind >= share.Ask && m.Kind <= share.Offer {
+		if good && finite && m.Key != "" && m.Kind >= quota.Ask && m.Kind <= quota.Offer {
 			all = append(all, m)
 		} else {
 			sense = false
@@ -338,7 +338,7 @@
 
 // BudgetStatus is how the parts stand.
 type BudgetStatus struct {
-	Parts []share.Named `json:",omitempty"` // those with most to tell
+	Parts []quota.Named `json:",omitempty"` // those with most to tell
 	Table int           // parts that are not idle
 	Full  uint64        // RPCs for which the table had no room
 	Sent  uint64        // packets about loans
@@ -444,7 +444,7 @@
 			roster = append(roster, p.Name)
 		}
 	}
-	f.table.Each(now, keyCounts, func(r *spread.Record, age float64) {
+	f.table.Each(now, keyCounts, func(r *gossip.Record, age float64) {
 		if items, rest, ok := parseCounts(r.Body); ok {
 			sum.Take(now-age, r.Origin, r.Start, r.Seq, items, rest)
 		}
--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -22,10 +22,10 @@
 	const bound, burst = 80.0, 12.0
 	rules := stand.NewRules("view")
 	n := names(4)
-	quota := func(bound float64) *operator.Budgets {
+	customerQuota := func(bound float64) *operator.Budgets {
 		return &operator.Budgets{Servers: 4, Clocks: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, LongestMs: 1000}}}
 	}
-	b := started(t, bed.Options{Names: n, Seed: 9, Cores: 4, Rules: rules, Set: sharedSettings, File: operator.File{Budgets: quota(bound)}})
+	b := started(t, bed.Options{Names: n, Seed: 9, Cores: 4, Rules: rules, Set: sharedSettings, File: operator.File{Budgets: customerQuota(bound)}})
 	pour := func(name string, rate float64, length time.Duration, seed int64) (samples []stand.Sample) {
 		router := stand.NewRouter(b.Listen(name))
 		defer router.Close()
@@ -83,7 +83,7 @@
 	}
 	await(t, b, n, bed.Hears("whole", 4))
 	for _, name := range n {
-		if err := b.Reload(name, func(f *operator.File) { f.Budgets = quota(20) }); err != nil {
+		if err := b.Reload(name, func(f *operator.File) { f.Budgets = customerQuota(20) }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -9,17 +9,17 @@
 
 	"go.uber.org/goleak"
 
-	"sorrelvalve/choose/hearing"
-	"sorrelvalve/choose/share"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/health"
+	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/operator"
 )
 
 func TestLoansOnTheWire(t *testing.T) {
-	all := []share.Keyed{
-		{Key: "quota/a", Message: share.Message{Kind: share.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
-		{Key: "calls/p", Message: share.Message{Kind: share.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
-		{Key: "retries/p", Message: share.Message{Kind: share.Deny, Number: 9, Life: 2, Why: share.Contends}},
+	all := []quota.Keyed{
+		{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
+		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
+		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, Number: 9, Life: 2, Why: quota.Contends}},
 	}
 	var raw []byte
 	for i := range all {
@@ -28,10 +28,10 @@
 	if got, ok := parseLoans(raw); !ok || !reflect.DeepEqual(got, all) {
 		t.Errorf("%+v %v", got, ok)
 	}
-	if got, ok := parseLoans(appendLoan(raw, &share.Keyed{Key: "x"})); ok || len(got) != len(all) {
+	if got, ok := parseLoans(appendLoan(raw, &quota.Keyed{Key: "x"})); ok || len(got) != len(all) {
 		t.Errorf("one that makes no sense beside others: %d taken, %v", len(got), ok)
 	}
-	for _, m := range []share.Keyed{{Key: "", Message: share.Message{Kind: share.Ask}}, {Key: "x"}, {Key: "x", Message: share.Message{Kind: share.Ask, Amount: -1}}} {
+	for _, m := range []quota.Keyed{{Key: "", Message: quota.Message{Kind: quota.Ask}}, {Key: "x"}, {Key: "x", Message: quota.Message{Kind: quota.Ask, Amount: -1}}} {
 		if got, ok := parseLoans(appendLoan(nil, &m)); ok || len(got) != 0 {
 			t.Errorf("%+v was taken", got)
 		}
@@ -39,11 +39,11 @@
 }
 
 func FuzzLoans(f *testing.F) {
-	f.Add(appendLoan(nil, &share.Keyed{Key: "quota/a", Message: share.Message{Kind: share.Ask, Number: 7, Life: 3, Amount: 12.5}}))
+	f.Add(appendLoan(nil, &quota.Keyed{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 3, Amount: 12.5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		all, _ := parseLoans(raw)
-		b := share.NewBook(1, 1, 0, func(string) (share.Rules, bool) {
-			return share.Rules{Kind: share.Rate, Bound: 100, Burst: 10, Servers: 2, Floor: 5, Longest: 1000}, true
+		b := quota.NewBook(1, 1, 0, func(string) (quota.Rules, bool) {
+			return quota.Rules{Kind: quota.Rate, Bound: 100, Burst: 10, Servers: 2, Floor: 5, Longest: 1000}, true
 		})
 		for i, m := range all {
 			b.Receive(2000+float64(i), "p", m)
@@ -54,9 +54,9 @@
 	})
 }
 
-// quota is one customer's, shared by so many servers.
-func quota(bound float64, servers int) *operator.Budgets {
-	return &operator.Budgets{Servers: servers, Clocks: share.UsualDrift, Customers: map[string]operator.Budget{
+// customerQuota is one customer's, shared by so many servers.
+func customerQuota(bound float64, servers int) *operator.Budgets {
+	return &operator.Budgets{Servers: servers, Clocks: quota.UsualDrift, Customers: map[string]operator.Budget{
 		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, LongestMs: 1000},
 	}}
 }
@@ -91,10 +91,10 @@
 		}
 		defer f.Close()
 		fleet = append(fleet, f)
-		parts = append(parts, f.Share(quota(300, 3)))
+		parts = append(parts, f.Share(customerQuota(300, 3)))
 	}
 	for _, f := range fleet {
-		wait(t, "whole", hears(f, hearing.Whole, 3))
+		wait(t, "whole", hears(f, health.Whole, 3))
 	}
 	if stands, _ := parts[0].Arrives("view", "other", 1); stands != control.Untold {
 		t.Error("a customer without a budget")
@@ -117,7 +117,7 @@
 		t.Error(text.String())
 	}
 	for _, b := range parts {
-		b.Set(quota(60, 3))
+		b.Set(customerQuota(60, 3))
 	}
 	pour(parts[0], 400, 1500*time.Millisecond) // the loans of the larger quota are over
 	if got := pour(parts[0], 400, time.Second); got > 60+12 {
@@ -141,10 +141,10 @@
 // A step of the wall clock beside the own one drops what is borrowed.
 func TestClockStepVoids(t *testing.T) {
 	f := open(t, Options{Name: "n0", Listen: free(t)})
-	b := f.Share(quota(300, 3))
+	b := f.Share(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Receive(b.now(), "p", share.Keyed{Key: "quota/acme", Message: share.Message{Kind: share.Offer}})
+	b.book.Receive(b.now(), "p", quota.Keyed{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
 	b.parted -= time.Minute // as if the machine had slept for one
 	b.now()
 	if b.steps != 1 {
@@ -179,7 +179,7 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	x := f.Share(quota(1e9, 1))
+	x := f.Share(customerQuota(1e9, 1))
 	b.ReportAllocs()
 	for b.Loop() {
 		x.Arrives("view", "acme", 1)
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -17,8 +17,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/permit"
-	keepers "sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
 )
 
 const (
@@ -53,7 +53,7 @@
 // Drains are one server's.
 type Drains struct {
 	f    *Fleet
-	keep *keepers.Client
+	keep *permitclient.Client
 	log  *logrus.Entry
 	life Life
 
@@ -88,7 +88,7 @@
 
 // Drains has a server tell the keepers at some addresses how it is, drain by their permits, and leave drained members alone.
 func (f *Fleet) Drains(at []string, life Life) *Drains {
-	d := &Drains{f: f, keep: keepers.New(at), log: f.o.Log, life: life, settled: newVersions(life.Settle, f.o.Log)}
+	d := &Drains{f: f, keep: permitclient.New(at), log: f.o.Log, life: life, settled: newVersions(life.Settle, f.o.Log)}
 	d.ctx, d.end = context.WithCancel(context.Background())
 	f.mu.Lock()
 	f.drains = d
@@ -121,9 +121,9 @@
 }
 
 // word is what is told of this server now.
-func (d *Drains) word() keepers.Here {
+func (d *Drains) word() permitclient.Here {
 	start, out, _ := d.self()
-	h := keepers.Here{Name: d.f.o.Name, Out: out, Start: start, Runs: d.settled.seen(out == 0)}
+	h := permitclient.Here{Name: d.f.o.Name, Out: out, Start: start, Runs: d.settled.seen(out == 0)}
 	below := d.life.Below()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +154,7 @@
 			h.Left[subject] = permit.Left{Permit: id}
 		}
 	}
-	if len(h.Members) > keepers.MostMembers || len(h.Left) > keepers.MostMembers {
+	if len(h.Members) > permitclient.MostMembers || len(h.Left) > permitclient.MostMembers {
 		h.Members, h.Left = nil, nil
 	}
 	return h
@@ -210,7 +210,7 @@
 }
 
 // follow does what the keepers order. It tells whether there is news for them.
-func (d *Drains) follow(h keepers.Here, o permit.Orders) (news bool) {
+func (d *Drains) follow(h permitclient.Here, o permit.Orders) (news bool) {
 	d.mu.Lock()
 	if d.state.Halted != o.Halted {
 		d.state.Halted = o.Halted
@@ -249,7 +249,7 @@
 
 // changeProgram drains by permit to another version of the program, which what supervises this server starts in its place: it goes by the
 // exit code and by the name in the folder.
-func (d *Drains) changeProgram(h keepers.Here, o *keepers.Orders) {
+func (d *Drains) changeProgram(h permitclient.Here, o *permitclient.Orders) {
 	d.mu.Lock()
 	busy := d.begun || d.asking
 	d.mu.Unlock()
@@ -381,7 +381,7 @@
 }
 
 // State reads what the keepers agree on.
-func (d *Drains) State(ctx context.Context) (keepers.Status, error) {
+func (d *Drains) State(ctx context.Context) (permitclient.Status, error) {
 	asking, end := context.WithTimeout(ctx, permitWait)
 	defer end()
 	return d.keep.State(asking)
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/permit"
+	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/fleet"
-	"sorrelvalve/internal/keeper"
-	"sorrelvalve/internal/keeper/ask"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
+	"sorrelvalve/internal/permitserver"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/stand/bed"
 )
@@ -37,7 +37,7 @@
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	k, err := keeper.Start(keeper.Options{Name: "k0", Peers: []keeper.Peer{{Name: "k0", Raft: free()}}, Dir: t.TempDir(), New: true, Log: logrus.NewEntry(log)})
+	k, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", Raft: free()}}, Dir: t.TempDir(), New: true, Log: logrus.NewEntry(log)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	}
 	go k.Serve(ln)
 	b := started(t, bed.Options{Names: n, Seed: 6, Cores: 2, Keepers: []string{ln.Addr().String()}})
-	client := ask.New([]string{ln.Addr().String()})
+	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
 	do := func(c permit.Command) {
 		t.Helper()
@@ -135,10 +135,10 @@
 // keepers are three in this process, and a client of theirs.
 type keepers struct {
 	*testing.T
-	*ask.Client
+	*permitclient.Client
 	addrs []string
-	all   []*keeper.Keeper
-	peers []keeper.Peer
+	all   []*permitserver.Keeper
+	peers []permitserver.Peer
 	dirs  []string
 }
 
@@ -155,7 +155,7 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	for i, p := range k.peers {
-		x, err := keeper.Start(keeper.Options{Name: p.Name, Peers: k.peers, Dir: k.dirs[i], Log: logrus.NewEntry(log)})
+		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: k.peers, Dir: k.dirs[i], Log: logrus.NewEntry(log)})
 		if err != nil {
 			k.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 	k := &keepers{T: t}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	var peers []keeper.Peer
+	var peers []permitserver.Peer
 	var lns []net.Listener
 	for i := range 3 {
 		var both [2]net.Listener
@@ -188,11 +188,11 @@
 		both[0].Close()
 		lns = append(lns, both[1])
 		k.addrs = append(k.addrs, both[1].Addr().String())
-		peers = append(peers, keeper.Peer{Name: fmt.Sprint("k", i), Raft: both[0].Addr().String(), HTTP: both[1].Addr().String()})
+		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), Raft: both[0].Addr().String(), HTTP: both[1].Addr().String()})
 	}
 	for i, p := range peers {
 		k.dirs = append(k.dirs, t.TempDir())
-		x, err := keeper.Start(keeper.Options{Name: p.Name, Peers: peers, Dir: k.dirs[i], New: true, Log: logrus.NewEntry(log)})
+		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: peers, Dir: k.dirs[i], New: true, Log: logrus.NewEntry(log)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,7 +201,7 @@
 		k.all = append(k.all, x)
 	}
 	k.peers = peers
-	k.Client = ask.New(k.addrs)
+	k.Client = permitclient.New(k.addrs)
 	t.Cleanup(k.Client.Close)
 	return k
 }
@@ -219,9 +219,9 @@
 }
 
 // until waits for what the keepers tell.
-func (k *keepers) until(what string, wanted func(ask.Status) bool) {
+func (k *keepers) until(what string, wanted func(permitclient.Status) bool) {
 	k.Helper()
-	var last ask.Status
+	var last permitclient.Status
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		ctx, done := context.WithTimeout(context.Background(), 5*time.Second)
 		st, err := k.State(ctx)
@@ -289,7 +289,7 @@
 		}
 		t.Fatalf("%s %s: %v", name, query, err)
 	}
-	free := func(st ask.Status) bool { return len(st.State.Held()) == 0 }
+	free := func(st permitclient.Status) bool { return len(st.State.Held()) == 0 }
 	pids := map[string]int{}
 	for _, name := range n {
 		pids[name] = b.Procs.Pid(name)
@@ -302,7 +302,7 @@
 			t.Errorf("%s has ended, or is another", name)
 		}
 	}
-	k.until("heard", func(st ask.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
+	k.until("heard", func(st permitclient.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
 	until("n0", "what=drain")
 	if err := op("n0", "what=back"); err != nil {
 		t.Errorf("back while it drains: %v", err)
@@ -319,10 +319,10 @@
 
 	// A member: nothing new goes there once all that are heard have said so; one that is stopped is named.
 	do(t, b, "0s stop n5")
-	k.until("n5 missed", func(st ask.Status) bool { return len(st.Seen) == 1 && st.Seen[0].Name == "n5" })
+	k.until("n5 missed", func(st permitclient.Status) bool { return len(st.Seen) == 1 && st.Seen[0].Name == "n5" })
 	subject := "apps/" + addrs[1]
 	until("n2", "what=drain&subject="+subject)
-	k.until("drained", func(st ask.Status) bool {
+	k.until("drained", func(st permitclient.Status) bool {
 		return len(st.Drained) == 1 && st.Drained[0].Done && slices.Equal(st.Drained[0].Unheard, []string{"n5"})
 	})
 	if err := op("n3", "what=drain&subject=apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
@@ -334,7 +334,7 @@
 		t.Errorf("%d tries to a drained member", now-was)
 	}
 	do(t, b, "0s cont n5") // it has to hear before it is one of those that leave it alone
-	k.until("drained by n5 too", func(st ask.Status) bool {
+	k.until("drained by n5 too", func(st permitclient.Status) bool {
 		return len(st.Drained) == 1 && st.Drained[0].Done && len(st.Drained[0].Unheard) == 0
 	})
 	if err := op("n4", "what=back&subject="+subject); err != nil {
@@ -351,7 +351,7 @@
 	if err := b.Procs.Signal("n3", syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	k.until("recorded", func(st ask.Status) bool {
+	k.until("recorded", func(st permitclient.Status) bool {
 		return slices.ContainsFunc(st.State.History, func(e permit.Entry) bool { return e.Kind == permit.Stop && e.Subject == "n3" })
 	})
 	for end := time.Now().Add(within); b.Procs.Runs("n3"); time.Sleep(20 * time.Millisecond) {
@@ -359,14 +359,14 @@
 			t.Fatal("n3 goes on")
 		}
 	}
-	k.until("halted by itself", func(st ask.Status) bool { return st.State.Auto != "" })
+	k.until("halted by itself", func(st permitclient.Status) bool { return st.State.Auto != "" })
 	if err := op("n4", "what=drain"); err == nil {
 		t.Error("begun though a loss has used the allowance up")
 	}
 	if err := b.Procs.Start("n3"); err != nil {
 		t.Fatal(err)
 	}
-	k.until("the halt ends with its cause", func(st ask.Status) bool { return st.State.Auto == "" })
+	k.until("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.Auto == "" })
 
 	// By hand, and a server that is asked for by another's socket: it begins after the halt.
 	if err := op("n0", "what=halt"); err != nil {
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
-	"sorrelvalve/choose/pool"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/pool"
 	"sorrelvalve/internal/back/pools"
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/operator"
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet lets the servers of a fleet know one another: it runs memberlist for who is there and who has fallen
-// silent, spreads small records of each, and tells choose/hearing what its own clock and the network show. It carries out;
-// what a server may say of others, which record is newest and which start a server is are said by choose/hearing and
-// choose/spread. It must never touch an RPC, nor judge a peer by anything that was known before the server itself
+// silent, spreads small records of each, and tells decision/health what its own clock and the network show. It carries out;
+// what a server may say of others, which record is newest and which start a server is are said by decision/health and
+// decision/gossip. It must never touch an RPC, nor judge a peer by anything that was known before the server itself
 // stalled.
 package fleet
 
@@ -24,9 +24,9 @@
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/hearing"
-	"sorrelvalve/choose/judge"
-	"sorrelvalve/choose/spread"
+	"sorrelvalve/decision/gossip"
+	"sorrelvalve/decision/health"
+	"sorrelvalve/decision/outlier"
 )
 
 // Options are those of one server's part in a fleet.
@@ -44,7 +44,7 @@
 	Phase     func() (Phase, float64)
 	Log       *logrus.Entry
 
-	rules hearing.Rules         // zero for the usual ones
+	rules health.Rules          // zero for the usual ones
 	lower func() (lower, error) // nil: sockets
 }
 
@@ -88,9 +88,9 @@
 	joins  chan struct{}  // a place for each at a time
 
 	mu       sync.Mutex
-	hear     *hearing.Hearing
-	table    *spread.Table
-	self     hearing.Identity
+	hear     *health.Hearing
+	table    *gossip.Table
+	self     health.Identity
 	seq      map[string]uint64
 	said     map[string][]byte           // own records' bodies
 	byAddr   map[string]string           // names by the address that the detector has
@@ -131,8 +131,8 @@
 // Start opens the server's part: it listens and joins whom it knows, again and again. It fails only if what it is told is
 // wrong or its address is taken.
 func Start(o Options) (*Fleet, error) {
-	if o.rules == (hearing.Rules{}) {
-		o.rules = hearing.Usual
+	if o.rules == (health.Rules{}) {
+		o.rules = health.Usual
 	}
 	o.rules.Expect = o.Expect
 	if o.Phase == nil {
@@ -143,15 +143,15 @@
 	}
 	f := &Fleet{
 		o: o, origin: time.Now(), cancel: make(chan struct{}), over: make(chan struct{}),
-		joins: make(chan struct{}, joinsMost), table: spread.NewTable(spread.Usual), seq: map[string]uint64{},
+		joins: make(chan struct{}, joinsMost), table: gossip.NewTable(gossip.Usual), seq: map[string]uint64{},
 		said: map[string][]byte{}, byAddr: map[string]string{}, nodes: map[string]*memberlist.Node{}, addrs: map[string]string{},
 	}
 	f.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmits, NumNodes: func() int { return int(f.size.Load()) }}
 	f.size.Store(1)
 	var draw [8]byte
 	rand.Read(draw[:])
-	f.self = hearing.Identity{Start: 1, Life: binary.LittleEndian.Uint64(draw[:]) | 1}
-	f.hear = hearing.New(o.rules, o.Name, o.Zone, 0, f.wall())
+	f.self = health.Identity{Start: 1, Life: binary.LittleEndian.Uint64(draw[:]) | 1}
+	f.hear = health.New(o.rules, o.Name, o.Zone, 0, f.wall())
 	if err := f.begin(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -282,7 +282,7 @@
 		whole, pulse := false, f.pulseWait()
 		if shared != nil || judges != nil {
 			peers = f.hear.Heard(f.ms(now), peers[:0])
-			whole = f.hear.WholeFor(f.ms(now), judge.Together)
+			whole = f.hear.WholeFor(f.ms(now), outlier.Together)
 		}
 		f.mu.Unlock()
 		if judges != nil {
@@ -344,9 +344,9 @@
 // say spreads an own record. The lock is held.
 func (f *Fleet) say(now time.Time, key string, body []byte) error {
 	f.seq[key]++
-	r := spread.Record{Origin: f.o.Name, Key: key, Start: f.self.Start, Life: f.self.Life, Seq: f.seq[key], Body: body}
+	r := gossip.Record{Origin: f.o.Name, Key: key, Start: f.self.Start, Life: f.self.Life, Seq: f.seq[key], Body: body}
 	raw := r.Append(nil)
-	if _, found := f.table.Put(f.ms(now), raw); found != spread.News {
+	if _, found := f.table.Put(f.ms(now), raw); found != gossip.News {
 		return fmt.Errorf("fleet: the record %q is over the bounds", key)
 	}
 	f.said[key] = body
@@ -355,7 +355,7 @@
 }
 
 // Say spreads a record of this server under a key of the caller's; the newest goes before all former ones. It fails if
-// it is over the bounds of choose/spread.
+// it is over the bounds of decision/gossip.
 func (f *Fleet) Say(key string, body []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -363,14 +363,14 @@
 }
 
 // Get returns the newest record of an origin under a key, and the ms since it was heard.
-func (f *Fleet) Get(origin, key string) (r spread.Record, age float64, has bool) {
+func (f *Fleet) Get(origin, key string) (r gossip.Record, age float64, has bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Get(f.ms(time.Now()), origin, key)
 }
 
 // Each calls f for the newest record of each origin under a key, with the ms since it was heard.
-func (f *Fleet) Each(key string, each func(r *spread.Record, age float64)) {
+func (f *Fleet) Each(key string, each func(r *gossip.Record, age float64)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.Each(f.ms(time.Now()), key, each)
@@ -489,7 +489,7 @@
 	delete(f.nodes, n.Name)
 	f.size.Store(int64(1 + len(f.byAddr)))
 	if n.State == memberlist.StateLeft {
-		f.hear.Leaves(f.ms(now), n.Name, 0, hearing.Left)
+		f.hear.Leaves(f.ms(now), n.Name, 0, health.Left)
 	} else {
 		f.lost++
 		f.hear.Lost(f.ms(now), n.Name)
@@ -534,7 +534,7 @@
 	now := time.Now()
 	otherStart, otherLife := lifeOf(other.Meta)
 	isNew := f.contact.IsZero() || now.Sub(f.contact) < young
-	if isNew && (otherStart > f.self.Start || otherStart == f.self.Start && otherLife > f.self.Life || f.hear.View(f.ms(now)).State == hearing.Alone) {
+	if isNew && (otherStart > f.self.Start || otherStart == f.self.Start && otherLife > f.self.Life || f.hear.View(f.ms(now)).State == health.Alone) {
 		f.refuse(fmt.Errorf("the name %s is taken by a server at %s; this one serves without the fleet", f.o.Name, other.Address()))
 	}
 }
@@ -660,7 +660,7 @@
 		in.f.take(in, "", nil)
 		return
 	}
-	if !spread.Split(b[1+b[0]:], func(raw []byte) { in.f.take(in, "", raw) }) {
+	if !gossip.Split(b[1+b[0]:], func(raw []byte) { in.f.take(in, "", raw) }) {
 		in.f.take(in, "", nil)
 	}
 }
@@ -674,7 +674,7 @@
 	}
 	at := time.Now()
 	now := f.ms(at)
-	r, err := spread.Parse(raw)
+	r, err := gossip.Parse(raw)
 	if err == nil && !goodName(r.Origin) {
 		raw = nil // as damaged
 	} else if err == nil && r.Origin == f.o.Name {
@@ -682,7 +682,7 @@
 		return
 	}
 	r, found := f.table.Put(now, raw)
-	if found != spread.News {
+	if found != gossip.News {
 		return
 	}
 	f.queue.QueueBroadcast(&news{name: r.Origin + "\x00" + r.Key, raw: slices.Clone(raw)})
@@ -695,18 +695,18 @@
 		}
 		zone = s.Zone
 		if f.hear.Known(now, r.Origin, zone, r.Start, r.Life); s.Phase == Leaving {
-			f.hear.Leaves(now, r.Origin, r.Start, hearing.Left)
+			f.hear.Leaves(now, r.Origin, r.Start, health.Left)
 		}
 	case keyGone:
 		if g, ok := parseGone(r.Body); ok && g.name != f.o.Name {
-			f.hear.Leaves(now, g.name, g.start, hearing.Gone)
+			f.hear.Leaves(now, g.name, g.start, health.Gone)
 		}
 	}
 	f.hear.Via(now, r.Origin, through)
 }
 
 // ownName is a record of the own name: of a former life, or of another process. The lock is held.
-func (f *Fleet) ownName(at time.Time, r *spread.Record) {
+func (f *Fleet) ownName(at time.Time, r *gossip.Record) {
 	raised, twin := f.self.Met(f.ms(at), r.Start, r.Life)
 	if !raised {
 		return
@@ -749,13 +749,13 @@
 	if err := f.say(now, keyGone, g.append(nil)); err != nil {
 		return err
 	}
-	f.hear.Leaves(f.ms(now), name, start, hearing.Gone)
+	f.hear.Leaves(f.ms(now), name, start, health.Gone)
 	f.o.Log.WithFields(logrus.Fields{"name": name, "who": who, "why": why}).Warn("fleet: declared gone")
 	return nil
 }
 
 // View tells what this server hears.
-func (f *Fleet) View() hearing.View {
+func (f *Fleet) View() health.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hear.View(f.ms(time.Now()))
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -17,8 +17,8 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"sorrelvalve/choose/hearing"
-	"sorrelvalve/choose/spread"
+	"sorrelvalve/decision/gossip"
+	"sorrelvalve/decision/health"
 )
 
 // soon bounds what must come: longer than the time between two exchanges of all that is known, by which a record arrives whose packets were
@@ -65,7 +65,7 @@
 	return f
 }
 
-func hears(f *Fleet, state hearing.State, heard int) func() bool {
+func hears(f *Fleet, state health.State, heard int) func() bool {
 	return func() bool {
 		v := f.View()
 		return v.State == state && v.Heard == heard
@@ -90,7 +90,7 @@
 		defer f.Close()
 	}
 	for _, f := range fleet {
-		wait(t, f.o.Name+" hears all", hears(f, hearing.Whole, 4))
+		wait(t, f.o.Name+" hears all", hears(f, health.Whole, 4))
 	}
 	wait(t, "the phase of n1 is known", func() bool {
 		s := fleet[3].Status()
@@ -100,11 +100,11 @@
 		t.Fatal(err)
 	}
 	wait(t, "a record travels", func() (has bool) {
-		fleet[2].Each("x", func(r *spread.Record, age float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
+		fleet[2].Each("x", func(r *gossip.Record, age float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
 		return has
 	})
 	fleet[1].Close()
-	wait(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == hearing.Whole && v.Roster == 3 })
+	wait(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Whole && v.Roster == 3 })
 }
 
 // A server that comes again under its name goes before its former life, whose records are still about.
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "a hears b", hears(a, hearing.Whole, 2))
+	wait(t, "a hears b", hears(a, health.Whole, 2))
 	b.Say("x", []byte("old"))
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Drop()
@@ -133,8 +133,8 @@
 	addrs := []string{free(t), free(t), free(t)}
 	a := open(t, Options{Name: "a", Listen: addrs[0]})
 	b := open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs[:1]})
-	wait(t, "whole", hears(a, hearing.Whole, 2))
-	wait(t, "whole", hears(b, hearing.Whole, 2))
+	wait(t, "whole", hears(a, health.Whole, 2))
+	wait(t, "whole", hears(b, health.Whole, 2))
 	twin := open(t, Options{Name: "b", Listen: addrs[2], Seeds: addrs[:1]})
 	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().Refused, "the name b is") })
 	wait(t, "both are named", func() bool { return len(a.Status().Twins)+len(b.Status().Twins) > 0 })
@@ -160,7 +160,7 @@
 	if _, err := b.ServeSocket(path); err == nil {
 		t.Error("a second server takes the socket")
 	}
-	wait(t, "whole", hears(a, hearing.Whole, 2))
+	wait(t, "whole", hears(a, health.Whole, 2))
 	ctx := context.Background()
 	if err := Declare(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
 		t.Errorf("who is heard is declared gone: %v", err)
@@ -196,7 +196,7 @@
 	addrs := []string{free(t), free(t)}
 	a := open(t, Options{Name: "a", Listen: addrs[0]})
 	b := open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs})
-	wait(t, "whole", hears(a, hearing.Whole, 2))
+	wait(t, "whole", hears(a, health.Whole, 2))
 	b.Say("x", []byte("first"))
 	var old []byte
 	wait(t, "the record", func() bool {
@@ -257,7 +257,7 @@
 		mesh.Close()
 	}()
 	for _, f := range fleet {
-		wait(t, f.o.Name+" hears all", hears(f, hearing.Whole, n))
+		wait(t, f.o.Name+" hears all", hears(f, health.Whole, n))
 	}
 	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Heard != n/3 {
 		t.Errorf("zones %v", z)
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -2,7 +2,7 @@
 
 // This file owns how servers of a fleet judge the members of their pools together: what this one saw, what the others say, in
 // records under a key for each pool, and the verdicts that pools are told. Who is out, who asks after it and how it comes
-// back is said by choose/judge. It must never make an RPC wait.
+// back is said by decision/outlier. It must never make an RPC wait.
 
 import (
 	"math"
@@ -16,10 +16,10 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"sorrelvalve/choose/evidence"
-	"sorrelvalve/choose/judge"
-	"sorrelvalve/choose/pool"
-	"sorrelvalve/choose/spread"
+	"sorrelvalve/decision/evidence"
+	"sorrelvalve/decision/gossip"
+	"sorrelvalve/decision/outlier"
+	"sorrelvalve/decision/pool"
 )
 
 const (
@@ -47,14 +47,14 @@
 // judged is one pool.
 type judged struct {
 	seen     evidence.Own
-	j        *judge.Judge
+	j        *outlier.Judge
 	looked   float64
 	said     float64
 	bad      bool // something bad is to be said
 	verdicts atomic.Pointer[[]pool.Verdict]
 	together atomic.Bool // this server hears all; else it judges for itself
 	out      atomic.Bool // a member is, that this server may ask after
-	told     []judge.Said
+	told     []outlier.Said
 	aside    []string // members that an operator drains
 }
 
@@ -81,14 +81,14 @@
 	}
 	for name, members := range all {
 		r := rules(name)
-		set := judge.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}
+		set := outlier.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}
 		p := j.pools[name]
 		if p == nil {
 			if len(j.pools) >= mostJudged {
 				j.log.WithField("pool", name).Warn("judge: too many pools, this one's members are judged by each server for itself")
 				continue
 			}
-			p = &judged{j: judge.New(set, j.f.o.Name, j.f.o.Zone, members, now)}
+			p = &judged{j: outlier.New(set, j.f.o.Name, j.f.o.Zone, members, now)}
 			p.verdicts.Store(&[]pool.Verdict{})
 			j.pools[name] = p
 			continue
@@ -152,7 +152,7 @@
 
 // Takes is pools.Judges.
 func (j *Judges) Takes(member string, caller uint64, share float64) bool {
-	return judge.Takes(member, caller, share)
+	return outlier.Takes(member, caller, share)
 }
 
 // Probe is pools.Judges.
@@ -183,7 +183,7 @@
 		p.looked = now
 		views := p.seen.Views(now)
 		p.told = p.told[:0]
-		j.f.Each(keySeen+name, func(r *spread.Record, age float64) {
+		j.f.Each(keySeen+name, func(r *gossip.Record, age float64) {
 			if r.Origin != j.f.o.Name {
 				if s, ok := parseSeen(r.Body); ok {
 					s.Origin, s.Age = r.Origin, age
@@ -191,10 +191,10 @@
 				}
 			}
 		})
-		p.told = slices.DeleteFunc(p.told, func(s judge.Said) bool { return !slices.Contains(peers, s.Origin) })
+		p.told = slices.DeleteFunc(p.told, func(s outlier.Said) bool { return !slices.Contains(peers, s.Origin) })
 		p.j.Look(now, views, p.told, peers, whole)
 		verdicts, out := []pool.Verdict{}, false
-		bad := p.bad || judge.Urgent(views) || p.j.Objects(views, j.chance.Float64(), len(peers)+1)
+		bad := p.bad || outlier.Urgent(views) || p.j.Objects(views, j.chance.Float64(), len(peers)+1)
 		p.bad = false
 		for _, m := range p.j.Members() {
 			if m.Out || p.j.Part(now, m) < 1 {
@@ -229,7 +229,7 @@
 }
 
 // appendSeen writes what is said of a pool, what is bad first, as far as there is room.
-func appendSeen(views []evidence.View, zone string, out []string, back []judge.Back) []byte {
+func appendSeen(views []evidence.View, zone string, out []string, back []outlier.Back) []byte {
 	views = slices.Clone(views)
 	slices.SortStableFunc(views, func(a, b evidence.View) int { return min(a.Run, 0) - min(b.Run, 0) })
 	var b []byte
@@ -263,7 +263,7 @@
 }
 
 // parseSeen reads it. Figures out of their bounds are brought into them: who spreads nonsense weighs no more for it.
-func parseSeen(raw []byte) (s judge.Said, ok bool) {
+func parseSeen(raw []byte) (s outlier.Said, ok bool) {
 	number := func(n uint64, most float64) float64 {
 		x := float64(math.Float32frombits(uint32(n)))
 		if !(x >= 0) {
@@ -303,12 +303,12 @@
 		case 3:
 			s.Out = append(s.Out, string(v))
 		case 4:
-			var x judge.Back
+			var x outlier.Back
 			fields(v, func(num protowire.Number, v []byte, n uint64) {
 				if num == 1 {
 					x.Member = string(v)
 				} else if num == 2 {
-					if x.For = float64(math.Float32frombits(uint32(n))); !(x.For >= judge.Soonest && x.For <= 1e9) {
+					if x.For = float64(math.Float32frombits(uint32(n))); !(x.For >= outlier.Soonest && x.For <= 1e9) {
 						x.For = 1e9 // long back: that starts nothing
 					}
 				}
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -19,10 +19,10 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/release"
 	"sorrelvalve/internal/gate"
-	keepers "sorrelvalve/internal/keeper/ask"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
 )
 
 // Settle is how a server takes a version.
@@ -88,7 +88,7 @@
 }
 
 // wants tells whether the keepers want another version of the program, by a newer word than the last that was followed.
-func (v *versions) wants(o *keepers.Orders) bool {
+func (v *versions) wants(o *permitclient.Orders) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.s.Folder != "" && o.Program != v.prog.Version && o.Index > v.prog.Index
@@ -192,7 +192,7 @@
 
 // follow takes the version that the keepers tell, if theirs is a newer word than that by which the present one was taken. It tells
 // whether there is news for them.
-func (v *versions) follow(ctx context.Context, c *keepers.Client, o *keepers.Orders) (news bool) {
+func (v *versions) follow(ctx context.Context, c *permitclient.Client, o *permitclient.Orders) (news bool) {
 	v.mu.Lock()
 	runs, refused := v.runs, v.refused
 	v.mu.Unlock()
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
 	"sorrelvalve/internal/fleet"
-	"sorrelvalve/internal/keeper/ask"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/stand/bed"
 )
@@ -97,7 +97,9 @@
 	}
 	phase := func(want release.Phase) {
 		t.Helper()
-		k.until(string(want), func(st ask.Status) bool { return st.Releases.Release != nil && st.Releases.Release.Phase == want })
+		k.until(string(want), func(st permitclient.Status) bool {
+			return st.Releases.Release != nil && st.Releases.Release.Phase == want
+		})
 	}
 	runs := func(name string, version uint64) {
 		t.Helper()
@@ -142,7 +144,7 @@
 	// One whose pool fails everything: back from the canary, with nobody else reached.
 	worse := begin(file("three", bad))
 	phase(release.Returned)
-	k.until("as before", func(st ask.Status) bool { return len(st.Releases.Release.Missing) == 0 })
+	k.until("as before", func(st permitclient.Status) bool { return len(st.Releases.Release.Missing) == 0 })
 	for _, name := range n {
 		runs(name, plan.Version)
 	}
@@ -161,7 +163,9 @@
 	wrong.Hold.SettledMs = 77 // only a new start can change that
 	begin(wrong)
 	phase(release.Returned)
-	k.until("the reason", func(st ask.Status) bool { return strings.Contains(st.Releases.Release.Why, "only a new start") })
+	k.until("the reason", func(st permitclient.Status) bool {
+		return strings.Contains(st.Releases.Release.Why, "only a new start")
+	})
 
 	// Stopped while all go back to their own file, it takes that when it goes on.
 	five := begin(file("five", old))
@@ -257,7 +261,7 @@
 	most := 0
 	phase := func(want release.Phase) {
 		t.Helper()
-		k.until(string(want), func(st ask.Status) bool {
+		k.until(string(want), func(st permitclient.Status) bool {
 			out := 0
 			for _, p := range st.State.Held() {
 				if p.Begun {
@@ -281,7 +285,7 @@
 			t.Errorf("%s: %v %+v", name, err, s.Drain)
 		}
 	}
-	k.until("all back", func(st ask.Status) bool { return len(st.State.Held()) == 0 })
+	k.until("all back", func(st permitclient.Status) bool { return len(st.State.Held()) == 0 })
 	begin("crashes")
 	phase(release.Returned)
 	held, stays := 0, 0
@@ -295,7 +299,7 @@
 	if held != 1 || stays != 3 {
 		t.Errorf("%d servers met what crashes, %d have what they had", held, stays)
 	}
-	k.until("its permit stays", func(st ask.Status) bool { return len(st.State.Held()) == 1 })
+	k.until("its permit stays", func(st permitclient.Status) bool { return len(st.State.Held()) == 1 })
 	if most > 1 {
 		t.Errorf("%d out at a time, one may be", most)
 	}
@@ -358,14 +362,14 @@
 	}
 	wave := func(least int) {
 		t.Helper()
-		k.until(fmt.Sprint("in wave ", least), func(st ask.Status) bool {
+		k.until(fmt.Sprint("in wave ", least), func(st permitclient.Status) bool {
 			r := st.Releases.Release
 			return r.Phase == release.Running && r.Wave >= least
 		})
 	}
 	phase := func(want release.Phase) {
 		t.Helper()
-		k.until(string(want), func(st ask.Status) bool {
+		k.until(string(want), func(st permitclient.Status) bool {
 			r := st.Releases.Release
 			if r.Phase == release.Held && want == release.Done {
 				do(release.Command{Kind: release.Resume, Release: r.Number})
@@ -428,7 +432,7 @@
 	runs(one, n...)
 
 	// An operator's halt: the next wave does not begin.
-	k.until("all heard", func(st ask.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
+	k.until("all heard", func(st permitclient.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
 	three, _ := begin(body("three"))
 	wave(0)
 	k.do(permit.Command{Kind: permit.Halt, Who: "me", Why: "look"})
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -18,10 +18,10 @@
 	"strings"
 	"time"
 
-	"sorrelvalve/choose/hearing"
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/spread"
-	keepers "sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/gossip"
+	"sorrelvalve/decision/health"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
 )
 
 // Status is one server's view. Times are ms; ages count from when this server heard.
@@ -37,7 +37,7 @@
 	Roster, Heard                 int
 	AtLeast, AtMost               int
 	Blind                         bool
-	Zones                         []hearing.Zone
+	Zones                         []health.Zone
 	Peers                         []PeerStatus
 	Twins                         []string `json:",omitempty"`
 	Refused                       string   `json:",omitempty"`
@@ -67,7 +67,7 @@
 // RecordStatus is the table of records.
 type RecordStatus struct {
 	Origins, Records, Bytes int
-	spread.Counts
+	gossip.Counts
 }
 
 // Traffic is counted since the start.
@@ -302,7 +302,7 @@
 }
 
 // Permits reads what keepers agree on, by way of the server at path.
-func Permits(ctx context.Context, path string) (s keepers.Status, err error) {
+func Permits(ctx context.Context, path string) (s permitclient.Status, err error) {
 	b, err := ask(ctx, path, http.MethodGet, "/v1/permits")
 	if err == nil {
 		err = json.Unmarshal(b, &s)
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -14,7 +14,7 @@
 	"strings"
 	"time"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
--- a/internal/front/uwsgi/server.go
+++ b/internal/front/uwsgi/server.go
@@ -12,7 +12,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"sorrelvalve/choose/recovery"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/opening"
 )
 
--- a/internal/lab/budgets.go
+++ b/internal/lab/budgets.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 	"gonum.org/v1/plot/plotter"
 
-	"sorrelvalve/choose/share"
+	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/stand"
@@ -31,7 +31,7 @@
 	n := float64(servers)
 	return &world.Budgets{
 		Way:   way,
-		Rules: share.Rules{Kind: share.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: share.UsualLongest, Drift: share.UsualDrift},
+		Rules: quota.Rules{Kind: quota.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: quota.UsualLongest, Drift: quota.UsualDrift},
 		Hot:   max(2, servers/100), Rate: 12 * n, MoveMs: moveMs,
 	}
 }
@@ -175,7 +175,7 @@
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
 
 func quotaFile(floor float64) operator.File {
-	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, Clocks: share.UsualDrift, Customers: map[string]operator.Budget{
+	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, Clocks: quota.UsualDrift, Customers: map[string]operator.Budget{
 		"kaipara-wireless": {Bound: quotaBound, Burst: quotaBurst, Floor: floor, LongestMs: quotaLongest},
 	}}}
 }
@@ -381,7 +381,7 @@
 	names := world.Names(quotaServers)
 	b, err := bed.New(bed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: func() bed.Command { return serve }, File: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
-		Budgets: &operator.Budgets{Servers: quotaServers, Clocks: share.UsualDrift,
+		Budgets: &operator.Budgets{Servers: quotaServers, Clocks: quota.UsualDrift,
 			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, LongestMs: quotaLongest}},
 			Calls:   map[string]operator.Budget{"apps": {Bound: poolCalls, Floor: 1, LongestMs: 10000, LingerMs: 3000}}},
 	}})
@@ -467,9 +467,9 @@
 	names := make([]string, customers)
 	for i := range names {
 		names[i] = fmt.Sprint("customer-", i)
-		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, LongestMs: share.UsualLongest}
+		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, LongestMs: quota.UsualLongest}
 	}
-	b := f.Share(&operator.Budgets{Servers: 300, Clocks: share.UsualDrift, Customers: all})
+	b := f.Share(&operator.Budgets{Servers: 300, Clocks: quota.UsualDrift, Customers: all})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/lab/drain.go
+++ b/internal/lab/drain.go
@@ -23,11 +23,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/permit"
+	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/fleet"
-	"sorrelvalve/internal/keeper"
-	"sorrelvalve/internal/keeper/ask"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
+	"sorrelvalve/internal/permitserver"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/stand/bed"
 	"sorrelvalve/internal/stand/script"
@@ -45,16 +45,16 @@
 func KeeperServer(name, dir string, fresh bool, peers []string) error {
 	log := logrus.New()
 	log.SetLevel(logrus.WarnLevel)
-	o := keeper.Options{Name: name, Dir: dir, New: fresh, Log: logrus.NewEntry(log)}
+	o := permitserver.Options{Name: name, Dir: dir, New: fresh, Log: logrus.NewEntry(log)}
 	listen := ""
 	for _, s := range peers {
 		f := strings.Split(s, ",")
-		o.Peers = append(o.Peers, keeper.Peer{Name: f[0], Raft: f[1], HTTP: f[2]})
+		o.Peers = append(o.Peers, permitserver.Peer{Name: f[0], Raft: f[1], HTTP: f[2]})
 		if f[0] == name {
 			listen = f[2]
 		}
 	}
-	k, err := keeper.Start(o)
+	k, err := permitserver.Start(o)
 	if err != nil {
 		return err
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	client := ask.New(k.http)
+	client := permitclient.New(k.http)
 	defer client.Close()
 	var servers []permit.Server
 	for _, name := range world.Names(drainServers) {
--- a/internal/lab/embedded.go
+++ b/internal/lab/embedded.go
@@ -23,7 +23,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/valve"
 	"sorrelvalve/valve/ginvalve"
--- a/internal/lab/grants.go
+++ b/internal/lab/grants.go
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/stand"
 )
 
@@ -45,7 +45,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), 25*time.Minute)
 	defer end()
-	client := ask.New(k.http)
+	client := permitclient.New(k.http)
 	defer client.Close()
 	var servers []permit.Server
 	for i := range grantServers {
@@ -62,13 +62,13 @@
 		for hearing.Err() == nil {
 			for i := range grantServers {
 				one, done := context.WithTimeout(hearing, 2*time.Second)
-				client.Here(one, ask.Here{Name: fmt.Sprint("n", i), Start: 1})
+				client.Here(one, permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
 				done()
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 	})
-	cycle := func(c *ask.Client, name, id string) (took time.Duration, err error) {
+	cycle := func(c *permitclient.Client, name, id string) (took time.Duration, err error) {
 		began := time.Now()
 		a, err := c.Do(ctx, permit.Command{ID: "a" + id, Kind: permit.Ask, Subject: name, Who: "lab", Start: 1})
 		took = time.Since(began)
@@ -119,7 +119,7 @@
 	var failed atomic.Pointer[error]
 	for w := range grantClients {
 		all.Go(func() {
-			c := ask.New(k.http)
+			c := permitclient.New(k.http)
 			defer c.Close()
 			for next.Add(1) <= int64(permits) && failed.Load() == nil {
 				if _, err := cycle(c, fmt.Sprint("n", w), fmt.Sprint("w", w, "-", next.Load(), time.Now().UnixNano())); err != nil {
@@ -148,7 +148,7 @@
 	if err := k.start(name, false); err != nil {
 		return err
 	}
-	one := ask.New([]string{k.http[slices.Index(k.names, name)]})
+	one := permitclient.New([]string{k.http[slices.Index(k.names, name)]})
 	defer one.Close()
 	for ctx.Err() == nil { // it leads on to the leader as soon as it serves
 		tryOne, done := context.WithTimeout(ctx, time.Second)
--- a/internal/lab/hearing.go
+++ b/internal/lab/hearing.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 	"gonum.org/v1/plot/plotter"
 
-	"sorrelvalve/choose/hearing"
+	"sorrelvalve/decision/health"
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
@@ -366,7 +366,7 @@
 	for {
 		whole := 0
 		for _, f := range all {
-			if v := f.View(); v.State == hearing.Whole && v.Heard == n {
+			if v := f.View(); v.State == health.Whole && v.Heard == n {
 				whole++
 			}
 		}
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"sorrelvalve/choose/pool"
+	"sorrelvalve/decision/pool"
 	"sorrelvalve/internal/stand/script"
 	"sorrelvalve/internal/world"
 )
--- a/internal/lab/release.go
+++ b/internal/lab/release.go
@@ -13,10 +13,10 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/stand/bed"
 	"sorrelvalve/internal/world"
@@ -165,7 +165,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer end()
-	client := ask.New(k.http)
+	client := permitclient.New(k.http)
 	defer client.Close()
 	var roster []permit.Server
 	for i, name := range world.Names(servers) {
--- a/internal/lab/sim.go
+++ b/internal/lab/sim.go
@@ -16,7 +16,7 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"sorrelvalve/choose/hearing"
+	"sorrelvalve/decision/health"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/stand/bed"
 	"sorrelvalve/internal/stand/script"
@@ -194,7 +194,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		opt := world.Options{Servers: n, Fleet: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), Length: length, Rate: 20, Cores: 2, Work: 20,
-			Rules: hearing.Usual, Checkers: []world.Checker{}}
+			Rules: health.Usual, Checkers: []world.Checker{}}
 		if n == 10000 { // for the memory; what an RPC costs is seen before
 			opt.Length, opt.Rate = 60e3, 1
 		}
@@ -259,7 +259,7 @@
 		const runs = 24
 		var settled, share [runs]float64
 		inParallel(runs, func(i int) {
-			rules := hearing.Usual
+			rules := health.Usual
 			shifted := make(script.Script, len(s)) // processes have settled before the schedule begins
 			for j, x := range s {
 				x.At += 10 * time.Second
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -15,7 +15,7 @@
 
 	"github.com/openconfig/goyang/pkg/yang"
 
-	"sorrelvalve/choose/configure"
+	"sorrelvalve/decision/configure"
 )
 
 //go:embed sorrelvalve.yang
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/openconfig/goyang/pkg/yang"
 
-	"sorrelvalve/choose/configure"
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/configure"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/cuefile"
 	"sorrelvalve/internal/operator"
 )
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -18,12 +18,12 @@
 	"strings"
 	"time"
 
-	"sorrelvalve/choose/expect"
-	"sorrelvalve/choose/pool"
-	"sorrelvalve/choose/retry"
-	"sorrelvalve/choose/route"
-	"sorrelvalve/choose/share"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/expect"
+	"sorrelvalve/decision/pool"
+	"sorrelvalve/decision/quota"
+	"sorrelvalve/decision/retry"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/opening"
 )
 
@@ -167,19 +167,19 @@
 )
 
 // Rules are those of all bounds for package share, by their names between servers.
-func (b *Budgets) Rules() map[string]share.Rules {
-	all := map[string]share.Rules{}
+func (b *Budgets) Rules() map[string]quota.Rules {
+	all := map[string]quota.Rules{}
 	if b == nil {
 		return all
 	}
-	add := func(prefix string, kind share.Kind, of map[string]Budget) {
+	add := func(prefix string, kind quota.Kind, of map[string]Budget) {
 		for name, x := range of {
-			all[prefix+name] = share.Rules{Kind: kind, Bound: x.Bound, Burst: x.Burst, Servers: b.Servers, Floor: x.Floor, Longest: x.LongestMs, Drift: b.Clocks}
+			all[prefix+name] = quota.Rules{Kind: kind, Bound: x.Bound, Burst: x.Burst, Servers: b.Servers, Floor: x.Floor, Longest: x.LongestMs, Drift: b.Clocks}
 		}
 	}
-	add(QuotaOf, share.Rate, b.Customers)
-	add(RetriesTo, share.Rate, b.Retries)
-	add(CallsTo, share.Stock, b.Calls)
+	add(QuotaOf, quota.Rate, b.Customers)
+	add(RetriesTo, quota.Rate, b.Retries)
+	add(CallsTo, quota.Stock, b.Calls)
 	return all
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"sorrelvalve/choose/configure"
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/configure"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/opening"
 )
 
--- a/internal/operator/tree.go
+++ b/internal/operator/tree.go
@@ -8,7 +8,7 @@
 	"encoding/json"
 	"reflect"
 
-	"sorrelvalve/choose/configure"
+	"sorrelvalve/decision/configure"
 )
 
 // StartOnly are the paths that only a new start can change: what the decisions are made from, where the front listens,
--- a/internal/keeper/ask/ask.go
+++ b/internal/permitclient/client.go
@@ -1,6 +1,6 @@
 // Package ask is how servers and operators ask keepers, over HTTP with JSON: any keeper does, who does not lead names the
 // leader. It links no raft. It must never send anything that may not come twice.
-package ask
+package permitclient
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 	"net/http"
 	"time"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
 )
 
 const (
--- a/internal/keeper/ask/write.go
+++ b/internal/permitclient/write.go
@@ -1,4 +1,4 @@
-package ask
+package permitclient
 
 // This file owns how the keepers' state is shown to an operator. It must never show what it was not told.
 
--- a/internal/keeper/disk.go
+++ b/internal/permitserver/disk.go
@@ -1,4 +1,4 @@
-package keeper
+package permitserver
 
 // This file owns what a keeper asks of its disk before and while it serves: a log that is whole in all that is read of it, and
 // commands that are what was written. A keeper that finds otherwise ends: the others go on without it, and it must never
@@ -18,8 +18,8 @@
 	"github.com/klauspost/compress/zstd"
 	"go.etcd.io/bbolt"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
 )
 
 // openWait is for the lock on the file, which another process holds while it serves from the folder.
--- a/internal/keeper/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -1,4 +1,4 @@
-package keeper
+package permitserver
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"go.etcd.io/bbolt"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/stand/bed"
 )
 
@@ -86,7 +86,7 @@
 // hear has a keeper hear all servers.
 func hear(k *Keeper, n int) {
 	for i := range n {
-		k.Here(ask.Here{Name: fmt.Sprint("n", i), Start: 1})
+		k.Here(permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
 	}
 }
 
--- a/internal/keeper/http.go
+++ b/internal/permitserver/http.go
@@ -1,4 +1,4 @@
-package keeper
+package permitserver
 
 // This file owns what clients ask a keeper, over HTTP with JSON: any keeper does, who does not lead names the leader. It must
 // never hold more than a bounded number of bounded bodies.
@@ -11,9 +11,9 @@
 	"strconv"
 	"time"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
+	"sorrelvalve/internal/permitclient"
 )
 
 const (
@@ -29,7 +29,7 @@
 		var other *ErrLeader
 		switch {
 		case errors.As(err, &other):
-			w.Header().Set(ask.LeaderField, other.Addr)
+			w.Header().Set(permitclient.LeaderField, other.Addr)
 			http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -57,13 +57,13 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/here", func(w http.ResponseWriter, r *http.Request) {
-		var h ask.Here
+		var h permitclient.Here
 		if read(w, r, &h) {
 			if !k.Leads() {
 				answer(w, nil, k.elsewhere())
 				return
 			}
-			if len(h.Members) > ask.MostMembers || len(h.Left) > ask.MostMembers {
+			if len(h.Members) > permitclient.MostMembers || len(h.Left) > permitclient.MostMembers {
 				http.Error(w, "too many members", http.StatusBadRequest)
 				return
 			}
@@ -98,14 +98,14 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/keepers", func(w http.ResponseWriter, r *http.Request) {
-		var x ask.Exchange
+		var x permitclient.Exchange
 		if read(w, r, &x) {
 			answer(w, struct{}{}, k.Replace(x.Out, Peer{Name: x.Name, Raft: x.Raft}))
 		}
 	})
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, r *http.Request) {
 		s, seen, err := k.State()
-		x := ask.Status{Leader: k.o.Name, Seen: seen, State: s}
+		x := permitclient.Status{Leader: k.o.Name, Seen: seen, State: s}
 		if err == nil {
 			x.Releases, err = k.releases(release.Settings)
 			if err == nil {
--- a/internal/keeper/link.go
+++ b/internal/permitserver/link.go
@@ -1,4 +1,4 @@
-package keeper
+package permitserver
 
 // This file owns the streams between keepers: where this one listens, and from where it calls. It must never read what goes over
 // them.
--- a/internal/keeper/keeper.go
+++ b/internal/permitserver/server.go
@@ -1,8 +1,8 @@
-// Package keeper is one of the few that agree on permits: it carries choose/permit's commands through raft's log, tells any
+// Package keeper is one of the few that agree on permits: it carries decision/permit's commands through raft's log, tells any
 // client the answer, leads on to the leader, and as a leader looks after who is heard. What is granted is said by
-// choose/permit; who leads and what is committed, by hashicorp/raft. It must never answer from a copy that may be old, nor
+// decision/permit; who leads and what is committed, by hashicorp/raft. It must never answer from a copy that may be old, nor
 // call a server in use that it has not heard since it leads.
-package keeper
+package permitserver
 
 import (
 	"cmp"
@@ -21,9 +21,9 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/choose/release"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/decision/release"
+	"sorrelvalve/internal/permitclient"
 )
 
 // Peer is one keeper as all are told of it.
@@ -86,7 +86,7 @@
 // word is what a server last said of itself, by this keeper's clock.
 type word struct {
 	at time.Time
-	ask.Here
+	permitclient.Here
 }
 
 // machine is the state that raft keeps the same everywhere.
@@ -355,9 +355,9 @@
 
 // Here takes a server's word, and returns what it is to do as far as this keeper knows: what it does by that is asked for once more
 // through the log where it matters.
-func (k *Keeper) Here(h ask.Here) ask.Orders {
+func (k *Keeper) Here(h permitclient.Here) permitclient.Orders {
 	k.fsm.mu.Lock()
-	o := ask.Orders{Orders: k.fsm.s.Orders(h.Name), Index: k.fsm.index, Version: k.fsm.books[release.Settings].Target(h.Name)}
+	o := permitclient.Orders{Orders: k.fsm.s.Orders(h.Name), Index: k.fsm.index, Version: k.fsm.books[release.Settings].Target(h.Name)}
 	if v := k.fsm.books[release.Settings].Version(o.Version); v != nil {
 		o.Hash = v.Hash
 	}
--- a/internal/keeper/keeper_test.go
+++ b/internal/permitserver/server_test.go
@@ -1,4 +1,4 @@
-package keeper
+package permitserver
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 	"github.com/sirupsen/logrus"
 	"go.uber.org/goleak"
 
-	"sorrelvalve/choose/permit"
-	"sorrelvalve/internal/keeper/ask"
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
 )
 
 // TestMain is a keeper if it was started as one: the processes of these tests are their own program.
@@ -73,7 +73,7 @@
 	peers []Peer
 	dir   string
 	procs map[string]*exec.Cmd
-	*ask.Client
+	*permitclient.Client
 }
 
 func start(t *testing.T) *set {
@@ -84,7 +84,7 @@
 		p := Peer{fmt.Sprint("k", i), free(t), free(t)}
 		s.peers, addrs = append(s.peers, p), append(addrs, p.HTTP)
 	}
-	s.Client = ask.New(addrs)
+	s.Client = permitclient.New(addrs)
 	t.Cleanup(func() {
 		s.Client.Close()
 		for name := range s.procs {
@@ -137,7 +137,7 @@
 	return a
 }
 
-func (s *set) state() ask.Status {
+func (s *set) state() permitclient.Status {
 	s.Helper()
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
@@ -168,7 +168,7 @@
 			defer wg.Done()
 			for ctx.Err() == nil {
 				one, done := context.WithTimeout(ctx, 2*time.Second)
-				s.Here(one, ask.Here{Name: fmt.Sprint("n", i), Start: 1})
+				s.Here(one, permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
 				done()
 				select {
 				case <-ctx.Done():
--- a/internal/store/compare/compare_test.go
+++ b/internal/store/compare/compare_test.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/pebble/v2"
 	"go.etcd.io/bbolt"
 
-	"sorrelvalve/choose/recovery"
+	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/store"
 )
 
--- a/internal/store/keeper.go
+++ b/internal/store/keeper.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sorrelvalve/choose/recovery"
+	"sorrelvalve/decision/recovery"
 )
 
 // Keeper is a gate.Keeper.
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/klauspost/compress/s2"
 
-	"sorrelvalve/choose/recovery"
+	"sorrelvalve/decision/recovery"
 )
 
 // Version is that of the format which this build writes and reads.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
 // Package store keeps what happened to tokened RPCs over restarts: that a run has begun, before it does, and how it
 // ended, with its answer, before the caller hears. It is a log of segments that are dropped whole once all windows in
 // them are over, and an index in memory of places in it. Many records share one write and one sync. Package
-// choose/recovery chooses what entries mean and what may begin; this one only does what that takes. It must never call
+// decision/recovery chooses what entries mean and what may begin; this one only does what that takes. It must never call
 // a record durable that has not been synced, nor trust a file again after a sync of it failed.
 package store
 
@@ -16,7 +16,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sorrelvalve/choose/recovery"
+	"sorrelvalve/decision/recovery"
 )
 
 // Bounds are those of a store. Times are ms.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"sorrelvalve/choose/recovery"
+	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/stand"
 	"sorrelvalve/internal/store"
 )
--- a/internal/world/budgets.go
+++ b/internal/world/budgets.go
@@ -1,14 +1,14 @@
 package world
 
 // This file owns the budgets that simulated servers share, and RPCs that are taken from them: the servers' own parts
-// (choose/share) with messages between them, and beside it the three other ways that were weighed. It must never take an RPC
+// (decision/quota) with messages between them, and beside it the three other ways that were weighed. It must never take an RPC
 // that the way at hand has not let through.
 
 import (
 	"fmt"
 	"math"
 
-	"sorrelvalve/choose/share"
+	"sorrelvalve/decision/quota"
 )
 
 // Way is how a bound is divided.
@@ -28,7 +28,7 @@
 // Budgets are bounds that a world's servers share, the same for each of some customers, and who sends.
 type Budgets struct {
 	Way    Way
-	Rules  share.Rules
+	Rules  quota.Rules
 	Keys   int     // customers with a bound each; 0 for one
 	Hot    int     // servers to which a customer's callers stick; 0 for all
 	Rate   float64 // RPCs a second of each customer
@@ -40,7 +40,7 @@
 
 // sharing is a server's part.
 type sharing struct {
-	book  *share.Book
+	book  *quota.Book
 	peers []string
 	at    float64 // local, when peers were noted
 	sent  int     // messages
@@ -92,7 +92,7 @@
 }
 
 // rules of a server's part.
-func (w *World) ruleOf(s *server) share.Rules {
+func (w *World) ruleOf(s *server) quota.Rules {
 	b := w.o.Budgets
 	r := b.Rules
 	if b.Way == Granted {
@@ -114,7 +114,7 @@
 	if w.o.plant == forgetsLoans {
 		began -= 10 * r.Longest
 	}
-	s.book = share.NewBook(uint64(s.life)<<32|uint64(s.i+1), int64(w.o.Seed*1000)+int64(s.i)<<8+int64(s.life), began, func(string) (share.Rules, bool) { return r, true })
+	s.book = quota.NewBook(uint64(s.life)<<32|uint64(s.i+1), int64(w.o.Seed*1000)+int64(s.i)<<8+int64(s.life), began, func(string) (quota.Rules, bool) { return r, true })
 	s.peers, s.at = s.peers[:0], math.Inf(-1)
 	if b.Way == Estimated {
 		s.said = make([]float64, len(w.servers))
@@ -150,10 +150,10 @@
 }
 
 // says sends messages, those to one server in one packet.
-func (w *World) says(s *server, all []share.Keyed) {
+func (w *World) says(s *server, all []quota.Keyed) {
 	for len(all) > 0 {
 		to := all[0].To
-		var mine, rest []share.Keyed
+		var mine, rest []quota.Keyed
 		for _, m := range all {
 			if m.To == to {
 				mine = append(mine, m)
@@ -177,7 +177,7 @@
 		return
 	}
 	now := w.local(s)
-	var out []share.Keyed
+	var out []quota.Keyed
 	for _, m := range p.said {
 		out = append(out, s.book.Receive(now, w.servers[p.from].name, m)...)
 	}
--- a/internal/world/budgets_test.go
+++ b/internal/world/budgets_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"sorrelvalve/choose/share"
+	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/stand/script"
 )
 
 func bound(servers int) *Budgets {
 	return &Budgets{
-		Rules: share.Rules{Kind: share.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: usualDrift},
+		Rules: quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: usualDrift},
 		Hot:   max(1, servers/8), Rate: 60 * float64(servers), MoveMs: 10e3, Each: 1,
 	}
 }
--- a/internal/world/check_views.go
+++ b/internal/world/check_views.go
@@ -2,7 +2,7 @@
 
 // This file owns the checker that views settle after the last fault: every server that runs hears all that run.
 
-import "sorrelvalve/choose/hearing"
+import "sorrelvalve/decision/health"
 
 type viewsChecker struct {
 	cases   int
@@ -24,7 +24,7 @@
 			continue
 		}
 		c.cases++
-		if s.hear.State(w.local(s)) == hearing.Whole {
+		if s.hear.State(w.local(s)) == health.Whole {
 			continue
 		}
 		all = false
--- a/internal/world/detector.go
+++ b/internal/world/detector.go
@@ -7,7 +7,7 @@
 import (
 	"math"
 
-	"sorrelvalve/choose/share"
+	"sorrelvalve/decision/quota"
 )
 
 const (
@@ -95,7 +95,7 @@
 	number   int32
 	kind     packetKind
 	news     []update
-	said     []share.Keyed
+	said     []quota.Keyed
 }
 
 func (w *World) freshDetector(s *server) {
--- a/internal/world/release.go
+++ b/internal/world/release.go
@@ -2,14 +2,14 @@
 
 // This file owns the simulation of releases: servers that carry RPCs, each a little better or worse than the others, zones whose
 // services fail for all in them, servers that are cut off, leaders that change; and versions that are bad in a stated way. The
-// state machine is choose/release's own. It must never tell that machine what a version is like.
+// state machine is decision/release's own. It must never tell that machine what a version is like.
 
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
 
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/release"
 )
 
 // Bad is what is wrong with a version.
--- a/internal/world/release_test.go
+++ b/internal/world/release_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sorrelvalve/choose/release"
+	"sorrelvalve/decision/release"
 )
 
 // Releases of each kind at 300 servers in three zones, with faults: a bad one never reaches more than the canary and one wave, a good one
--- a/internal/world/services.go
+++ b/internal/world/services.go
@@ -1,7 +1,7 @@
 package world
 
 // This file owns the members of a pool below simulated servers, and the RPCs that these send there: the servers' own choices
-// (choose/pool, choose/evidence, choose/judge) with what they say to one another, and beside it each server for itself. It
+// (decision/pool, decision/evidence, decision/outlier) with what they say to one another, and beside it each server for itself. It
 // must never let a server know of a member what it did not see or hear.
 
 import (
@@ -9,9 +9,9 @@
 	"math"
 	"math/rand/v2"
 
-	"sorrelvalve/choose/evidence"
-	"sorrelvalve/choose/judge"
-	"sorrelvalve/choose/pool"
+	"sorrelvalve/decision/evidence"
+	"sorrelvalve/decision/outlier"
+	"sorrelvalve/decision/pool"
 )
 
 // Services is a pool below all of a world's servers.
@@ -51,7 +51,7 @@
 type below struct {
 	pool   *pool.Pool
 	seen   evidence.Own
-	judge  *judge.Judge
+	judge  *outlier.Judge
 	heard  map[int32]*word
 	peers2 []string
 	sayAt  float64
@@ -61,9 +61,9 @@
 
 // word is what was heard of another.
 type word struct {
-	said judge.Said
+	said outlier.Said
 	at   float64
-	was  judge.Said // until then
+	was  outlier.Said // until then
 	then float64
 }
 
@@ -135,8 +135,8 @@
 	s.seen, s.heard = evidence.Own{}, map[int32]*word{}
 	if v.Together {
 		r := v.Rules
-		s.judge = judge.New(judge.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}, s.name, s.zone, names, now)
-		s.pool.Judge(now, nil, judge.Takes)
+		s.judge = outlier.New(outlier.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}, s.name, s.zone, names, now)
+		s.pool.Judge(now, nil, outlier.Takes)
 	}
 	w.after(s, lookMs*s.chance.Float64(), evLook, 0, 0)
 }
@@ -309,7 +309,7 @@
 	if s.judge == nil {
 		return
 	}
-	if w.now < s.alarm || s.pool.Takes() != s.hear.WholeFor(now, judge.Together) {
+	if w.now < s.alarm || s.pool.Takes() != s.hear.WholeFor(now, outlier.Together) {
 		w.lookBelow(s) // else nothing bad is known, nor has been of late: the look would find nothing
 	}
 	bad := s.bad
@@ -337,7 +337,7 @@
 	}
 	now := w.local(s)
 	out, back := s.judge.Told(now)
-	said := judge.Said{Origin: s.name, Zone: s.zone, Views: s.seen.Views(now), Out: out, Back: back}
+	said := outlier.Said{Origin: s.name, Zone: s.zone, Views: s.seen.Views(now), Out: out, Back: back}
 	for _, i := range w.o.Services.Lying {
 		if int32(i) == s.i {
 			for k := range said.Views {
@@ -373,7 +373,7 @@
 // lookBelow judges, and tells the pool.
 func (w *World) lookBelow(s *server) {
 	now := w.local(s)
-	var peers []judge.Said
+	var peers []outlier.Said
 	s.peers2 = s.hear.Heard(now, s.peers2[:0])
 	known := map[string]bool{}
 	for _, name := range s.peers2 {
@@ -394,14 +394,14 @@
 		said.Age = w.now - at
 		peers = append(peers, said)
 	}
-	whole := s.hear.WholeFor(now, judge.Together)
+	whole := s.hear.WholeFor(now, outlier.Together)
 	views := s.seen.Views(now)
 	s.judge.Look(now, views, peers, s.peers2, whole)
 	if !whole {
 		s.pool.Alone(now)
 		return
 	}
-	s.bad = s.bad || judge.Urgent(views) || s.judge.Objects(views, s.chance.Float64(), len(s.peers2)+1)
+	s.bad = s.bad || outlier.Urgent(views) || s.judge.Objects(views, s.chance.Float64(), len(s.peers2)+1)
 	var verdicts []pool.Verdict
 	for _, m := range s.judge.Members() {
 		if part := s.judge.Part(now, m); m.Out || part < 1 {
@@ -409,7 +409,7 @@
 		}
 	}
 	s.judge.Events()
-	s.pool.Judge(now, verdicts, judge.Takes)
+	s.pool.Judge(now, verdicts, outlier.Takes)
 	s.pool.Events()
 }
 
--- a/internal/world/services_test.go
+++ b/internal/world/services_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sorrelvalve/choose/pool"
+	"sorrelvalve/decision/pool"
 	"sorrelvalve/internal/stand/script"
 )
 
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -1,5 +1,5 @@
 // Package world is a simulator of a whole fleet on a virtual clock: servers that run the project's own decisions (the gate
-// with control/, choose/hearing), their engines, callers with the routers' habits, and a network with faults. One seed gives
+// with control/, decision/health), their engines, callers with the routers' habits, and a network with faults. One seed gives
 // one run, whatever the machine. It is where each shared state and each agreement is to be found wanting before it is
 // believed; it must never be taken for a measurement of processes, and never decide anything that the servers decide.
 package world
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sorrelvalve/choose/hearing"
+	"sorrelvalve/decision/health"
 	"sorrelvalve/internal/stand/script"
 )
 
@@ -23,18 +23,18 @@
 	Seed     uint64
 	Length   float64
 	Script   script.Script
-	Rate     float64       // RPCs a second for each server; 0 for none, and no gates
-	Cores    int           // of each engine
-	Work     float64       // mean of an RPC's
-	Cold     float64       // length of a ramp
-	Checkers []Checker     // nil: all
-	Rules    hearing.Rules // zero: the usual ones
-	Drift    float64       // clocks' rates differ by up to so much; 0 for the usual 1e-3, negative for none
-	CheckMs  float64       // between two looks of the checkers; 0 for the usual
-	Plain    bool          // callers try once, at a server drawn for each RPC
-	Budgets  *Budgets      // that the servers share; nil for none
-	Services *Services     // a pool below them; nil for none
-	SettleMs float64       // after the last act, until views are to be whole; 0 for the usual
+	Rate     float64      // RPCs a second for each server; 0 for none, and no gates
+	Cores    int          // of each engine
+	Work     float64      // mean of an RPC's
+	Cold     float64      // length of a ramp
+	Checkers []Checker    // nil: all
+	Rules    health.Rules // zero: the usual ones
+	Drift    float64      // clocks' rates differ by up to so much; 0 for the usual 1e-3, negative for none
+	CheckMs  float64      // between two looks of the checkers; 0 for the usual
+	Plain    bool         // callers try once, at a server drawn for each RPC
+	Budgets  *Budgets     // that the servers share; nil for none
+	Services *Services    // a pool below them; nil for none
+	SettleMs float64      // after the last act, until views are to be whole; 0 for the usual
 
 	plant plant // a fault in a module, for tests of the checkers
 }
@@ -85,7 +85,7 @@
 	wall     float64 // steps of its wall clock
 	ticked   float64 // local
 	muted    bool
-	hear     *hearing.Hearing
+	hear     *health.Hearing
 	det      detector
 	held     []event
 	joinAt   float64
@@ -136,7 +136,7 @@
 	Tries     int
 	Worth     float64 // criticality served, and offered
 	WorthAll  float64
-	LastState []hearing.State
+	LastState []health.State
 }
 
 // Finding is one thing that a checker found wrong.
@@ -170,8 +170,8 @@
 
 // New lays out a run.
 func New(o Options) *World {
-	if o.Rules == (hearing.Rules{}) {
-		o.Rules = hearing.Usual
+	if o.Rules == (health.Rules{}) {
+		o.Rules = health.Usual
 		o.Rules.Expect = o.Servers
 		if o.Fleet > 0 {
 			o.Rules.Expect = 0
@@ -241,7 +241,7 @@
 	w.freshDetector(s)
 	s.det.target = -1
 	now := w.local(s)
-	s.hear = hearing.New(w.o.Rules, s.name, s.zone, now, w.wallOf(s))
+	s.hear = health.New(w.o.Rules, s.name, s.zone, now, w.wallOf(s))
 	s.ticked, s.joinAt = now, now
 	w.after(s, tickMs*s.chance.Float64(), evTick, 0, 0)
 	w.after(s, probeMs*s.chance.Float64(), evProbe, 0, 0)
@@ -301,7 +301,7 @@
 	}
 	if now >= s.joinAt {
 		s.joinAt = now + joinMs*(0.75+0.5*s.chance.Float64())
-		if s.hear.State(now) != hearing.Whole {
+		if s.hear.State(now) != health.Whole {
 			w.joins(s)
 		}
 	}
@@ -352,7 +352,7 @@
 	name, now := w.servers[p].name, w.local(s)
 	w.observe(2, s.i, p)
 	if how == left || w.o.plant == silenceLeaves {
-		s.hear.Leaves(now, name, 0, hearing.Left)
+		s.hear.Leaves(now, name, 0, health.Left)
 		return
 	}
 	if w.o.plant == deafAfterLoss {
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sorrelvalve/choose/hearing"
+	"sorrelvalve/decision/health"
 	"sorrelvalve/internal/stand/script"
 )
 
@@ -82,7 +82,7 @@
 			t.Parallel()
 			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, Length: 46e3, Rate: 10, Cores: 2, Work: 20, Cold: 2000, Script: acts(t, text, 8)})
 			for i, s := range r.LastState {
-				if s != hearing.Whole {
+				if s != health.Whole {
 					t.Errorf("server %d hears %s at the end", i, s)
 				}
 			}
--- a/valve/fleetvalve/fleetvalve.go
+++ b/valve/fleetvalve/fleetvalve.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"sorrelvalve/choose/hearing"
+	"sorrelvalve/decision/health"
 	"sorrelvalve/internal/fleet"
 )
 
@@ -33,13 +33,13 @@
 }
 
 // State is what is heard of the fleet.
-type State = hearing.State
+type State = health.State
 
 // Alone, Part and Whole are the states.
 const (
-	Alone = hearing.Alone
-	Part  = hearing.Part
-	Whole = hearing.Whole
+	Alone = health.Alone
+	Part  = health.Part
+	Whole = health.Whole
 )
 
 // View is what this program hears: how many servers there are at least, as of some seconds ago, and at most, whatever is not
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/valve"
 	"sorrelvalve/valve/httpvalve"
 )
--- a/valve/httpvalve/httpvalve.go
+++ b/valve/httpvalve/httpvalve.go
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/valve"
 )
 
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -19,7 +19,7 @@
 
 	"go.uber.org/goleak"
 
-	"sorrelvalve/choose/route"
+	"sorrelvalve/decision/route"
 	"sorrelvalve/valve"
 )
 
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"sorrelvalve/choose/recovery"
 	"sorrelvalve/control"
+	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/trace"
 )
