--- a/cmd/sorrelvalve/main.go
+++ b/cmd/sorrelvalve/main.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 
 	"sorrelvalve/internal/daemon"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 type command struct {
@@ -29,13 +29,13 @@
 type checkCmd struct{}
 
 func (checkCmd) Run() error {
-	p, err := opening.Load(os.Getenv)
+	p, err := startup.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("ok: %s listens on %s; %d methods, %d customers; %d MB, %d sockets, %g cores\n",
 		p.Name, p.Listen, len(p.Opening.Methods), len(p.Opening.Customers), p.MemoryMB, p.Sockets, p.Cores)
-	fmt.Printf("a running process takes %s anew on SIGHUP\n", strings.Join(opening.Moves, ", "))
+	fmt.Printf("a running process takes %s anew on SIGHUP\n", strings.Join(startup.Moves, ", "))
 	return nil
 }
 
--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -13,8 +13,8 @@
 	"sorrelvalve/decision/configure"
 	"sorrelvalve/decision/route"
 	"sorrelvalve/internal/cuefile"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 )
 
 type command struct {
@@ -34,7 +34,7 @@
 func (s *source) read() (*operator.File, error) {
 	var known route.Known
 	if s.Settings != "" {
-		p, err := opening.Load(func(key string) string {
+		p, err := startup.Load(func(key string) string {
 			return map[string]string{"EDGE_CONFIG": s.Settings}[key]
 		})
 		if err != nil {
--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -21,7 +21,7 @@
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/permitclient"
-	"sorrelvalve/internal/stand/bed"
+	"sorrelvalve/internal/testbed"
 )
 
 type command struct {
@@ -113,7 +113,7 @@
 	}
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer end()
-	return bed.Demo(ctx, c.Servers, text, bed.Command{Path: own, Args: []string{"serve"}}, in, os.Stdout)
+	return testbed.Demo(ctx, c.Servers, text, testbed.Command{Path: own, Args: []string{"serve"}}, in, os.Stdout)
 }
 
 type goneCmd struct {
--- a/cmd/valvelab/main.go
+++ b/cmd/valvelab/main.go
@@ -8,29 +8,29 @@
 
 	"github.com/alecthomas/kong"
 
-	"sorrelvalve/internal/lab"
+	"sorrelvalve/internal/experiment"
 )
 
-// experiment is one of the list.
-type experiment struct {
+// listedExperiment is one entry of the list of experiments.
+type listedExperiment struct {
 	name, about string
-	run         func(lab.Options) (*lab.Report, error)
+	run         func(experiment.Options) (*experiment.Report, error)
 }
 
-var experiments = []experiment{
-	{"uwsgi-mixed", "both protocols at 120% of one machine: past the valve, a plain queue, the valve", lab.Mixed},
-	{"parity", "one sequence of arrivals through the daemon and through gin, on a virtual clock and in real time", lab.Parity},
-	{"durable-kill", "a process with a durable store, killed at random under repeated purchases by both fronts", lab.DurableKill},
-	{"durable-cost", "what the durable store costs: off, on, on a slow disk", lab.DurableCost},
-	{"embedded", "a gin program at 150% of its cores: bare, behind a semaphore, behind the valve", lab.Embedded},
-	{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", lab.Hearing},
-	{"fleet-sim", "simulated fleets under random faults, how they grow, and a twin of real processes", lab.FleetSim},
-	{"fleet-twin", "the same schedules through eight processes and through the simulator", lab.FleetTwin},
-	{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", lab.FleetBudgets},
-	{"fleet-judge", "a pool of which members turn bad, judged by each server for itself and by the fleet together", lab.FleetJudge},
-	{"fleet-drain", "a fleet of processes drained one by one by permits of three keepers, with faults, beside one without drains", lab.FleetDrain},
-	{"fleet-release", "versions of the settings in waves: judged, in fixed waves, at once; simulated, and processes", lab.FleetRelease},
-	{"pools", "five uwsgi members of which one turns bad and recovers, beside round robin without ejection", lab.Pools},
+var experiments = []listedExperiment{
+	{"uwsgi-mixed", "both protocols at 120% of one machine: past the valve, a plain queue, the valve", experiment.Mixed},
+	{"parity", "one sequence of arrivals through the daemon and through gin, on a virtual clock and in real time", experiment.Parity},
+	{"durable-kill", "a process with a durable store, killed at random under repeated purchases by both fronts", experiment.DurableKill},
+	{"durable-cost", "what the durable store costs: off, on, on a slow disk", experiment.DurableCost},
+	{"embedded", "a gin program at 150% of its cores: bare, behind a semaphore, behind the valve", experiment.Embedded},
+	{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", experiment.Hearing},
+	{"fleet-sim", "simulated fleets under random faults, how they grow, and a twin of real processes", experiment.FleetSim},
+	{"fleet-twin", "the same schedules through eight processes and through the simulator", experiment.FleetTwin},
+	{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", experiment.FleetBudgets},
+	{"fleet-judge", "a pool of which members turn bad, judged by each server for itself and by the fleet together", experiment.FleetJudge},
+	{"fleet-drain", "a fleet of processes drained one by one by permits of three keepers, with faults, beside one without drains", experiment.FleetDrain},
+	{"fleet-release", "versions of the settings in waves: judged, in fixed waves, at once; simulated, and processes", experiment.FleetRelease},
+	{"pools", "five uwsgi members of which one turns bad and recovers, beside round robin without ejection", experiment.Pools},
 }
 
 type command struct {
@@ -56,13 +56,13 @@
 	Way string `arg:""`
 }
 
-func (c programCmd) Run() error { return lab.Program(c.Way) }
+func (c programCmd) Run() error { return experiment.Program(c.Way) }
 
 type fleetServerCmd struct {
 	Operator string
 }
 
-func (c fleetServerCmd) Run() error { return lab.FleetServer(c.Operator) }
+func (c fleetServerCmd) Run() error { return experiment.FleetServer(c.Operator) }
 
 type keeperServerCmd struct {
 	Name  string   `arg:""`
@@ -71,7 +71,7 @@
 	New   bool
 }
 
-func (c keeperServerCmd) Run() error { return lab.KeeperServer(c.Name, c.Dir, c.New, c.Peers) }
+func (c keeperServerCmd) Run() error { return experiment.KeeperServer(c.Name, c.Dir, c.New, c.Peers) }
 
 type nodeCmd struct {
 	Dir    string `arg:""`
@@ -80,7 +80,7 @@
 	Web    string `arg:""`
 }
 
-func (c nodeCmd) Run() error { return lab.Node(c.Dir, c.Engine, c.RPC, c.Web) }
+func (c nodeCmd) Run() error { return experiment.Node(c.Dir, c.Engine, c.RPC, c.Web) }
 
 type runCmd struct {
 	Name     string `arg:"" help:"Its name, as list tells it."`
@@ -97,7 +97,7 @@
 		if e.name != c.Name {
 			continue
 		}
-		o := lab.Options{Quick: c.Quick, Seed: c.Seed, Dir: c.Out, Out: os.Stdout, Servers: c.Servers, Schedule: c.Schedule, Seeds: c.Seeds}
+		o := experiment.Options{Quick: c.Quick, Seed: c.Seed, Dir: c.Out, Out: os.Stdout, Servers: c.Servers, Schedule: c.Schedule, Seeds: c.Seeds}
 		r, err := e.run(o)
 		if err != nil {
 			return err
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -17,7 +17,7 @@
 	"sorrelvalve/decision/pool"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 	wire "sorrelvalve/internal/uwsgi"
 )
 
@@ -29,8 +29,8 @@
 type rig struct {
 	*testing.T
 	backs *Backs
-	apps  []*stand.App
-	rules *stand.Rules
+	apps  []*standin.App
+	rules *standin.Rules
 	file  *operator.File
 	run   gate.Runner
 }
@@ -38,12 +38,12 @@
 func start(t *testing.T, members int, change ...func(*operator.Pool)) *rig {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &rig{T: t, rules: stand.NewRules("/buy"), backs: New(1, log.WithField("node", "n0"))}
+	r := &rig{T: t, rules: standin.NewRules("/buy"), backs: New(1, log.WithField("node", "n0"))}
 	var addrs []string
-	cores := stand.NewCores(64, 0)
+	cores := standin.NewCores(64, 0)
 	t.Cleanup(cores.Close)
 	for range members {
-		a, err := stand.NewApp(cores, stand.ByBody, r.rules)
+		a, err := standin.NewApp(cores, standin.ByBody, r.rules)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -113,24 +113,24 @@
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name    string
-		fault   stand.Fault
+		fault   standin.Fault
 		idem    gate.Outcome // what an idempotent one comes to
 		effect  gate.Outcome
 		arrives int // times that the effect's body may arrive whole
 	}{
-		{"sound", stand.Sound, gate.Succeeded, gate.Succeeded, 1},
-		{"accepts and says nothing", stand.Stall, gate.Succeeded, gate.Failed, 1},
-		{"does not even read", stand.Mute, gate.Succeeded, gate.Failed, 0},
-		{"a 500 at once", stand.Fail, gate.Succeeded, gate.Failed, 1},
-		{"half an answer", stand.Half, gate.Succeeded, gate.Failed, 1},
-		{"no length", stand.NoLength, gate.Succeeded, gate.Succeeded, 1},
-		{"a second answer", stand.Second, gate.Succeeded, gate.Succeeded, 1},
-		{"a reset after the body was read", stand.ResetAfter, gate.Succeeded, gate.Failed, 1},
-		{"garbage", stand.Garbage, gate.Succeeded, gate.Failed, 1},
-		{"a transfer coding", stand.Chunked, gate.Succeeded, gate.Failed, 1},
-		{"a head that never ends", stand.Endless, gate.Succeeded, gate.Failed, 1},
-		{"a length beyond all bounds", stand.TooLong, gate.Succeeded, gate.Failed, 1},
-		{"an interim answer", stand.Interim, gate.Succeeded, gate.Succeeded, 1},
+		{"sound", standin.Sound, gate.Succeeded, gate.Succeeded, 1},
+		{"accepts and says nothing", standin.Stall, gate.Succeeded, gate.Failed, 1},
+		{"does not even read", standin.Mute, gate.Succeeded, gate.Failed, 0},
+		{"a 500 at once", standin.Fail, gate.Succeeded, gate.Failed, 1},
+		{"half an answer", standin.Half, gate.Succeeded, gate.Failed, 1},
+		{"no length", standin.NoLength, gate.Succeeded, gate.Succeeded, 1},
+		{"a second answer", standin.Second, gate.Succeeded, gate.Succeeded, 1},
+		{"a reset after the body was read", standin.ResetAfter, gate.Succeeded, gate.Failed, 1},
+		{"garbage", standin.Garbage, gate.Succeeded, gate.Failed, 1},
+		{"a transfer coding", standin.Chunked, gate.Succeeded, gate.Failed, 1},
+		{"a head that never ends", standin.Endless, gate.Succeeded, gate.Failed, 1},
+		{"a length beyond all bounds", standin.TooLong, gate.Succeeded, gate.Failed, 1},
+		{"an interim answer", standin.Interim, gate.Succeeded, gate.Succeeded, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -244,7 +244,7 @@
 	for r.taken() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	first := slices.IndexFunc(r.apps, func(a *stand.App) bool { return a.Taken() > 0 })
+	first := slices.IndexFunc(r.apps, func(a *standin.App) bool { return a.Taken() > 0 })
 	p := r.file.Pools["p"]
 	p.Members = slices.Delete(slices.Clone(p.Members), first, first+1)
 	next := *r.file
@@ -291,13 +291,13 @@
 	out := func() int {
 		return int(r.backs.States()[0].Members[0].Out)
 	}
-	r.apps[0].Set(stand.Stall)
+	r.apps[0].Set(standin.Stall)
 	for end := time.Now().Add(soon); out() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never ejected")
 		}
 	}
-	r.apps[0].Set(stand.Sound)
+	r.apps[0].Set(standin.Sound)
 	for end := time.Now().Add(soon); out() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never back")
@@ -399,7 +399,7 @@
 	r := start(t, 1, func(p *operator.Pool) { p.Retry = operator.Retry{Share: 1, Floor: 100, Most: 3}; p.Failures = 0 })
 	l := &limits{retries: 1, calls: 1}
 	r.backs.Share(l, func(string) float64 { return 1 })
-	r.apps[0].Set(stand.Fail)
+	r.apps[0].Set(standin.Fail)
 	for range 3 {
 		if e := r.end(r.begin("view", "1", 2*time.Second)); e.how != gate.Failed {
 			t.Errorf("%+v", e)
@@ -408,7 +408,7 @@
 	if n := r.apps[0].Taken(); n != 4 {
 		t.Errorf("%d tries of three RPCs, one further one allowed", n)
 	}
-	r.apps[0].Set(stand.Stall)
+	r.apps[0].Set(standin.Stall)
 	first := r.begin("buy", "2", time.Second)
 	for end := time.Now().Add(soon); r.apps[0].Taken() < 5 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
@@ -487,7 +487,7 @@
 	if n := r.apps[0].Taken(); n != 1 {
 		t.Errorf("%d probes, one was due", n)
 	}
-	r.apps[1].Set(stand.Full)
+	r.apps[1].Set(standin.Full)
 	if e := r.end(r.begin("buy", "4", time.Second)); e.how != gate.Failed {
 		t.Errorf("%+v", e)
 	}
@@ -514,7 +514,7 @@
 	for i := range 20 { // so that the usual latency is known
 		r.end(r.begin("view", fmt.Sprint(i), time.Second))
 	}
-	r.apps[0].Set(stand.Stall)
+	r.apps[0].Set(standin.Stall)
 	began := time.Now()
 	ends := r.begin("buy", "x", 3*time.Second) // may not run twice: one try, to the end
 	bad := func() (n int) {
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -10,8 +10,8 @@
 	"sorrelvalve/control"
 	"sorrelvalve/decision/configure"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 )
 
 const (
@@ -23,14 +23,14 @@
 // carried samples what a gate counts since its start.
 type carried struct {
 	of   func() []gate.Ran
-	told *opening.Opening
+	told *startup.Opening
 
 	mu  sync.Mutex
 	at  []time.Time
 	all [][]gate.Ran // the oldest first
 }
 
-func newCarried(g *gate.Gate, told *opening.Opening) *carried {
+func newCarried(g *gate.Gate, told *startup.Opening) *carried {
 	c := &carried{of: g.Carried, told: told}
 	c.sample(time.Now())
 	return c
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -20,8 +20,8 @@
 	"github.com/sirupsen/logrus"
 
 	"sorrelvalve/internal/front/mprpc"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 )
 
 const (
@@ -47,7 +47,7 @@
 
 // Told is all that a process is told: the platform's configuration and the operator's record, nil if there is none.
 type Told struct {
-	*opening.Process
+	*startup.Process
 	Op *operator.Record
 }
 
@@ -57,7 +57,7 @@
 	signal.Notify(reread, syscall.SIGHUP) // before all else: unheeded, it would end the process
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	load := func() (t Told, err error) {
-		if t.Process, err = opening.Load(os.Getenv); err == nil && s.Operator != "" {
+		if t.Process, err = startup.Load(os.Getenv); err == nil && s.Operator != "" {
 			t.Op, err = operator.Load(s.Operator, t.Opening)
 		}
 		return t, err
@@ -193,7 +193,7 @@
 
 // drain goes on as before for the grace, then lets nothing more in and waits for what is in hand. If stop is not nil it may be
 // taken back for as long as the grace lasts, and then returns false; a signal on stop begins it anew, for good.
-func (x *Server) drain(p *opening.Process, stop <-chan os.Signal) (over bool) {
+func (x *Server) drain(p *startup.Process, stop <-chan os.Signal) (over bool) {
 	began := time.Now()
 	x.phase.draining.Store(true)
 	x.Gate.Drain(p.Stop)
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -21,9 +21,9 @@
 	"go.uber.org/goleak"
 
 	"sorrelvalve/internal/msgpack"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/startup"
 )
 
 const soon = 10 * time.Second // bounds what must come at once
@@ -147,7 +147,7 @@
 	}
 	load := func() (Told, error) {
 		defer func() { w.loaded <- struct{}{} }()
-		p, err := opening.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.file}[key] })
+		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.file}[key] })
 		t := Told{Process: p}
 		if err == nil && w.record != "" {
 			t.Op, err = operator.Load(w.record, p.Opening)
@@ -340,21 +340,21 @@
 }
 
 // page is the answer to one RPC by uwsgi.
-func (w *whole) page(body string) stand.Reply {
+func (w *whole) page(body string) standin.Reply {
 	w.Helper()
-	web := stand.NewWeb(w.web, false)
+	web := standin.NewWeb(w.web, false)
 	defer web.Close()
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
-	return web.Call(ctx, stand.Call{Method: "view", Body: []byte(body)})
+	return web.Call(ctx, standin.Call{Method: "view", Body: []byte(body)})
 }
 
 // With an operator's record both fronts serve; a new record moves the work to a pool; one that is wrong, or that a
 // running process can't take, changes nothing of it nor of the configuration; a drain ends both.
 func TestOperated(t *testing.T) {
-	cores := stand.NewCores(4, 0)
+	cores := standin.NewCores(4, 0)
 	defer cores.Close()
-	app, err := stand.NewApp(cores, func(string, []byte) (float64, []byte) { return 1, []byte("of the pool") }, nil)
+	app, err := standin.NewApp(cores, func(string, []byte) (float64, []byte) { return 1, []byte("of the pool") }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/standin.go
+++ b/internal/daemon/standin.go
@@ -10,8 +10,8 @@
 	"os"
 	"time"
 
-	"sorrelvalve/internal/opening"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/startup"
 )
 
 // demonstration is the configuration of the demonstration: a machine of four cores, two methods and a tokened one.
@@ -30,13 +30,13 @@
 
 // standIn starts the stand-ins and returns where the server gets its configuration from, and what ends them.
 func standIn() (load func() (Told, error), end func(), err error) {
-	cores := stand.NewCores(4, 8)
-	rules := stand.NewRules("topup-buy")
-	engine, err := stand.NewEngine(cores, stand.ByBody, rules)
+	cores := standin.NewCores(4, 8)
+	rules := standin.NewRules("topup-buy")
+	engine, err := standin.NewEngine(cores, standin.ByBody, rules)
 	if err != nil {
 		return nil, nil, err
 	}
-	members, close, err := stand.Members()
+	members, close, err := standin.Members()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -63,7 +63,7 @@
 		os.Remove(file.Name())
 	}
 	return func() (Told, error) {
-		p, err := opening.Load(func(key string) string {
+		p, err := startup.Load(func(key string) string {
 			return map[string]string{"EDGE_CONFIG": file.Name()}[key]
 		})
 		return Told{Process: p}, err
@@ -71,21 +71,21 @@
 }
 
 // callers ask for more than the engine can do, and tell each second what came of it.
-func callers(ctx context.Context, addr string, rules *stand.Rules) {
+func callers(ctx context.Context, addr string, rules *standin.Rules) {
 	time.Sleep(200 * time.Millisecond) // until the server listens
-	router := stand.NewRouter(addr)
+	router := standin.NewRouter(addr)
 	defer router.Close()
 	fmt.Printf("%8s  %-14s %6s %12s %8s %6s\n", "second", "method", "ok", "pushed back", "aborted", "p99 ms")
 	for n := int64(1); ctx.Err() == nil; n++ {
-		samples := stand.Plan{
+		samples := standin.Plan{
 			Rate: demoRate, For: time.Second, Callers: 3, Seed: n, Deadline: 2 * time.Second,
-			Kinds: []stand.Kind{{Method: "account-view", Share: 0.5, Work: demoWork}, {Method: "settings-save", Share: 0.38, Work: demoWork},
+			Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: demoWork}, {Method: "settings-save", Share: 0.38, Work: demoWork},
 				{Method: "topup-buy", Share: 0.12, Work: demoWork, Tokened: true}},
-		}.Run(ctx, map[string]stand.Caller{"msgpack": router}, rules)
+		}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 		if ctx.Err() != nil {
 			return
 		}
-		for _, row := range stand.Summary(samples, false) {
+		for _, row := range standin.Summary(samples, false) {
 			fmt.Printf("%8d  %-14s %6d %12d %8d %6.0f\n", n, row.Method, row.OK, row.PushedBack, row.Aborted, row.P99)
 		}
 	}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -15,8 +15,8 @@
 
 	"sorrelvalve/control"
 	"sorrelvalve/decision/recovery"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/store"
 )
 
@@ -28,7 +28,7 @@
 }
 
 // openStore reads what stands in the folder, beside the start of the rest.
-func openStore(o *operator.Store, told *opening.Opening, name string, log *logrus.Entry) *opened {
+func openStore(o *operator.Store, told *startup.Opening, name string, log *logrus.Entry) *opened {
 	x := &opened{ready: make(chan struct{})}
 	go func() {
 		defer close(x.ready)
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 
 	"sorrelvalve/decision/replay"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/trace"
 )
 
@@ -85,7 +85,7 @@
 
 func (s *steps) settings() *replay.Settings { return settingsOf(&s.Header.Told, s.Header.Cold) }
 
-func settingsOf(o *opening.Opening, cold bool) *replay.Settings {
+func settingsOf(o *startup.Opening, cold bool) *replay.Settings {
 	s := &replay.Settings{Node: o.Node, Fleet: o.Fleet, Below: o.Below, Rules: o.Rules, Methods: o.Methods, Customers: o.Customers}
 	s.Node.Cold = cold
 	return s
@@ -155,9 +155,9 @@
 	if err != nil {
 		return err
 	}
-	is, _, err := c.model(func(o *opening.Opening) error {
+	is, _, err := c.model(func(o *startup.Opening) error {
 		if c.Settings != "" {
-			p, err := opening.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": c.Settings}[key] })
+			p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": c.Settings}[key] })
 			if err != nil {
 				return err
 			}
@@ -195,7 +195,7 @@
 	criticality float64
 }
 
-func (c diffCmd) model(change func(*opening.Opening) error) (*ends, []methodName, error) {
+func (c diffCmd) model(change func(*startup.Opening) error) (*ends, []methodName, error) {
 	s, err := openSteps(c.File)
 	if err != nil {
 		return nil, nil, err
--- a/internal/lab/budgets.go
+++ b/internal/experiment/budgets.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-budgets: a customer's quota that simulated servers share, four ways side by side; and
 // real processes that share one, and a pool's further tries and calls in hand, with faults between them. It must never
@@ -18,18 +18,18 @@
 
 	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/fleet"
+	"sorrelvalve/internal/fleetsim"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 // budgetsOf is a bound that simulated servers share: 10 RPCs a second for each, and a quarter of a second's burst; callers
 // stick to one server in a hundred, or to two, and move to others every ten seconds.
-func budgetsOf(servers int, way world.Way) *world.Budgets {
+func budgetsOf(servers int, way fleetsim.Way) *fleetsim.Budgets {
 	n := float64(servers)
-	return &world.Budgets{
+	return &fleetsim.Budgets{
 		Way:   way,
 		Rules: quota.Rules{Kind: quota.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: quota.UsualLongest, Drift: quota.UsualDrift},
 		Hot:   max(2, servers/100), Rate: 12 * n, MoveMs: moveMs,
@@ -88,23 +88,23 @@
 	if o.Quick {
 		n, seeds = 100, 2
 	}
-	s, err := script.Parse(budgetTroubles(n), world.Names(n))
+	s, err := script.Parse(budgetTroubles(n), fleetsim.Names(n))
 	if err != nil {
 		return err
 	}
 	const length = 90
 	type got struct {
-		w *world.World
-		r *world.Result
+		w *fleetsim.World
+		r *fleetsim.Result
 	}
-	ways := []world.Way{world.Fixed, world.Estimated, world.Granted, world.Lent}
+	ways := []fleetsim.Way{fleetsim.Fixed, fleetsim.Estimated, fleetsim.Granted, fleetsim.Lent}
 	all := make([][]got, len(ways))
 	for i := range all {
 		all[i] = make([]got, seeds)
 	}
 	inParallel(len(ways)*seeds, func(i int) {
 		k, seed := i/seeds, i%seeds
-		w := world.New(world.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(seed), Length: length * 1000, Script: s, Budgets: budgetsOf(n, ways[k])})
+		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(seed), Length: length * 1000, Script: s, Budgets: budgetsOf(n, ways[k])})
 		all[k][seed] = got{w, w.Run()}
 	})
 	chart := Chart{Name: "ways", X: "s", Y: "let through a second, of the bound"}
@@ -116,7 +116,7 @@
 			worst = max(worst, x.w.Worst())
 			for _, f := range x.r.Findings {
 				if f.Checker == "budgets" {
-					if found++; way == world.Lent {
+					if found++; way == fleetsim.Lent {
 						fmt.Fprintln(o.Out, f)
 					}
 				}
@@ -147,7 +147,7 @@
 		r.Row("  in contact, from 2 s after a move: served of the whole quota, the least", seeds, contact, "")
 		r.Row("  cut off with all callers: served of its floor", seeds, cut, "")
 		r.Row("  packets a second from a server, the most", seeds, sent, "")
-		if way == world.Lent {
+		if way == fleetsim.Lent {
 			r.AtMost("simulated: most in any second, over bound and burst", worst, 1)
 			r.AtMost("simulated: findings on the parts, the floors and the tables", float64(found), 0)
 			r.AtLeast("simulated: served of the whole quota from 2 s after a move", contact, 0.95)
@@ -182,8 +182,8 @@
 
 // quotaBed is processes that share the quota, and what ran on their engines.
 type quotaBed struct {
-	*bed.Bed
-	rules *stand.Rules
+	*testbed.Bed
+	rules *standin.Rules
 	seed  int64
 	began time.Time
 	mu    sync.Mutex
@@ -195,14 +195,14 @@
 	if err != nil {
 		return nil, err
 	}
-	q := &quotaBed{rules: stand.NewRules("account-view"), seed: o.Seed * 1000}
-	q.Bed, err = bed.New(bed.Options{Names: world.Names(quotaServers), Seed: o.Seed, Cores: 4, Set: quotaSettings, Rules: q.rules, File: quotaFile(floor),
-		Serve: func() bed.Command { return serve }})
+	q := &quotaBed{rules: standin.NewRules("account-view"), seed: o.Seed * 1000}
+	q.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(quotaServers), Seed: o.Seed, Cores: 4, Set: quotaSettings, Rules: q.rules, File: quotaFile(floor),
+		Serve: func() testbed.Command { return serve }})
 	if err != nil {
 		return nil, err
 	}
 	if err = q.StartAll(); err == nil {
-		err = q.Await(longest, q.Names, bed.Hears("whole", quotaServers))
+		err = q.Await(longest, q.Names, testbed.Hears("whole", quotaServers))
 	}
 	if err != nil {
 		q.Close()
@@ -218,12 +218,12 @@
 	q.seed++
 	seed := q.seed
 	q.mu.Unlock()
-	router := stand.NewRouter(q.Listen(name))
+	router := standin.NewRouter(q.Listen(name))
 	defer router.Close()
 	n := 0
-	for _, s := range (stand.Plan{Rate: rate, For: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
-		Kinds: []stand.Kind{{Method: "account-view", Share: 1, Work: 2}}}).Run(context.Background(), map[string]stand.Caller{"msgpack": router}, stand.NewRules()) {
-		if s.Outcome == stand.OK && s.At >= from {
+	for _, s := range (standin.Plan{Rate: rate, For: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
+		Kinds: []standin.Kind{{Method: "account-view", Share: 1, Work: 2}}}).Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewRules()) {
+		if s.Outcome == standin.OK && s.At >= from {
 			n++
 		}
 	}
@@ -313,7 +313,7 @@
 		if err != nil {
 			return err
 		}
-		if err := q.Await(longest, q.Names, bed.Hears("whole", quotaServers)); err != nil {
+		if err := q.Await(longest, q.Names, testbed.Hears("whole", quotaServers)); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Duration(quotaLongest) * time.Millisecond)
@@ -365,9 +365,9 @@
 	if !o.Quick {
 		length = 20 * time.Second
 	}
-	cores := stand.NewCores(8, 8)
+	cores := standin.NewCores(8, 8)
 	defer cores.Close()
-	app, err := stand.NewApp(cores, stand.ByBody, nil)
+	app, err := standin.NewApp(cores, standin.ByBody, nil)
 	if err != nil {
 		return err
 	}
@@ -378,8 +378,8 @@
 	}
 	p := Pool(app.Addr())
 	p.Failures, p.Outlier, p.Retry = 0, 0, operator.Retry{Share: 1, Floor: 100, Most: 3}
-	names := world.Names(quotaServers)
-	b, err := bed.New(bed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: func() bed.Command { return serve }, File: operator.File{
+	names := fleetsim.Names(quotaServers)
+	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: func() testbed.Command { return serve }, File: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
 		Budgets: &operator.Budgets{Servers: quotaServers, Clocks: quota.UsualDrift,
 			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, LongestMs: quotaLongest}},
@@ -392,19 +392,19 @@
 	if err := b.StartAll(); err != nil {
 		return err
 	}
-	if err := b.Await(longest, names, bed.Hears("whole", quotaServers)); err != nil {
+	if err := b.Await(longest, names, testbed.Hears("whole", quotaServers)); err != nil {
 		return err
 	}
 	time.Sleep(5 * time.Second) // ramps, and what former lives may have lent
-	load := func(rate, work float64) (samples []stand.Sample) {
+	load := func(rate, work float64) (samples []standin.Sample) {
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		for i, name := range names {
 			all.Go(func() {
-				router := stand.NewRouter(b.Listen(name))
+				router := standin.NewRouter(b.Listen(name))
 				defer router.Close()
-				got := stand.Plan{Rate: rate, For: length, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
-					Kinds: []stand.Kind{{Method: "account-view", Share: 1, Work: work}}}.Run(context.Background(), map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+				got := standin.Plan{Rate: rate, For: length, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
+					Kinds: []standin.Kind{{Method: "account-view", Share: 1, Work: work}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 				mu.Lock()
 				defer mu.Unlock()
 				samples = append(samples, got...)
@@ -413,14 +413,14 @@
 		all.Wait()
 		return samples
 	}
-	app.Set(stand.Fail)
+	app.Set(standin.Fail)
 	taken := app.Taken()
 	began := time.Now()
 	samples := load(20, 5)
 	over := time.Since(began).Seconds()
 	ran := 0
 	for _, s := range samples {
-		if s.Outcome == stand.Aborted {
+		if s.Outcome == standin.Aborted {
 			ran++
 		}
 	}
@@ -431,12 +431,12 @@
 	if further == 0 || ran < 100 {
 		return fmt.Errorf("a failing service: %d RPCs ran, %g further tries", ran, further)
 	}
-	app.Set(stand.Sound)
+	app.Set(standin.Sound)
 	app.Most()
 	samples = load(20, 400)
 	ok := 0
 	for _, s := range samples {
-		if s.Outcome == stand.OK {
+		if s.Outcome == standin.OK {
 			ok++
 		}
 	}
--- a/internal/lab/drain.go
+++ b/internal/experiment/drain.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-drain: a whole fleet of processes drained one after another by permits, under load, with
 // faults at the keepers and between the servers, beside the same fleet without drains. It must never take a keeper's word for
@@ -25,13 +25,13 @@
 
 	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/fleet"
+	"sorrelvalve/internal/fleetsim"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/permitserver"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 const (
@@ -146,7 +146,7 @@
 
 // spread is a caller that goes from server to server, and on where one did not take its RPC.
 type spread struct {
-	routers []*stand.Router
+	routers []*standin.Router
 	next    atomic.Uint64
 	lost    atomic.Int64 // RPCs that a server had read, and whose connection ended without an answer
 	killed  atomic.Int64 // such whose server was killed meanwhile
@@ -154,16 +154,16 @@
 	avoid   []atomic.Int64
 }
 
-func newSpread(b *bed.Bed) *spread {
+func newSpread(b *testbed.Bed) *spread {
 	s := &spread{avoid: make([]atomic.Int64, len(b.Names)), kills: make([]atomic.Int64, len(b.Names))}
 	for _, name := range b.Names {
-		s.routers = append(s.routers, stand.NewRouter(b.Listen(name)))
+		s.routers = append(s.routers, standin.NewRouter(b.Listen(name)))
 	}
 	return s
 }
 
 // Call tries up to three servers.
-func (s *spread) Call(ctx context.Context, c stand.Call) (r stand.Reply) {
+func (s *spread) Call(ctx context.Context, c standin.Call) (r standin.Reply) {
 	began := time.Now()
 	c.Door = began
 	for try := range 3 {
@@ -178,15 +178,15 @@
 		r = s.routers[at].Call(ctx, c)
 		r.Took = time.Since(began)
 		switch {
-		case r.Outcome == stand.PushedBack:
+		case r.Outcome == standin.PushedBack:
 			s.avoid[at].Store(time.Now().Add(200 * time.Millisecond).UnixNano())
 			continue
-		case r.Outcome == stand.Lost && strings.Contains(r.Why, "refused"):
+		case r.Outcome == standin.Lost && strings.Contains(r.Why, "refused"):
 			s.avoid[at].Store(time.Now().Add(500 * time.Millisecond).UnixNano())
 			continue
-		case r.Outcome == stand.Lost && ctx.Err() == nil && time.Since(time.Unix(0, s.kills[at].Load())) < killedWithin:
+		case r.Outcome == standin.Lost && ctx.Err() == nil && time.Since(time.Unix(0, s.kills[at].Load())) < killedWithin:
 			s.killed.Add(1) // kill -9 takes what it had in hand with it
-		case r.Outcome == stand.Lost && ctx.Err() == nil:
+		case r.Outcome == standin.Lost && ctx.Err() == nil:
 			s.lost.Add(1)
 		}
 		return r
@@ -230,7 +230,7 @@
 	client := permitclient.New(k.http)
 	defer client.Close()
 	var servers []permit.Server
-	for _, name := range world.Names(drainServers) {
+	for _, name := range fleetsim.Names(drainServers) {
 		servers = append(servers, permit.Server{Name: name})
 	}
 	apps, addrs, endApps, err := drainApps()
@@ -248,10 +248,10 @@
 		Limits: &permit.Limits{Fleet: permit.Limit{Number: drainLimit}, Pools: map[string]permit.Limit{"apps": {Number: 1}}}}); err != nil || !a.OK {
 		return nil, fmt.Errorf("roster: %+v %v", a, err)
 	}
-	beds := make([]*bed.Bed, 2) // with drains, and without
-	rules := []*stand.Rules{stand.NewRules("topup-buy"), stand.NewRules("topup-buy")}
+	beds := make([]*testbed.Bed, 2) // with drains, and without
+	rules := []*standin.Rules{standin.NewRules("topup-buy"), standin.NewRules("topup-buy")}
 	for i := range beds {
-		opt := bed.Options{Names: world.Names(drainServers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, Rules: rules[i], Serve: func() bed.Command { return serve }}
+		opt := testbed.Options{Names: fleetsim.Names(drainServers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, Rules: rules[i], Serve: func() testbed.Command { return serve }}
 		mine := addrs
 		if i == 1 { // its own: what is drained in the one is in use in the other
 			_, others, endOthers, err := drainApps()
@@ -267,7 +267,7 @@
 		if i == 0 {
 			opt.Keepers = k.http
 		}
-		if beds[i], err = bed.New(opt); err != nil {
+		if beds[i], err = testbed.New(opt); err != nil {
 			return nil, err
 		}
 		defer beds[i].Close()
@@ -276,7 +276,7 @@
 		}
 	}
 	for _, b := range beds {
-		if err := b.Await(longest, b.Names, bed.Hears("whole", drainServers)); err != nil {
+		if err := b.Await(longest, b.Names, testbed.Hears("whole", drainServers)); err != nil {
 			return nil, err
 		}
 	}
@@ -290,20 +290,20 @@
 		callers[i] = newSpread(b)
 		defer callers[i].Close()
 		load.Go(func() {
-			samples := stand.Plan{Rate: drainLoad * drainServers * 2 * 1000 / drainWork, For: time.Hour, Callers: 3, Seed: o.Seed, Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{
+			samples := standin.Plan{Rate: drainLoad * drainServers * 2 * 1000 / drainWork, For: time.Hour, Callers: 3, Seed: o.Seed, Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{
 				{Method: "account-view", Share: 0.5, Work: drainWork}, {Method: "settings-save", Share: 0.35, Work: drainWork}, {Method: "topup-buy", Share: 0.15, Work: drainWork, Tokened: true},
-			}}.Run(loading, map[string]stand.Caller{"msgpack": callers[i]}, rules[i])
+			}}.Run(loading, map[string]standin.Caller{"msgpack": callers[i]}, rules[i])
 			for _, s := range samples {
 				w := 1.0
 				if s.Method == "topup-buy" {
 					w = 3
 				}
-				if s.Outcome == stand.Lost && s.Why == context.Canceled.Error() {
+				if s.Outcome == standin.Lost && s.Why == context.Canceled.Error() {
 					continue // the load's own end
 				}
-				if all[i] += w; s.Outcome == stand.OK && s.Took <= 400*time.Millisecond {
+				if all[i] += w; s.Outcome == standin.OK && s.Took <= 400*time.Millisecond {
 					worth[i] += w
-				} else if s.Outcome == stand.OK {
+				} else if s.Outcome == standin.OK {
 					worth[i] += 0.2 * w
 				}
 			}
@@ -552,7 +552,7 @@
 	r.Row("RPCs whose connection ended without an answer; second effects", callers[0].lost.Load(), v.SecondRuns)
 	r.Row("servers killed; RPCs that they had in hand", len(downs.all), callers[0].killed.Load())
 	if len(halted) > 0 {
-		r.Row("halts; s until all heard servers know, p50", len(halted), stand.Quantile(halted, 0.5))
+		r.Row("halts; s until all heard servers know, p50", len(halted), standin.Quantile(halted, 0.5))
 		r.Row("  the longest", slices.Max(halted), "")
 		r.AtMost("s until a halt is known at all heard servers", slices.Max(halted), 1.25)
 	}
@@ -589,8 +589,8 @@
 )
 
 // drainApps are four application servers.
-func drainApps() (apps []*stand.App, addrs []string, end func(), err error) {
-	cores := stand.NewCores(16, 8)
+func drainApps() (apps []*standin.App, addrs []string, end func(), err error) {
+	cores := standin.NewCores(16, 8)
 	end = func() {
 		for _, a := range apps {
 			a.Stop()
@@ -598,7 +598,7 @@
 		cores.Close()
 	}
 	for range 4 {
-		a, err := stand.NewApp(cores, stand.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.ByBody, nil)
 		if err != nil {
 			end()
 			return nil, nil, nil, err
@@ -608,7 +608,7 @@
 	return apps, addrs, end, nil
 }
 
-func allRun(b *bed.Bed) bool {
+func allRun(b *testbed.Bed) bool {
 	return !slices.ContainsFunc(b.Names, func(name string) bool { return !b.Procs.Runs(name) })
 }
 
--- a/internal/lab/durable.go
+++ b/internal/experiment/durable.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiments on the durable store: a real process that is killed at random under repeated purchases,
 // and what the store costs. It must never count an effect anywhere but at the engine, which outlives the process.
@@ -17,7 +17,7 @@
 	"time"
 
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 	"sorrelvalve/internal/store"
 )
 
@@ -122,10 +122,10 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	rules := stand.NewRules("topup-buy")
-	cores := stand.NewCores(16, 0)
+	rules := standin.NewRules("topup-buy")
+	cores := standin.NewCores(16, 0)
 	defer cores.Close()
-	engine, err := stand.NewEngine(cores, func(_ string, body []byte) (float64, []byte) { return 15, append([]byte("bought "), body...) }, rules)
+	engine, err := standin.NewEngine(cores, func(_ string, body []byte) (float64, []byte) { return 15, append([]byte("bought "), body...) }, rules)
 	if err != nil {
 		return nil, err
 	}
@@ -145,12 +145,12 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var all []*purchase
-	counts := map[stand.Outcome]int{}
+	counts := map[standin.Outcome]int{}
 	for w := range 16 { // buyers, each of whom repeats a purchase over either protocol until it is told ok, and then once more
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			callers := []stand.Caller{stand.NewRouter(addrs[0]), stand.NewWeb(addrs[1], false)}
+			callers := []standin.Caller{standin.NewRouter(addrs[0]), standin.NewWeb(addrs[1], false)}
 			defer callers[0].Close()
 			chance := rand.New(rand.NewSource(o.Seed*1000 + int64(w)))
 			for i := 0; ; i++ {
@@ -168,7 +168,7 @@
 					mu.Lock()
 					counts[r.Outcome]++
 					mu.Unlock()
-					if r.Outcome != stand.OK {
+					if r.Outcome != standin.OK {
 						time.Sleep(time.Duration(5+chance.Intn(40)) * time.Millisecond)
 					}
 				}
@@ -195,7 +195,7 @@
 	if err := n.start(); err != nil {
 		return nil, err
 	}
-	router := stand.NewRouter(addrs[0])
+	router := standin.NewRouter(addrs[0])
 	defer router.Close()
 	told, missing, contradicted := 0, 0, 0
 	for _, p := range all {
@@ -208,13 +208,13 @@
 		told++
 		for try := 0; ; try++ { // a fresh server pushes back until its engine has answered
 			r := buy(router, p, true)
-			if r.Outcome == stand.PushedBack || r.Outcome == stand.Lost {
+			if r.Outcome == standin.PushedBack || r.Outcome == standin.Lost {
 				if try < 50 {
 					time.Sleep(20 * time.Millisecond)
 					continue
 				}
 			}
-			if r.Outcome != stand.OK || string(r.Body) != p.ok {
+			if r.Outcome != standin.OK || string(r.Body) != p.ok {
 				missing++
 			}
 			break
@@ -222,7 +222,7 @@
 	}
 	v := rules.Verdict()
 	r := &Report{Name: "durable-kill", Header: []string{"kills", "purchases", "told ok", "tries ok", "pushed back", "aborted", "lost with the process", "runs twice", "start ms"}}
-	r.Row(kills, len(all), told, counts[stand.OK], counts[stand.PushedBack], counts[stand.Aborted], counts[stand.Lost], v.SecondRuns, float64(down.Milliseconds())/float64(kills))
+	r.Row(kills, len(all), told, counts[standin.OK], counts[standin.PushedBack], counts[standin.Aborted], counts[standin.Lost], v.SecondRuns, float64(down.Milliseconds())/float64(kills))
 	r.AtMost("double runs", float64(v.SecondRuns), 0)
 	r.AtMost("answers that contradict the first", float64(contradicted), 0)
 	r.AtMost("told ok and not found after the restart", float64(missing), 0)
@@ -230,18 +230,18 @@
 	return r, nil
 }
 
-func buy(c stand.Caller, p *purchase, again bool) stand.Reply {
+func buy(c standin.Caller, p *purchase, again bool) standin.Reply {
 	ctx, end := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer end()
-	r := c.Call(ctx, stand.Call{Method: "topup-buy", Token: p.token, Body: []byte(p.token), Caller: 1, Retry: again})
+	r := c.Call(ctx, standin.Call{Method: "topup-buy", Token: p.token, Body: []byte(p.token), Caller: 1, Retry: again})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case r.Outcome == stand.OK && p.ok == "":
+	case r.Outcome == standin.OK && p.ok == "":
 		p.ok, p.oks = string(r.Body), 1
-	case r.Outcome == stand.OK && p.ok == string(r.Body):
+	case r.Outcome == standin.OK && p.ok == string(r.Body):
 		p.oks++
-	case r.Outcome == stand.OK, r.Outcome == stand.Aborted && p.ok != "":
+	case r.Outcome == standin.OK, r.Outcome == standin.Aborted && p.ok != "":
 		p.bad = r.Why + string(r.Body)
 	}
 	return r
@@ -258,9 +258,9 @@
 	type figures struct{ perSecond, p99 map[string]float64 }
 	got := map[string]figures{}
 	for _, way := range []string{"off", "on", "slow disk"} {
-		cores := stand.NewCores(64, 0)
-		rules := stand.NewRules("topup-buy")
-		engine, err := stand.NewEngine(cores, stand.ByBody, rules)
+		cores := standin.NewCores(64, 0)
+		rules := standin.NewRules("topup-buy")
+		engine, err := standin.NewEngine(cores, standin.ByBody, rules)
 		if err != nil {
 			return nil, err
 		}
@@ -293,11 +293,11 @@
 		if err != nil {
 			return nil, err
 		}
-		router, web := stand.NewRouter(srv.RPC), stand.NewWeb(srv.Web, true)
-		samples := stand.Plan{
+		router, web := standin.NewRouter(srv.RPC), standin.NewWeb(srv.Web, true)
+		samples := standin.Plan{
 			Rate: 1000, For: length, Callers: 3, Seed: o.Seed, Deadline: 1300 * time.Millisecond,
-			Kinds: []stand.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "topup-buy", Share: 0.5, Work: 10, Tokened: true}},
-		}.Run(context.Background(), map[string]stand.Caller{"msgpack": router, "uwsgi": web}, rules)
+			Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "topup-buy", Share: 0.5, Work: 10, Tokened: true}},
+		}.Run(context.Background(), map[string]standin.Caller{"msgpack": router, "uwsgi": web}, rules)
 		router.Close()
 		web.Close()
 		srv.Close()
@@ -309,7 +309,7 @@
 			s.Close()
 		}
 		f := figures{map[string]float64{}, map[string]float64{}}
-		for _, row := range stand.Summary(samples, false) {
+		for _, row := range standin.Summary(samples, false) {
 			f.perSecond[row.Method], f.p99[row.Method] = float64(row.OK)/length.Seconds(), row.P99
 			r.Row(way, row.Method, row.N, row.OK, f.perSecond[row.Method], row.PushedBack, row.Aborted, row.P50, row.P99,
 				st.Syncs, float64(st.Records)/max(1, float64(st.Syncs)), timed.mean())
--- a/internal/lab/embedded.go
+++ b/internal/experiment/embedded.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment embedded: a gin program with handlers that compute and handlers that wait, as a process
 // of its own on two cores, at 150% of what it can do: bare, behind a plain semaphore, behind the valve. It must never let
@@ -24,7 +24,7 @@
 	"github.com/gin-gonic/gin"
 
 	"sorrelvalve/decision/route"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 	"sorrelvalve/valve"
 	"sorrelvalve/valve/ginvalve"
 	"sorrelvalve/valve/httpvalve"
@@ -162,7 +162,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, row := range stand.Summary(samples, false, 250*time.Millisecond) {
+		for _, row := range standin.Summary(samples, false, 250*time.Millisecond) {
 			r.Row(way, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, peaks[0], peaks[1])
 		}
 		served[way] = criticality(samples, embeddedMethods)
@@ -172,7 +172,7 @@
 	return r, nil
 }
 
-func embeddedRun(o Options, way string, rate float64, length time.Duration) (samples []stand.Sample, peaks [2]string, err error) {
+func embeddedRun(o Options, way string, rate float64, length time.Duration) (samples []standin.Sample, peaks [2]string, err error) {
 	own, err := os.Executable()
 	if err != nil {
 		return nil, peaks, err
@@ -207,9 +207,9 @@
 		if due >= length {
 			break
 		}
-		method, work := "account-view", fmt.Sprintf("%.3f %.3f", embeddedCPU/10, stand.Spread(chance, embeddedWait))
+		method, work := "account-view", fmt.Sprintf("%.3f %.3f", embeddedCPU/10, standin.Spread(chance, embeddedWait))
 		if chance.Float64() < embeddedPart {
-			method, work = "report", fmt.Sprintf("%.3f", stand.Spread(chance, embeddedCPU))
+			method, work = "report", fmt.Sprintf("%.3f", standin.Spread(chance, embeddedCPU))
 		}
 		if chance.Float64() < 0.15 {
 			method = "topup-buy"
@@ -223,20 +223,20 @@
 			q.Header.Set("Work", work)
 			q.Header.Set("Caller", strconv.Itoa(n%3))
 			q.Header.Set("Idempotency-Key", strconv.Itoa(n))
-			s := stand.Sample{At: due, Protocol: "http", Method: method}
+			s := standin.Sample{At: due, Protocol: "http", Method: method}
 			a, err := client.Do(q)
 			if err != nil {
-				s.Outcome = stand.Lost
+				s.Outcome = standin.Lost
 			} else {
 				io.Copy(io.Discard, a.Body)
 				a.Body.Close()
 				switch {
 				case a.StatusCode == 503:
-					s.Outcome = stand.PushedBack
+					s.Outcome = standin.PushedBack
 				case a.StatusCode >= 500:
-					s.Outcome = stand.Aborted
+					s.Outcome = standin.Aborted
 				case a.StatusCode >= 400:
-					s.Outcome = stand.Senseless
+					s.Outcome = standin.Senseless
 				}
 			}
 			s.Took = time.Since(sent)
--- a/internal/lab/lab.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package lab is what the experiments share: a server of this build put together in the process, what an experiment
 // reports, and the bars that it must clear. It must never print a figure that was not measured in the run at hand.
-package lab
+package experiment
 
 import (
 	"encoding/csv"
--- a/internal/lab/grants.go
+++ b/internal/experiment/grants.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns what keepers cost: time to grant with and without the loss of a leader, and how memory, log and the time to start
 // again grow with the permits that were given. It must never count an answer that was given twice as two.
@@ -17,7 +17,7 @@
 
 	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/permitclient"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 )
 
 const (
@@ -99,16 +99,16 @@
 		name := "ms to grant, one client, three keepers: p50; p99"
 		if kill {
 			name = "  with the leader killed: p50; the longest"
-			r.Row(name, stand.Quantile(took, 0.5), stand.Quantile(took, 1))
-			r.AtMost("ms to grant over a leader's loss", stand.Quantile(took, 1), 5000)
+			r.Row(name, standin.Quantile(took, 0.5), standin.Quantile(took, 1))
+			r.AtMost("ms to grant over a leader's loss", standin.Quantile(took, 1), 5000)
 			for _, name := range k.names {
 				if k.procs[name] == nil {
 					k.start(name, false)
 				}
 			}
 		} else {
-			r.Row(name, stand.Quantile(took, 0.5), stand.Quantile(took, 0.99))
-			r.AtMost("ms to grant, p99", stand.Quantile(took, 0.99), 250)
+			r.Row(name, standin.Quantile(took, 0.5), standin.Quantile(took, 0.99))
+			r.AtMost("ms to grant, p99", standin.Quantile(took, 0.99), 250)
 		}
 	}
 	// Many at once, up to the number wanted.
--- a/internal/lab/hearing.go
+++ b/internal/experiment/hearing.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-hearing: real processes that know one another behind relays, with faults between
 // them. It must never count a view that it did not ask for.
@@ -21,9 +21,9 @@
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 // FleetServer serves as valvefleet does; it is the process of the fleet's experiments.
@@ -31,9 +31,9 @@
 	return daemon.Command{Operator: record}.Run(fleet.Beside)
 }
 
-func fleetServe() (bed.Command, error) {
+func fleetServe() (testbed.Command, error) {
 	own, err := os.Executable()
-	return bed.Command{Path: own, Args: []string{"fleet-server"}}, err
+	return testbed.Command{Path: own, Args: []string{"fleet-server"}}, err
 }
 
 // longest bounds each wait for views; one that takes longer ends the experiment with what each view was.
@@ -57,7 +57,7 @@
 	for i, d := range all {
 		v[i] = d.Seconds()
 	}
-	return stand.Quantile(v, 0.5), slices.Max(v)
+	return standin.Quantile(v, 0.5), slices.Max(v)
 }
 
 // Hearing is the experiment fleet-hearing.
@@ -74,16 +74,16 @@
 	for i := range servers {
 		names = append(names, fmt.Sprint("n", i))
 	}
-	b, err := bed.New(bed.Options{
+	b, err := testbed.New(testbed.Options{
 		Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings,
-		Rules: stand.NewRules(), Serve: func() bed.Command { return serve }, File: settled,
+		Rules: standin.NewRules(), Serve: func() testbed.Command { return serve }, File: settled,
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer b.Close()
 	r := &Report{Name: "fleet-hearing", Header: []string{"what", "rounds", "p50 s", "max s"}}
-	took := func(viewers []string, wanted func(*bed.Point) bool) (time.Duration, error) {
+	took := func(viewers []string, wanted func(*testbed.Point) bool) (time.Duration, error) {
 		began := time.Now()
 		err := b.Await(longest, viewers, wanted)
 		return time.Since(began), err
@@ -91,7 +91,7 @@
 	times := map[string][]time.Duration{}
 	var order []string
 	await := func(what string, viewers []string, state string, heard int) error {
-		d, err := took(viewers, bed.Hears(state, heard))
+		d, err := took(viewers, testbed.Hears(state, heard))
 		if err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
@@ -199,7 +199,7 @@
 	}
 	r.Row(fmt.Sprintf("10%% loss for %.0f s: wrong deaths", lossy.Seconds()), 1, float64(wrong), "")
 	r.AtMost("wrong deaths under 10% loss", float64(wrong), 0)
-	if err := b.Await(longest, names, bed.Hears("whole", servers)); err != nil {
+	if err := b.Await(longest, names, testbed.Hears("whole", servers)); err != nil {
 		return nil, err
 	}
 	ratio, err := admission(o, b, serve, load, r)
@@ -216,7 +216,7 @@
 	return r, many(o, r)
 }
 
-func cost(b *bed.Bed) (map[string]fleet.Status, map[string]time.Duration, error) {
+func cost(b *testbed.Bed) (map[string]fleet.Status, map[string]time.Duration, error) {
 	views, cpu := map[string]fleet.Status{}, map[string]time.Duration{}
 	for _, name := range b.Names {
 		v, err := b.View(name)
@@ -232,7 +232,7 @@
 }
 
 // lost is how often anybody was called silent by anybody.
-func lost(b *bed.Bed) (n uint64) {
+func lost(b *testbed.Bed) (n uint64) {
 	for _, name := range b.Names {
 		if v, err := b.View(name); err == nil {
 			n += v.Lost
@@ -243,9 +243,9 @@
 
 // admission loads one server with a fleet, between which and the others faults are played, and one without, at the same
 // time by the same plan; it returns the ratio of the p99 of pushback.
-func admission(o Options, with *bed.Bed, serve bed.Command, load time.Duration, r *Report) (float64, error) {
-	rules := stand.NewRules("topup-buy")
-	without, err := bed.New(bed.Options{Names: []string{"plain"}, Alone: true, Seed: o.Seed, Cores: 2, Set: fleetSettings, Serve: func() bed.Command { return serve }, File: settled})
+func admission(o Options, with *testbed.Bed, serve testbed.Command, load time.Duration, r *Report) (float64, error) {
+	rules := standin.NewRules("topup-buy")
+	without, err := testbed.New(testbed.Options{Names: []string{"plain"}, Alone: true, Seed: o.Seed, Cores: 2, Set: fleetSettings, Serve: func() testbed.Command { return serve }, File: settled})
 	if err != nil {
 		return 0, err
 	}
@@ -277,16 +277,16 @@
 			with.Play(ctx, s)
 		}
 	})
-	samples := map[string][]stand.Sample{}
+	samples := map[string][]standin.Sample{}
 	var mu sync.Mutex
 	var runs sync.WaitGroup
 	for way, addr := range map[string]string{"with": with.Listen("n1"), "without": without.Listen("plain")} {
 		runs.Go(func() {
-			router := stand.NewRouter(addr)
+			router := standin.NewRouter(addr)
 			defer router.Close()
-			got := stand.Plan{Rate: 300, For: load, Callers: 3, Seed: o.Seed, Deadline: 2 * time.Second, Kinds: []stand.Kind{
+			got := standin.Plan{Rate: 300, For: load, Callers: 3, Seed: o.Seed, Deadline: 2 * time.Second, Kinds: []standin.Kind{
 				{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.35, Work: 10}, {Method: "topup-buy", Share: 0.15, Work: 10, Tokened: true},
-			}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, rules)
+			}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 			mu.Lock()
 			defer mu.Unlock()
 			samples[way] = got
@@ -305,16 +305,16 @@
 		var pushed []float64
 		ok := 0
 		for _, s := range samples[way] {
-			if s.Outcome == stand.PushedBack {
+			if s.Outcome == standin.PushedBack {
 				pushed = append(pushed, float64(s.Took)/1e6)
-			} else if s.Outcome == stand.OK {
+			} else if s.Outcome == standin.OK {
 				ok++
 			}
 		}
 		if len(pushed) < 20 {
 			return 0, fmt.Errorf("%s: %d pushed back of %d", way, len(pushed), len(samples[way]))
 		}
-		p99[way] = stand.Quantile(pushed, 0.99)
+		p99[way] = standin.Quantile(pushed, 0.99)
 		r.Row(way+" membership, faults beside: pushback p99 in ms; ok; pushed back", len(samples[way]), p99[way], fmt.Sprint(ok, " ", len(pushed)))
 	}
 	return p99["with"] / p99["without"], nil
--- a/internal/lab/judge.go
+++ b/internal/experiment/judge.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-judge: members of a pool that turn bad in several ways, judged by each server for itself
 // and by the fleet together, under the same troubles in one run. It must never count as out what servers still use.
@@ -11,8 +11,8 @@
 	"gonum.org/v1/plot/plotter"
 
 	"sorrelvalve/decision/pool"
-	"sorrelvalve/internal/stand/script"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/fleetsim"
+	"sorrelvalve/internal/standin/script"
 )
 
 // judgeRules are the usual ones of a pool.
@@ -21,11 +21,11 @@
 // phase is one trouble of the experiment.
 type phase struct {
 	name  string
-	on    world.Trouble
-	other *world.Trouble // beside it
-	bad   bool           // ok in target is to be better together
-	who   int            // the member that is to be out; negative for none
-	sound bool           // no member is bad: none is to be out
+	on    fleetsim.Trouble
+	other *fleetsim.Trouble // beside it
+	bad   bool              // ok in target is to be better together
+	who   int               // the member that is to be out; negative for none
+	sound bool              // no member is bad: none is to be out
 }
 
 const (
@@ -46,15 +46,15 @@
 	m := func(k ...int) []int { return k }
 	all := m(0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
 	return []phase{
-		{name: "fails at once", on: world.Trouble{Members: m(3), Fail: 1}, bad: true, who: 3},
-		{name: "says nothing", on: world.Trouble{Members: m(5), Silent: true}, bad: true, who: 5},
-		{name: "ten times as slow", on: world.Trouble{Members: m(7), Slow: 10}, who: 7},
-		{name: "answers every tenth", on: world.Trouble{Members: m(1), Fail: 0.9}, bad: true, who: 1},
-		{name: "bad from one zone", on: world.Trouble{Members: m(2), Silent: true, Zone: "z1"}, who: -1},
-		{name: "flaps each 3 s", on: world.Trouble{Members: m(4), Silent: true, Flap: 3000}, bad: true, who: -1},
-		{name: "one server meets all as bad", on: world.Trouble{Members: all, Fail: 1, Servers: m(5)}, who: -1, sound: true},
-		{name: "halves, another bad on each side", on: world.Trouble{Members: m(3), Silent: true, Servers: half}, other: &world.Trouble{Members: m(6), Silent: true, Servers: other}, who: -1},
-		{name: "all are slow", on: world.Trouble{Members: all, Slow: 5}, who: -1, sound: true},
+		{name: "fails at once", on: fleetsim.Trouble{Members: m(3), Fail: 1}, bad: true, who: 3},
+		{name: "says nothing", on: fleetsim.Trouble{Members: m(5), Silent: true}, bad: true, who: 5},
+		{name: "ten times as slow", on: fleetsim.Trouble{Members: m(7), Slow: 10}, who: 7},
+		{name: "answers every tenth", on: fleetsim.Trouble{Members: m(1), Fail: 0.9}, bad: true, who: 1},
+		{name: "bad from one zone", on: fleetsim.Trouble{Members: m(2), Silent: true, Zone: "z1"}, who: -1},
+		{name: "flaps each 3 s", on: fleetsim.Trouble{Members: m(4), Silent: true, Flap: 3000}, bad: true, who: -1},
+		{name: "one server meets all as bad", on: fleetsim.Trouble{Members: all, Fail: 1, Servers: m(5)}, who: -1, sound: true},
+		{name: "halves, another bad on each side", on: fleetsim.Trouble{Members: m(3), Silent: true, Servers: half}, other: &fleetsim.Trouble{Members: m(6), Silent: true, Servers: other}, who: -1},
+		{name: "all are slow", on: fleetsim.Trouble{Members: all, Slow: 5}, who: -1, sound: true},
 	}
 }
 
@@ -66,13 +66,13 @@
 		n, seeds, rate = 40, 1, 3.5
 	}
 	phases := judgePhases(n)
-	var troubles []world.Trouble
+	var troubles []fleetsim.Trouble
 	at := 20e3
 	begins := make([]float64, len(phases))
 	var text string
 	for i, p := range phases {
 		begins[i] = at
-		for _, t := range []*world.Trouble{&p.on, p.other} {
+		for _, t := range []*fleetsim.Trouble{&p.on, p.other} {
 			if t != nil {
 				x := *t
 				x.From, x.To = at, at+phaseMs
@@ -90,22 +90,22 @@
 		}
 		at += phaseMs + betweenMs
 	}
-	s, err := script.Parse(text, world.Names(n))
+	s, err := script.Parse(text, fleetsim.Names(n))
 	if err != nil {
 		return nil, err
 	}
 	length := at
-	ways := make([][]*world.World, 2)
+	ways := make([][]*fleetsim.World, 2)
 	for k := range ways {
-		ways[k] = make([]*world.World, seeds)
+		ways[k] = make([]*fleetsim.World, seeds)
 	}
 	began := time.Now()
 	found := 0
-	results := make([]*world.Result, 2*seeds)
+	results := make([]*fleetsim.Result, 2*seeds)
 	inParallel(2*seeds, func(i int) {
-		v := &world.Services{Members: judgeMembers, Rate: rate, Work: 30, Together: i%2 == 1, Rules: judgeRules, Troubles: troubles, Target: 200, Again: 0.4,
+		v := &fleetsim.Services{Members: judgeMembers, Rate: rate, Work: 30, Together: i%2 == 1, Rules: judgeRules, Troubles: troubles, Target: 200, Again: 0.4,
 			Capacity: 6, Lying: []int{n - 1}}
-		w := world.New(world.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(i/2), Length: length, Script: s, Services: v})
+		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(i/2), Length: length, Script: s, Services: v})
 		results[i] = w.Run()
 		ways[i%2][i/2] = w
 	})
@@ -203,7 +203,7 @@
 }
 
 // ramp is the load on members that return, over the whole fleet, beside a line from nothing to its part.
-func ramp(r *Report, ways []*world.World, phases []phase, begins []float64, n int) {
+func ramp(r *Report, ways []*fleetsim.World, phases []phase, begins []float64, n int) {
 	got, wanted := 0.0, 0.0
 	for i, p := range phases {
 		if p.who < 0 || p.on.Slow > 0 {
@@ -235,7 +235,7 @@
 }
 
 // agree is how long servers held different members out, after a cut was healed.
-func agree(r *Report, ways []*world.World, phases []phase, begins []float64, n int) {
+func agree(r *Report, ways []*fleetsim.World, phases []phase, begins []float64, n int) {
 	worst := 0.0
 	for i, p := range phases {
 		if p.other == nil {
--- a/internal/lab/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the part of fleet-judge with real processes: eight daemons before ten application servers, once in a fleet
 // and once each for itself, at the same time under the same load. It must never tell one of them of the troubles.
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
+	"sorrelvalve/internal/fleetsim"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 const (
@@ -26,9 +26,9 @@
 
 // judgeBed is one of the two.
 type judgeBed struct {
-	*bed.Bed
-	apps   []*stand.App
-	cores  []*stand.Cores
+	*testbed.Bed
+	apps   []*standin.App
+	cores  []*standin.Cores
 	mu     sync.Mutex
 	asked  int
 	inTime int
@@ -42,8 +42,8 @@
 	j := &judgeBed{}
 	var addrs []string
 	for range judgeMembers {
-		c := stand.NewCores(4, 8)
-		a, err := stand.NewApp(c, stand.ByBody, nil)
+		c := standin.NewCores(4, 8)
+		a, err := standin.NewApp(c, standin.ByBody, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -54,11 +54,11 @@
 	f := operator.File{Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{
 		"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}, "settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}}}
 	set := strings.Replace(fleetSettings, `"worth":1},`, `"worth":1,"idempotency":"non_idempotent"},`, 1) // settings-save may not run twice
-	if j.Bed, err = bed.New(bed.Options{Names: world.Names(judgeServers), Seed: o.Seed, Cores: 2, Set: set, File: f, Alone: alone, Serve: func() bed.Command { return serve }}); err != nil {
+	if j.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(judgeServers), Seed: o.Seed, Cores: 2, Set: set, File: f, Alone: alone, Serve: func() testbed.Command { return serve }}); err != nil {
 		return nil, err
 	}
 	if err = j.StartAll(); err == nil && !alone {
-		err = j.Await(longest, j.Names, bed.Hears("whole", judgeServers))
+		err = j.Await(longest, j.Names, testbed.Hears("whole", judgeServers))
 	}
 	return j, err
 }
@@ -76,15 +76,15 @@
 	var all sync.WaitGroup
 	for i, name := range j.Names {
 		all.Go(func() {
-			router := stand.NewRouter(j.Listen(name))
+			router := standin.NewRouter(j.Listen(name))
 			defer router.Close()
-			samples := stand.Plan{Rate: judgeRate, For: length, Callers: 3, Seed: seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{
-				{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+			samples := standin.Plan{Rate: judgeRate, For: length, Callers: 3, Seed: seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{
+				{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 			j.mu.Lock()
 			defer j.mu.Unlock()
 			for _, s := range samples {
 				j.asked++
-				if s.Outcome == stand.OK && s.Took <= judgeTarget {
+				if s.Outcome == standin.OK && s.Took <= judgeTarget {
 					j.inTime++
 				}
 			}
@@ -140,9 +140,9 @@
 	together := beds[1]
 	troubles := []struct {
 		name   string
-		fault  stand.Fault
+		fault  standin.Fault
 		faults string // between the servers, meanwhile
-	}{{"fails at once", stand.Fail, ""}, {"says nothing", stand.Stall, "0s loss *>* 0.1"}}
+	}{{"fails at once", standin.Fail, ""}, {"says nothing", standin.Stall, "0s loss *>* 0.1"}}
 	length := time.Duration(len(troubles)) * 2 * phase
 	ctx, end := context.WithTimeout(context.Background(), length+10*time.Second)
 	defer end()
@@ -181,7 +181,7 @@
 		var n [2]int
 		for i, j := range beds {
 			n[i] = j.apps[k].Taken() - taken[i]
-			j.apps[k].Set(stand.Sound)
+			j.apps[k].Set(standin.Sound)
 			sick[i] += float64(n[i])
 		}
 		together.Net.Heal()
--- a/internal/lab/mixed.go
+++ b/internal/experiment/mixed.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment uwsgi-mixed: one machine, traffic above what it can do, half of it by each protocol. It
 // must never let one of the three ways have more of the machine, or other RPCs, than another.
@@ -9,7 +9,7 @@
 	"time"
 
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 )
 
 // The portal's methods, at a fifth of its times.
@@ -27,10 +27,10 @@
 	ownWait     = 300 * time.Millisecond // that a caller waits past the deadline: an answer may be under way
 )
 
-func mixedPlan(o Options, length time.Duration) stand.Plan {
-	return stand.Plan{
+func mixedPlan(o Options, length time.Duration) standin.Plan {
+	return standin.Plan{
 		Rate: mixedLoad * mixedCores * 1000 / mixedWork, For: length, Callers: 3, Seed: o.Seed, Again: 0.2, Deadline: time.Second + ownWait,
-		Kinds: []stand.Kind{{Method: "account-view", Share: 0.5, Work: mixedWork}, {Method: "settings-save", Share: 0.38, Work: mixedWork},
+		Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: mixedWork}, {Method: "settings-save", Share: 0.38, Work: mixedWork},
 			{Method: "topup-buy", Share: 0.12, Work: mixedWork, Tokened: true}},
 	}
 }
@@ -44,9 +44,9 @@
 	r := &Report{Name: "uwsgi-mixed", Header: []string{"way", "protocol", "method", "RPCs", "ok in target", "ok late", "pushed back", "aborted", "lost", "p50 ms", "p99 ms", "pushed back p99 ms", "after 20 ms"}}
 	served := map[string]float64{}
 	for _, way := range []string{"past the valve", "plain queue", "valve"} {
-		cores := stand.NewCores(mixedCores, 8)
-		rules := stand.NewRules("topup-buy")
-		engine, err := stand.NewEngine(cores, stand.ByBody, rules)
+		cores := standin.NewCores(mixedCores, 8)
+		rules := standin.NewRules("topup-buy")
+		engine, err := standin.NewEngine(cores, standin.ByBody, rules)
 		if err != nil {
 			return nil, err
 		}
@@ -54,16 +54,16 @@
 		if err != nil {
 			return nil, err
 		}
-		var callers map[string]stand.Caller
+		var callers map[string]standin.Caller
 		var ends []func()
 		switch way {
 		case "plain queue":
 			q := NewQueue(func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
 				rules.Ran(w.Method, w.Body)
-				work, result := stand.ByBody(w.Method, w.Body)
+				work, result := standin.ByBody(w.Method, w.Body)
 				cores.Run(work, func() { done(gate.Succeeded, work, nil, result) })
 			}, mixedCores, 4*mixedCores)
-			callers = map[string]stand.Caller{"msgpack": queueCaller{q}, "uwsgi": queueCaller{q}}
+			callers = map[string]standin.Caller{"msgpack": queueCaller{q}, "uwsgi": queueCaller{q}}
 			ends = append(ends, q.Close)
 		default:
 			settings.Rules.Settle = mixedSettle
@@ -73,14 +73,14 @@
 			}
 			web := s.Web
 			if way == "past the valve" {
-				app, err := stand.NewApp(cores, stand.ByBody, rules)
+				app, err := standin.NewApp(cores, standin.ByBody, rules)
 				if err != nil {
 					return nil, err
 				}
 				web = app.Addr()
 				ends = append(ends, app.Stop)
 			}
-			callers = map[string]stand.Caller{"msgpack": stand.NewRouter(s.RPC), "uwsgi": stand.NewWeb(web, false)}
+			callers = map[string]standin.Caller{"msgpack": standin.NewRouter(s.RPC), "uwsgi": standin.NewWeb(web, false)}
 			ends = append(ends, s.Close)
 		}
 		if o.Quick && way == "valve" { // the protocols' shares must be told apart to 0.03: with 11 s chance alone came to that
@@ -95,7 +95,7 @@
 		}
 		engine.Close()
 		cores.Close()
-		rows := stand.Summary(samples, true, 400*time.Millisecond)
+		rows := standin.Summary(samples, true, 400*time.Millisecond)
 		for _, row := range rows {
 			r.Row(way, row.Protocol, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, row.Pushed99, row.Held)
 		}
@@ -127,7 +127,7 @@
 }
 
 // criticality is the share of all criticality that was served, a late answer at what its method keeps.
-func criticality(samples []stand.Sample, methods []Method) float64 {
+func criticality(samples []standin.Sample, methods []Method) float64 {
 	got, all := 0.0, 0.0
 	for _, s := range samples {
 		for _, m := range methods {
@@ -135,9 +135,9 @@
 				continue
 			}
 			all += m.Criticality
-			if s.Outcome == stand.OK && float64(s.Took)/1e6 <= m.Target {
+			if s.Outcome == standin.OK && float64(s.Took)/1e6 <= m.Target {
 				got += m.Criticality
-			} else if s.Outcome == stand.OK {
+			} else if s.Outcome == standin.OK {
 				got += m.Criticality * m.Late
 			}
 		}
@@ -146,7 +146,7 @@
 }
 
 // overTime is the share ok in target of each method, second by second.
-func overTime(way string, samples []stand.Sample) Chart {
+func overTime(way string, samples []standin.Sample) Chart {
 	c := Chart{Name: way, X: "s", Y: "ok within the latency target"}
 	type cell struct{ ok, all float64 }
 	at := map[string]map[int]*cell{}
@@ -161,7 +161,7 @@
 		}
 		last = max(last, second)
 		x := at[s.Method][second]
-		if x.all++; s.Outcome == stand.OK && s.Took <= 400*time.Millisecond {
+		if x.all++; s.Outcome == standin.OK && s.Took <= 400*time.Millisecond {
 			x.ok++
 		}
 	}
@@ -184,20 +184,20 @@
 
 func (c queueCaller) Close() {}
 
-func (c queueCaller) Call(ctx context.Context, call stand.Call) stand.Reply {
+func (c queueCaller) Call(ctx context.Context, call standin.Call) standin.Reply {
 	began := time.Now()
-	got := make(chan stand.Reply, 1)
+	got := make(chan standin.Reply, 1)
 	taken := c.q.Run(gate.Work{Method: call.Method, Body: call.Body}, call.Token, func(_ gate.Outcome, _ float64, _, result []byte) {
-		got <- stand.Reply{Body: result}
+		got <- standin.Reply{Body: result}
 	})
 	if !taken {
-		return stand.Reply{Outcome: stand.PushedBack, Took: time.Since(began)}
+		return standin.Reply{Outcome: standin.PushedBack, Took: time.Since(began)}
 	}
 	select {
 	case r := <-got:
 		r.Took = time.Since(began)
 		return r
 	case <-ctx.Done():
-		return stand.Reply{Outcome: stand.Lost, Took: time.Since(began)}
+		return standin.Reply{Outcome: standin.Lost, Took: time.Since(began)}
 	}
 }
--- a/internal/lab/parity.go
+++ b/internal/experiment/parity.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment parity: one sequence of arrivals at 120% of capacity, with a cold start, a burst and a
 // drain, goes through the daemon's front and through gin with the library's middleware. It must never let a verdict pass
@@ -25,8 +25,8 @@
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/front/mprpc"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/valve"
 	"sorrelvalve/valve/ginvalve"
 	"sorrelvalve/valve/httpvalve"
@@ -51,7 +51,7 @@
 		RetryAfter: time.Second, Grace: 500 * time.Millisecond, Seed: 11}
 }
 
-func paritySettings() (*opening.Opening, error) {
+func paritySettings() (*startup.Opening, error) {
 	s := fmt.Sprintf("classes.count=%d\nfamily_info.cores=%d\nfamily_info.ram_kb=%d\nfamily_info.callers=3\nfamily_info.meters=core_use,on_cores\n"+
 		"rules.tip_multiple=8\nrules.drain_grace=500000000\nrules.answer_slack=80000000\nrules.cold=%d\nlimits.max_retry_after=1000000000\nclient_habits.marks_retry=true\n",
 		len(parityMethods), parityCores, 4<<20, parityWarm.Nanoseconds())
@@ -63,7 +63,7 @@
 		s += fmt.Sprintf("classes.%d.name=%s\nclasses.%d.aim=%d\nclasses.%d.give_up=%d\nclasses.%d.worth=%g\nclasses.%d.late_worth=%g\nclasses.%d.idempotency=%s\nclasses.%d.window=%d\n",
 			i, m.Name, i, m.LatencyTarget.Nanoseconds(), i, m.Deadline.Nanoseconds(), i, m.Criticality, i, m.LateShare, i, kind, i, m.Window.Nanoseconds())
 	}
-	o, err := opening.Parse(s)
+	o, err := startup.Parse(s)
 	if err == nil {
 		o.Node.Seed = 11
 	}
@@ -73,7 +73,7 @@
 // arrival is one RPC of the sequence.
 type arrival struct {
 	at   time.Duration // whole ms since the beginning
-	call stand.Call
+	call standin.Call
 	work float64
 }
 
@@ -90,8 +90,8 @@
 		if at += chance.ExpFloat64() / r; at >= end {
 			return all
 		}
-		a := arrival{at: time.Duration(at) * time.Millisecond, work: stand.Spread(chance, parityWork)}
-		a.call = stand.Call{Method: "account-view", Caller: chance.Intn(3) + 1, Subject: uint64(chance.Intn(3000)) + 1}
+		a := arrival{at: time.Duration(at) * time.Millisecond, work: standin.Spread(chance, parityWork)}
+		a.call = standin.Call{Method: "account-view", Caller: chance.Intn(3) + 1, Subject: uint64(chance.Intn(3000)) + 1}
 		switch x := chance.Float64(); {
 		case x < 0.12:
 			a.call.Method, a.call.Token, a.call.Subject = "topup-buy", fmt.Sprint("t", n), 0
@@ -127,7 +127,7 @@
 // tracer counts what a gate's decisions do.
 type tracer struct{ *counts }
 
-func (tracer) Begin(*opening.Opening, bool, time.Time) {}
+func (tracer) Begin(*startup.Opening, bool, time.Time) {}
 
 func (t tracer) Event(_ float64, ev control.Event, actions []control.Action, _ string) {
 	switch ev.Kind {
@@ -169,13 +169,13 @@
 		return nil, err
 	}
 	table.Listen(ln.(*net.TCPListener), srv.Open)
-	router := stand.NewRouter(ln.Addr().String())
+	router := standin.NewRouter(ln.Addr().String())
 	f.call = func(a *arrival, door time.Time) bool {
 		c := a.call
 		c.Door = door
 		ctx, end := context.WithTimeout(context.Background(), time.Minute)
 		defer end()
-		return router.Call(ctx, c).Outcome != stand.OK
+		return router.Call(ctx, c).Outcome != standin.OK
 	}
 	f.tick = func() time.Duration {
 		use, on := h.gauge()
@@ -419,7 +419,7 @@
 
 // playReal puts it through a form in real time.
 func playReal(build func(host) (*form, error), seq []arrival, length time.Duration) ([]bool, error) {
-	cores := stand.NewCores(parityCores, 0)
+	cores := standin.NewCores(parityCores, 0)
 	defer cores.Close()
 	f, err := build(host{nil, cores.Gauges, func(n int, done func()) { cores.Run(seq[n].work, done) }})
 	if err != nil {
--- a/internal/lab/pools.go
+++ b/internal/experiment/pools.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment pools: five members, of which one turns bad in several ways and recovers. It must never
 // give one way of choosing another member, another trouble or another load than the next.
@@ -12,7 +12,7 @@
 	"time"
 
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 )
 
 const (
@@ -31,22 +31,22 @@
 // trouble is one way in which the first member turns bad.
 type trouble struct {
 	name    string
-	set     func(*stand.App, *stand.Cores)
-	recover func(*stand.App, *stand.Cores)
+	set     func(*standin.App, *standin.Cores)
+	recover func(*standin.App, *standin.Cores)
 }
 
 var troubles = []trouble{
-	{"stalls", func(a *stand.App, _ *stand.Cores) { a.Set(stand.Stall) }, func(a *stand.App, _ *stand.Cores) { a.Set(stand.Sound) }},
-	{"fails at once", func(a *stand.App, _ *stand.Cores) { a.Set(stand.Fail) }, func(a *stand.App, _ *stand.Cores) { a.Set(stand.Sound) }},
-	{"a tenth of the speed", func(_ *stand.App, c *stand.Cores) { c.SetSpeed(0.1) }, func(_ *stand.App, c *stand.Cores) { c.SetSpeed(1) }},
-	{"crashes", func(a *stand.App, _ *stand.Cores) { a.Stop() }, func(a *stand.App, _ *stand.Cores) { a.Start() }},
+	{"stalls", func(a *standin.App, _ *standin.Cores) { a.Set(standin.Stall) }, func(a *standin.App, _ *standin.Cores) { a.Set(standin.Sound) }},
+	{"fails at once", func(a *standin.App, _ *standin.Cores) { a.Set(standin.Fail) }, func(a *standin.App, _ *standin.Cores) { a.Set(standin.Sound) }},
+	{"a tenth of the speed", func(_ *standin.App, c *standin.Cores) { c.SetSpeed(0.1) }, func(_ *standin.App, c *standin.Cores) { c.SetSpeed(1) }},
+	{"crashes", func(a *standin.App, _ *standin.Cores) { a.Stop() }, func(a *standin.App, _ *standin.Cores) { a.Start() }},
 }
 
 // poolRun is what one way of choosing came to.
 type poolRun struct {
 	way     string
-	samples []stand.Sample
-	verdict stand.Verdict
+	samples []standin.Sample
+	verdict standin.Verdict
 	first   float64 // tries
 	further float64
 	allowed float64
@@ -82,20 +82,20 @@
 		}
 		ok := 0
 		for _, s := range w.samples {
-			if s.Outcome == stand.OK && s.Took <= poolTarget {
+			if s.Outcome == standin.OK && s.Took <= poolTarget {
 				ok++
 			}
 		}
 		inTime[w.way] = float64(ok) / float64(len(w.samples))
 		for i, t := range list {
 			from, to := time.Duration(i)*(bad+sound), time.Duration(i+1)*(bad+sound)
-			var part []stand.Sample
+			var part []standin.Sample
 			for _, s := range w.samples {
 				if s.At >= from && s.At < to {
 					part = append(part, s)
 				}
 			}
-			for _, row := range stand.Summary(part, false, poolTarget) {
+			for _, row := range standin.Summary(part, false, poolTarget) {
 				r.Row(w.way, t.name, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99)
 			}
 		}
@@ -116,20 +116,20 @@
 }
 
 func (w *poolRun) run(o Options, list []trouble, bad, sound time.Duration) error {
-	rules := stand.NewRules("topup-buy", "/topup-buy")
-	idle := stand.NewCores(poolMembers*memberCores, 8) // the engine, which has nothing to do
+	rules := standin.NewRules("topup-buy", "/topup-buy")
+	idle := standin.NewCores(poolMembers*memberCores, 8) // the engine, which has nothing to do
 	defer idle.Close()
-	engine, err := stand.NewEngine(idle, stand.ByBody, rules)
+	engine, err := standin.NewEngine(idle, standin.ByBody, rules)
 	if err != nil {
 		return err
 	}
 	defer engine.Close()
-	var apps []*stand.App
-	var machines []*stand.Cores
+	var apps []*standin.App
+	var machines []*standin.Cores
 	var addrs []string
 	for range poolMembers {
-		c := stand.NewCores(memberCores, 8)
-		a, err := stand.NewApp(c, stand.ByBody, rules)
+		c := standin.NewCores(memberCores, 8)
+		a, err := standin.NewApp(c, standin.ByBody, rules)
 		if err != nil {
 			return err
 		}
@@ -157,9 +157,9 @@
 	}
 	defer s.Close()
 	total := time.Duration(len(list)) * (bad + sound)
-	plan := stand.Plan{
+	plan := standin.Plan{
 		Rate: poolLoad * poolMembers * memberCores * 1000 / poolWork, For: total, Callers: 3, Seed: o.Seed, Deadline: time.Second + ownWait,
-		Kinds: []stand.Kind{{Method: "account-view", Share: 0.85, Work: poolWork}, {Method: "topup-buy", Share: 0.15, Work: poolWork, Tokened: true}},
+		Kinds: []standin.Kind{{Method: "account-view", Share: 0.85, Work: poolWork}, {Method: "topup-buy", Share: 0.15, Work: poolWork, Tokened: true}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -217,8 +217,8 @@
 			}
 		}
 	}()
-	router, web := stand.NewRouter(s.RPC), stand.NewWeb(s.Web, false)
-	w.samples = plan.Run(ctx, map[string]stand.Caller{"msgpack": router, "uwsgi": web}, rules)
+	router, web := standin.NewRouter(s.RPC), standin.NewWeb(s.Web, false)
+	w.samples = plan.Run(ctx, map[string]standin.Caller{"msgpack": router, "uwsgi": web}, rules)
 	router.Close()
 	<-watched
 	w.verdict = rules.Verdict()
--- a/internal/lab/release.go
+++ b/internal/experiment/release.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-release: versions of the settings, good and bad in several ways, to all servers of a fleet: judged wave
 // by wave, in the same waves without judgement, and at once; simulated at 300 servers, and by processes. It must never count a
@@ -15,11 +15,11 @@
 
 	"sorrelvalve/decision/permit"
 	"sorrelvalve/decision/release"
+	"sorrelvalve/internal/fleetsim"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/permitclient"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/testbed"
 )
 
 // releaseRules are the usual ones with a shorter look, so that a release of 300 servers takes minutes.
@@ -37,35 +37,35 @@
 		runs = 48
 	}
 	const ways = 3
-	ends := make([][ways]world.ReleaseEnd, runs)
+	ends := make([][ways]fleetsim.ReleaseEnd, runs)
 	began := time.Now()
 	inParallel(runs, func(i int) {
 		for way := range ways {
-			ends[i][way] = world.ReleaseRun{Servers: 300, Zones: 3, Rate: 4, Seed: uint64(o.Seed)*100000 + uint64(i), Bad: world.Bad(i % world.Bads), Faults: i/world.Bads%2 == 1,
+			ends[i][way] = fleetsim.ReleaseRun{Servers: 300, Zones: 3, Rate: 4, Seed: uint64(o.Seed)*100000 + uint64(i), Bad: fleetsim.Bad(i % fleetsim.Bads), Faults: i/fleetsim.Bads%2 == 1,
 				Rules: releaseRules(), Judged: way == 0, AtOnce: way == 2}.Run()
 		}
 	})
 	beyond, falsely, good, mixed, unrestored := 0, 0, 0, 0, 0
-	served := make([][ways]float64, world.Bads)
-	count := make([]int, world.Bads)
-	reached := make([][ways]float64, world.Bads)
-	took := make([]float64, world.Bads)
+	served := make([][ways]float64, fleetsim.Bads)
+	count := make([]int, fleetsim.Bads)
+	reached := make([][ways]float64, fleetsim.Bads)
+	took := make([]float64, fleetsim.Bads)
 	chart := Chart{Name: "reached", X: "release", Y: "servers that ran the bad version"}
 	lines := [ways]Line{{Name: "judged"}, {Name: "fixed waves"}, {Name: "at once"}}
 	for i := range ends {
-		kind := i % world.Bads
+		kind := i % fleetsim.Bads
 		e := ends[i][0]
 		count[kind]++
 		for way := range ways {
 			served[kind][way] += ends[i][way].Served
 			reached[kind][way] += float64(ends[i][way].Reached)
-			if kind != int(world.Good) {
+			if kind != int(fleetsim.Good) {
 				lines[way].XY = append(lines[way].XY, plotter.XY{X: float64(i), Y: float64(ends[i][way].Reached)})
 			}
 		}
 		mixed += e.Mixed
 		switch {
-		case kind == int(world.Good):
+		case kind == int(fleetsim.Good):
 			if good++; e.Phase != release.Done {
 				falsely++
 				fmt.Fprintf(o.Out, "seed %d: a good version is %s: %s\n", i, e.Phase, e.Why)
@@ -74,7 +74,7 @@
 			took[kind] += e.Took / 1000
 			if e.Shown >= 20e3 && e.Reached > e.Second {
 				beyond++
-				fmt.Fprintf(o.Out, "seed %d, %s: reached %d of 300: %s\n", i, world.Bad(kind), e.Reached, e.Why)
+				fmt.Fprintf(o.Out, "seed %d, %s: reached %d of 300: %s\n", i, fleetsim.Bad(kind), e.Reached, e.Why)
 			}
 			if e.Phase == release.Returned && !e.Restored {
 				unrestored++
@@ -84,11 +84,11 @@
 	chart.Lines = lines[:]
 	r.Charts = append(r.Charts, chart)
 	leastBad, leastGood := 1.0, 1.0
-	for kind := range world.Bads {
+	for kind := range fleetsim.Bads {
 		n := float64(max(1, count[kind]))
-		r.Row(fmt.Sprintf("%s: ok over without it", world.Bad(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
+		r.Row(fmt.Sprintf("%s: ok over without it", fleetsim.Bad(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
 		r.Row("  servers reached, mean", reached[kind][0]/n, reached[kind][1]/n, reached[kind][2]/n)
-		if kind != int(world.Good) {
+		if kind != int(fleetsim.Good) {
 			r.Row("  s from the first assignment to the way back", took[kind]/n, "", "")
 			leastBad = min(leastBad, served[kind][0]/n)
 		} else {
@@ -126,40 +126,40 @@
 	if err != nil {
 		return err
 	}
-	cores := stand.NewCores(16, 8)
+	cores := standin.NewCores(16, 8)
 	defer cores.Close()
-	var apps []*stand.App
+	var apps []*standin.App
 	for i := range 3 {
-		a, err := stand.NewApp(cores, stand.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.ByBody, nil)
 		if err != nil {
 			return err
 		}
 		defer a.Stop()
 		if i == 2 {
-			a.Set(stand.Fail)
+			a.Set(standin.Fail)
 		}
 		apps = append(apps, a)
 	}
-	file := func(version string, app *stand.App) operator.File {
+	file := func(version string, app *standin.App) operator.File {
 		p := Pool(app.Addr())
 		p.Failures, p.Waiting, p.Retry.Most = 0, 0, 1
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}}}
 	}
-	beds := make([]*bed.Bed, 2) // with the keepers, and one that is reloaded at once
+	beds := make([]*testbed.Bed, 2) // with the keepers, and one that is reloaded at once
 	for i := range beds {
-		opt := bed.Options{Names: world.Names(servers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, File: file("one", apps[0]), Zone: func(i int) string { return fmt.Sprint("z", i%2) },
-			Serve: func() bed.Command { return serve }}
+		opt := testbed.Options{Names: fleetsim.Names(servers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, File: file("one", apps[0]), Zone: func(i int) string { return fmt.Sprint("z", i%2) },
+			Serve: func() testbed.Command { return serve }}
 		if i == 0 {
 			opt.Keepers, opt.Folder = k.http, dir
 		}
-		if beds[i], err = bed.New(opt); err != nil {
+		if beds[i], err = testbed.New(opt); err != nil {
 			return err
 		}
 		defer beds[i].Close()
 		if err := beds[i].StartAll(); err != nil {
 			return err
 		}
-		if err := beds[i].Await(longest, beds[i].Names, bed.Hears("whole", servers)); err != nil {
+		if err := beds[i].Await(longest, beds[i].Names, testbed.Hears("whole", servers)); err != nil {
 			return err
 		}
 	}
@@ -168,7 +168,7 @@
 	client := permitclient.New(k.http)
 	defer client.Close()
 	var roster []permit.Server
-	for i, name := range world.Names(servers) {
+	for i, name := range fleetsim.Names(servers) {
 		roster = append(roster, permit.Server{Name: name, Zone: fmt.Sprint("z", i%2)})
 	}
 	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Set, Servers: roster, Limits: &permit.Limits{Fleet: permit.Limit{Number: servers}}}); err != nil || !a.OK {
@@ -185,15 +185,15 @@
 		caller := newSpread(b)
 		defer caller.Close()
 		load.Go(func() {
-			kinds := []stand.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}
+			kinds := []standin.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}
 			for loading.Err() == nil { // in short plans, so that shares are known as it goes
-				samples := stand.Plan{Rate: 40 * servers, For: 500 * time.Millisecond, Callers: 3, Seed: time.Now().UnixNano(), Deadline: 1200 * time.Millisecond, Kinds: kinds}.Run(loading, map[string]stand.Caller{"msgpack": caller}, stand.NewRules())
+				samples := standin.Plan{Rate: 40 * servers, For: 500 * time.Millisecond, Callers: 3, Seed: time.Now().UnixNano(), Deadline: 1200 * time.Millisecond, Kinds: kinds}.Run(loading, map[string]standin.Caller{"msgpack": caller}, standin.NewRules())
 				mu.Lock()
 				for _, s := range samples {
-					if s.Outcome == stand.Lost && s.Why == context.Canceled.Error() {
+					if s.Outcome == standin.Lost && s.Why == context.Canceled.Error() {
 						continue
 					}
-					if all[i]++; s.Outcome == stand.OK {
+					if all[i]++; s.Outcome == standin.OK {
 						ok[i]++
 					}
 				}
--- a/internal/lab/schedule.go
+++ b/internal/experiment/schedule.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns schedules of faults as typed records in CUE, and as plain lines. It must never pass over a key that it does
 // not know.
@@ -12,7 +12,7 @@
 	"cuelang.org/go/cue/cuecontext"
 	cueerrors "cuelang.org/go/cue/errors"
 
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 // scheduleForm is what a schedule may hold.
--- a/internal/lab/schedule_test.go
+++ b/internal/experiment/schedule_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"strings"
--- a/internal/lab/server.go
+++ b/internal/experiment/server.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the servers that experiments load: one of this build, put together as the daemon does it, and the
 // plain queue that it is compared with. It must never decide anything that the gate decides.
@@ -17,8 +17,8 @@
 	"sorrelvalve/internal/back/pools"
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 )
 
 // Method is one of a lab's settings. Times are ms.
@@ -31,7 +31,7 @@
 }
 
 // Settings are the platform's, as a lab needs them.
-func Settings(methods []Method, cores int) (*opening.Opening, error) {
+func Settings(methods []Method, cores int) (*startup.Opening, error) {
 	s := fmt.Sprintf("classes.count=%d\nfamily_info.cores=%d\nfamily_info.ram_kb=4000000\nfamily_info.run_factor=4\nfamily_info.key_kb=1\n"+
 		"family_info.callers=3\nfamily_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=500000000\nrules.answer_slack=80000000\n"+
 		"limits.max_retry_after=1000000000\nclient_habits.marks_retry=true\ntick=4000000\n", len(methods), cores)
@@ -45,7 +45,7 @@
 		s += fmt.Sprintf("classes.%d.name=%s\nclasses.%d.aim=%g\nclasses.%d.give_up=%g\nclasses.%d.worth=%g\nclasses.%d.late_worth=%g\nclasses.%d.idempotency=%s\nclasses.%d.window=%g\n",
 			i, m.Name, i, m.Target*1e6, i, m.Deadline*1e6, i, m.Criticality, i, m.Late, i, kind, i, m.Window*1e6)
 	}
-	return opening.Parse(s)
+	return startup.Parse(s)
 }
 
 // Server is one of this build, on loopback.
@@ -57,12 +57,12 @@
 }
 
 // NewServer puts a server together before an engine, with what an operator's file sets; its listen address is ignored.
-func NewServer(o *opening.Opening, engineAddr string, f *operator.File) (*Server, error) {
+func NewServer(o *startup.Opening, engineAddr string, f *operator.File) (*Server, error) {
 	return NewKeptServer(o, engineAddr, f, nil, "127.0.0.1:0", "127.0.0.1:0")
 }
 
 // NewKeptServer is NewServer at given addresses, with tokens kept by k if that is not nil.
-func NewKeptServer(o *opening.Opening, engineAddr string, f *operator.File, k gate.Keeper, rpc, web string) (*Server, error) {
+func NewKeptServer(o *startup.Opening, engineAddr string, f *operator.File, k gate.Keeper, rpc, web string) (*Server, error) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	if strings.HasSuffix(web, ":0") { // an operator's file names its port
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	t := daemon.Told{
-		Process: &opening.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Opening: o},
+		Process: &startup.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Opening: o},
 		Op:      &operator.Record{File: own},
 	}
 	whole, err := daemon.NewKept(t, ln, logger.WithField("node", "lab"), k)
--- a/internal/lab/sim.go
+++ b/internal/experiment/sim.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 // This file owns the experiment fleet-sim: random schedules of faults on simulated fleets, how the simulator grows with the
 // fleet, and a few schedules through it and through real processes side by side. It must never print a figure of the one
@@ -17,10 +17,10 @@
 	"gonum.org/v1/plot/plotter"
 
 	"sorrelvalve/decision/health"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
-	"sorrelvalve/internal/world"
+	"sorrelvalve/internal/fleetsim"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 const (
@@ -29,13 +29,13 @@
 	simFaults   = 40 * time.Second
 )
 
-func simOptions(servers int, seed int64, s script.Script) world.Options {
+func simOptions(servers int, seed int64, s script.Script) fleetsim.Options {
 	last := 0.0
 	for _, x := range s {
 		last = max(last, float64(x.At)/1e6)
 	}
-	return world.Options{Servers: servers, Zones: 3, Seed: uint64(seed), Length: last + 25e3, Rate: 5, Cores: 2, Work: 20, Cold: 2000, Script: s,
-		Budgets: budgetsOf(servers, world.Lent)}
+	return fleetsim.Options{Servers: servers, Zones: 3, Seed: uint64(seed), Length: last + 25e3, Rate: 5, Cores: 2, Work: 20, Cold: 2000, Script: s,
+		Budgets: budgetsOf(servers, fleetsim.Lent)}
 }
 
 // inParallel runs f for each number over the cores; what it returns does not depend on how many there are.
@@ -100,13 +100,13 @@
 	if err != nil {
 		return err
 	}
-	s, err := ReadSchedule(o.Schedule, text, world.Names(servers))
+	s, err := ReadSchedule(o.Schedule, text, fleetsim.Names(servers))
 	if err != nil {
 		return err
 	}
 	found := 0
 	for seed := from; seed <= to; seed++ {
-		got := world.New(simOptions(servers, seed, s)).Run()
+		got := fleetsim.New(simOptions(servers, seed, s)).Run()
 		r.Row(fmt.Sprintf("seed %d: digest %016x", seed, got.Digest), 1, got.Settled/1000, fmt.Sprintf("%d events", got.Events))
 		for _, f := range got.Findings {
 			found++
@@ -120,12 +120,12 @@
 // schedules plays random ones. One that fails is cut down, and told with the command that plays it again.
 func schedules(o Options, r *Report, servers int, from int64, n int) error {
 	began := time.Now()
-	results := make([]*world.Result, n)
+	results := make([]*fleetsim.Result, n)
 	var mu sync.Mutex
 	done, told := 0, began
 	inParallel(n, func(i int) {
 		seed := from + int64(i)
-		results[i] = world.New(simOptions(servers, seed, script.Random(seed, world.Names(servers), simFaults, simTroubles))).Run()
+		results[i] = fleetsim.New(simOptions(servers, seed, script.Random(seed, fleetsim.Names(servers), simFaults, simTroubles))).Run()
 		mu.Lock()
 		defer mu.Unlock()
 		if done++; time.Since(told) > 10*time.Second {
@@ -154,8 +154,8 @@
 			continue
 		}
 		checker := got.Findings[0].Checker
-		less := script.Shrink(script.Random(seed, world.Names(servers), simFaults, simTroubles), func(s script.Script) bool {
-			for _, f := range world.New(simOptions(servers, seed, s.Closed(simFaults))).Run().Findings {
+		less := script.Shrink(script.Random(seed, fleetsim.Names(servers), simFaults, simTroubles), func(s script.Script) bool {
+			for _, f := range fleetsim.New(simOptions(servers, seed, s.Closed(simFaults))).Run().Findings {
 				if f.Checker == checker {
 					return true
 				}
@@ -167,14 +167,14 @@
 	took := time.Since(began).Seconds()
 	r.Row(fmt.Sprintf("random schedules of %d servers, digest %016x", servers, digest), n, float64(failed), fmt.Sprintf("failed; %.0f s", took))
 	var cases []string
-	for _, c := range world.AllCheckers() {
+	for _, c := range fleetsim.AllCheckers() {
 		cases = append(cases, fmt.Sprintf("%s %d", c.Name(), saw[c.Name()]))
 		if saw[c.Name()] == 0 && n >= 20 {
 			return fmt.Errorf("the checker %s saw no case in %d schedules", c.Name(), n)
 		}
 	}
 	r.Row("cases that the checkers saw", n, "", strings.Join(cases, ", "))
-	r.Row("s until views settle after the last fault, p50 and p99", n, stand.Quantile(settled, 0.5), stand.Quantile(settled, 0.99))
+	r.Row("s until views settle after the last fault, p50 and p99", n, standin.Quantile(settled, 0.5), standin.Quantile(settled, 0.99))
 	r.Row("events a second, simulated server-seconds a second, on all cores", n, float64(events)/took, seconds/took)
 	r.AtMost("schedules with findings", float64(failed), 0)
 	return nil
@@ -193,13 +193,13 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		opt := world.Options{Servers: n, Fleet: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), Length: length, Rate: 20, Cores: 2, Work: 20,
-			Rules: health.Usual, Checkers: []world.Checker{}}
+		opt := fleetsim.Options{Servers: n, Fleet: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), Length: length, Rate: 20, Cores: 2, Work: 20,
+			Rules: health.Usual, Checkers: []fleetsim.Checker{}}
 		if n == 10000 { // for the memory; what an RPC costs is seen before
 			opt.Length, opt.Rate = 60e3, 1
 		}
 		began := time.Now()
-		w := world.New(opt)
+		w := fleetsim.New(opt)
 		got := w.Run()
 		took := time.Since(began).Seconds() / (opt.Length / 1000)
 		runtime.GC()
@@ -234,7 +234,7 @@
 		return err
 	}
 	const servers, rate, work = 8, 20.0, 40.0
-	names := world.Names(servers)
+	names := fleetsim.Names(servers)
 	texts := []string{
 		"2s split n0,n1,n2,n3|n4,n5,n6,n7\n10s heal",
 		"2s kill n1,n5\n9s start n1,n5",
@@ -265,9 +265,9 @@
 				x.At += 10 * time.Second
 				shifted[j] = x
 			}
-			opt := world.Options{Servers: servers, Zones: 2, Seed: uint64(o.Seed)*1000 + uint64(i), Length: 10e3 + float64(last)/1e6 + 15e3, Rate: rate, Cores: 2, Work: work,
+			opt := fleetsim.Options{Servers: servers, Zones: 2, Seed: uint64(o.Seed)*1000 + uint64(i), Length: 10e3 + float64(last)/1e6 + 15e3, Rate: rate, Cores: 2, Work: work,
 				Script: shifted, Plain: true, Rules: rules, CheckMs: 50}
-			got := world.New(opt).Run()
+			got := fleetsim.New(opt).Run()
 			settled[i], share[i] = got.Settled/1000, got.Worth/got.WorthAll
 		})
 		meanSettled, meanShare := mean(settled[:]), mean(share[:])
@@ -293,10 +293,10 @@
 
 // real8 plays a schedule on real processes under load, and tells how long their views took to settle after it and the share
 // of criticality that was served.
-func real8(o Options, serve bed.Command, names []string, s script.Script, last time.Duration, rate, work float64) (settled, share float64, err error) {
-	rules := stand.NewRules("topup-buy")
-	b, err := bed.New(bed.Options{Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings, Rules: rules,
-		Serve: func() bed.Command { return serve }})
+func real8(o Options, serve testbed.Command, names []string, s script.Script, last time.Duration, rate, work float64) (settled, share float64, err error) {
+	rules := standin.NewRules("topup-buy")
+	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings, Rules: rules,
+		Serve: func() testbed.Command { return serve }})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -304,7 +304,7 @@
 	if err := b.StartAll(); err != nil {
 		return 0, 0, err
 	}
-	if err := b.Await(longest, names, bed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(longest, names, testbed.Hears("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(3 * time.Second) // ramps
@@ -315,11 +315,11 @@
 	var worth, all float64
 	for i, name := range names {
 		load.Go(func() {
-			router := stand.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.Listen(name))
 			defer router.Close()
-			samples := stand.Plan{Rate: rate, For: last + 15*time.Second, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{
+			samples := standin.Plan{Rate: rate, For: last + 15*time.Second, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{
 				{Method: "account-view", Share: 0.5, Work: work}, {Method: "settings-save", Share: 0.35, Work: work}, {Method: "topup-buy", Share: 0.15, Work: work, Tokened: true},
-			}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, rules)
+			}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 			mu.Lock()
 			defer mu.Unlock()
 			for _, x := range samples {
@@ -327,9 +327,9 @@
 				if x.Method == "topup-buy" {
 					w = 3
 				}
-				if all += w; x.Outcome == stand.OK && x.Took <= 400*time.Millisecond {
+				if all += w; x.Outcome == standin.OK && x.Took <= 400*time.Millisecond {
 					worth += w
-				} else if x.Outcome == stand.OK {
+				} else if x.Outcome == standin.OK {
 					worth += 0.2 * w
 				}
 			}
@@ -339,7 +339,7 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	if err := b.Await(longest, names, bed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(longest, names, testbed.Hears("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	settled = time.Since(began).Seconds()
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -19,8 +19,8 @@
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/permitclient"
 	"sorrelvalve/internal/permitserver"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/testbed"
 )
 
 // One of three may be out: a server that drains by a permit ends, another may not until the first is back and warm; a loss uses
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	go k.Serve(ln)
-	b := started(t, bed.Options{Names: n, Seed: 6, Cores: 2, Keepers: []string{ln.Addr().String()}})
+	b := started(t, testbed.Options{Names: n, Seed: 6, Cores: 2, Keepers: []string{ln.Addr().String()}})
 	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
 	do := func(c permit.Command) {
@@ -109,7 +109,7 @@
 	if err := b.Procs.Start("n1"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, n, bed.Hears("whole", 3))
+	await(t, b, n, testbed.Hears("whole", 3))
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) { // it returns its permit by itself
 		if st, _, err := k.State(); err == nil && len(st.Held()) == 0 {
 			break
@@ -238,12 +238,12 @@
 // all leave alone, with one server stopped meanwhile; a stop without a permit, recorded; halts; a server asked for elsewhere.
 func TestBackMembersAndStops(t *testing.T) {
 	k := keep(t)
-	cores := stand.NewCores(8, 8)
+	cores := standin.NewCores(8, 8)
 	t.Cleanup(cores.Close)
-	var apps []*stand.App
+	var apps []*standin.App
 	var addrs []string
 	for range 3 {
-		a, err := stand.NewApp(cores, stand.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.ByBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 	n := names(6)
 	pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, Failures: 5, Outlier: 4, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, Most: 2}}
-	b := started(t, bed.Options{Names: n, Seed: 7, Cores: 2, Keepers: k.addrs, Set: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
+	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, Keepers: k.addrs, Set: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
 		File: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
@@ -261,9 +261,9 @@
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := stand.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.Listen(name))
 			defer router.Close()
-			stand.Plan{Rate: 10, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+			standin.Plan{Rate: 10, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 		})
 	}
 	var servers []permit.Server
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -14,8 +14,8 @@
 	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand/bed"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
+	"sorrelvalve/internal/testbed"
 )
 
 // TestMain serves as a whole server if it was started as one: the processes of the bed are this test's own program.
@@ -42,7 +42,7 @@
 	os.Exit(m.Run())
 }
 
-func serve() bed.Command { return bed.Command{Path: os.Args[0], Args: []string{"serve"}} }
+func serve() testbed.Command { return testbed.Command{Path: os.Args[0], Args: []string{"serve"}} }
 
 func names(n int) (all []string) {
 	for i := range n {
@@ -56,13 +56,13 @@
 var places = make(chan struct{}, max(2, runtime.NumCPU()/2))
 
 // lay makes a bed, and starts all of it unless told otherwise.
-func lay(t *testing.T, o bed.Options) *bed.Bed {
+func lay(t *testing.T, o testbed.Options) *testbed.Bed {
 	t.Helper()
 	t.Parallel()
 	places <- struct{}{}
 	t.Cleanup(func() { <-places })
 	o.Serve = serve
-	b, err := bed.New(o)
+	b, err := testbed.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,26 +81,26 @@
 	return b
 }
 
-func started(t *testing.T, o bed.Options) *bed.Bed {
+func started(t *testing.T, o testbed.Options) *testbed.Bed {
 	b := lay(t, o)
 	if err := b.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, o.Names, bed.Hears("whole", len(o.Names)))
+	await(t, b, o.Names, testbed.Hears("whole", len(o.Names)))
 	return b
 }
 
 // within is long for a machine that does other things beside; what is measured is measured by valvelab.
 const within = 40 * time.Second
 
-func await(t *testing.T, b *bed.Bed, viewers []string, wanted func(*bed.Point) bool) {
+func await(t *testing.T, b *testbed.Bed, viewers []string, wanted func(*testbed.Point) bool) {
 	t.Helper()
 	if err := b.Await(within, viewers, wanted); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func do(t *testing.T, b *bed.Bed, lines string) {
+func do(t *testing.T, b *testbed.Bed, lines string) {
 	t.Helper()
 	s, err := script.Parse(lines, b.Names)
 	if err != nil {
@@ -115,47 +115,47 @@
 
 func TestHalvesAndOneAlone(t *testing.T) {
 	n := names(6)
-	b := started(t, bed.Options{Names: n, Seed: 1, Zone: func(i int) string { return fmt.Sprint("z", i%2) }})
+	b := started(t, testbed.Options{Names: n, Seed: 1, Zone: func(i int) string { return fmt.Sprint("z", i%2) }})
 	do(t, b, "0s split n0,n1,n2|n3,n4,n5")
-	await(t, b, n, bed.Hears("part", 3))
+	await(t, b, n, testbed.Hears("part", 3))
 	for _, name := range n {
 		if s, err := b.View(name); err != nil || s.Roster != 6 || s.AtMost != 6 || s.AtLeast != 3 {
 			t.Errorf("%s: %+v %v", name, s, err)
 		}
 	}
 	do(t, b, "0s heal")
-	await(t, b, n, bed.Hears("whole", 6))
+	await(t, b, n, testbed.Hears("whole", 6))
 	do(t, b, "0s cut n4>*\n0s cut *>n4")
-	await(t, b, n[4:5], bed.Hears("alone", 1))
-	await(t, b, append(n[:4:4], "n5"), bed.Hears("part", 5))
+	await(t, b, n[4:5], testbed.Hears("alone", 1))
+	await(t, b, append(n[:4:4], "n5"), testbed.Hears("part", 5))
 	do(t, b, "0s heal\n0s relay n0,n3")
-	await(t, b, n, bed.Hears("whole", 6))
+	await(t, b, n, testbed.Hears("whole", 6))
 }
 
 // A bridge: who is reached through another is there, and told from none.
 func TestBridgeAndOneWay(t *testing.T) {
 	n := names(3)
-	b := started(t, bed.Options{Names: n, Seed: 2, Seeds: n[1:2]})
+	b := started(t, testbed.Options{Names: n, Seed: 2, Seeds: n[1:2]})
 	do(t, b, "0s split n0|n2")
-	await(t, b, n[:1], func(p *bed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "through others" })
+	await(t, b, n[:1], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "through others" })
 	do(t, b, "0s heal\n0s cut n0>n2")
-	await(t, b, n[:1], func(p *bed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "one way" })
+	await(t, b, n[:1], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "one way" })
 	do(t, b, "0s heal\n0s cut n0>*") // it hears, and is heard by nobody
-	await(t, b, n[1:], bed.Hears("part", 2))
+	await(t, b, n[1:], testbed.Hears("part", 2))
 	do(t, b, "0s heal")
-	await(t, b, n, bed.Hears("whole", 3))
+	await(t, b, n, testbed.Hears("whole", 3))
 }
 
 // Loss, delay, doubled, overtaken and spoilt packets wrong nobody for good.
 func TestBadNetwork(t *testing.T) {
 	n := names(5)
-	b := started(t, bed.Options{Names: n, Seed: 3})
+	b := started(t, testbed.Options{Names: n, Seed: 3})
 	do(t, b, "0s loss *>* 0.3")
 	time.Sleep(3 * time.Second) // the fault's own length
 	do(t, b, "0s heal\n0s delay *>* 200ms 200ms\n0s mess *>* 0.1\n0s slow *>* 100000")
 	time.Sleep(3 * time.Second)
 	do(t, b, "0s heal")
-	await(t, b, n, bed.Hears("whole", 5))
+	await(t, b, n, testbed.Hears("whole", 5))
 	if c := b.Net.Counts(); c.Lost == 0 || c.Doubled == 0 || c.Corrupted == 0 {
 		t.Errorf("the relay did nothing: %+v", c)
 	}
@@ -165,14 +165,14 @@
 // that it was they who stalled, and hold nothing against anybody.
 func TestStopped(t *testing.T) {
 	n := names(6)
-	b := started(t, bed.Options{Names: n, Seed: 4})
+	b := started(t, testbed.Options{Names: n, Seed: 4})
 	w := b.Watch(20 * time.Millisecond)
 	defer w.Close()
 	do(t, b, "0s stop n1,n4")
-	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *bed.Point) bool { return p.Hears == "part" && len(p.Heard) == 3 && p.Roster == 6 })
+	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Point) bool { return p.Hears == "part" && len(p.Heard) == 3 && p.Roster == 6 })
 	woke := w.Now()
 	do(t, b, "0s cont n1,n4")
-	await(t, b, n, bed.Hears("whole", 6))
+	await(t, b, n, testbed.Hears("whole", 6))
 	w.Close()
 	seen, last := 0, map[string]bool{}
 	for _, p := range w.Points() {
@@ -213,9 +213,9 @@
 
 func TestKilledAndTwin(t *testing.T) {
 	n := names(4)
-	b := started(t, bed.Options{Names: n, Seed: 5})
+	b := started(t, testbed.Options{Names: n, Seed: 5})
 	do(t, b, "0s kill n2\n0s start n2")
-	await(t, b, n, func(p *bed.Point) bool {
+	await(t, b, n, func(p *testbed.Point) bool {
 		for _, x := range p.Peers {
 			if x.Name == "n2" && x.Start != 2 {
 				return false
@@ -224,7 +224,7 @@
 		return p.Hears == "whole" && len(p.Heard) == 3 && (p.Name != "n2" || p.Start == 2)
 	})
 	do(t, b, "0s kill n0,n1,n2,n3\n0s start n0,n1,n2,n3") // all at once
-	await(t, b, n, bed.Hears("whole", 4))
+	await(t, b, n, testbed.Hears("whole", 4))
 	if out, err := b.Procs.Ended("n0", 0); err == nil {
 		t.Errorf("n0 ended: %s", out)
 	}
@@ -232,23 +232,23 @@
 	if how, err := b.Procs.Ended("n3", within); err != nil || how != "exit 0" {
 		t.Errorf("a server that is asked to stop: %s %v", how, err)
 	}
-	await(t, b, n[:3], func(p *bed.Point) bool { return p.Hears == "whole" && p.Roster == 3 })
+	await(t, b, n[:3], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Roster == 3 })
 }
 
 // Seeds that are down when all others start, and come later; before that, servers are alone and serve.
 func TestSeedsLate(t *testing.T) {
 	n := names(4)
-	b := lay(t, bed.Options{Names: n, Seed: 6, Seeds: n[:1]})
+	b := lay(t, testbed.Options{Names: n, Seed: 6, Seeds: n[:1]})
 	do(t, b, "0s start n1,n2,n3")
-	await(t, b, n[1:], func(p *bed.Point) bool { return p.Hears == "alone" && !p.Listening })
+	await(t, b, n[1:], func(p *testbed.Point) bool { return p.Hears == "alone" && !p.Listening })
 	do(t, b, "0s start n0")
-	await(t, b, n, bed.Hears("whole", 4))
+	await(t, b, n, testbed.Hears("whole", 4))
 }
 
 // Two processes with one name: the second gives way, says why, and serves on.
 func TestTwinProcess(t *testing.T) {
 	n := names(3)
-	b := started(t, bed.Options{Names: n, Seed: 7})
+	b := started(t, testbed.Options{Names: n, Seed: 7})
 	e := b.Net.End("n1")
 	ln, err := net.Listen("tcp", net.JoinHostPort(e.Own, "0"))
 	if err != nil {
@@ -260,8 +260,8 @@
 	if err := b.Another("twin", "n1", f); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, []string{"twin"}, func(p *bed.Point) bool { return strings.Contains(p.Refused, "the name n1 is") })
-	await(t, b, n, bed.Hears("whole", 3))
+	await(t, b, []string{"twin"}, func(p *testbed.Point) bool { return strings.Contains(p.Refused, "the name n1 is") })
+	await(t, b, n, testbed.Hears("whole", 3))
 	if err := b.Procs.Signal("twin", syscall.Signal(0)); err != nil {
 		t.Errorf("the second process is gone: %v", err)
 	}
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -15,8 +15,8 @@
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/permitclient"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/bed"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/testbed"
 )
 
 var quickRelease = release.Rules{Canary: 1, Growth: 2, Most: 0.5, Bake: 2000, Least: 15, Longest: 60e3, Alarm: 0.01, Margin: 0.01, Unheard: 2}
@@ -26,10 +26,10 @@
 // was stopped takes what it missed; and the way back from the end leaves all with their own file.
 func TestReleaseByProcesses(t *testing.T) {
 	k := keep(t)
-	cores := stand.NewCores(8, 8)
+	cores := standin.NewCores(8, 8)
 	t.Cleanup(cores.Close)
-	app := func(f stand.Fault) *stand.App {
-		a, err := stand.NewApp(cores, stand.ByBody, nil)
+	app := func(f standin.Fault) *standin.App {
+		a, err := standin.NewApp(cores, standin.ByBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 		t.Cleanup(a.Stop)
 		return a
 	}
-	file := func(version string, apps ...*stand.App) operator.File {
+	file := func(version string, apps ...*standin.App) operator.File {
 		var addrs []string
 		for _, a := range apps {
 			addrs = append(addrs, a.Addr())
@@ -45,20 +45,20 @@
 		pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000, Retry: operator.Retry{Most: 1}}
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
-	old, next, bad := app(stand.Sound), app(stand.Sound), app(stand.Fail)
+	old, next, bad := app(standin.Sound), app(standin.Sound), app(standin.Fail)
 	n := names(6)
 	folders := t.TempDir()
 	first := file("bed", old)
-	b := started(t, bed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, Keepers: k.addrs, Set: judgedSettings, File: first, Folder: folders})
+	b := started(t, testbed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, Keepers: k.addrs, Set: judgedSettings, File: first, Folder: folders})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := stand.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.Listen(name))
 			defer router.Close()
-			stand.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+			standin.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 		})
 	}
 	var servers []permit.Server
@@ -138,7 +138,7 @@
 
 	// Killed, it comes back on that version without asking; the file of the platform's is not the released one.
 	playLines(t, b, "0s kill n3\n0s start n3")
-	await(t, b, n, bed.Hears("whole", 6))
+	await(t, b, n, testbed.Hears("whole", 6))
 	runs("n3", plan.Version)
 
 	// One whose pool fails everything: back from the canary, with nobody else reached.
@@ -181,12 +181,12 @@
 	}
 }
 
-func playLines(t *testing.T, b *bed.Bed, lines string) {
+func playLines(t *testing.T, b *testbed.Bed, lines string) {
 	t.Helper()
 	do(t, b, lines)
 }
 
-func logOf(t *testing.T, b *bed.Bed, name string) string {
+func logOf(t *testing.T, b *testbed.Bed, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(b.Procs.Log(name))
 	if err != nil {
@@ -205,7 +205,7 @@
 		text, _ := os.ReadFile(filepath.Join(folders, name, "program"))
 		return strings.TrimSpace(string(text))
 	}
-	b := started(t, bed.Options{Names: n, Seed: 10, Cores: 2, Keepers: k.addrs, Folder: folders, Env: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
+	b := started(t, testbed.Options{Names: n, Seed: 10, Cores: 2, Keepers: k.addrs, Folder: folders, Env: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
 	ctx, end := context.WithCancel(context.Background())
 	var beside sync.WaitGroup
 	defer beside.Wait()
@@ -221,8 +221,8 @@
 		})
 		beside.Go(func() {
 			for ctx.Err() == nil {
-				router := stand.NewRouter(b.Listen(name))
-				stand.Plan{Rate: 20, For: time.Second, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+				router := standin.NewRouter(b.Listen(name))
+				standin.Plan{Rate: 20, For: time.Second, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 				router.Close()
 			}
 		})
@@ -310,16 +310,16 @@
 func TestReleaseFaults(t *testing.T) {
 	k := keep(t)
 	n := names(6)
-	b := started(t, bed.Options{Names: n, Seed: 12, Cores: 2, Keepers: k.addrs, Folder: t.TempDir()})
+	b := started(t, testbed.Options{Names: n, Seed: 12, Cores: 2, Keepers: k.addrs, Folder: t.TempDir()})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := stand.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.Listen(name))
 			defer router.Close()
-			stand.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []stand.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]stand.Caller{"msgpack": router}, stand.NewRules())
+			standin.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
 		})
 	}
 	var servers []permit.Server
--- a/internal/world/budgets.go
+++ b/internal/fleetsim/budgets.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the budgets that simulated servers share, and RPCs that are taken from them: the servers' own parts
 // (decision/quota) with messages between them, and beside it the three other ways that were weighed. It must never take an RPC
--- a/internal/world/budgets_test.go
+++ b/internal/fleetsim/budgets_test.go
@@ -1,10 +1,10 @@
-package world
+package fleetsim
 
 import (
 	"testing"
 
 	"sorrelvalve/decision/quota"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 func bound(servers int) *Budgets {
--- a/internal/world/callers.go
+++ b/internal/fleetsim/callers.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the callers: routers that stick to a few servers, heed what these say, try again elsewhere what was pushed
 // back or never got there, and give up at the deadline. A router must never repeat a purchase that may have run.
@@ -8,7 +8,7 @@
 	"sort"
 
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 const (
@@ -68,7 +68,7 @@
 }
 
 type callers struct {
-	told    *opening.Opening
+	told    *startup.Opening
 	routers []router
 	rpcs    []rpc
 	spare   []int32
--- a/internal/world/check.go
+++ b/internal/fleetsim/check.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns what a checker is, and the list of all. A checker must never change the run.
 
--- a/internal/world/check_bounds.go
+++ b/internal/fleetsim/check_bounds.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker of the safe ends: there are never more servers than a view says at most, nor fewer than it says at
 // least, the time that the detector takes allowed for.
--- a/internal/world/check_budgets.go
+++ b/internal/fleetsim/check_budgets.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker of shared budgets: no second in which more was taken than bound and burst, no moment at which
 // the parts sum to more than the bound, nobody under its floor, and tables that do not grow.
--- a/internal/world/check_growth.go
+++ b/internal/fleetsim/check_growth.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker that no table grows with time: what a server holds is bounded by the fleet's size and by what
 // is in hand.
--- a/internal/world/check_judgement.go
+++ b/internal/fleetsim/check_judgement.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker that nobody judges by what it knew before a stall of its own: whoever calls another dead must
 // have begun to suspect it while it ran, and run on until now.
--- a/internal/world/check_rules.go
+++ b/internal/fleetsim/check_rules.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker of the four rules. What is broken as it happens is found in callers.go; here it is counted and
 // the ends are looked at.
--- a/internal/world/check_views.go
+++ b/internal/fleetsim/check_views.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the checker that views settle after the last fault: every server that runs hears all that run.
 
--- a/internal/world/detector.go
+++ b/internal/fleetsim/detector.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns a model of the detector that the servers run, memberlist's SWIM with the figures of internal/fleet: probes,
 // asking through others, suspicion that its subject refutes, news passed on a bounded number of times, exchanges of states.
--- a/internal/world/world.go
+++ b/internal/fleetsim/fleetsim.go
@@ -2,7 +2,7 @@
 // with control/, decision/health), their engines, callers with the routers' habits, and a network with faults. One seed gives
 // one run, whatever the machine. It is where each shared state and each agreement is to be found wanting before it is
 // believed; it must never be taken for a measurement of processes, and never decide anything that the servers decide.
-package world
+package fleetsim
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sorrelvalve/decision/health"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 // Options are those of one run. Times are ms.
--- a/internal/world/world_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"time"
 
 	"sorrelvalve/decision/health"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 func acts(t testing.TB, text string, n int) script.Script {
--- a/internal/world/news.go
+++ b/internal/fleetsim/news.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the news that a server passes on: the least sent first, of one time in the order of their coming, each a
 // bounded number of times; newer news of a server takes the place of older. It is buckets by how often they were sent, so
--- a/internal/world/queue.go
+++ b/internal/fleetsim/queue.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the events in the order of their times. Of two at one time the one that was put first comes first, so that a
 // run is the same each time. It must never allocate once it has grown.
--- a/internal/world/release.go
+++ b/internal/fleetsim/release.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the simulation of releases: servers that carry RPCs, each a little better or worse than the others, zones whose
 // services fail for all in them, servers that are cut off, leaders that change; and versions that are bad in a stated way. The
--- a/internal/world/release_test.go
+++ b/internal/fleetsim/release_test.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 import (
 	"testing"
--- a/internal/world/serve.go
+++ b/internal/fleetsim/serve.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns a server's gate and engine on the virtual clock. The gate is the one that the daemon runs; the engine is a
 // machine whose cores are shared evenly by all that runs. It must never answer an RPC in the gate's place.
@@ -10,7 +10,7 @@
 	"time"
 
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 // serving is what a server has for RPCs.
@@ -58,7 +58,7 @@
 )
 
 // settings are the platform's, for a world's servers.
-func (o *Options) settings() *opening.Opening {
+func (o *Options) settings() *startup.Opening {
 	s := fmt.Sprintf("classes.count=3\nfamily_info.cores=%d\nfamily_info.ram_kb=4000000\nfamily_info.run_factor=4\nfamily_info.key_kb=1\n"+
 		"family_info.callers=3\nfamily_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=%g\nrules.answer_slack=%g\n"+
 		"limits.max_retry_after=1000000000\nclient_habits.marks_retry=true\ntick=4000000\nrules.cold=%g\nreplicas_of_me=%d\n",
@@ -71,7 +71,7 @@
 		s += fmt.Sprintf("classes.%d.name=%s\nclasses.%d.aim=%g\nclasses.%d.give_up=%g\nclasses.%d.worth=%g\nclasses.%d.late_worth=0.2\nclasses.%d.idempotency=%s\nclasses.%d.window=%g\n",
 			i, name, i, targetMs*1e6, i, deadlineMs*1e6, i, methodWorth[i], i, i, kind, i, windowMs*1e6)
 	}
-	p, err := opening.Parse(s)
+	p, err := startup.Parse(s)
 	if err != nil {
 		panic(err) // a fault of this file, found by its first test
 	}
--- a/internal/world/services.go
+++ b/internal/fleetsim/services.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns the members of a pool below simulated servers, and the RPCs that these send there: the servers' own choices
 // (decision/pool, decision/evidence, decision/outlier) with what they say to one another, and beside it each server for itself. It
--- a/internal/world/services_test.go
+++ b/internal/fleetsim/services_test.go
@@ -1,10 +1,10 @@
-package world
+package fleetsim
 
 import (
 	"testing"
 
 	"sorrelvalve/decision/pool"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 func members10(together bool, t ...Trouble) *Services {
--- a/internal/world/wire.go
+++ b/internal/fleetsim/wire.go
@@ -1,4 +1,4 @@
-package world
+package fleetsim
 
 // This file owns what becomes of a packet on its way between two servers: the same rules as the fault bed's relay, by sets
 // instead of pairs, since fleets here are large. It must never deliver what is cut.
--- a/internal/front/mprpc/server.go
+++ b/internal/front/mprpc/server.go
@@ -13,7 +13,7 @@
 	"sorrelvalve/control"
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 // Server is the front on one table of connections.
@@ -40,7 +40,7 @@
 
 // Absent takes out of o what the protocol of the routers and of the engine can't carry, so that no decision is
 // built on it, and names it.
-func Absent(o *opening.Opening) (names []string) {
+func Absent(o *startup.Opening) (names []string) {
 	if o.Below.Share > 0 {
 		o.Below, names = control.Below{}, append(names, "calls below")
 	}
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -19,7 +19,7 @@
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/msgpack"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -46,7 +46,7 @@
 }
 
 func start(t *testing.T, sockets int, patience ...time.Duration) *rig {
-	o, err := opening.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
+	o, err := startup.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
 		"classes.1.name=buy\nclasses.1.aim=9000000000\nclasses.1.idempotency=idempotency_key\n" +
 		"classes.1.window=8000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
 	if err != nil {
@@ -666,7 +666,7 @@
 }
 
 func TestAbsent(t *testing.T) {
-	o := &opening.Opening{}
+	o := &startup.Opening{}
 	if names := Absent(o); names != nil {
 		t.Errorf("absent %q of nothing", names)
 	}
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -16,14 +16,14 @@
 	"sorrelvalve/internal/front/mprpc"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/msgpack"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 	wire "sorrelvalve/internal/uwsgi"
 )
 
 // One RPC after another on one kept connection over loopback, run at once: what each front costs beside the same gate.
 // With -cpu 1 it is RPCs a second on one core, the peer's part included.
 func BenchmarkRPC(b *testing.B) {
-	o, err := opening.Parse("classes.count=1\nclasses.0.name=view\nclasses.0.aim=9000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
+	o, err := startup.Parse("classes.count=1\nclasses.0.name=view\nclasses.0.aim=9000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -17,9 +17,9 @@
 	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/front/mprpc"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/startup"
 	wire "sorrelvalve/internal/uwsgi"
 )
 
@@ -67,7 +67,7 @@
 }
 
 func startOn(t *testing.T, cores, sockets int, change ...func(*operator.File)) *rig {
-	o, err := opening.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
+	o, err := startup.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
 		"classes.1.name=buy\nclasses.1.aim=9000000000\nclasses.1.idempotency=idempotency_key\n" +
 		"classes.1.window=8000000000\nfamily_info.cores=" + fmt.Sprint(cores) + "\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\nlimits.max_retry_after=1500000000\n")
 	if err != nil {
@@ -557,18 +557,18 @@
 }
 
 // topup by either protocol with one token.
-func (r *rig) topup(protocol, token, body string) <-chan stand.Reply {
-	var caller stand.Caller = stand.NewRouter(r.rpc)
+func (r *rig) topup(protocol, token, body string) <-chan standin.Reply {
+	var caller standin.Caller = standin.NewRouter(r.rpc)
 	method := "buy"
 	if protocol == "uwsgi" {
-		caller, method = stand.NewWeb(r.web, false), "topup-buy"
+		caller, method = standin.NewWeb(r.web, false), "topup-buy"
 	}
-	got := make(chan stand.Reply, 1)
+	got := make(chan standin.Reply, 1)
 	r.Cleanup(caller.Close)
 	go func() {
 		ctx, end := context.WithTimeout(context.Background(), soon)
 		defer end()
-		got <- caller.Call(ctx, stand.Call{Method: method, Token: token, Body: []byte(body), Caller: 1})
+		got <- caller.Call(ctx, standin.Call{Method: method, Token: token, Body: []byte(body), Caller: 1})
 	}()
 	return got
 }
@@ -584,8 +584,8 @@
 			{"at the same moment", func(r *rig) {
 				a, b := r.topup(first, "k", "x"), r.topup(second, "k", "x")
 				r.run().end("done")
-				for _, got := range []stand.Reply{<-a, <-b} {
-					if got.Outcome != stand.OK || string(got.Body) != "done" {
+				for _, got := range []standin.Reply{<-a, <-b} {
+					if got.Outcome != standin.OK || string(got.Body) != "done" {
 						r.Errorf("got %+v", got)
 					}
 				}
@@ -627,8 +627,8 @@
 			{"the second after the first has failed", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				r.run().done(gate.Failed, 1, nil, nil)
-				for _, got := range []stand.Reply{<-a, <-r.topup(second, "k", "x")} {
-					if got.Outcome != stand.Aborted {
+				for _, got := range []standin.Reply{<-a, <-r.topup(second, "k", "x")} {
+					if got.Outcome != standin.Aborted {
 						r.Errorf("got %+v", got)
 					}
 				}
@@ -636,11 +636,11 @@
 			{"the second with another body", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				run := r.run()
-				if got := <-r.topup(second, "k", "z"); got.Outcome != stand.Senseless {
+				if got := <-r.topup(second, "k", "z"); got.Outcome != standin.Senseless {
 					r.Errorf("got %+v", got)
 				}
 				run.end("done")
-				if got := <-a; got.Outcome != stand.OK {
+				if got := <-a; got.Outcome != standin.OK {
 					r.Errorf("got %+v", got)
 				}
 			}},
@@ -674,7 +674,7 @@
 	got := r.topup("msgpack", "k", "x")
 	r.inHand(2)
 	run.end("done")
-	if got := <-got; got.Outcome != stand.OK || string(got.Body) != "done" {
+	if got := <-got; got.Outcome != standin.OK || string(got.Body) != "done" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -699,7 +699,7 @@
 			for _, protocol := range []string{"uwsgi", "msgpack"} {
 				got := r.topup(protocol, protocol, "x")
 				r.run().end("done")
-				if got := <-got; got.Outcome != stand.OK {
+				if got := <-got; got.Outcome != standin.OK {
 					t.Errorf("%s: %+v", protocol, got)
 				}
 			}
@@ -765,12 +765,12 @@
 		}
 	}()
 	var wg sync.WaitGroup
-	rules := stand.NewRules()
+	rules := standin.NewRules()
 	for w := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			web := stand.NewWeb(r.web, w%2 == 0)
+			web := standin.NewWeb(r.web, w%2 == 0)
 			defer web.Close()
 			for i := range 50 {
 				id := uint64(w*1000 + i)
@@ -780,8 +780,8 @@
 				} else {
 					rules.Sent(id)
 				}
-				got := web.Call(ctx, stand.Call{Method: "topup-buy", Token: fmt.Sprint(id), Body: []byte("b")})
-				if i%5 != 4 && got.Outcome == stand.OK {
+				got := web.Call(ctx, standin.Call{Method: "topup-buy", Token: fmt.Sprint(id), Body: []byte("b")})
+				if i%5 != 4 && got.Outcome == standin.OK {
 					rules.Answered(id)
 				}
 				end()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -18,7 +18,7 @@
 
 	"sorrelvalve/control"
 	"sorrelvalve/decision/recovery"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 // Answer is what a verdict asks the protocol to do.
@@ -98,7 +98,7 @@
 // Tracer hears of all that the decisions are told and say, under the gate's lock: it must not block. The actions are
 // valid until it returns. The token is the key of a tokened arrival, else "".
 type Tracer interface {
-	Begin(told *opening.Opening, cold bool, origin time.Time)
+	Begin(told *startup.Opening, cold bool, origin time.Time)
 	Event(now float64, ev control.Event, actions []control.Action, token string)
 }
 
@@ -122,7 +122,7 @@
 type Gate struct {
 	log   Log
 	now   func() time.Time
-	told  *opening.Opening
+	told  *startup.Opening
 	trace Tracer  // nil for none
 	store Keeper  // nil for none
 	parts Budgets // nil for none
@@ -267,7 +267,7 @@
 )
 
 // New returns a gate for a server told o. Its table of tokens stays under a quarter of memoryMB.
-func New(o *opening.Opening, memoryMB int, log Log) *Gate {
+func New(o *startup.Opening, memoryMB int, log Log) *Gate {
 	g := &Gate{
 		log: log, now: time.Now, told: o,
 		methods: map[string]int{}, customers: map[string]int{},
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"sorrelvalve/control"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 const told = "classes.count=2\nclasses.0.name=view\nclasses.0.aim=1000000000\nclasses.0.give_up=2000000000\n" +
@@ -29,7 +29,7 @@
 }
 
 func open(t *testing.T, started bool) *world {
-	o, err := opening.Parse(told)
+	o, err := startup.Parse(told)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,7 +24,7 @@
 	"sorrelvalve/decision/quota"
 	"sorrelvalve/decision/retry"
 	"sorrelvalve/decision/route"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 // Format is that of the records which this build reads.
@@ -95,7 +95,7 @@
 }
 
 // Apply puts the limits and the hold into settings.
-func (f *File) Apply(o *opening.Opening) {
+func (f *File) Apply(o *startup.Opening) {
 	o.Rules.Settle = f.Hold.SettledMs
 	if f.Limits.OverShare != nil {
 		o.Fleet.OverShare = *f.Limits.OverShare
@@ -338,7 +338,7 @@
 }
 
 // Load reads a record and checks it against the settings; errors name the record and the key.
-func Load(path string, o *opening.Opening) (*Record, error) {
+func Load(path string, o *startup.Opening) (*Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -405,7 +405,7 @@
 func (f Fault) String() string { return f.Path + ": " + f.Text }
 
 // KnownOf is what routes may name.
-func KnownOf(o *opening.Opening) route.Known {
+func KnownOf(o *startup.Opening) route.Known {
 	k := route.Known{Tokened: map[string]bool{}, Criticality: map[string]float64{}, OverShare: o.Fleet.OverShare}
 	for _, m := range o.Methods {
 		k.Criticality[m.Name] = m.Criticality
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -9,7 +9,7 @@
 
 	"sorrelvalve/decision/configure"
 	"sorrelvalve/decision/route"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 func sound() *File {
@@ -28,7 +28,7 @@
 
 // A record is read strictly, and every error names its key.
 func TestLoad(t *testing.T) {
-	o, err := opening.Parse(settings)
+	o, err := startup.Parse(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -15,13 +15,13 @@
 
 	"sorrelvalve/decision/permit"
 	"sorrelvalve/internal/permitclient"
-	"sorrelvalve/internal/stand/bed"
+	"sorrelvalve/internal/testbed"
 )
 
 // trio is three keepers in this process with relays between them.
 type trio struct {
 	*testing.T
-	net   *bed.Net
+	net   *testbed.Net
 	peers []Peer
 	all   []*Keeper
 	dirs  []string
@@ -31,7 +31,7 @@
 func newTrio(t *testing.T, slow time.Duration) *trio {
 	t.Helper()
 	names := []string{"k0", "k1", "k2"}
-	n, err := bed.NewNet(1, names...)
+	n, err := testbed.NewNet(1, names...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,10 +119,10 @@
 			}
 			for _, i := range rest {
 				if way != "in" {
-					x.net.Change("cut", []string{name}, []string{x.peers[i].Name}, func(r *bed.Rule) { r.Cut = true })
+					x.net.Change("cut", []string{name}, []string{x.peers[i].Name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 				if way != "out" {
-					x.net.Change("cut", []string{x.peers[i].Name}, []string{name}, func(r *bed.Rule) { r.Cut = true })
+					x.net.Change("cut", []string{x.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 			}
 			old := make(chan permit.Answer, 1)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -10,7 +10,7 @@
 	"math"
 
 	"sorrelvalve/control"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 const (
@@ -57,7 +57,7 @@
 type Event struct {
 	What    What
 	Who     uint16
-	Opening *opening.Opening
+	Opening *startup.Opening
 	control.Event
 }
 
@@ -132,7 +132,7 @@
 		ev.What, ev.Kind = Opened, control.Begin
 		seed, text := f.u64(), f.bytes()
 		if f.bad == "" {
-			o, err := opening.Parse(string(text))
+			o, err := startup.Parse(string(text))
 			if err != nil {
 				return r.fail("%v", err)
 			}
--- a/internal/stand/app.go
+++ b/internal/standin/app.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // This file owns the stand-in application server that speaks uwsgi, and the ways in which it fails. It must never
 // answer with anything but what its script says.
--- a/internal/stand/callers.go
+++ b/internal/standin/callers.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // This file owns the callers: one that speaks MessagePack-RPC as the routers do, one that speaks uwsgi as a web tier
 // does, and an open-loop load over both. A caller must tell an answer that never came from one that said no.
--- a/internal/stand/cores.go
+++ b/internal/standin/cores.go
@@ -1,7 +1,7 @@
 // Package stand holds the stand-ins with which this repository tests and measures itself: an engine, application
 // servers, a membership service, callers, and a checker of the rules. They speak the published protocols on loopback
 // only, are bounded in count and time, and can be told to fail. Nothing that serves RPCs for others may depend on them.
-package stand
+package standin
 
 import (
 	"math"
--- a/internal/stand/disk.go
+++ b/internal/standin/disk.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // This file owns the stand-in disk: a folder in memory that loses what was not synced when the power goes, tears what was
 // being written, flips bits, fills up, stalls and fails. It must never lose what a sync has confirmed, unless told to.
--- a/internal/stand/engine.go
+++ b/internal/standin/engine.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // This file owns the stand-in engine: JSON lines over TCP, runs on a machine of its own or one shared with others. It
 // must keep what the protocol promises: numbered notices, kept over links, and a run once for each id.
--- a/internal/stand/rules.go
+++ b/internal/standin/rules.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // This file owns the checker of the rules: it hears of every run and every answer, and tells what was broken. It must
 // never take a missing answer for a good one.
--- a/internal/opening/lines.go
+++ b/internal/startup/lines.go
@@ -1,4 +1,4 @@
-package opening
+package startup
 
 // This file owns the values as they were read, by path, whether they came as lines of text or as nested JSON, and
 // the checks of single values. It must never know which paths there are.
--- a/internal/opening/opening.go
+++ b/internal/startup/opening.go
@@ -2,7 +2,7 @@
 // configuration file and the settings in it, which the simulator sends as lines of text. It is the one place
 // where all that is read, checked and given defaults, and each error names the key at fault. It must never
 // decide anything, nor know what the values are used for.
-package opening
+package startup
 
 import (
 	"fmt"
--- a/internal/opening/opening_test.go
+++ b/internal/startup/opening_test.go
@@ -1,4 +1,4 @@
-package opening
+package startup
 
 import (
 	"fmt"
--- a/internal/stand/bed/bed.go
+++ b/internal/testbed/bed.go
@@ -1,4 +1,4 @@
-package bed
+package testbed
 
 // This file owns a bed as a whole: names, their relays and processes, what each is told, and a watch over their views of
 // one another. It must never tell a process anything of the faults that are played.
@@ -17,7 +17,7 @@
 
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/stand"
+	"sorrelvalve/internal/standin"
 )
 
 // Options are those of a bed.
@@ -31,7 +31,7 @@
 	Env     func(name string) []string // beside the bed's own, at each start; may be nil
 	Folder  string                     // in which each keeps the version that it runs; "" for none
 	Alone   bool                       // no fleet in the operator's records
-	Rules   *stand.Rules               // hears of runs; may be nil
+	Rules   *standin.Rules             // hears of runs; may be nil
 	Cores   float64                    // of each engine; 0 for no engines
 	Serve   func() Command             // the program up to and with its sub-command, to which --operator RECORD is added
 	File    operator.File              // what stands in the records beside the fleet
@@ -43,8 +43,8 @@
 	Net     *Net
 	Procs   *Procs
 	Names   []string
-	Engines map[string]*stand.Engine
-	Machine map[string]*stand.Cores
+	Engines map[string]*standin.Engine
+	Machine map[string]*standin.Cores
 	dir     string
 	listen  map[string]string
 	files   map[string]operator.File
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b = &Bed{Names: o.Names, dir: dir, Engines: map[string]*stand.Engine{}, Machine: map[string]*stand.Cores{}, listen: map[string]string{}, files: map[string]operator.File{}}
+	b = &Bed{Names: o.Names, dir: dir, Engines: map[string]*standin.Engine{}, Machine: map[string]*standin.Cores{}, listen: map[string]string{}, files: map[string]operator.File{}}
 	b.end = append(b.end, func() { os.RemoveAll(dir) })
 	defer func() {
 		if err != nil {
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	b.end = append(b.end, b.Net.Close)
-	members, endMembers, err := stand.Members()
+	members, endMembers, err := standin.Members()
 	if err != nil {
 		return nil, err
 	}
@@ -87,8 +87,8 @@
 		e := b.Net.End(name)
 		engine := net.JoinHostPort(e.Own, "9") // nobody listens there
 		if o.Cores > 0 {
-			b.Machine[name] = stand.NewCores(o.Cores, 8)
-			if b.Engines[name], err = stand.NewEngine(b.Machine[name], stand.ByBody, o.Rules); err != nil {
+			b.Machine[name] = standin.NewCores(o.Cores, 8)
+			if b.Engines[name], err = standin.NewEngine(b.Machine[name], standin.ByBody, o.Rules); err != nil {
 				return nil, err
 			}
 			engine = b.Engines[name].Addr()
--- a/internal/stand/bed/bed_test.go
+++ b/internal/testbed/bed_test.go
@@ -1,4 +1,4 @@
-package bed
+package testbed
 
 import (
 	"io"
--- a/internal/stand/bed/demo.go
+++ b/internal/testbed/demo.go
@@ -1,4 +1,4 @@
-package bed
+package testbed
 
 // This file owns the demonstration: real processes with stand-in engines and callers on loopback, what each hears and what
 // became of each method, told every second, and faults by typed acts or a script. It leaves nothing behind.
@@ -15,8 +15,8 @@
 	"time"
 
 	"sorrelvalve/internal/fleet"
-	"sorrelvalve/internal/stand"
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin"
+	"sorrelvalve/internal/standin/script"
 )
 
 // demoSettings are three methods before an engine of two cores.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("script: %w", err)
 	}
-	rules := stand.NewRules("topup-buy")
+	rules := standin.NewRules("topup-buy")
 	b, err := New(Options{Names: names, Seed: 1, Zone: func(i int) string { return string(rune('a' + i%3)) }, Cores: 2, Set: demoSettings, Rules: rules,
 		Serve: func() Command { return serve }})
 	if err != nil {
@@ -115,14 +115,14 @@
 // tally counts outcomes by method for a second.
 type tally struct {
 	mu  sync.Mutex
-	all map[string][stand.Lost + 1]int
+	all map[string][standin.Lost + 1]int
 }
 
-func (t *tally) add(samples []stand.Sample) {
+func (t *tally) add(samples []standin.Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.all == nil {
-		t.all = map[string][stand.Lost + 1]int{}
+		t.all = map[string][standin.Lost + 1]int{}
 	}
 	for _, s := range samples {
 		n := t.all[s.Method]
@@ -131,7 +131,7 @@
 	}
 }
 
-func (t *tally) take() map[string][stand.Lost + 1]int {
+func (t *tally) take() map[string][standin.Lost + 1]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	was := t.all
@@ -140,16 +140,16 @@
 }
 
 // ask loads one server, a quarter of a second at a time.
-func ask(ctx context.Context, b *Bed, name string, seed int64, rules *stand.Rules, counts *tally) {
-	router := stand.NewRouter(b.Listen(name))
+func ask(ctx context.Context, b *Bed, name string, seed int64, rules *standin.Rules, counts *tally) {
+	router := standin.NewRouter(b.Listen(name))
 	defer router.Close()
 	const work = 20.0 // ms of one of two cores
 	var late sync.WaitGroup
 	defer late.Wait()
 	for n := int64(0); ctx.Err() == nil; n++ {
-		p := stand.Plan{Rate: demoLoad * 2 * 1000 / work, For: time.Second / 4, Callers: 3, Seed: seed + 1000*n, Deadline: 1500 * time.Millisecond, Kinds: []stand.Kind{
+		p := standin.Plan{Rate: demoLoad * 2 * 1000 / work, For: time.Second / 4, Callers: 3, Seed: seed + 1000*n, Deadline: 1500 * time.Millisecond, Kinds: []standin.Kind{
 			{Method: "account-view", Share: 0.5, Work: work}, {Method: "settings-save", Share: 0.35, Work: work}, {Method: "topup-buy", Share: 0.15, Work: work, Tokened: true}}}
-		late.Go(func() { counts.add(p.Run(ctx, map[string]stand.Caller{"msgpack": router}, rules)) })
+		late.Go(func() { counts.add(p.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)) })
 		select {
 		case <-ctx.Done():
 		case <-time.After(p.For):
@@ -209,7 +209,7 @@
 	}
 	slices.Sort(methods)
 	for _, m := range methods {
-		fmt.Fprintf(w, "%s\tok %d\tpushed back %d\taborted %d\tno answer %d\n", m, n[m][stand.OK], n[m][stand.PushedBack], n[m][stand.Aborted]+n[m][stand.Senseless], n[m][stand.Lost])
+		fmt.Fprintf(w, "%s\tok %d\tpushed back %d\taborted %d\tno answer %d\n", m, n[m][standin.OK], n[m][standin.PushedBack], n[m][standin.Aborted]+n[m][standin.Senseless], n[m][standin.Lost])
 	}
 	w.Flush()
 }
--- a/internal/stand/bed/play.go
+++ b/internal/testbed/play.go
@@ -1,4 +1,4 @@
-package bed
+package testbed
 
 // This file owns how a schedule of faults is carried out on relays and real processes. It must never go on after an act that
 // could not be done.
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"sorrelvalve/internal/stand/script"
+	"sorrelvalve/internal/standin/script"
 )
 
 // Do carries out one step.
--- a/internal/stand/bed/procs.go
+++ b/internal/testbed/procs.go
@@ -1,4 +1,4 @@
-package bed
+package testbed
 
 // This file owns the processes of the bed: started from this tree, stopped, killed and started again under their names,
 // by their own ids. None outlives the bed.
--- a/internal/stand/bed/relay.go
+++ b/internal/testbed/relay.go
@@ -2,7 +2,7 @@
 // script of faults, and checkers of what the processes say. Each process sends from an address of its own in 127.0.0.0/8,
 // so that the relays know source and destination with no privilege. It ends only processes that it started, by their own
 // ids, and must never take a run in which a checker saw nothing for a good one.
-package bed
+package testbed
 
 import (
 	"fmt"
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"sorrelvalve/control"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 // Version is that of the traces which this build writes. It reads no other: an older one is told from a damaged one.
@@ -30,7 +30,7 @@
 
 // Header is what a trace begins with: all that the decisions were made from.
 type Header struct {
-	Told   opening.Opening `json:"told"`
+	Told   startup.Opening `json:"told"`
 	Cold   bool            `json:"cold"`
 	Origin float64         `json:"origin"` // Unix ms of the module's zero
 	Build  string          `json:"build"`
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"sorrelvalve/control"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 )
 
 func header() *Header {
-	return &Header{Told: opening.Opening{Methods: []control.Method{{Name: "view", LatencyTarget: 100}}, Gauges: []string{"core_use"}}, Cold: true, Origin: 5, Build: "b"}
+	return &Header{Told: startup.Opening{Methods: []control.Method{{Name: "view", LatencyTarget: 100}}, Gauges: []string{"core_use"}}, Cold: true, Origin: 5, Build: "b"}
 }
 
 func entry(i int) Entry {
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -8,7 +8,7 @@
 
 	"sorrelvalve/control"
 	"sorrelvalve/decision/recovery"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/trace"
 )
 
@@ -49,7 +49,7 @@
 	methods []string
 }
 
-func (w *watch) Begin(told *opening.Opening, cold bool, origin time.Time) {
+func (w *watch) Begin(told *startup.Opening, cold bool, origin time.Time) {
 	for _, m := range told.Methods {
 		w.methods = append(w.methods, m.Name)
 	}
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -19,7 +19,7 @@
 
 	"sorrelvalve/control"
 	"sorrelvalve/internal/gate"
-	"sorrelvalve/internal/opening"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/store"
 	"sorrelvalve/internal/trace"
 )
@@ -253,7 +253,7 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // opening turns options into what the gate is told.
-func (o *Options) opening() (*opening.Opening, error) {
+func (o *Options) opening() (*startup.Opening, error) {
 	if len(o.Methods) == 0 {
 		return nil, errors.New("valve: Methods: at least one expected")
 	}
@@ -266,7 +266,7 @@
 			return nil, fmt.Errorf("valve: %s: a number from 0 up expected, %g there", name, v)
 		}
 	}
-	t := &opening.Opening{
+	t := &startup.Opening{
 		Node: control.Node{
 			Seed: o.Seed, StartSpeed: 0.2, WarmBy: millis(positive(o.WarmBy, 20*time.Second)), Cores: positive(o.Cores, cores()),
 			MemKB: float64(positive(o.Memory, 1<<30)) / 1024, RunFactor: 1, KeyKB: 0, Tick: 1,
