--- /dev/null
+++ b/control/rejection.go
@@ -0,0 +1,71 @@
+package control
+
+import "math"
+
+// away is the advice that goes with an overload's pushback: until half the hold has drained. Callers that
+// stay away until all has find idle cores, and come back together. Further tries, which a storm is made of,
+// stay away for what waits unread as well.
+func (c *Control) away(again bool) float64 {
+	w := c.wait(math.Inf(1), 0) / 2
+	if again {
+		w += c.limit.unread * c.tightest
+	}
+	return math.Min(c.retry, math.Max(w, rampRetry))
+}
+
+// drop takes an RPC out of the slab.
+func (c *Control) drop(i int) {
+	r := &c.in.rpc[i]
+	if r.state == held {
+		c.hold.remove(i, r.line)
+	} else if r.state == running {
+		c.active--
+	}
+	c.used -= r.kb
+	c.in.drop(i)
+}
+
+// shed pushes an RPC back for overload. A marked further try has met another full server before this one:
+// its caller is asked not to go on, or each read of it costs one more server.
+func (c *Control) shed(i int) {
+	again := c.in.rpc[i].again
+	c.push(i, c.away(again), again || c.tries.everywhere())
+}
+
+// push pushes a held RPC back; it never ran.
+func (c *Control) push(i int, away float64, last bool) {
+	r := &c.in.rpc[i]
+	c.forget(r)
+	c.do(Action{Do: PushBack, RPC: r.id, Last: last, Time: away})
+	c.drop(i)
+}
+
+// forget drops the token of an RPC that never ran.
+func (c *Control) forget(r *rpc) {
+	if r.kept && r.state == held {
+		c.keys.drop(r.id, c.now)
+		c.do(Action{Do: Forget, RPC: r.id})
+	}
+}
+
+// abort answers an RPC with an error. Running work that can be stopped is stopped, unless it has an effect,
+// which a repeat may still ask for.
+func (c *Control) abort(i int) {
+	r := &c.in.rpc[i]
+	if !r.answered {
+		c.do(Action{Do: Abort, RPC: r.id})
+		if r.state == running { // if only those that end in time counted, all would seem quick
+			c.learn(r, math.Max(c.now-r.began-r.below, c.est(r)))
+		}
+	}
+	r.answered = true
+	switch r.state {
+	case running:
+		if c.node.Stop != StopNone && c.methods[r.method].Repeat == Idempotent {
+			c.do(Action{Do: Halt, RPC: r.id})
+		}
+	case standing, calling: // its end is told, and a call goes on below until then
+	default:
+		c.drop(i)
+	}
+}
