--- a/control/admission.go
+++ b/control/admission.go
@@ -4,39 +4,9 @@
 
 // arrive decides on an RPC that has just been read.
 func (c *Control) arrive(ev *Event) {
-	m := min(ev.Method, len(c.methods)-1)
-	meth := &c.methods[m]
-	r := rpc{
-		id: ev.RPC, state: held, method: m, caller: ev.Caller, again: ev.Retry,
-		arrived: c.now - ev.Waited, read: c.now, work: ev.Hint, value: meth.Criticality,
-		heldKB: ev.HeldKB, kb: ev.HeldKB,
-	}
-	if ev.Hint == 0 {
-		r.work = c.pace[m].prior
-	}
-	r.due = r.arrived + meth.Deadline
-	age := 0.0
-	if c.tells {
-		r.due = c.now + ev.Time
-	} else if ev.Retry {
-		age = meth.LatencyTarget / 2 // nothing tells; others pushed it back before, or its client did not wait
-	}
-	r.target = math.Min(r.arrived+meth.LatencyTarget+meth.Stretch*ev.Hint-age, r.due)
-	c.drain.bound(&r)
+	r := c.newRPC(ev)
+	meth := &c.methods[r.method]
 	hasty := !c.tells && ev.Hint > 0 && r.arrived+c.habits[ev.Caller].wait() < c.now+c.est(&r)
-	if ev.Customer < len(c.shares) {
-		in := c.shares[ev.Customer].within(c.now, c.limit.begin, ev.Retry)
-		if ev.Budget == Within {
-			in = 1
-		} else if ev.Budget == Over {
-			in = 0
-		}
-		r.value *= in + (1-in)*c.overShare
-	}
-	if ev.Retry {
-		r.value *= 0.5 // part of its time is gone: in a storm most such are late when answered
-	}
-	r.rank, r.rel = c.ranks.of(r.value)
 	c.limit.read(ev.Waited / c.tightest)
 	c.signal.seen++
 	c.tries.read(ev.Retry)
@@ -87,6 +57,44 @@
 	}
 }
 
+// newRPC makes the record of an RPC just read: when its answer is wanted, when its caller gives up, and the
+// criticality that it counts for after its customer's quota and its retry are weighed in.
+func (c *Control) newRPC(ev *Event) rpc {
+	m := min(ev.Method, len(c.methods)-1)
+	meth := &c.methods[m]
+	r := rpc{
+		id: ev.RPC, state: held, method: m, caller: ev.Caller, again: ev.Retry,
+		arrived: c.now - ev.Waited, read: c.now, work: ev.Hint, value: meth.Criticality,
+		heldKB: ev.HeldKB, kb: ev.HeldKB,
+	}
+	if ev.Hint == 0 {
+		r.work = c.pace[m].prior
+	}
+	r.due = r.arrived + meth.Deadline
+	age := 0.0
+	if c.tells {
+		r.due = c.now + ev.Time
+	} else if ev.Retry {
+		age = meth.LatencyTarget / 2 // nothing tells; others pushed it back before, or its client did not wait
+	}
+	r.target = math.Min(r.arrived+meth.LatencyTarget+meth.Stretch*ev.Hint-age, r.due)
+	c.drain.bound(&r)
+	if ev.Customer < len(c.shares) {
+		in := c.shares[ev.Customer].within(c.now, c.limit.begin, ev.Retry)
+		if ev.Budget == Within {
+			in = 1
+		} else if ev.Budget == Over {
+			in = 0
+		}
+		r.value *= in + (1-in)*c.overShare
+	}
+	if ev.Retry {
+		r.value *= 0.5 // part of its time is gone: in a storm most such are late when answered
+	}
+	r.rank, r.rel = c.ranks.of(r.value)
+	return r
+}
+
 // rampRetry is the advice with a pushback by the ramp: short, as others are to be asked at once.
 const rampRetry = 100.0
 
