--- a/control/admission.go
+++ b/control/admission.go
@@ -6,7 +6,7 @@
 func (c *Control) arrive(ev *Event) {
 	r := c.newRPC(ev)
 	meth := &c.methods[r.method]
-	hasty := !c.tells && ev.Hint > 0 && r.arrived+c.habits[ev.Caller].wait() < c.now+c.est(&r)
+	hasty := !c.tells && ev.Hint > 0 && r.arrived+c.habits[ev.Caller].wait() < c.now+c.expectedRunTime(&r)
 	c.limit.read(ev.Waited / c.tightest)
 	c.signal.seen++
 	c.tries.read(ev.Retry)
@@ -19,7 +19,7 @@
 	// first is taken.
 	_, inHand := c.in.byID[ev.Original]
 	if ev.Original != 0 && (inHand || c.keys.knows(ev.Original)) {
-		if late || !c.room() {
+		if late || !c.hasCapacity() {
 			c.abort(i)
 			return
 		}
@@ -31,13 +31,13 @@
 	switch {
 	case late:
 		c.push(i, c.retry, false)
-	case !idle && !c.ramp.takes(c.now, ev.Caller, ev.Subject, ev.RPC):
-		c.push(i, math.Min(rampRetry, c.retry), false)
+	case !idle && !c.slowStart.takes(c.now, ev.Caller, ev.Subject, ev.RPC):
+		c.push(i, math.Min(slowStartRetryAfter, c.retry), false)
 	case ev.Budget == Over && c.overShare == 0: // a quota that is kept whatever room there is
 		c.push(i, math.Min(ev.Again, c.retry), false)
 	case hasty:
 		c.push(i, 0, false)
-	case !c.pressure.takes(c.chance, r.rank) || !c.makeWay(&r) || !c.room():
+	case !c.pressure.takes(c.chance, r.rank) || !c.makeWay(&r) || !c.hasCapacity():
 		c.tries.pushed += oneTry
 		c.signal.shed++
 		c.shed(i)
@@ -47,10 +47,10 @@
 			life := math.Max(meth.Window-ev.Waited, c.node.Tick)
 			c.keys.drop(ev.RPC, c.now)
 			c.keys.list = append(c.keys.list, key{ev.RPC, c.now + life, c.now + life + meth.Deadline})
-			c.in.rpc[i].kept = true
+			c.in.rpc[i].tokenCached = true
 			c.do(Action{Do: Remember, RPC: ev.RPC, Time: life})
 		}
-		if c.est(&r) > longFactor*c.usual() {
+		if c.expectedRunTime(&r) > longFactor*c.usual() {
 			c.in.rpc[i].line = long
 		}
 		c.hold.add(c.in.rpc, i)
@@ -63,9 +63,9 @@
 	m := min(ev.Method, len(c.methods)-1)
 	meth := &c.methods[m]
 	r := rpc{
-		id: ev.RPC, state: held, method: m, caller: ev.Caller, again: ev.Retry,
+		id: ev.RPC, state: queued, method: m, caller: ev.Caller, again: ev.Retry,
 		arrived: c.now - ev.Waited, read: c.now, work: ev.Hint, value: meth.Criticality,
-		heldKB: ev.HeldKB, kb: ev.HeldKB,
+		queuedKB: ev.HeldKB, kb: ev.HeldKB,
 	}
 	if ev.Hint == 0 {
 		r.work = c.pace[m].prior
@@ -91,12 +91,12 @@
 	if ev.Retry {
 		r.value *= 0.5 // part of its time is gone: in a storm most such are late when answered
 	}
-	r.rank, r.rel = c.ranks.of(r.value)
+	r.rank, r.relativeValue = c.ranks.of(r.value)
 	return r
 }
 
-// rampRetry is the advice with a pushback by the ramp: short, as others are to be asked at once.
-const rampRetry = 100.0
+// slowStartRetryAfter is the advice with a pushback by the ramp: short, as others are to be asked at once.
+const slowStartRetryAfter = 100.0
 
 // longFactor parts the two lines: work of more than this multiple of the usual is long. Half of all
 // lognormal work lies below the mean, a twentieth above three times it.
@@ -121,11 +121,11 @@
 		r := &c.in.rpc[i]
 		switch r.state {
 		case running:
-			e := c.est(r)
+			e := c.expectedRunTime(r)
 			ahead += math.Max(e-(c.now-r.began), e/4)
-		case held:
+		case queued:
 			if r.target <= target && (r.value >= floor || c.settled(r)) {
-				ahead += c.est(r)
+				ahead += c.expectedRunTime(r)
 			}
 		}
 	}
@@ -148,12 +148,12 @@
 // feasible tells whether an RPC just read can be ok in time, with the patience that its value gives it.
 func (c *Control) feasible(r *rpc, floor float64) bool {
 	p := &c.pace[r.method]
-	left := r.target - c.now - c.est(r) - p.below
+	left := r.target - c.now - c.expectedRunTime(r) - p.below
 	w := c.wait(r.target, floor)
 	if w == 0 {
-		return left+(1-doubt)*math.Max(0, 1-2*c.tries.pushed)*c.est(r) > 0
+		return left+(1-doubt)*math.Max(0, 1-2*c.tries.pushed)*c.expectedRunTime(r) > 0
 	}
-	return w-c.est(r)/float64(c.limit.runs()) < left*patience(r.rank, r.rel)
+	return w-c.expectedRunTime(r)/float64(c.limit.runs()) < left*patience(r.rank, r.relativeValue)
 }
 
 // makeWay tells whether an RPC just read can be ok in time, and pushes back what is held and counts for
@@ -166,7 +166,7 @@
 		}
 		least := -1
 		for i := range c.in.rpc {
-			if o := &c.in.rpc[i]; o.state == held && o.target <= r.target && o.value < less*r.value &&
+			if o := &c.in.rpc[i]; o.state == queued && o.target <= r.target && o.value < less*r.value &&
 				!c.settled(o) &&
 				(least < 0 || o.value < c.in.rpc[least].value) {
 				least = i
@@ -177,8 +177,8 @@
 	return false
 }
 
-// room tells whether memory allows to hold an RPC just read, with its token, and still to run what is held.
-func (c *Control) room() bool {
+// hasCapacity tells whether memory allows to hold an RPC just read, with its token, and still to run what is held.
+func (c *Control) hasCapacity() bool {
 	const share = 0.8
 	fits := c.used+c.keys.used(c.now)+c.keys.kb < share*c.node.MemKB
 	c.short = c.short || !fits
--- a/control/completion.go
+++ b/control/completion.go
@@ -36,21 +36,21 @@
 // heavy work ends, which then runs for nobody and runs again elsewhere; it is better sent on at once to a
 // server that may be quicker. A client that left once for its own reasons shows no habit.
 type habit struct {
-	mean, spread float64
+	mean, deviation float64
 }
 
 func (h habit) left(age float64) habit {
 	const weight = 0.4 // three tries left alike make a habit, and it is soon unlearnt
 	if h.mean == 0 {
-		h.mean, h.spread = age, age/2
+		h.mean, h.deviation = age, age/2
 	}
 	h.mean += weight * (age - h.mean)
-	h.spread += weight * (math.Abs(age-h.mean) - h.spread)
+	h.deviation += weight * (math.Abs(age-h.mean) - h.deviation)
 	return h
 }
 
 func (h habit) wait() float64 {
-	if h.mean == 0 || h.spread > 0.2*h.mean {
+	if h.mean == 0 || h.deviation > 0.2*h.mean {
 		return math.Inf(1)
 	}
 	return h.mean
--- a/control/control.go
+++ b/control/control.go
@@ -34,7 +34,7 @@
 	noted            [5]bool
 	used             float64 // memory of the RPCs in hand
 
-	ramp          ramp
+	slowStart     slowStart
 	pressure      pressure
 	hold          hold
 	limit         runLimit
@@ -63,9 +63,9 @@
 	node.WarmBy = math.Max(1, node.WarmBy)
 	c := &Control{
 		node: node, methods: methods, grace: rules.DrainGrace, settle: rules.Settle, retry: fleet.MaxRetryAfter,
-		in:       slab{byID: map[uint32]int{}},
-		ramp:     newRamp(node.Cold, node.WarmBy, fleet.Callers, node.Seed),
-		pressure: pressure{share: 1, late: make([]float64, len(methods))},
+		in:        slab{byID: map[uint32]int{}},
+		slowStart: newSlowStart(node.Cold, node.WarmBy, fleet.Callers, node.Seed),
+		pressure:  pressure{share: 1, late: make([]float64, len(methods))},
 		limit: runLimit{
 			cores: float64(node.Cores), cold: node.Cold, start: node.StartSpeed, warmBy: node.WarmBy,
 			ceiling: rules.Ceiling, onCore: 1,
@@ -73,7 +73,7 @@
 		keys:  keys{kb: node.KeyKB},
 		calls: calls{share: below.Share, most: below.Share, linger: below.Linger, over: below.Over},
 		tries: tries{
-			marks: fleet.Marks, told: fleet.Idle, most: fleet.Idle,
+			marks: fleet.Marks, notified: fleet.Idle, most: fleet.Idle,
 			reach: fleet.Heeded / 1000 / float64(fleet.Callers),
 		},
 		health: health{good: true, since: math.Inf(-1)},
@@ -103,7 +103,7 @@
 	}
 	switch ev.Kind {
 	case Begin:
-		c.ramp.begin, c.limit.begin = now, now
+		c.slowStart.begin, c.limit.begin = now, now
 		c.wake = now + period
 		c.do(Action{Do: Health, Good: true}, Action{Do: Arm, Time: c.wake})
 	case Arrive:
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := newRamp(c.cold, 40000, c.callers, 7)
+			p := newSlowStart(c.cold, 40000, c.callers, 7)
 			in := 0
 			for i := range 400 {
 				caller, subject := uint16(i), uint64(0)
@@ -78,9 +78,9 @@
 	w.until(2000, Gauges{})
 	w.now = 12000
 	w.ev(Event{Kind: Timer})
-	w.c.ramp.takes(w.now, 1, 0, 1)
-	if w.c.ramp.most > 35 {
-		t.Errorf("ramp at %v%% after 2 s of 7 and a stall of 10 s", w.c.ramp.most)
+	w.c.slowStart.takes(w.now, 1, 0, 1)
+	if w.c.slowStart.most > 35 {
+		t.Errorf("ramp at %v%% after 2 s of 7 and a stall of 10 s", w.c.slowStart.most)
 	}
 }
 
@@ -164,8 +164,8 @@
 func TestLevelWhileFlooded(t *testing.T) {
 	s := signal{say: SayLevel, callers: 4}
 	for _, c := range []struct{ unread, want float64 }{{0.1, 0}, {1.5, 1}, {0.1, 0}} {
-		if s.step(10, c.unread); s.told != c.want {
-			t.Errorf("level %v with a wait of %v unread, want %v", s.told, c.unread, c.want)
+		if s.step(10, c.unread); s.notified != c.want {
+			t.Errorf("level %v with a wait of %v unread, want %v", s.notified, c.unread, c.want)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := tries{marks: c.marks, told: 20000, most: 20000}
+			p := tries{marks: c.marks, notified: 20000, most: 20000}
 			for range 200 {
 				for range c.firsts {
 					p.read(false)
@@ -365,7 +365,7 @@
 		w.arrive(id, Event{})
 	}
 	all := w.c.wait(1e9, 0) // callers told to stay away for so long would leave the cores idle
-	if a := w.last[0]; a.Do != PushBack || a.Time >= all || a.Time < rampRetry {
+	if a := w.last[0]; a.Do != PushBack || a.Time >= all || a.Time < slowStartRetryAfter {
 		t.Errorf("pushed back with %+v while the hold takes %v", a, all)
 	}
 	before := len(w.final)
@@ -406,7 +406,7 @@
 		w.until(w.now+1200, Gauges{OnCores: 2, CoreUse: 1})
 		w.end(id, Cancelled, 1100)
 	}
-	if e := w.c.est(&rpc{work: w.c.pace[0].prior}); e < 800 {
+	if e := w.c.expectedRunTime(&rpc{work: w.c.pace[0].prior}); e < 800 {
 		t.Errorf("run time of %v expected after 40 that were given up at 1000", e)
 	}
 	w.until(w.now+30000, Gauges{})
@@ -530,7 +530,7 @@
 	c := start(t, plain()).c
 	usual := rpc{work: 200}
 	c.learn(&rpc{work: 4}, 6)
-	if e := c.est(&usual); e < 100 || e > 500 {
+	if e := c.expectedRunTime(&usual); e < 100 || e > 500 {
 		t.Errorf("%v expected after one short run", e)
 	}
 	for range 30 {
@@ -539,7 +539,7 @@
 	for range 8 {
 		c.learn(&usual, 600)
 	}
-	if e := c.est(&usual); e < 450 || e > 700 {
+	if e := c.expectedRunTime(&usual); e < 450 || e > 700 {
 		t.Errorf("%v expected after eight runs three times as long", e)
 	}
 }
--- a/control/dependency.go
+++ b/control/dependency.go
@@ -12,7 +12,7 @@
 		return
 	}
 	m := &c.methods[r.method]
-	left := r.target - c.now - c.est(r)/3 // what its run still needs after the call is not told
+	left := r.target - c.now - c.expectedRunTime(r)/3 // what its run still needs after the call is not told
 	if m.LateShare > 0 || c.now > r.target {
 		left += r.due - r.target
 	}
--- a/control/pace.go
+++ b/control/pace.go
@@ -11,8 +11,8 @@
 	return t / n
 }
 
-// est is the expected run time of an RPC without its calls.
-func (c *Control) est(r *rpc) float64 { return c.pace[r.method].run(r.work, c.speed) }
+// expectedRunTime is the expected run time of an RPC without its calls.
+func (c *Control) expectedRunTime(r *rpc) float64 { return c.pace[r.method].run(r.work, c.speed) }
 
 // learn takes in a run. All methods together tell the speed of late: each alone runs too seldom on a small
 // server, and its twenty runs reach back past what has changed, a slow machine or a storm of reads.
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -10,13 +10,13 @@
 	if again {
 		w += c.limit.unread * c.tightest
 	}
-	return math.Min(c.retry, math.Max(w, rampRetry))
+	return math.Min(c.retry, math.Max(w, slowStartRetryAfter))
 }
 
 // drop takes an RPC out of the slab.
 func (c *Control) drop(i int) {
 	r := &c.in.rpc[i]
-	if r.state == held {
+	if r.state == queued {
 		c.hold.remove(i, r.line)
 	} else if r.state == running {
 		c.active--
@@ -42,7 +42,7 @@
 
 // forget drops the token of an RPC that never ran.
 func (c *Control) forget(r *rpc) {
-	if r.kept && r.state == held {
+	if r.tokenCached && r.state == queued {
 		c.keys.drop(r.id, c.now)
 		c.do(Action{Do: Forget, RPC: r.id})
 	}
@@ -55,7 +55,7 @@
 	if !r.answered {
 		c.do(Action{Do: Abort, RPC: r.id})
 		if r.state == running { // if only those that end in time counted, all would seem quick
-			c.learn(r, math.Max(c.now-r.began-r.below, c.est(r)))
+			c.learn(r, math.Max(c.now-r.began-r.below, c.expectedRunTime(r)))
 		}
 	}
 	r.answered = true
--- a/control/retries.go
+++ b/control/retries.go
@@ -7,11 +7,11 @@
 // tries tells from what has been read of late whether servers push back all over the fleet, and sets after
 // what time idle connections are closed. Where further tries are not marked all count as first ones.
 type tries struct {
-	marks            bool
-	firsts, ends     float64 // first tries read and runs ended, two seconds' worth
-	marked, pushed   float64 // parts of the latest tries that were marked, and pushed back on arrival
-	reach            float64 // for how long callers heed what they hear, in seconds, over their number
-	idle, told, most float64 // after what time idle connections are closed
+	marks                bool
+	firsts, ends         float64 // first tries read and runs ended, two seconds' worth
+	marked, pushed       float64 // parts of the latest tries that were marked, and pushed back on arrival
+	reach                float64 // for how long callers heed what they hear, in seconds, over their number
+	idle, notified, most float64 // after what time idle connections are closed
 }
 
 func (t *tries) read(again bool) {
@@ -65,9 +65,9 @@
 		change = grow
 	}
 	t.idle = math.Min(t.most, math.Max(least, t.idle*change))
-	if math.Abs(t.idle-t.told) <= 0.1*t.told {
+	if math.Abs(t.idle-t.notified) <= 0.1*t.notified {
 		return false // too small a change to tell
 	}
-	t.told = t.idle
+	t.notified = t.idle
 	return true
 }
--- a/control/review.go
+++ b/control/review.go
@@ -3,7 +3,7 @@
 // tick looks at the gauges and at all that falls due.
 func (c *Control) tick(g *Gauges) {
 	if gap := c.now - c.wake; gap > 3*period {
-		c.ramp.begin += gap // a stall ran the clock without traffic: the ramp's does not count it
+		c.slowStart.begin += gap // a stall ran the clock without traffic: the ramp's does not count it
 	}
 	c.limit.step(c.now, g, c.active)
 	if c.looks++; c.looks%5 == 0 { // twice in the half second that the gauge covers
@@ -21,7 +21,7 @@
 	if !c.drain.on && c.health.step(c.now, c.limit.unread, c.tries.alone()) {
 		c.do(Action{Do: Health, Good: c.health.good})
 	}
-	c.note(0, !c.ramp.warm, "ramp: begins, a share of callers taken", "ramp: over, all callers taken")
+	c.note(0, !c.slowStart.warm, "ramp: begins, a share of callers taken", "ramp: over, all callers taken")
 	c.note(1, c.pressure.share < 1, "pressure: share of arrivals cut", "pressure: all arrivals taken again")
 	c.note(2, !c.health.good, "health: no, flooded, or alone in pushing back", "health: good again")
 	c.note(3, c.short, "memory: no room for more", "memory: room again")
@@ -42,12 +42,12 @@
 	due := r.due - period
 	m := &c.methods[r.method]
 	switch {
-	case r.state == held:
+	case r.state == queued:
 		last := r.target
 		if m.LateShare > 0 {
 			last = r.due
 		}
-		if c.now >= due || c.now+doubt*c.est(r)+c.pace[r.method].below > last {
+		if c.now >= due || c.now+doubt*c.expectedRunTime(r)+c.pace[r.method].below > last {
 			c.shed(i)
 		}
 	case c.now >= due:
--- a/control/runqueue.go
+++ b/control/runqueue.go
@@ -16,7 +16,7 @@
 		}
 		i := c.hold.next(c.in.rpc, longRuns, runs)
 		r := &c.in.rpc[i]
-		more := r.heldKB * (c.node.RunFactor - 1)
+		more := r.queuedKB * (c.node.RunFactor - 1)
 		if c.used+more+c.keys.used(c.now) > share*c.node.MemKB {
 			c.short = true
 			return
--- a/control/signal.go
+++ b/control/signal.go
@@ -4,10 +4,10 @@
 
 // signal is the value that goes out with answers.
 type signal struct {
-	say         Say
-	callers     float64
-	level, told float64
-	seen, shed  int
+	say             Say
+	callers         float64
+	level, notified float64
+	seen, shed      int
 }
 
 // step moves the level so that what this server would push back for overload is not sent at all; a window
@@ -22,7 +22,7 @@
 	if s.say == SayNone || s.say == SayShare {
 		return 0, false
 	}
-	v, least := math.Max(1, math.Round(each*inTime/s.callers)), s.told/5
+	v, least := math.Max(1, math.Round(each*inTime/s.callers)), s.notified/5
 	if s.say == SayLevel {
 		s.level = math.Min(most, math.Max(0, s.level+gain*(float64(s.shed)/float64(max(1, s.seen))-allow)))
 		v, least = s.level, 0.01
@@ -31,9 +31,9 @@
 			v = 1 // all that comes is too old when read; heard once, it holds a second or so
 		}
 	}
-	if math.Abs(v-s.told) < least {
+	if math.Abs(v-s.notified) < least {
 		return 0, false // too small a change to tell
 	}
-	s.told = v
+	s.notified = v
 	return v, true
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// ramp is the rising share of callers that a cold server takes.
-type ramp struct {
+// slowStart is the rising share of callers that a cold server takes.
+type slowStart struct {
 	warm          bool
 	begin, length float64
 	parts, salt   uint64 // few callers are split in so many parts each
@@ -17,14 +17,14 @@
 // the ramp pushes back the rest of a fleet that is being replaced must run.
 const slowest = 0.35
 
-func newRamp(cold bool, warmBy float64, callers int, salt uint64) ramp {
+func newSlowStart(cold bool, warmBy float64, callers int, salt uint64) slowStart {
 	parts := uint64((finest + callers - 1) / callers)
-	return ramp{warm: !cold, length: slowest * warmBy, parts: parts, salt: salt}
+	return slowStart{warm: !cold, length: slowest * warmBy, parts: parts, salt: salt}
 }
 
 // takes tells whether the ramp lets a caller in. The share never falls, so a caller once in stays in. Where
 // callers are few, each is split by subject: a hashed share of three callers is no share of the traffic.
-func (p *ramp) takes(now float64, caller uint16, subject uint64, id uint32) bool {
+func (p *slowStart) takes(now float64, caller uint16, subject uint64, id uint32) bool {
 	if p.warm {
 		return true
 	}
