--- a/decision/configure/configure.go
+++ b/decision/configure/configure.go
@@ -1,7 +1,8 @@
-// Package configure is the core of what is configured: a candidate is made of the running settings and some changes,
-// held against the checks, compared, committed as a whole or not at all, and taken back by its number. It knows settings
-// as a tree of tables and leaves and nothing of what they mean; what does is handed in. It does no I/O and has no clock;
-// an instance must be guarded by its owner. It must never change the running tree: a commit puts another in its place.
+// Package configure implements transactional configuration: a candidate is built from the running settings and a set
+// of changes, validated by checks, diffed against the running settings, committed atomically and rolled back by its
+// commit number. It treats settings as a tree of tables and leaves and knows nothing of their meaning; validation is
+// supplied by the caller. The package is pure: no I/O and no clock. A Core is not safe for concurrent use; its owner
+// serializes access. A commit never mutates the running tree: it replaces it.
 package configure
 
 import (
--- a/decision/expect/expect.go
+++ b/decision/expect/expect.go
@@ -1,7 +1,8 @@
-// Package expect holds what operators expect of routing and order against settings, without any traffic: that a message becomes an RPC of
-// some method, for some customer, done by some pool; that RPCs of one method are pushed back before those of another. What is
-// false is named with what is so instead; what can never be tested is named, too, and never passed over. It does no I/O and keeps
-// nothing between calls. It must never call an expectation true for want of something to hold it against.
+// Package expect checks route expectations, expected routing written as tests, against settings without any traffic:
+// that a request becomes an RPC of a given method, for a given customer, served by a given pool, and that RPCs of one
+// method are shed before those of another. A failed expectation is reported with what routing does instead; an
+// expectation that cannot be evaluated is reported as such and never counted as passed. The package is pure: no I/O
+// and no state between calls.
 package expect
 
 import (
--- a/decision/permit/permit.go
+++ b/decision/permit/permit.go
@@ -1,7 +1,10 @@
-// Package permit decides who may go out of use by intent: servers of a fleet, and members of the pools below them, by zone and
-// group. It is a state machine: commands go in, in one order that keepers agree on, answers come out, and the same commands
-// give the same state and answers everywhere. What is out already, whyever, uses up the allowance first; what is not known
-// counts as out. It does no I/O, has no clock and draws nothing. It must never free a permit by time, nor grant a place twice.
+// Package permit implements a disruption budget for a fleet and for the pools below it: drain permits are granted
+// per server or pool member, bounded by limits per fleet, zone, group and pool, and a halt stops all new disruption.
+// It is a replicated state machine: the permit servers apply the same commands in the order of their raft log, and the
+// same commands give the same state and answers on every replica. Capacity that is already out of service for any reason
+// (draining, unreachable, crashed, warming up) counts against the budget first, and an unknown state counts as out.
+// The package is pure: no I/O, no clock and no randomness. A permit is never released by a timeout, and a subject is
+// never granted two permits at once.
 package permit
 
 import (
--- a/decision/plan/plan.go
+++ b/decision/plan/plan.go
@@ -1,6 +1,7 @@
-// Package plan searches settings that would have served more criticality over a recorded trace. It tries a few typed
-// knobs, one at a time and in an order drawn from a seed, within a bounded number of replays, on some parts of the trace,
-// and tells what the best of them does on the parts that it never saw. It does no I/O and applies nothing.
+// Package plan performs what-if tuning over a recorded trace: it searches a few typed knobs, one at a time in an order
+// drawn from a seed and within a bounded number of replays, for settings that would have served more weighted
+// criticality on a training part of the trace, and reports how the best candidate does on the held-out part. The
+// package is pure: no I/O, and it applies nothing.
 package plan
 
 import (
--- a/decision/release/plan.go
+++ b/decision/release/plan.go
@@ -1,8 +1,10 @@
-// Package release decides how a new version of settings comes to all servers of a fleet: in waves, each compared with the servers
-// that do not have it yet, halted or taken back where it is worse or where too much is not known. It is a state machine beside
-// decision/permit's: commands go in, in one order that keepers agree on, and the same commands give the same state everywhere;
-// time comes in with them, as durations of the leader's own clock. It does no I/O, has no clock and draws nothing. It must
-// never assign a version to a server before its wave, nor leave one with a version that was taken back.
+// Package release implements progressive rollout of settings and program versions across a fleet: servers are assigned
+// to waves, each wave is compared with the servers that still run the previous version over the same minutes (canary
+// analysis with a sequential test), and the rollout is paused or rolled back where the new version is worse or where too
+// little is known. It is a replicated state machine beside decision/permit: the permit servers apply commands in the
+// order of their raft log, and the same commands give the same ledger on every replica; time enters only as durations
+// carried by the commands, measured on the leader's clock. The package is pure: no I/O, no clock and no randomness.
+// A server is never assigned a version before its wave, and never left on a version that was rolled back.
 package release
 
 // This file owns the plan: which server is in which wave. It must never put more servers into a wave than the rules let.
--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -1,7 +1,8 @@
-// Package replay runs the decisions again over what was recorded, on a virtual clock. Exact feeds them the very events
-// and tells where their verdicts part from the recorded ones: of the same build and settings they never do. Model asks
-// what other settings would have done: it takes the arrivals, and has a machine of its own do the work, as runs that
-// were not asked for then have no recorded end. Both keep only what is in hand, and no clock but the steps'.
+// Package replay re-runs the control decisions over a recorded trace on a virtual clock. Exact feeds the recorded
+// events and reports where the verdicts diverge from the recorded ones; with the same build and settings they never do.
+// Model answers what other settings would have done: it takes the recorded arrivals and simulates the service itself,
+// since requests that were not admitted then have no recorded completion. Both keep only in-flight state and use no
+// clock but the trace's timestamps.
 package replay
 
 import (
