--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -84,8 +84,8 @@
 	addrs := []string{free(t), free(t), free(t)}
 	var fleet []*Fleet
 	var parts []*Budgets
-	for i, a := range addrs {
-		f, err := Start(Options{Name: fmt.Sprint("n", i), Listen: a, Seeds: addrs, Log: quiet()})
+	for i := range addrs {
+		f, err := start(t, &addrs[i], Options{Name: fmt.Sprint("n", i), Seeds: addrs, Log: quiet()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,8 @@
 
 // A step of the wall clock beside the own one drops what is borrowed.
 func TestClockStepVoids(t *testing.T) {
-	f := open(t, Options{Name: "n0", Listen: free(t)})
+	listen := free(t)
+	f := open(t, &listen, Options{Name: "n0"})
 	b := f.Share(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +158,8 @@
 
 // A call that was given up counts until the pool can't go on with it.
 func TestCallsLinger(t *testing.T) {
-	f := open(t, Options{Name: "n0", Listen: free(t)})
+	listen := free(t)
+	f := open(t, &listen, Options{Name: "n0"})
 	b := f.Share(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, LongestMs: 1000, LingerMs: 150}}})
 	if !b.Call("p", 1, 100) || !b.Call("p", 1, 100) || b.Call("p", 1, 100) {
 		t.Fatal("two of two expected")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -141,6 +141,7 @@
 	if o.Advertise == "" {
 		o.Advertise = o.Listen
 	}
+	o.Seeds = slices.Clone(o.Seeds) // the caller may reuse its slice while the fleet joins
 	f := &Fleet{
 		o: o, origin: time.Now(), cancel: make(chan struct{}), over: make(chan struct{}),
 		joins: make(chan struct{}, joinsMost), table: gossip.NewTable(gossip.Usual), seq: map[string]uint64{},
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"io"
@@ -11,6 +12,7 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"syscall"
 	"testing"
 	"time"
 
@@ -52,12 +54,46 @@
 	return ln.Addr().String()
 }
 
-func open(t *testing.T, o Options) *Fleet {
+// startTries bounds how often start takes a fresh address.
+const startTries = 5
+
+// start starts a fleet at *listen. free closes its socket before memberlist binds the port for streams and packets, so
+// another process may take it in between: then, and only then, start starts again at a fresh address, which it writes to
+// *listen for those that seed by it.
+func start(t *testing.T, listen *string, o Options) (*Fleet, error) {
+	t.Helper()
+	for try := 1; ; try++ {
+		o.Listen = *listen
+		f, err := Start(o)
+		if err == nil || try == startTries || !taken(*listen) {
+			return f, err
+		}
+		t.Logf("%s was taken before the bind: %v", *listen, err)
+		*listen = free(t)
+	}
+}
+
+// taken tells whether another socket holds addr's port for streams or packets. memberlist formats its bind error with %v,
+// so the cause of a failed Start is found by binding the address once more.
+func taken(addr string) bool {
+	ln, err := net.Listen("tcp", addr)
+	if err == nil {
+		ln.Close()
+		var pc net.PacketConn
+		if pc, err = net.ListenPacket("udp", addr); err == nil {
+			pc.Close()
+		}
+	}
+	return errors.Is(err, syscall.EADDRINUSE)
+}
+
+// open starts a fleet at *listen as start does, and closes it when the test ends.
+func open(t *testing.T, listen *string, o Options) *Fleet {
 	t.Helper()
 	if o.Log == nil {
 		o.Log = quiet()
 	}
-	f, err := Start(o)
+	f, err := start(t, listen, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,12 +113,12 @@
 	addrs := []string{free(t), free(t), free(t), free(t)}
 	phase := Cold
 	var fleet []*Fleet
-	for i, a := range addrs {
-		o := Options{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%2), Listen: a, Seeds: addrs, Key: []byte("0123456789abcdef"), Version: "v1", Log: quiet()}
+	for i := range addrs {
+		o := Options{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%2), Seeds: addrs, Key: []byte("0123456789abcdef"), Version: "v1", Log: quiet()}
 		if i == 1 {
 			o.Phase = func() (Phase, float64) { return phase, 0.25 }
 		}
-		f, err := Start(o)
+		f, err := start(t, &addrs[i], o)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,8 +147,8 @@
 func TestRestart(t *testing.T) {
 	t.Parallel()
 	addrs := []string{free(t), free(t)}
-	a := open(t, Options{Name: "a", Listen: addrs[0], Seeds: addrs})
-	b, err := Start(Options{Name: "b", Listen: addrs[1], Seeds: addrs, Log: quiet()})
+	a := open(t, &addrs[0], Options{Name: "a", Seeds: addrs})
+	b, err := start(t, &addrs[1], Options{Name: "b", Seeds: addrs, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +156,7 @@
 	b.Say("x", []byte("old"))
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Drop()
-	b = open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs})
+	b = open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	wait(t, "b raises its start", func() bool { return b.Status().Start == 2 })
 	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Start == 2 && s.Hears == "whole" })
 	if _, _, has := a.Get("b", "x"); has {
@@ -131,11 +167,11 @@
 func TestTwin(t *testing.T) {
 	t.Parallel()
 	addrs := []string{free(t), free(t), free(t)}
-	a := open(t, Options{Name: "a", Listen: addrs[0]})
-	b := open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs[:1]})
+	a := open(t, &addrs[0], Options{Name: "a"})
+	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs[:1]})
 	wait(t, "whole", hears(a, health.Whole, 2))
 	wait(t, "whole", hears(b, health.Whole, 2))
-	twin := open(t, Options{Name: "b", Listen: addrs[2], Seeds: addrs[:1]})
+	twin := open(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
 	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().Refused, "the name b is") })
 	wait(t, "both are named", func() bool { return len(a.Status().Twins)+len(b.Status().Twins) > 0 })
 	if s := b.Status(); s.Refused != "" || s.Hears != "whole" {
@@ -149,8 +185,8 @@
 func TestSocketAndGone(t *testing.T) {
 	t.Parallel()
 	addrs := []string{free(t), free(t)}
-	a := open(t, Options{Name: "a", Listen: addrs[0]})
-	b := open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs})
+	a := open(t, &addrs[0], Options{Name: "a"})
+	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	path := filepath.Join(t.TempDir(), "a.sock")
 	s, err := a.ServeSocket(path)
 	if err != nil {
@@ -194,8 +230,8 @@
 func TestHostilePackets(t *testing.T) {
 	t.Parallel()
 	addrs := []string{free(t), free(t)}
-	a := open(t, Options{Name: "a", Listen: addrs[0]})
-	b := open(t, Options{Name: "b", Listen: addrs[1], Seeds: addrs})
+	a := open(t, &addrs[0], Options{Name: "a"})
+	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	wait(t, "whole", hears(a, health.Whole, 2))
 	b.Say("x", []byte("first"))
 	var old []byte
