--- /dev/null
+++ b/decision/pool/balance.go
@@ -0,0 +1,172 @@
+package pool
+
+import (
+	"math"
+	"slices"
+)
+
+// Place is the outcome of Ask: a member granted at once, a place in the wait queue, or neither.
+type Place int
+
+const (
+	Granted Place = iota // a member was granted
+	Queued               // End or Look will grant it, or Expire or Cancel end the wait
+	None                 // no room, in the pool and in its line
+)
+
+// Ask asks for a place for an RPC. id is the caller's name for it in the line. Members in avoid, which have failed it,
+// are chosen only if there is no other that could ever do. caller is a hash of whose RPC it is.
+func (p *Pool) Ask(now float64, id uint64, avoid []int, caller uint64) (member int, got Place) {
+	p.updateEjections(now)
+	if len(p.queue) == 0 { // who waits goes first
+		if m := p.choose(now, avoid, caller); m != nil {
+			p.take(now, m)
+			return m.id, Granted
+		}
+	}
+	if len(p.queue) >= p.rules.Waiting {
+		return 0, None
+	}
+	p.queue = append(p.queue, waiter{id, now + p.rules.Wait, avoid, caller})
+	return 0, Queued
+}
+
+// Probe is a place at a member that is out, for one RPC that tells how it is.
+func (p *Pool) Probe(now float64, addr string) (member int, got bool) {
+	for _, m := range p.members {
+		if m.addr == addr && !m.gone && m.out != Sound && !m.aside && m.inFlight < p.rules.Connections {
+			p.take(now, m)
+			return m.id, true
+		}
+	}
+	return 0, false
+}
+
+func (p *Pool) take(now float64, m *member) {
+	if m.inFlight == 0 {
+		m.quiet = now
+	}
+	m.inFlight++
+	m.picked++
+}
+
+// part is how much of its full load a member may have: all, but for one that has just returned.
+func (p *Pool) part(now float64, m *member) float64 {
+	if p.rules.Return <= 0 || p.fleetAdmits != nil { // judged: it is full for those callers that it takes
+		return 1
+	}
+	return math.Min(1, math.Max(firstPart, (now-m.back)/p.rules.Return))
+}
+
+// open tells whether a member gets RPCs of a caller.
+func (p *Pool) open(m *member, caller uint64) bool {
+	return m.usable() && (p.fleetAdmits == nil || p.fleetAdmits(m.addr, caller, m.share))
+}
+
+func (p *Pool) hasCapacity(now float64, m *member, caller uint64) bool {
+	return p.open(m, caller) && m.inFlight < p.places(now, m)
+}
+
+// places is how many RPCs a member may have in flight from here. What is not whole is rounded by chance, the same for the
+// whole return: a member hears from all servers of a fleet, and were each to round up, the sum would be many times the part that it is
+// to have while each is to send less than one. The mean over the servers is that part, without any contact between them.
+func (p *Pool) places(now float64, m *member) int {
+	return min(p.rules.Connections, int(float64(p.rules.Connections)*p.part(now, m)+m.draw))
+}
+
+// choose takes the better of two members drawn by chance, each by its part.
+func (p *Pool) choose(now float64, avoid []int, caller uint64) *member {
+	free := make([]*member, 0, 16)
+	for _, m := range p.members {
+		if p.hasCapacity(now, m, caller) && !slices.Contains(avoid, m.id) {
+			free = append(free, m)
+		}
+	}
+	if len(free) == 0 && len(avoid) > 0 && !slices.ContainsFunc(p.members, func(m *member) bool {
+		return p.open(m, caller) && !slices.Contains(avoid, m.id)
+	}) { // all that are left have failed it
+		return p.choose(now, nil, caller)
+	}
+	if len(free) == 0 {
+		return nil
+	}
+	if p.rules.RoundRobin {
+		p.turn++
+		return free[p.turn%len(free)]
+	}
+	a, b := p.draw(now, free), p.draw(now, free)
+	if p.load(now, b) < p.load(now, a) {
+		return b
+	}
+	return a
+}
+
+// draw takes one by chance, each by its part.
+func (p *Pool) draw(now float64, free []*member) *member {
+	sum := 0.0
+	for _, m := range free {
+		sum += p.part(now, m)
+	}
+	x := p.random.Float64() * sum
+	for _, m := range free {
+		if x -= p.part(now, m); x < 0 {
+			return m
+		}
+	}
+	return free[len(free)-1]
+}
+
+// load is the expected time at a member: RPCs in flight, this one included, by their latency of late, and by the
+// part that a returning one may have.
+func (p *Pool) load(now float64, m *member) float64 {
+	latency := m.latency
+	if m.answers < enough {
+		latency = math.Max(latency, p.usual(m))
+	}
+	return float64(m.inFlight+1) * math.Max(1, latency) / p.part(now, m)
+}
+
+// How is the outcome of a request at a member, as End records it.
+type How int
+
+const (
+	OK       How = iota // a response that counts as success; its latency is recorded
+	Failed              // an answer that says so, a broken connection, none in time
+	Withdrew            // its caller gave up: nothing is said of the member
+)
+
+// Grant is a member granted to a queued request: ID is the caller's name of the request, Member the member's id.
+type Grant struct {
+	ID     uint64
+	Member int
+}
+
+// End books the end of an RPC at a member after latency ms, and grants what room there is to those that wait.
+func (p *Pool) End(now float64, member int, how How, latency float64) []Grant {
+	m := p.member(member)
+	if m == nil || m.inFlight == 0 {
+		return nil
+	}
+	m.inFlight--
+	switch how {
+	case OK:
+		m.fails, m.quiet = 0, now
+		if m.answers == 0 {
+			m.latency = latency
+		} else { // a rise counts at once in part, so that a member that turns slow is left to itself soon
+			m.latency += weight * (latency - m.latency)
+		}
+		m.answers++
+	case Failed: // its latency says nothing: one that fails fast must not look quick
+		m.fails++
+		m.quiet = now
+		if m.out == Sound && p.rules.Failures > 0 && m.fails >= p.rules.Failures {
+			p.eject(now, m, Failing)
+		}
+	}
+	if m.inFlight == 0 {
+		m.quiet = now
+	}
+	p.forget()
+	return p.Look(now)
+}
--- a/decision/pool/pool_test.go
+++ b/decision/pool/pool_test.go
@@ -159,7 +159,7 @@
 	}
 	places := func(now float64) int {
 		n := 0
-		for p.room(now, p.members[0], 0) {
+		for p.hasCapacity(now, p.members[0], 0) {
 			p.take(now, p.members[0])
 			n++
 		}
@@ -494,7 +494,7 @@
 						if c.skewed && i%5 > 0 && chance.Intn(4) > 0 {
 							continue // wants nothing just now
 						}
-						for p.room(now, m, 0) { // first tries, retries and hedges alike
+						for p.hasCapacity(now, m, 0) { // first tries, retries and hedges alike
 							p.take(now, m)
 						}
 						inFlight += m.inFlight
