--- a/decision/count/count.go
+++ b/decision/count/count.go
@@ -1,7 +1,12 @@
-// Package count sums over a fleet what each of its servers counts: arrivals by customer and method, calls in hand and failures
-// by service below. Each origin says its own figures, the newest by (start, sequence) stands, so that the sum is the same in
-// whatever order they come. A sum is a range that widens for those not heard; whoever reads it must use the safe end. It does
-// no I/O and has no clock; an instance must be guarded by its owner. It must never take silence for nothing.
+// Package count aggregates fleet-wide counters: request rates by customer and method, requests in flight and failures by
+// upstream service, as each server reports its own.
+//
+// Each origin's report is a last-writer-wins record versioned by (start, sequence), so the aggregate does not depend on
+// the order in which reports arrive. An aggregate is an interval that widens for origins whose reports are stale; a
+// reader must use the conservative bound. Silence is never read as zero.
+//
+// The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. An instance is
+// not safe for concurrent use; its owner must serialise calls.
 package count
 
 import (
--- a/decision/evidence/evidence.go
+++ b/decision/evidence/evidence.go
@@ -1,7 +1,13 @@
-// Package evidence is what one server saw of each member of a pool: how its last tries ended, one after another, how long its
-// answers took beside the others', and how much traffic stands behind that. What is old counts for less and then for
-// nothing. A compact view of it is what servers tell one another. It does no I/O and has no clock; an instance must be
-// guarded by its owner. It must never say more than was seen.
+// Package evidence keeps the per-member statistics on which outlier detection works: the outcome of recent attempts and
+// the length of the current run of successes or failures, latency relative to the other members, and the traffic behind
+// both.
+//
+// Statistics decay exponentially (half-life Half ms, shorter for the failure fraction) so that old observations count
+// for less and then for nothing. A compact summary of them is what servers gossip to one another. A statistic never
+// claims more than was observed.
+//
+// The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. An instance is
+// not safe for concurrent use; its owner must serialise calls.
 package evidence
 
 import (
--- a/decision/gossip/gossip.go
+++ b/decision/gossip/gossip.go
@@ -1,8 +1,13 @@
-// Package spread keeps the newest record that each origin has said under each of its keys, and tells which of those that
-// come are news. The newest by (start, sequence) wins, in whatever order and however often records come, so that all who
-// heard the same hold the same. It is bounded by bytes and count, for each origin and in all. It does no I/O and has no
-// clock of its own; an instance must be guarded by its owner. It must never read what a record says, nor let a damaged
-// one in.
+// Package gossip stores the last-writer-wins state that origins gossip to one another: for each origin and key the record
+// with the highest (start, sequence) version wins.
+//
+// Merging is commutative, associative and idempotent, so servers that received the same records hold the same state
+// whatever the order and however often records arrive; Put reports which records were newer than what was stored.
+// Storage is bounded in bytes and record count, per origin and in total. Records are treated as opaque payloads, and
+// their checksum is verified so that a corrupted record is never stored.
+//
+// The package is pure: it does no I/O, reads no clock and starts no goroutine. A Table is not safe for concurrent use;
+// its owner must serialise calls.
 package gossip
 
 import (
--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -1,9 +1,14 @@
-// Package hearing tells what one server hears of its fleet: whole, part or alone, the share heard of each zone, and how
-// many servers there are at least and at most. It is told what its own clock shows, what came in and what a detector of
-// silence finds, and rules out itself first: a server that stalled, or whose clock jumped, has heard nothing and says
-// nothing of others until it has listened again. It does no I/O and has no clock; an instance must be guarded by its
-// owner. It must never take silence for departure: who falls silent stays on the roster until it has left or was declared
-// gone.
+// Package health implements failure detection and local health for one server of a fleet, after SWIM and Lifeguard.
+//
+// A Hearing instance keeps the membership list as this server sees it (alive, suspect, left or declared dead per member
+// and incarnation) and derives the view of the cluster: complete, partitioned or isolated, the fraction of each zone in
+// contact, and lower and upper bounds on the cluster size. Like Lifeguard's local health multiplier, it first checks
+// itself: a server whose process stalled or whose wall clock jumped has seen nothing reliable, and says nothing of its
+// peers until it has listened again for Rules.Listen ms. A member that merely falls silent is suspected, never removed:
+// it stays in the membership list until it leaves or is declared dead.
+//
+// The package is pure: it does no I/O, reads no clock (callers pass monotonic and wall times in ms) and starts no
+// goroutine. An instance is not safe for concurrent use; its owner must serialise calls.
 package health
 
 import (
--- a/decision/outlier/outlier.go
+++ b/decision/outlier/outlier.go
@@ -1,9 +1,14 @@
-// Package judge says which members of a pool are out of use, from what this server saw of them and what others say that they
-// saw: for all, since they are bad wherever they are seen from; for this server or its zone, since only the way there is
-// bad; or not at all, since all are as bad. What was heard decides: servers that heard the same take the same members out,
-// the worst first, never more than a stated part of the pool. It also says who asks after a member that is out, and how
-// much of the callers' RPCs one that returns gets. It does no I/O and has no clock; an instance must be guarded by its
-// owner. It must never keep a member out on the word of somebody who is no longer heard.
+// Package outlier implements outlier detection and ejection for the members of a pool.
+//
+// From this server's own statistics and those that its peers gossip (package evidence), it decides per member whether
+// to eject it fleet-wide (it fails wherever it is seen from), only for this server or its zone (only the path to it
+// fails), or not at all (all members are equally bad). Servers that received the same statistics eject the same
+// members, the worst first, and never more than the configured fraction of the pool. It also assigns which server sends
+// health checks to an ejected member, and which fraction of traffic a member gets while it returns from ejection. An
+// ejection is never kept on the word of a peer that is no longer heard.
+//
+// The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. An instance is
+// not safe for concurrent use; its owner must serialise calls.
 package outlier
 
 import (
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -1,9 +1,14 @@
-// Package share divides a bound of the whole fleet among its servers: a rate with a burst, or a stock of things in hand. Each
-// of the servers that an operator counts owns an equal part, keeps a floor of it whatever is asked, and lends the rest to
-// peers for a time; a borrower uses a loan only while its lender can't have taken it back. So the sum over the fleet holds by
-// construction, whoever hears nothing, crashes or stalls, as long as no more servers run than were counted and clocks differ
-// by no more than was stated. It does no I/O and has no clock; an instance must be guarded by its owner. It must never use
-// what it can't prove to be its own at that moment.
+// Package quota divides a fleet-wide limit among the servers of a fleet, as leases of capacity in the manner of Doorman.
+//
+// A limit is either a rate with a burst or a count of items in flight. Each of the servers that the operator counts owns
+// an equal share, always keeps a floor of it whatever its peers request, and grants leases on the rest to peers for a
+// bounded time; a lease holder uses leased capacity only while the grantor cannot yet have taken it back. The sum over
+// the fleet therefore stays within the limit by construction, whoever is partitioned, crashes or stalls, as long as no
+// more servers run than were counted and clocks drift by no more than stated. A server never uses capacity it cannot
+// prove to be its own at that moment.
+//
+// The package is pure: it does no I/O, reads no clock (callers pass times in ms), starts no goroutine and draws
+// randomness only from a seeded source. An instance is not safe for concurrent use; its owner must serialise calls.
 package quota
 
 import (
