--- /dev/null
+++ b/internal/store/compat_test.go
@@ -0,0 +1,68 @@
+package store_test
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"sorrelvalve/decision/recovery"
+	"sorrelvalve/internal/store"
+)
+
+// A segment written by version b631b89 of this code (testdata/b631b89) is read by this one, each entry as it was.
+func TestReadsStoreOfB631b89(t *testing.T) {
+	dir := t.TempDir()
+	b, err := os.ReadFile(filepath.Join("testdata", "b631b89", "00000001.seg"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "00000001.seg"), b, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	fs, err := store.OpenDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	bounds := store.Bounds{Bytes: 1 << 20, Segment: 8 << 10, Answer: 1 << 10, Window: 10e3, Tolerance: 500}
+	at := 1.7e12 + 1000
+	s, err := store.Open(fs, bounds, "compat", func() float64 { return at }, func(string, error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	cases := []struct {
+		key    string
+		state  recovery.State
+		result string
+	}{
+		{"done", recovery.Done, "bought for 20 dollars"},
+		{"packed", recovery.Done, strings.Repeat("packed answer ", 40)},
+		{"begun", recovery.Begun, ""},
+		{"failed", recovery.Failed, ""},
+		{"unkept", recovery.Unkept, ""},
+		{"forgotten", recovery.Forgotten, ""},
+	}
+	for _, c := range cases {
+		f, has, err := s.Find(store.PrintOf(c.key))
+		if err != nil || !has {
+			t.Fatalf("%s: %v, %v", c.key, has, err)
+		}
+		if f.State != c.state || f.Body != 7 || f.Until != 1.7e12+10e3 || f.At != 1.7e12 || string(f.Result) != c.result {
+			t.Errorf("%s: %+v, want state %v and result %q", c.key, f, c.state, c.result)
+		}
+		if c.result != "" && string(f.Head) != "head" {
+			t.Errorf("%s: head %q", c.key, f.Head)
+		}
+	}
+	if _, has, _ := s.Find(store.PrintOf("never")); has {
+		t.Error("a token that was never written is found")
+	}
+	if st := s.State(); st.Recovered != 11 || st.Failures != 0 {
+		t.Errorf("%+v", st)
+	}
+	seen, err := store.Look(fs)
+	if err != nil || len(seen) < 1 || seen[0].Records != 11 || seen[0].Version != 1 || seen[0].Err != nil {
+		t.Fatalf("%+v %v", seen, err)
+	}
+}
