--- /dev/null
+++ b/internal/fleet/compat_test.go
@@ -0,0 +1,145 @@
+package fleet
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"sorrelvalve/decision/count"
+	"sorrelvalve/decision/evidence"
+	"sorrelvalve/decision/outlier"
+	"sorrelvalve/decision/quota"
+	"sorrelvalve/internal/gate"
+	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/permitclient"
+)
+
+// testdata/b631b89 was written by version b631b89 of this code: every exported field of the status and of the permits reply set, the folder
+// of a server that runs version 2 of the settings and version 3 of the program, and one body of each record and packet.
+
+func written(t *testing.T, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", "b631b89", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// The JSON of the status socket keeps its names, forms and order: what b631b89 wrote is read whole and written again byte for byte.
+func TestStatusJSONOfB631b89(t *testing.T) {
+	for name, value := range map[string]any{"status.json": &Status{}, "permits.json": &permitclient.Status{}} {
+		old := written(t, name)
+		if err := json.Unmarshal(old, value); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		got, err := json.MarshalIndent(value, "", " ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got = append(got, '\n'); !bytes.Equal(got, old) {
+			t.Errorf("%s: written again as\n%s\nwas\n%s", name, got, old)
+		}
+	}
+}
+
+// A server that starts on the folder of b631b89 puts its settings version in force without asking, knows its program version, and follows
+// neither word again.
+func TestReadsFolderOfB631b89(t *testing.T) {
+	dir := t.TempDir()
+	for _, name := range []string{"version.json", "program.json", "program"} {
+		if err := os.WriteFile(filepath.Join(dir, name), written(t, filepath.Join("folder", name)), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	var taken, origin string
+	s := Settle{Build: "build-2", Folder: dir, Flow: func() gate.Flow { return gate.Flow{} }, Mark: func() {},
+		Take: func(r *operator.Record, from string) error { taken, origin = r.File.Version, from; return nil }}
+	v := newVersions(s, quiet())
+	if taken != "two" || origin != "release of version 2" {
+		t.Errorf("put in force: %q by %q", taken, origin)
+	}
+	const hash = "b5fdce653d39cc0110b0cbdc1a90ee9bdc30a1480d1ffefc9723fc2bffba9c60"
+	if st := v.status(); st.Version != 2 || st.Hash != hash || st.Program != 3 || st.Refused != "" {
+		t.Errorf("status %+v", st)
+	}
+	if v.wants(&permitclient.Orders{Program: 4, Index: 57}) || !v.wants(&permitclient.Orders{Program: 4, Index: 58}) {
+		t.Error("the program's word is not the 57th")
+	}
+	if v.follow(t.Context(), nil, &permitclient.Orders{Version: 9, Hash: "x", Index: 41}) {
+		t.Error("an older word about the settings is followed")
+	}
+	// What is written again is what was there.
+	v.keep()
+	if err := v.wanted(3, "build-2", 57); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"version.json", "program.json", "program"} {
+		got, err := os.ReadFile(filepath.Join(dir, name))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if old := written(t, filepath.Join("folder", name)); !bytes.Equal(got, old) {
+			t.Errorf("%s: written again as %s, was %s", name, got, old)
+		}
+	}
+}
+
+// Records and packets of b631b89 between servers are read as they were meant, and written byte for byte as then.
+func TestReadsRecordsOfB631b89(t *testing.T) {
+	same := func(name string, got []byte) {
+		t.Helper()
+		if old := written(t, name); !bytes.Equal(got, old) {
+			t.Errorf("%s: written again as %x, was %x", name, got, old)
+		}
+	}
+	server := Server{Zone: "z1", Version: "v1", Settings: "0123456789ab", Phase: Draining, Ramp: 0.25, Addr: "10.0.0.4:7801"}
+	if got, ok := parseServer(written(t, "server.bin")); !ok || got != server {
+		t.Errorf("server: %+v %v", got, ok)
+	}
+	same("server.bin", server.append(nil))
+
+	away := gone{name: "n17", start: 7, who: "me", why: "scrapped"}
+	if got, ok := parseGone(written(t, "gone.bin")); !ok || got != away {
+		t.Errorf("gone: %+v %v", got, ok)
+	}
+	same("gone.bin", away.append(nil))
+
+	loans := []quota.Keyed{
+		{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
+		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
+		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, Number: 9, Life: 2, Why: quota.Contends}},
+	}
+	if got, ok := parseLoans(written(t, "loans.bin")); !ok || !reflect.DeepEqual(got, loans) {
+		t.Errorf("loans: %+v %v", got, ok)
+	}
+	var raw []byte
+	for i := range loans {
+		raw = appendLoan(raw, &loans[i])
+	}
+	same("loans.bin", raw)
+
+	views := []evidence.View{
+		{Member: "10.0.0.1:80", Run: -3, Age: 125, N: 40, Bad: 0.5, Slow: -1.5, SlowN: 6, Busy: 250},
+		{Member: "10.0.0.2:80", Run: 9, Age: 5, N: 64, SlowN: 7},
+	}
+	said := outlier.Said{Zone: "z1", Views: views, Out: []string{"10.0.0.1:80"}, Back: []outlier.Back{{Member: "10.0.0.3:80", For: 1500}}}
+	if got, ok := parseSeen(written(t, "seen.bin")); !ok || !reflect.DeepEqual(got, said) {
+		t.Errorf("seen: %+v %v", got, ok)
+	}
+	same("seen.bin", appendSeen(views, said.Zone, said.Out, said.Back))
+
+	items, rest, ok := parseCounts(written(t, "counts.bin"))
+	counted := []count.Item{{Key: "acme|view", Value: 11.289106369018555}, {Key: "in hand|p", Value: 3}}
+	if !ok || rest != 0 || !reflect.DeepEqual(items, counted) {
+		t.Errorf("counts: %+v %v %v", items, rest, ok)
+	}
+	c := newCounts()
+	c.own.Add(0, "acme|view", 40)
+	c.own.Add(500, "acme|view", 40)
+	c.inHand["p"] = 3
+	same("counts.bin", c.due(countsEvery))
+}
