--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		known = operator.KnownOf(p.Opening)
+		known = operator.KnownNames(p.Opening)
 	}
 	f, faults := cuefile.Compile(s.Files, known)
 	for _, e := range faults {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	b, err := operator.Append(f)
+	b, err := operator.Marshal(f)
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	if err := os.Rename(beside, c.Out); err != nil {
 		return err
 	}
-	r, err := operator.Read(b)
+	r, err := operator.Parse(b)
 	if err != nil {
 		return err
 	}
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := operator.Read(b)
+	r, err := operator.Parse(b)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Record, err)
 	}
@@ -122,7 +122,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := operator.Read(b)
+		r, err := operator.Parse(b)
 		if err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
@@ -132,7 +132,7 @@
 	}
 	for _, x := range configure.Diff(trees[0], trees[1]) {
 		fmt.Printf("%s: %s -> %s", x.Path, leaf(x.Was), leaf(x.Is))
-		for _, top := range operator.StartOnly {
+		for _, top := range operator.RestartOnly {
 			if len(x.Path) >= len(top) && slices.Equal(x.Path[:len(top)], top) {
 				fmt.Print("  (needs a new start)")
 			}
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -60,7 +60,7 @@
 	}
 	p := plan.Search(s, parts, c.Budget, c.Seed)
 	text := c.file(&p, &s)
-	if err := accepted(text, func(f *operator.File) []operator.Fault { return operator.Check(f, operator.KnownOf(o)) }); err != nil {
+	if err := accepted(text, func(f *operator.File) []operator.FieldError { return operator.Check(f, operator.KnownNames(o)) }); err != nil {
 		return fmt.Errorf("the plan does not pass its own check: %w", err)
 	}
 	if c.Out == "" {
@@ -99,7 +99,7 @@
 }
 
 // accepted has a text checked as a file would be.
-func accepted(text string, check func(*operator.File) []operator.Fault) error {
+func accepted(text string, check func(*operator.File) []operator.FieldError) error {
 	f, err := os.CreateTemp("", "plan-*.cue")
 	if err != nil {
 		return err
--- a/cmd/valvefleet/release.go
+++ b/cmd/valvefleet/release.go
@@ -78,7 +78,7 @@
 		if body, err = os.ReadFile(c.Record); err != nil {
 			return err
 		}
-		r, err := operator.Read(body)
+		r, err := operator.Parse(body)
 		if err != nil {
 			return fmt.Errorf("%s: %w", c.Record, err)
 		}
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -111,14 +111,14 @@
 			p.set = set
 			p.choose.Set(at, set.Rules(), set.Members)
 			p.choose.Aside(at, p.aside)
-			p.tries.Set(set.Tries())
+			p.tries.Set(set.RetryRules())
 			p.hand(p.choose.Look(at))
 			p.mu.Unlock()
 			continue
 		}
 		b.pools[name] = &backs{
 			name: name, log: b.log.WithField("pool", name), set: set, waiting: map[uint64]chan int{},
-			choose: pool.New(set.Rules(), set.Members, b.seed, at), tries: retry.New(set.Tries(), b.seed, at),
+			choose: pool.New(set.Rules(), set.Members, b.seed, at), tries: retry.New(set.RetryRules(), b.seed, at),
 		}
 	}
 	methods := map[string]*target{}
@@ -222,7 +222,7 @@
 	}
 	p.hand(p.choose.Look(at))
 	for _, id := range p.choose.Checks(at) {
-		addr, limit := p.choose.Addr(id), operator.Ms(p.set.ConnectMs)
+		addr, limit := p.choose.Addr(id), operator.Milliseconds(p.set.ConnectTimeoutMs)
 		go func() {
 			good := ping(addr, limit)
 			p.mu.Lock()
@@ -311,8 +311,8 @@
 			at := now()
 			f.Left, f.Need = w.Due-at, p.choose.Usual()
 			a := attempt{
-				addr: p.choose.Addr(member), connect: operator.Ms(min(p.set.ConnectMs, f.Left)),
-				until: time.Now().Add(operator.Ms(p.tries.Allowance(f))), most: p.set.AnswerBytes, noBody: noBody,
+				addr: p.choose.Addr(member), connect: operator.Milliseconds(min(p.set.ConnectTimeoutMs, f.Left)),
+				until: time.Now().Add(operator.Milliseconds(p.tries.Allowance(f))), most: p.set.MaxAnswerBytes, noBody: noBody,
 			}
 			p.mu.Unlock()
 			over := func() bool { return false }
@@ -352,7 +352,7 @@
 				again = false
 			}
 			if again {
-				time.Sleep(operator.Ms(after))
+				time.Sleep(operator.Milliseconds(after))
 				continue
 			}
 		}
@@ -399,7 +399,7 @@
 	ended, told, began := false, false, now()
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(operator.Ms(late), func() {
+	timer = time.AfterFunc(operator.Milliseconds(late), func() {
 		mu.Lock()
 		defer mu.Unlock()
 		at := now()
@@ -407,7 +407,7 @@
 		case ended:
 		case at-began > late+stallSlack:
 			began = at
-			timer.Reset(operator.Ms(late))
+			timer.Reset(operator.Milliseconds(late))
 		default:
 			told = true
 			j.Saw(name, addr, pool.Failed, at-began)
@@ -453,7 +453,7 @@
 	}
 	mine := make(chan int, 1)
 	p.waiting[id] = mine
-	wait := operator.Ms(max(0, min(p.set.WaitMs, due-now())))
+	wait := operator.Milliseconds(max(0, min(p.set.QueueTimeoutMs, due-now())))
 	p.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -51,8 +51,8 @@
 		r.apps = append(r.apps, a)
 		addrs = append(addrs, a.Addr())
 	}
-	p := operator.Pool{Members: addrs, Connections: 8, Waiting: 8, WaitMs: 50, ConnectMs: 200, AnswerBytes: 4096, Failures: 3, Outlier: 4, MinShare: 0,
-		EjectMs: 200, ReturnMs: 100, Retry: operator.Retry{Share: 0.2, Floor: 5, Most: 3}}
+	p := operator.Pool{Members: addrs, MaxConnections: 8, MaxQueued: 8, QueueTimeoutMs: 50, ConnectTimeoutMs: 200, MaxAnswerBytes: 4096, MaxFailures: 3, OutlierFactor: 4, MinShare: 0,
+		EjectionMs: 200, RecoveryMs: 100, Retry: operator.Retry{Share: 0.2, Floor: 5, MaxAttempts: 3}}
 	for _, c := range change {
 		c(&p)
 	}
@@ -135,7 +135,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, 2, func(p *operator.Pool) { p.Failures = 0 })
+			r := start(t, 2, func(p *operator.Pool) { p.MaxFailures = 0 })
 			r.apps[0].Set(c.fault)
 			// Until the bad member has had one of each, which chance makes certain soon; a bad member has no latency, and
 			// so as good a chance as the sound one.
@@ -168,7 +168,7 @@
 
 // A member that is not there has run nothing, so even an effect goes on to another.
 func TestRefused(t *testing.T) {
-	r := start(t, 2, func(p *operator.Pool) { p.Failures = 0 })
+	r := start(t, 2, func(p *operator.Pool) { p.MaxFailures = 0 })
 	r.apps[0].Stop()
 	for i := range 20 {
 		if e := r.do("buy", fmt.Sprint("1 ", i)); e.how != gate.Succeeded || e.status != "HTTP/1.1 200 OK" {
@@ -216,7 +216,7 @@
 
 // The bound on connections holds, what is beyond it waits its turn, and what is beyond the line is told at once.
 func TestBounds(t *testing.T) {
-	r := start(t, 1, func(p *operator.Pool) { p.Connections, p.Waiting, p.WaitMs, p.ReturnMs = 2, 2, 5000, 0 })
+	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.MaxQueued, p.QueueTimeoutMs, p.RecoveryMs = 2, 2, 5000, 0 })
 	var all []<-chan end
 	for range 10 {
 		all = append(all, r.begin("view", "60", soon))
@@ -269,7 +269,7 @@
 
 // A file without the pool while RPCs wait in its line: they still end.
 func TestSetWhileWaiting(t *testing.T) {
-	r := start(t, 1, func(p *operator.Pool) { p.Connections, p.ReturnMs, p.WaitMs = 1, 0, 5000 })
+	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.RecoveryMs, p.QueueTimeoutMs = 1, 0, 5000 })
 	var a, b <-chan end
 	for late := time.Now().Add(soon); r.backs.States()[0].Waiting == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
@@ -287,7 +287,7 @@
 
 // Active checks eject a member that answers none, and let it back.
 func TestChecks(t *testing.T) {
-	r := start(t, 2, func(p *operator.Pool) { p.CheckMs = 20 })
+	r := start(t, 2, func(p *operator.Pool) { p.HealthCheckMs = 20 })
 	out := func() int {
 		return int(r.backs.States()[0].Members[0].Out)
 	}
@@ -396,7 +396,10 @@
 
 // What the fleet shares of a pool bounds it, beside its own rules: further tries, and calls in hand, each of which ends once.
 func TestSharedBudgets(t *testing.T) {
-	r := start(t, 1, func(p *operator.Pool) { p.Retry = operator.Retry{Share: 1, Floor: 100, Most: 3}; p.Failures = 0 })
+	r := start(t, 1, func(p *operator.Pool) {
+		p.Retry = operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
+		p.MaxFailures = 0
+	})
 	l := &limits{retries: 1, calls: 1}
 	r.backs.Share(l, func(string) float64 { return 1 })
 	r.apps[0].Set(standin.Fail)
--- a/internal/cuefile/cuefile.go
+++ b/internal/cuefile/cuefile.go
@@ -87,7 +87,7 @@
 	}
 	var errs []*Error
 	for _, x := range operator.Check(f, known) {
-		e := &Error{File: paths[0], Key: x.Path, Text: x.Text}
+		e := &Error{File: paths[0], Key: x.Path, Text: x.Message}
 		if pos := find(whole, x.Path); pos.IsValid() {
 			e.File, e.Line = relative(pos.Filename()), pos.Line()
 		}
--- a/internal/cuefile/cuefile_test.go
+++ b/internal/cuefile/cuefile_test.go
@@ -21,15 +21,15 @@
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
-	if f.UWSGI.Keep != "asked" || f.UWSGI.BlockBytes != 16384 || f.Pools["pages"].Retry.Most != 3 || f.Pools["pages"].Outlier != 4 ||
+	if f.UWSGI.KeepAlive != "asked" || f.UWSGI.MaxHeaderBytes != 16384 || f.Pools["pages"].Retry.MaxAttempts != 3 || f.Pools["pages"].OutlierFactor != 4 ||
 		f.Routes["topup"].Token.Variable != "HTTP_IDEMPOTENCY_KEY" || f.Routes["view"].Type != "application/json" {
 		t.Errorf("defaults %+v", f)
 	}
-	b, err := operator.Append(f)
+	b, err := operator.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, err := operator.Read(b)
+	r, err := operator.Parse(b)
 	if err != nil || r.File.Version != f.Version || len(r.File.Routes) != 3 || r.File.Pools["pages"].MinShare != 0.5 {
 		t.Errorf("record %+v, error %v", r, err)
 	}
@@ -91,7 +91,7 @@
 	a, b := filepath.Join(dir, "a.cue"), filepath.Join(dir, "b.cue")
 	os.WriteFile(a, []byte("version: \"1\"\nuwsgi: listen: \"127.0.0.1:1\"\n"), 0o600)
 	os.WriteFile(b, []byte("\nuwsgi: keep: \"always\"\n"), 0o600)
-	if f, errs := Compile([]string{a, b}, known); len(errs) > 0 || f.UWSGI.Keep != "always" {
+	if f, errs := Compile([]string{a, b}, known); len(errs) > 0 || f.UWSGI.KeepAlive != "always" {
 		t.Errorf("file %+v, errors %v", f, errs)
 	}
 	os.WriteFile(b, []byte("\nuwsgi: keep: \"sometimes\"\n"), 0o600)
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -23,5 +23,5 @@
 
 // TraceBounds are those that an operator's file sets.
 func TraceBounds(t *operator.Trace) trace.Bounds {
-	return trace.Bounds{FileBytes: int64(t.FileMB * (1 << 20)), Files: t.Files}
+	return trace.Bounds{FileBytes: int64(t.MaxFileMB * (1 << 20)), Files: t.MaxFiles}
 }
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -86,11 +86,11 @@
 
 // limitsOf are the parts of a file that can starve a method.
 func limitsOf(f *operator.File, cores float64) *configure.Limits {
-	l := &configure.Limits{Quotas: f.Limits.Quotas, Pools: map[string]configure.Pool{}, Runs: f.Limits.RunsACore * cores}
+	l := &configure.Limits{Quotas: f.Limits.Quotas, Pools: map[string]configure.Pool{}, Runs: f.Limits.RunsPerCore * cores}
 	for name, m := range f.Methods {
 		if m.Pool != "" {
 			p := f.Pools[m.Pool]
-			l.Pools[name] = configure.Pool{Name: m.Pool, Places: float64(p.Connections * len(p.Members))}
+			l.Pools[name] = configure.Pool{Name: m.Pool, Places: float64(p.MaxConnections * len(p.Members))}
 		}
 	}
 	return l
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	set, known := f.Descriptors(), operator.KnownOf(t.Opening)
+	set, known := f.Descriptors(), operator.KnownNames(t.Opening)
 	x := &extras{log: log, pools: pools.New(t.Opening.Node.Seed, log), file: t.Op.Hash, own: f, carried: newCarried(g, t.Opening)}
 	x.core, err = configure.New(configure.Version{Number: 1, At: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Fault {
 		return wrong(t, known, set)
@@ -60,7 +60,7 @@
 			return nil // the checks say so
 		}
 		return configure.Guard(limitsOf(a, float64(t.Opening.Node.Cores)), limitsOf(b, float64(t.Opening.Node.Cores)), x.carried.figures(time.Now()))
-	}, operator.StartOnly, versionsKept)
+	}, operator.RestartOnly, versionsKept)
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
@@ -99,7 +99,7 @@
 		return []configure.Fault{{Text: err.Error()}}
 	}
 	for _, x := range operator.Check(f, known) {
-		faults = append(faults, configure.Fault{Path: configure.Path{x.Path}, Text: x.Text})
+		faults = append(faults, configure.Fault{Path: configure.Path{x.Path}, Text: x.Message})
 	}
 	if n := f.Descriptors(); n > set {
 		faults = append(faults, configure.Fault{Path: configure.Path{"pools"}, Text: fmt.Sprintf(
@@ -149,7 +149,7 @@
 	defer x.mu.Unlock()
 	f := *x.own
 	if r != nil {
-		f = r.File.Over(x.own)
+		f = r.File.Overlay(x.own)
 	}
 	if _, err := x.commit(&f, origin, r == nil); err != nil { // the way back is never barred
 		return nil, err
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -15,7 +15,7 @@
 func record(t *testing.T, f *operator.File) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.record")
-	b, err := operator.Append(f)
+	b, err := operator.Marshal(f)
 	if err == nil {
 		err = os.WriteFile(path, b, 0o600)
 	}
@@ -39,7 +39,7 @@
 	ln := loopback(t)
 	addr := ln.Addr().String()
 	ln.Close()
-	u := &operator.UWSGI{Listen: addr, Keep: "asked", BlockBytes: 16384, Variables: 128, PathBytes: 4096, BodyBytes: 65536, BodiesKB: 8192, SilenceMs: 2000, BodyMs: 5000, HeldKB: 16}
+	u := &operator.UWSGI{Listen: addr, KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 8192, ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 16}
 	r := record(t, &operator.File{Version: "t", UWSGI: u, Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "GET", Method: "account-view", Type: "text/plain"}}})
 	over := make(chan error, 1)
 	go func() { over <- Command{StandIn: true, Operator: r}.Run(nil) }()
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -83,7 +83,7 @@
 				t.Op = &operator.Record{Hash: strings.Repeat("0", 64), File: operator.File{Version: "none"}}
 			}
 			if err == nil {
-				t.Op.File.Trace = &operator.Trace{Path: s.Trace, FileMB: 64, Files: 4}
+				t.Op.File.Trace = &operator.Trace{Path: s.Trace, MaxFileMB: 64, MaxFiles: 4}
 			}
 			return t, err
 		}
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -321,16 +321,16 @@
 	w.Helper()
 	f := &operator.File{
 		Version: fmt.Sprint("members ", len(members)),
-		UWSGI: &operator.UWSGI{Listen: w.web, Keep: "asked", BlockBytes: 4096, Variables: 64, PathBytes: 1024, BodyBytes: 1024, BodiesKB: 64,
-			SilenceMs: 1000, BodyMs: 1000, HeldKB: 16},
+		UWSGI: &operator.UWSGI{Listen: w.web, KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
+			ReadTimeoutMs: 1000, BodyTimeoutMs: 1000, QueuedKB: 16},
 		Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "POST", Method: "view", Type: "text/plain"}},
 	}
 	if len(members) > 0 {
-		f.Pools = map[string]operator.Pool{"p": {Members: members, Connections: 4, ConnectMs: 100, AnswerBytes: 4096, EjectMs: 1000,
-			Retry: operator.Retry{Most: 1}}}
+		f.Pools = map[string]operator.Pool{"p": {Members: members, MaxConnections: 4, ConnectTimeoutMs: 100, MaxAnswerBytes: 4096, EjectionMs: 1000,
+			Retry: operator.Retry{MaxAttempts: 1}}}
 		f.Methods = map[string]operator.Method{"view": {Pool: "p", Path: "/view", Verb: "POST"}}
 	}
-	b, err := operator.Append(f)
+	b, err := operator.Marshal(f)
 	if err == nil {
 		err = os.WriteFile(w.record, b, 0o600)
 	}
@@ -454,7 +454,7 @@
 		}
 		b = bytes.Replace(b, []byte(`"give_up":5000000000}]`), []byte(`"give_up":5000000000},{"name":"buy","idempotency":"idempotency_key","window":60000000000,"aim":1000000000,"give_up":5000000000}]`), 1)
 		w.record = filepath.Join(w.TempDir(), "operator.record")
-		record, err := operator.Append(&operator.File{Version: "t", Store: &operator.Store{Dir: dir, MB: 4, SegmentMB: 1, AnswerBytes: 4096, ToleranceMs: 100}})
+		record, err := operator.Marshal(&operator.File{Version: "t", Store: &operator.Store{Dir: dir, MaxMB: 4, SegmentMB: 1, MaxAnswerBytes: 4096, ToleranceMs: 100}})
 		if err == nil {
 			err = os.WriteFile(w.file, b, 0o600)
 		}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -50,7 +50,7 @@
 }
 
 func storeBounds(o *operator.Store, methods []control.Method) store.Bounds {
-	b := store.Bounds{Bytes: o.MB * (1 << 20), Segment: o.SegmentMB * (1 << 20), Answer: o.AnswerBytes, Tolerance: o.ToleranceMs}
+	b := store.Bounds{Bytes: o.MaxMB * (1 << 20), Segment: o.SegmentMB * (1 << 20), Answer: o.MaxAnswerBytes, Tolerance: o.ToleranceMs}
 	for _, m := range methods {
 		if m.Repeat == control.Tokened {
 			b.Window = max(b.Window, m.Window+m.Deadline)
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -17,7 +17,7 @@
 	path := filepath.Join(t.TempDir(), "trace")
 	w := start(t, 5000, func(w *whole) {
 		w.record = filepath.Join(w.TempDir(), "operator.record")
-		b, err := operator.Append(&operator.File{Version: "t", Trace: &operator.Trace{Path: path, FileMB: 1, Files: 2}})
+		b, err := operator.Marshal(&operator.File{Version: "t", Trace: &operator.Trace{Path: path, MaxFileMB: 1, MaxFiles: 2}})
 		if err == nil {
 			err = os.WriteFile(w.record, b, 0o600)
 		}
--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -175,8 +175,8 @@
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
 
 func quotaFile(floor float64) operator.File {
-	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, Clocks: quota.UsualDrift, Customers: map[string]operator.Budget{
-		"kaipara-wireless": {Bound: quotaBound, Burst: quotaBurst, Floor: floor, LongestMs: quotaLongest},
+	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift, Customers: map[string]operator.Budget{
+		"kaipara-wireless": {Bound: quotaBound, Burst: quotaBurst, Floor: floor, MaxLeaseMs: quotaLongest},
 	}}}
 }
 
@@ -377,13 +377,13 @@
 		return err
 	}
 	p := Pool(app.Addr())
-	p.Failures, p.Outlier, p.Retry = 0, 0, operator.Retry{Share: 1, Floor: 100, Most: 3}
+	p.MaxFailures, p.OutlierFactor, p.Retry = 0, 0, operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
 	names := fleetsim.Names(quotaServers)
 	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: func() testbed.Command { return serve }, File: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
-		Budgets: &operator.Budgets{Servers: quotaServers, Clocks: quota.UsualDrift,
-			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, LongestMs: quotaLongest}},
-			Calls:   map[string]operator.Budget{"apps": {Bound: poolCalls, Floor: 1, LongestMs: 10000, LingerMs: 3000}}},
+		Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift,
+			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, MaxLeaseMs: quotaLongest}},
+			Calls:   map[string]operator.Budget{"apps": {Bound: poolCalls, Floor: 1, MaxLeaseMs: 10000, LingerMs: 3000}}},
 	}})
 	if err != nil {
 		return err
@@ -467,9 +467,9 @@
 	names := make([]string, customers)
 	for i := range names {
 		names[i] = fmt.Sprint("customer-", i)
-		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, LongestMs: quota.UsualLongest}
+		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, MaxLeaseMs: quota.UsualLongest}
 	}
-	b := f.Share(&operator.Budgets{Servers: 300, Clocks: quota.UsualDrift, Customers: all})
+	b := f.Share(&operator.Budgets{Servers: 300, ClockDrift: quota.UsualDrift, Customers: all})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -262,7 +262,7 @@
 			mine = others
 		}
 		p := Pool(mine...)
-		p.Waiting, p.ReturnMs = 0, 2000
+		p.MaxQueued, p.RecoveryMs = 0, 2000
 		opt.File = operator.File{Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}}}
 		if i == 0 {
 			opt.Keepers = k.http
--- a/internal/experiment/hearing.go
+++ b/internal/experiment/hearing.go
@@ -49,7 +49,7 @@
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
 
 // settled has RPCs that are held for longer pushed back for nothing else, so that who is pushed back hears at once.
-var settled = operator.File{Hold: operator.Hold{SettledMs: 20}}
+var settled = operator.File{Queue: operator.Queue{SettledMs: 20}}
 
 // spread of some times, in s.
 func timesOf(all []time.Duration) (p50, most float64) {
--- a/internal/experiment/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -50,7 +50,7 @@
 		j.apps, j.cores, addrs = append(j.apps, a), append(j.cores, c), append(addrs, a.Addr())
 	}
 	p := Pool(addrs...)
-	p.Connections, p.Waiting, p.EjectMs, p.ReturnMs, p.Retry = 16, 0, 2000, 3000, operator.Retry{Share: 0.1, Floor: 1, Most: 2}
+	p.MaxConnections, p.MaxQueued, p.EjectionMs, p.RecoveryMs, p.Retry = 16, 0, 2000, 3000, operator.Retry{Share: 0.1, Floor: 1, MaxAttempts: 2}
 	f := operator.File{Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{
 		"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}, "settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}}}
 	set := strings.Replace(fleetSettings, `"worth":1},`, `"worth":1,"idempotency":"non_idempotent"},`, 1) // settings-save may not run twice
--- a/internal/experiment/pools.go
+++ b/internal/experiment/pools.go
@@ -140,7 +140,7 @@
 	f := File(poolMethods)
 	p := Pool(addrs...)
 	if w.way != "valve" {
-		p.RoundRobin, p.Failures, p.Outlier = true, 0, 0
+		p.RoundRobin, p.MaxFailures, p.OutlierFactor = true, 0, 0
 	}
 	f.Pools = map[string]operator.Pool{"apps": p}
 	f.Methods = map[string]operator.Method{}
--- a/internal/experiment/release.go
+++ b/internal/experiment/release.go
@@ -142,7 +142,7 @@
 	}
 	file := func(version string, app *standin.App) operator.File {
 		p := Pool(app.Addr())
-		p.Failures, p.Waiting, p.Retry.Most = 0, 0, 1
+		p.MaxFailures, p.MaxQueued, p.Retry.MaxAttempts = 0, 0, 1
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}}}
 	}
 	beds := make([]*testbed.Bed, 2) // with the keepers, and one that is reloaded at once
@@ -217,7 +217,7 @@
 	}
 	n := 0
 	begin := func(f operator.File) (*release.Release, error) {
-		body, err := operator.Append(&f)
+		body, err := operator.Marshal(&f)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -104,8 +104,8 @@
 // /METHOD for each method.
 func File(methods []Method) *operator.File {
 	f := &operator.File{Version: "lab", Routes: map[string]operator.Route{}, UWSGI: &operator.UWSGI{
-		Listen: "127.0.0.1:1", Keep: "asked", BlockBytes: 16384, Variables: 128, PathBytes: 4096, BodyBytes: 65536, BodiesKB: 65536,
-		SilenceMs: 2000, BodyMs: 5000, HeldKB: 24.5,
+		Listen: "127.0.0.1:1", KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 65536,
+		ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 24.5,
 	}}
 	for _, m := range methods {
 		r := operator.Route{Path: "/" + m.Name, Verb: "POST", Method: m.Name, Type: "application/octet-stream",
@@ -121,8 +121,8 @@
 
 // Pool is a pool with the defaults of the schema.
 func Pool(members ...string) operator.Pool {
-	return operator.Pool{Members: members, Connections: 32, Waiting: 64, WaitMs: 100, ConnectMs: 250, AnswerBytes: 262144,
-		Failures: 5, Outlier: 4, MinShare: 0.5, EjectMs: 2000, ReturnMs: 5000, Retry: operator.Retry{Share: 0.1, Floor: 1, Most: 3}}
+	return operator.Pool{Members: members, MaxConnections: 32, MaxQueued: 64, QueueTimeoutMs: 100, ConnectTimeoutMs: 250, MaxAnswerBytes: 262144,
+		MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 2000, RecoveryMs: 5000, Retry: operator.Retry{Share: 0.1, Floor: 1, MaxAttempts: 3}}
 }
 
 // Queue is the plain alternative to the gate: all that comes waits in one line, of a bounded length, for one of some
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -132,7 +132,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
-	n := b.name(customer, method, operator.QuotaOf)
+	n := b.name(customer, method, operator.QuotaPrefix)
 	b.counts.own.Add(now, n.counted, 1)
 	ok, bound, again := b.book.Take(now, n.budget, criticality, 0)
 	switch {
@@ -148,7 +148,7 @@
 func (b *Budgets) Retry(pool string, worth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok, _, _ := b.book.Take(b.now(), b.name(pool, "", operator.RetriesTo).budget, worth, 0)
+	ok, _, _ := b.book.Take(b.now(), b.name(pool, "", operator.RetriesPrefix).budget, worth, 0)
 	return ok
 }
 
@@ -158,7 +158,7 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	b.ended(now)
-	ok, _, _ := b.book.Take(now, b.name(pool, failedAt, operator.CallsTo).budget, worth, longest+(*b.linger.Load())[pool])
+	ok, _, _ := b.book.Take(now, b.name(pool, failedAt, operator.CallsPrefix).budget, worth, longest+(*b.linger.Load())[pool])
 	if ok {
 		b.counts.inHand[pool]++
 	}
@@ -171,7 +171,7 @@
 	defer b.mu.Unlock()
 	now := b.now()
 	if failed {
-		b.counts.own.Add(now, b.name(pool, failedAt, operator.CallsTo).counted, 1)
+		b.counts.own.Add(now, b.name(pool, failedAt, operator.CallsPrefix).counted, 1)
 	}
 	if wait := (*b.linger.Load())[pool]; silent && wait > 0 {
 		b.late = append(b.late, given{pool, now + wait})
@@ -181,7 +181,7 @@
 }
 
 func (b *Budgets) gives(pool string) {
-	b.book.Give(b.name(pool, failedAt, operator.CallsTo).budget)
+	b.book.Give(b.name(pool, failedAt, operator.CallsPrefix).budget)
 	b.counts.inHand[pool] = max(0, b.counts.inHand[pool]-1)
 }
 
--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -23,7 +23,7 @@
 	rules := standin.NewRules("view")
 	n := names(4)
 	customerQuota := func(bound float64) *operator.Budgets {
-		return &operator.Budgets{Servers: 4, Clocks: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, LongestMs: 1000}}}
+		return &operator.Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, MaxLeaseMs: 1000}}}
 	}
 	b := started(t, testbed.Options{Names: n, Seed: 9, Cores: 4, Rules: rules, Set: sharedSettings, File: operator.File{Budgets: customerQuota(bound)}})
 	pour := func(name string, rate float64, length time.Duration, seed int64) (samples []standin.Sample) {
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -56,8 +56,8 @@
 
 // customerQuota is one customer's, shared by so many servers.
 func customerQuota(bound float64, servers int) *operator.Budgets {
-	return &operator.Budgets{Servers: servers, Clocks: quota.UsualDrift, Customers: map[string]operator.Budget{
-		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, LongestMs: 1000},
+	return &operator.Budgets{Servers: servers, ClockDrift: quota.UsualDrift, Customers: map[string]operator.Budget{
+		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, MaxLeaseMs: 1000},
 	}}
 }
 
@@ -160,7 +160,7 @@
 func TestCallsLinger(t *testing.T) {
 	listen := free(t)
 	f := open(t, &listen, Options{Name: "n0"})
-	b := f.Share(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, LongestMs: 1000, LingerMs: 150}}})
+	b := f.Share(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
 	if !b.Call("p", 1, 100) || !b.Call("p", 1, 100) || b.Call("p", 1, 100) {
 		t.Fatal("two of two expected")
 	}
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -251,8 +251,8 @@
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
 	n := names(6)
-	pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, Failures: 5, Outlier: 4, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000,
-		Retry: operator.Retry{Share: 0.2, Floor: 2, Most: 2}}
+	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
+		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, Keepers: k.addrs, Set: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
 		File: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -47,7 +47,7 @@
 	x := p.Told.Op.File.Fleet
 	o := Options{
 		Name: p.Told.Name, Zone: x.Zone, Listen: x.Listen, Advertise: x.Advertise, Fleet: x.Name, Seeds: x.Seeds,
-		Expect: x.Expect, Version: p.Build, Settings: p.Told.Op.Hash[:min(12, len(p.Told.Op.Hash))], Log: p.Log,
+		Expect: x.ExpectedServers, Version: p.Build, Settings: p.Told.Op.Hash[:min(12, len(p.Told.Op.Hash))], Log: p.Log,
 		Phase: PhaseOf(p.Phase),
 	}
 	if x.KeyFile != "" {
@@ -74,11 +74,11 @@
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
 		return methods[max(0, i)].Criticality
 	})
-	if len(x.Keepers) > 0 {
-		y.d = f.Drains(x.Keepers, Life{Leave: p.Leave, Stay: p.Stay, Aside: p.Pools.Aside, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
+	if len(x.PermitServers) > 0 {
+		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.Stay, Aside: p.Pools.Aside, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
 			n := p.Gate.Flow()
 			return n.All, n.PushedBack
-		}, Settle: Settle{Build: p.Build, Folder: x.Folder, Take: p.Release, Flow: p.Gate.Flow, Mark: p.Carried}})
+		}, Settle: Settle{Build: p.Build, Folder: x.DataDir, Take: p.Release, Flow: p.Gate.Flow, Mark: p.Carried}})
 	}
 	if x.Socket != "" {
 		if y.s, err = f.ServeSocket(x.Socket); err != nil {
--- a/internal/fleet/judge_process_test.go
+++ b/internal/fleet/judge_process_test.go
@@ -35,8 +35,8 @@
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
 	n := names(4)
-	pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, Failures: 5, Outlier: 4, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000,
-		Retry: operator.Retry{Share: 0.2, Floor: 2, Most: 2}}
+	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
+		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 4, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, Set: judgedSettings,
 		File: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
@@ -111,8 +111,8 @@
 	apps, addrs := laid(5)
 	few, fewAddrs := laid(3)
 	n := names(6)
-	pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, Failures: 5, Outlier: 4, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000,
-		Retry: operator.Retry{Share: 0.2, Floor: 2, Most: 2}}
+	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
+		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	other := pool
 	other.Members = fewAddrs
 	set := strings.Replace(judgedSettings, `"classes":[`, `"classes":[{"name":"save","aim":400000000,"give_up":1000000000},`, 1)
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -147,7 +147,7 @@
 	if sum := sha256.Sum256(r.Body); hex.EncodeToString(sum[:]) != r.Hash {
 		return errors.New("it is not what its hash says")
 	}
-	rec, err := operator.Read(r.Body)
+	rec, err := operator.Parse(r.Body)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -42,7 +42,7 @@
 		for _, a := range apps {
 			addrs = append(addrs, a.Addr())
 		}
-		pool := operator.Pool{Members: addrs, Connections: 16, ConnectMs: 250, AnswerBytes: 4096, MinShare: 0.5, EjectMs: 1000, ReturnMs: 1000, Retry: operator.Retry{Most: 1}}
+		pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000, Retry: operator.Retry{MaxAttempts: 1}}
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
 	old, next, bad := app(standin.Sound), app(standin.Sound), app(standin.Fail)
@@ -81,7 +81,7 @@
 	}
 	begin := func(f operator.File) release.Answer {
 		t.Helper()
-		body, err := operator.Append(&f)
+		body, err := operator.Marshal(&f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 
 	// One that the servers' own checks do not take: refused by the canary, and back.
 	wrong := file("four", next)
-	wrong.Hold.SettledMs = 77 // only a new start can change that
+	wrong.Queue.SettledMs = 77 // only a new start can change that
 	begin(wrong)
 	phase(release.Returned)
 	k.until("the reason", func(st permitclient.Status) bool {
@@ -354,7 +354,7 @@
 		return plan.Release.Number, put.Version
 	}
 	body := func(name string) []byte {
-		raw, err := operator.Append(&operator.File{Version: name})
+		raw, err := operator.Marshal(&operator.File{Version: name})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -81,7 +81,7 @@
 func (c *conn) message(first bool) error {
 	v := c.s.view.Load()
 	if first {
-		c.ReadBy(time.Now().Add(operator.Ms(v.limits.SilenceMs)))
+		c.ReadBy(time.Now().Add(operator.Milliseconds(v.limits.ReadTimeoutMs)))
 	}
 	if _, err := c.in.Peek(1); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -91,7 +91,7 @@
 	}
 	c.Begins()
 	began := time.Now()
-	c.ReadBy(began.Add(operator.Ms(v.limits.SilenceMs)))
+	c.ReadBy(began.Add(operator.Milliseconds(v.limits.ReadTimeoutMs)))
 	head, err := c.in.Peek(wire.HeadSize)
 	if err != nil {
 		return cut(err)
@@ -102,14 +102,14 @@
 		return c.ping()
 	case h.Modifier1 != 0:
 		return c.senseless(&wrong{status: 400, why: "modifier1: 0 expected"}, false)
-	case h.Size > v.limits.BlockBytes:
+	case h.Size > v.limits.MaxHeaderBytes:
 		return c.senseless(&wrong{status: 431, why: "the block is longer than this server takes"}, false)
 	}
 	block, err := c.block(h.Size)
 	if err != nil {
 		return cut(err)
 	}
-	if err := c.vars.Parse(block, v.limits.Variables); err != nil {
+	if err := c.vars.Parse(block, v.limits.MaxVariables); err != nil {
 		status := 400
 		if errors.Is(err, wire.ErrMany) {
 			status = 431
@@ -133,7 +133,7 @@
 		return c.senseless(w, m.keep && m.length == 0)
 	}
 	taken := int64(m.length)
-	if c.s.bodies.Add(taken) > int64(v.limits.BodiesKB)<<10 {
+	if c.s.bodies.Add(taken) > int64(v.limits.BodyMemoryKB)<<10 {
 		c.s.bodies.Add(-taken)
 		c.spoken()
 		away := gate.Verdict{Answer: gate.PushedBack, Away: c.s.gate.Advice(bodyAway)}
@@ -141,7 +141,7 @@
 		return errEnd
 	}
 	defer c.s.bodies.Add(-taken)
-	c.ReadBy(time.Now().Add(operator.Ms(v.limits.BodyMs)))
+	c.ReadBy(time.Now().Add(operator.Milliseconds(v.limits.BodyTimeoutMs)))
 	body, err := c.body(m.length)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return c.senseless(&wrong{status: 400, why: "CONTENT_LENGTH: so much did not come in time"}, false)
@@ -156,7 +156,7 @@
 	rpc := gate.RPC{
 		ID: c.s.newID(), Method: found.Method, Customer: found.Customer, Body: body,
 		Caller:  uint16(found.Caller ^ found.Caller>>16 ^ found.Caller>>32 ^ found.Caller>>48),
-		Subject: found.Subject, Door: door, Hint: found.Hint, HeldKB: v.limits.HeldKB + float64(len(body))/1024,
+		Subject: found.Subject, Door: door, Hint: found.Hint, HeldKB: v.limits.QueuedKB + float64(len(body))/1024,
 		Retry: found.Retry, Token: strings.Clone(found.Token), // it may outlive the block
 	}
 	c.Mu.Lock()
--- a/internal/front/uwsgi/server.go
+++ b/internal/front/uwsgi/server.go
@@ -100,8 +100,8 @@
 			m.Query = query
 		}
 	}
-	if len(target) > v.limits.PathBytes || len(m.Path)+len(m.Query) > v.limits.PathBytes {
-		return &wrong{status: 414, why: "the path is longer than " + strconv.Itoa(v.limits.PathBytes) + " bytes"}
+	if len(target) > v.limits.MaxPathBytes || len(m.Path)+len(m.Query) > v.limits.MaxPathBytes {
+		return &wrong{status: 414, why: "the path is longer than " + strconv.Itoa(v.limits.MaxPathBytes) + " bytes"}
 	}
 	if !cleanPath(m.Path) {
 		return &wrong{status: 400, why: "the path: one from / without empty, . and .. segments expected"}
@@ -123,10 +123,10 @@
 	case get("HTTP_TRANSFER_ENCODING") != "" || m.Verb == "POST" || m.Verb == "PUT" || m.Verb == "PATCH":
 		return &wrong{status: 411, why: "CONTENT_LENGTH: the length of the body expected, none there"}
 	}
-	if m.length > v.limits.BodyBytes {
-		return &wrong{status: 413, why: "the body is longer than " + strconv.Itoa(v.limits.BodyBytes) + " bytes"}
+	if m.length > v.limits.MaxBodyBytes {
+		return &wrong{status: 413, why: "the body is longer than " + strconv.Itoa(v.limits.MaxBodyBytes) + " bytes"}
 	}
-	switch v.limits.Keep {
+	switch v.limits.KeepAlive {
 	case "always":
 		m.keep = true
 	case "asked":
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -52,8 +52,8 @@
 func file() *operator.File {
 	return &operator.File{
 		Version: "t",
-		UWSGI: &operator.UWSGI{Listen: "127.0.0.1:1", Keep: "asked", BlockBytes: 8192, Variables: 32, PathBytes: 256, BodyBytes: 40000,
-			BodiesKB: 80, SilenceMs: 2000, BodyMs: 2000, HeldKB: 16},
+		UWSGI: &operator.UWSGI{Listen: "127.0.0.1:1", KeepAlive: "asked", MaxHeaderBytes: 8192, MaxVariables: 32, MaxPathBytes: 256, MaxBodyBytes: 40000,
+			BodyMemoryKB: 80, ReadTimeoutMs: 2000, BodyTimeoutMs: 2000, QueuedKB: 16},
 		Routes: map[string]operator.Route{
 			"view":  {Path: "/view", Verb: "GET", Method: "view", Type: "text/plain"},
 			"save":  {Path: "/view/{id}", Verb: "POST", Method: "view", Type: "text/plain", Hint: &operator.Source{Variable: "WORK"}},
@@ -370,7 +370,7 @@
 			r.run().end("a")
 			r.expect("200 a", "")
 		}},
-		{"a body shorter than its length", func(f *operator.File) { f.UWSGI.BodyMs = 30 }, func(r *rig) {
+		{"a body shorter than its length", func(f *operator.File) { f.UWSGI.BodyTimeoutMs = 30 }, func(r *rig) {
 			r.says(packet("abc", "REQUEST_METHOD", "POST", "PATH_INFO", "/view/1", "CONTENT_LENGTH", "10"))
 			r.expect("400", "")
 			r.quiet()
@@ -549,7 +549,7 @@
 	for name, s := range map[string]string{"nothing": "", "half a head": "\x00", "half a block": get("/view")[:30]} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := start(t, 1024, func(f *operator.File) { f.UWSGI.SilenceMs = 20 })
+			r := start(t, 1024, func(f *operator.File) { f.UWSGI.ReadTimeoutMs = 20 })
 			r.says(s)
 			r.expect("")
 		})
@@ -712,7 +712,7 @@
 
 // SIGTERM with connections in every state: what was read is answered, the rest is closed, and it ends in time.
 func TestShutdown(t *testing.T) {
-	r := start(t, 1024, func(f *operator.File) { f.UWSGI.SilenceMs = 100 })
+	r := start(t, 1024, func(f *operator.File) { f.UWSGI.ReadTimeoutMs = 100 })
 	kept := r.conn
 	r.says(get("/view", "VALVE_KEEP", "1"))
 	r.run().end("a")
@@ -815,7 +815,7 @@
 			}
 			return
 		}
-		if m.length < 0 || m.length > v.limits.BodyBytes || !cleanPath(m.Path) {
+		if m.length < 0 || m.length > v.limits.MaxBodyBytes || !cleanPath(m.Path) {
 			t.Errorf("took %+v", m)
 		}
 	})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -35,22 +35,22 @@
 
 // File is all that an operator sets beside the platform's configuration. Times are ms.
 type File struct {
-	Version string            `json:"version"`
-	Hold    Hold              `json:"hold"`
-	Limits  Limits            `json:"limits"`
-	Trace   *Trace            `json:"trace,omitempty"`
-	Store   *Store            `json:"store,omitempty"`
-	UWSGI   *UWSGI            `json:"uwsgi,omitempty"`
-	Fleet   *Fleet            `json:"fleet,omitempty"`
-	Budgets *Budgets          `json:"budgets,omitempty"`
-	Routes  map[string]Route  `json:"routes,omitempty"`
-	Pools   map[string]Pool   `json:"pools,omitempty"`
-	Methods map[string]Method `json:"methods,omitempty"`
-	Expect  map[string]Expect `json:"expect,omitempty"`
+	Version      string                 `json:"version"`
+	Queue        Queue                  `json:"hold"`
+	Limits       Limits                 `json:"limits"`
+	Trace        *Trace                 `json:"trace,omitempty"`
+	Store        *Store                 `json:"store,omitempty"`
+	UWSGI        *UWSGI                 `json:"uwsgi,omitempty"`
+	Fleet        *Fleet                 `json:"fleet,omitempty"`
+	Budgets      *Budgets               `json:"budgets,omitempty"`
+	Routes       map[string]Route       `json:"routes,omitempty"`
+	Pools        map[string]Pool        `json:"pools,omitempty"`
+	Methods      map[string]Method      `json:"methods,omitempty"`
+	Expectations map[string]Expectation `json:"expect,omitempty"`
 }
 
 // Expect is what an operator expects of routing, or of the order in which methods are pushed back.
-type Expect struct {
+type Expectation struct {
 	Host      string            `json:"host,omitempty"`
 	Path      string            `json:"path,omitempty"`
 	Verb      string            `json:"verb,omitempty"`
@@ -68,7 +68,7 @@
 // expectations holds them against the file and what is known of the settings.
 func (f *File) expectations(known route.Known) []expect.Fault {
 	all := map[string]expect.Expectation{}
-	for name, x := range f.Expect {
+	for name, x := range f.Expectations {
 		all[name] = expect.Expectation{Host: x.Host, Path: x.Path, Verb: x.Verb, Query: x.Query, Variables: x.Variables, Method: x.Method, Customer: x.Customer, Pool: x.Pool,
 			None: x.None, First: x.First, Then: x.Then, OverQuota: x.OverQuota}
 	}
@@ -83,25 +83,25 @@
 }
 
 // Hold is how RPCs are held.
-type Hold struct {
+type Queue struct {
 	SettledMs float64 `json:"settled_ms"` // after which one is not pushed back for another; 0 for no such time
 }
 
 // Limits go before those of the platform's settings.
 type Limits struct {
-	OverShare *float64           `json:"over_share,omitempty"`
-	RunsACore float64            `json:"runs_a_core,omitempty"`
-	Quotas    map[string]float64 `json:"quotas,omitempty"` // RPCs a second, by customer
+	OverShare   *float64           `json:"over_share,omitempty"`
+	RunsPerCore float64            `json:"runs_a_core,omitempty"`
+	Quotas      map[string]float64 `json:"quotas,omitempty"` // RPCs a second, by customer
 }
 
 // Apply puts the limits and the hold into settings.
 func (f *File) Apply(o *startup.Opening) {
-	o.Rules.Settle = f.Hold.SettledMs
+	o.Rules.Settle = f.Queue.SettledMs
 	if f.Limits.OverShare != nil {
 		o.Fleet.OverShare = *f.Limits.OverShare
 	}
-	if f.Limits.RunsACore > 0 {
-		o.Rules.Ceiling = f.Limits.RunsACore
+	if f.Limits.RunsPerCore > 0 {
+		o.Rules.Ceiling = f.Limits.RunsPerCore
 	}
 	o.Customers = slices.Clone(o.Customers)
 	for i := range o.Customers {
@@ -113,57 +113,57 @@
 
 // Trace is the recorder of what the decisions are told and say.
 type Trace struct {
-	Path   string  `json:"path"`
-	FileMB float64 `json:"file_mb"`
-	Files  int     `json:"files"`
+	Path      string  `json:"path"`
+	MaxFileMB float64 `json:"file_mb"`
+	MaxFiles  int     `json:"files"`
 }
 
 // Store keeps tokens over restarts, on a lasting disk.
 type Store struct {
-	Dir         string  `json:"dir"`
-	MB          float64 `json:"mb"`
-	SegmentMB   float64 `json:"segment_mb"`
-	AnswerBytes int     `json:"answer_bytes"`
-	ToleranceMs float64 `json:"tolerance_ms"`
+	Dir            string  `json:"dir"`
+	MaxMB          float64 `json:"mb"`
+	SegmentMB      float64 `json:"segment_mb"`
+	MaxAnswerBytes int     `json:"answer_bytes"`
+	ToleranceMs    float64 `json:"tolerance_ms"`
 }
 
 // Fleet is the server's part in a fleet whose servers know one another.
 type Fleet struct {
-	Name      string   `json:"name"`                // of the fleet
-	Listen    string   `json:"listen"`              // packets and streams
-	Advertise string   `json:"advertise,omitempty"` // where others reach it, if not there
-	Zone      string   `json:"zone"`
-	Seeds     []string `json:"seeds"`
-	Expect    int      `json:"expect"`             // servers that there are; 0 for not told
-	KeyFile   string   `json:"key_file,omitempty"` // base64 of 16, 24 or 32 bytes
-	Socket    string   `json:"socket,omitempty"`   // for operators
-	Keepers   []string `json:"keepers,omitempty"`  // of permits for drains, and of versions
-	Folder    string   `json:"folder,omitempty"`   // for the version that runs, over restarts
+	Name            string   `json:"name"`                // of the fleet
+	Listen          string   `json:"listen"`              // packets and streams
+	Advertise       string   `json:"advertise,omitempty"` // where others reach it, if not there
+	Zone            string   `json:"zone"`
+	Seeds           []string `json:"seeds"`
+	ExpectedServers int      `json:"expect"`             // servers that there are; 0 for not told
+	KeyFile         string   `json:"key_file,omitempty"` // base64 of 16, 24 or 32 bytes
+	Socket          string   `json:"socket,omitempty"`   // for operators
+	PermitServers   []string `json:"keepers,omitempty"`  // of permits for drains, and of versions
+	DataDir         string   `json:"folder,omitempty"`   // for the version that runs, over restarts
 }
 
 // Budgets are bounds that the servers of the fleet share: customers' quotas, further tries and calls in hand at pools.
 type Budgets struct {
-	Servers   int               `json:"servers"` // that run at a time, at the most
-	Clocks    float64           `json:"clocks"`  // by which the rate of a clock may be off, as a share
-	Customers map[string]Budget `json:"customers,omitempty"`
-	Retries   map[string]Budget `json:"retries,omitempty"` // by pool
-	Calls     map[string]Budget `json:"calls,omitempty"`   // by pool
+	Servers    int               `json:"servers"` // that run at a time, at the most
+	ClockDrift float64           `json:"clocks"`  // by which the rate of a clock may be off, as a share
+	Customers  map[string]Budget `json:"customers,omitempty"`
+	Retries    map[string]Budget `json:"retries,omitempty"` // by pool
+	Calls      map[string]Budget `json:"calls,omitempty"`   // by pool
 }
 
 // Budget is one bound.
 type Budget struct {
-	Bound     float64 `json:"bound"` // of the whole fleet: a second, or in hand
-	Burst     float64 `json:"burst,omitempty"`
-	Floor     float64 `json:"floor"` // of each server
-	LongestMs float64 `json:"longest_ms"`
-	LingerMs  float64 `json:"linger_ms,omitempty"` // calls: for which one that was given up may be gone on with
+	Bound      float64 `json:"bound"` // of the whole fleet: a second, or in hand
+	Burst      float64 `json:"burst,omitempty"`
+	Floor      float64 `json:"floor"` // of each server
+	MaxLeaseMs float64 `json:"longest_ms"`
+	LingerMs   float64 `json:"linger_ms,omitempty"` // calls: for which one that was given up may be gone on with
 }
 
 // The first letters of the names that budgets have between servers, by their kind.
 const (
-	QuotaOf   = "quota/"
-	RetriesTo = "retries/"
-	CallsTo   = "calls/"
+	QuotaPrefix   = "quota/"
+	RetriesPrefix = "retries/"
+	CallsPrefix   = "calls/"
 )
 
 // Rules are those of all bounds for package share, by their names between servers.
@@ -174,12 +174,12 @@
 	}
 	add := func(prefix string, kind quota.Kind, of map[string]Budget) {
 		for name, x := range of {
-			all[prefix+name] = quota.Rules{Kind: kind, Bound: x.Bound, Burst: x.Burst, Servers: b.Servers, Floor: x.Floor, Longest: x.LongestMs, Drift: b.Clocks}
+			all[prefix+name] = quota.Rules{Kind: kind, Bound: x.Bound, Burst: x.Burst, Servers: b.Servers, Floor: x.Floor, Longest: x.MaxLeaseMs, Drift: b.ClockDrift}
 		}
 	}
-	add(QuotaOf, quota.Rate, b.Customers)
-	add(RetriesTo, quota.Rate, b.Retries)
-	add(CallsTo, quota.Stock, b.Calls)
+	add(QuotaPrefix, quota.Rate, b.Customers)
+	add(RetriesPrefix, quota.Rate, b.Retries)
+	add(CallsPrefix, quota.Stock, b.Calls)
 	return all
 }
 
@@ -189,7 +189,7 @@
 		bad("budgets", "there is no fleet that could share them: fleet is not set")
 	}
 	within("budgets.servers", float64(b.Servers), 1, 4096)
-	within("budgets.clocks", b.Clocks, 0, 0.1)
+	within("budgets.clocks", b.ClockDrift, 0, 0.1)
 	n := float64(max(1, b.Servers))
 	each := func(table string, of map[string]Budget, stock bool, is func(name string) string) {
 		for _, name := range keys(of) {
@@ -199,7 +199,7 @@
 			}
 			within(path+".bound", x.Bound, 0.001, 1e9)
 			within(path+".floor", x.Floor, 0, 1e9)
-			within(path+".longest_ms", x.LongestMs, 500, 600e3)
+			within(path+".longest_ms", x.MaxLeaseMs, 500, 600e3)
 			if x.Floor*n > x.Bound*(1+1e-9) {
 				bad(path+".floor", "%d servers keep %g together, more than the bound of %g", b.Servers, x.Floor*n, x.Bound)
 			}
@@ -233,17 +233,17 @@
 
 // UWSGI is the front that accepts uwsgi.
 type UWSGI struct {
-	Listen     string  `json:"listen"`
-	Keep       string  `json:"keep"` // asked, always or never
-	HalfClose  bool    `json:"half_close"`
-	BlockBytes int     `json:"block_bytes"`
-	Variables  int     `json:"variables"`
-	PathBytes  int     `json:"path_bytes"`
-	BodyBytes  int     `json:"body_bytes"`
-	BodiesKB   int     `json:"bodies_kb"`
-	SilenceMs  float64 `json:"silence_ms"`
-	BodyMs     float64 `json:"body_ms"`
-	HeldKB     float64 `json:"held_kb"`
+	Listen         string  `json:"listen"`
+	KeepAlive      string  `json:"keep"` // asked, always or never
+	HalfClose      bool    `json:"half_close"`
+	MaxHeaderBytes int     `json:"block_bytes"`
+	MaxVariables   int     `json:"variables"`
+	MaxPathBytes   int     `json:"path_bytes"`
+	MaxBodyBytes   int     `json:"body_bytes"`
+	BodyMemoryKB   int     `json:"bodies_kb"`
+	ReadTimeoutMs  float64 `json:"silence_ms"`
+	BodyTimeoutMs  float64 `json:"body_ms"`
+	QueuedKB       float64 `json:"held_kb"`
 }
 
 // Route says what an RPC is that came by a web protocol.
@@ -274,27 +274,27 @@
 
 // Pool is a set of uwsgi application servers.
 type Pool struct {
-	Members     []string `json:"members"`
-	Connections int      `json:"connections"`
-	Waiting     int      `json:"waiting"`
-	WaitMs      float64  `json:"wait_ms"`
-	ConnectMs   float64  `json:"connect_ms"`
-	AnswerBytes int      `json:"answer_bytes"`
-	Failures    int      `json:"failures"`
-	Outlier     float64  `json:"outlier"`
-	MinShare    float64  `json:"min_share"`
-	EjectMs     float64  `json:"eject_ms"`
-	ReturnMs    float64  `json:"return_ms"`
-	CheckMs     float64  `json:"check_ms"`
-	Retry       Retry    `json:"retry"`
-	RoundRobin  bool     `json:"-"` // for comparison only: no file can ask for it
+	Members          []string `json:"members"`
+	MaxConnections   int      `json:"connections"`
+	MaxQueued        int      `json:"waiting"`
+	QueueTimeoutMs   float64  `json:"wait_ms"`
+	ConnectTimeoutMs float64  `json:"connect_ms"`
+	MaxAnswerBytes   int      `json:"answer_bytes"`
+	MaxFailures      int      `json:"failures"`
+	OutlierFactor    float64  `json:"outlier"`
+	MinShare         float64  `json:"min_share"`
+	EjectionMs       float64  `json:"eject_ms"`
+	RecoveryMs       float64  `json:"return_ms"`
+	HealthCheckMs    float64  `json:"check_ms"`
+	Retry            Retry    `json:"retry"`
+	RoundRobin       bool     `json:"-"` // for comparison only: no file can ask for it
 }
 
 // Retry is the budget of further tries in a pool.
 type Retry struct {
-	Share float64 `json:"share"`
-	Floor float64 `json:"floor"` // a second
-	Most  int     `json:"most"`  // tries of one RPC, the first included
+	Share       float64 `json:"share"`
+	Floor       float64 `json:"floor"` // a second
+	MaxAttempts int     `json:"most"`  // tries of one RPC, the first included
 }
 
 // Method says where the work of a method is done, if not by the engine.
@@ -318,7 +318,7 @@
 }
 
 // Append makes a record of a file that has been checked.
-func Append(f *File) ([]byte, error) {
+func Marshal(f *File) ([]byte, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
 		return nil, err
@@ -348,9 +348,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := Read(b)
+	r, err := Parse(b)
 	if err == nil {
-		err = first(Check(&r.File, KnownOf(o)))
+		err = first(Check(&r.File, KnownNames(o)))
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -358,7 +358,7 @@
 	return r, nil
 }
 
-func first(faults []Fault) error {
+func first(faults []FieldError) error {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -366,7 +366,7 @@
 }
 
 // Read takes a record apart, strictly.
-func Read(b []byte) (*Record, error) {
+func Parse(b []byte) (*Record, error) {
 	if len(b) > maxRecord {
 		return nil, fmt.Errorf("a record of at most %d bytes expected", maxRecord)
 	}
@@ -400,12 +400,12 @@
 }
 
 // Fault is one thing wrong with a file, by the key's path in it.
-type Fault struct{ Path, Text string }
+type FieldError struct{ Path, Message string }
 
-func (f Fault) String() string { return f.Path + ": " + f.Text }
+func (f FieldError) String() string { return f.Path + ": " + f.Message }
 
 // KnownOf is what routes may name.
-func KnownOf(o *startup.Opening) route.Known {
+func KnownNames(o *startup.Opening) route.Known {
 	k := route.Known{Tokened: map[string]bool{}, Criticality: map[string]float64{}, OverShare: o.Fleet.OverShare}
 	for _, m := range o.Methods {
 		k.Criticality[m.Name] = m.Criticality
@@ -419,9 +419,9 @@
 }
 
 // Check names all that is wrong with a file, in the order of its keys.
-func Check(f *File, known route.Known) (faults []Fault) {
+func Check(f *File, known route.Known) (faults []FieldError) {
 	bad := func(path, format string, a ...any) {
-		faults = append(faults, Fault{path, fmt.Sprintf(format, a...)})
+		faults = append(faults, FieldError{path, fmt.Sprintf(format, a...)})
 	}
 	within := func(path string, v, low, high float64) {
 		if !(v >= low && v <= high) {
@@ -431,12 +431,12 @@
 	if f.Version == "" || len(f.Version) > 64 {
 		bad("version", "a text of up to 64 bytes expected")
 	}
-	within("hold.settled_ms", f.Hold.SettledMs, 0, 60e3)
+	within("hold.settled_ms", f.Queue.SettledMs, 0, 60e3)
 	if f.Limits.OverShare != nil {
 		within("limits.over_share", *f.Limits.OverShare, 0, 1)
 	}
-	if f.Limits.RunsACore != 0 {
-		within("limits.runs_a_core", f.Limits.RunsACore, 1, 1000)
+	if f.Limits.RunsPerCore != 0 {
+		within("limits.runs_a_core", f.Limits.RunsPerCore, 1, 1000)
 	}
 	for _, name := range keys(f.Limits.Quotas) {
 		within(at("limits.quotas", name), f.Limits.Quotas[name], 0, 1e9)
@@ -448,11 +448,11 @@
 		if t.Dir == "" {
 			bad("store.dir", "a path expected")
 		}
-		within("store.mb", t.MB, 1, 1<<20)
+		within("store.mb", t.MaxMB, 1, 1<<20)
 		within("store.segment_mb", t.SegmentMB, 0.1, 4096)
-		within("store.answer_bytes", float64(t.AnswerBytes), 0, 16<<20)
+		within("store.answer_bytes", float64(t.MaxAnswerBytes), 0, 16<<20)
 		within("store.tolerance_ms", t.ToleranceMs, 0, 3.6e6)
-		if t.SegmentMB > t.MB/2 {
+		if t.SegmentMB > t.MaxMB/2 {
 			bad("store.segment_mb", "at most half of store.mb: a segment is freed as a whole")
 		}
 	}
@@ -460,8 +460,8 @@
 		if t.Path == "" {
 			bad("trace.path", "a path expected")
 		}
-		within("trace.file_mb", t.FileMB, 0.1, 1<<20)
-		within("trace.files", float64(t.Files), 1, 1000)
+		within("trace.file_mb", t.MaxFileMB, 0.1, 1<<20)
+		within("trace.files", float64(t.MaxFiles), 1, 1000)
 	}
 	if x := f.Fleet; x != nil {
 		if !isAddress(x.Listen) {
@@ -480,12 +480,12 @@
 				bad(fmt.Sprintf("fleet.seeds[%d]", i), "an IP address and a port expected, %.60q there", s)
 			}
 		}
-		for i, s := range x.Keepers {
-			if !isAddress(s) || i >= maxKeepers {
-				bad(fmt.Sprintf("fleet.keepers[%d]", i), "an IP address and a port expected, at most %d; %.60q there", maxKeepers, s)
+		for i, s := range x.PermitServers {
+			if !isAddress(s) || i >= maxPermitServers {
+				bad(fmt.Sprintf("fleet.keepers[%d]", i), "an IP address and a port expected, at most %d; %.60q there", maxPermitServers, s)
 			}
 		}
-		within("fleet.expect", float64(x.Expect), 0, 4096)
+		within("fleet.expect", float64(x.ExpectedServers), 0, 4096)
 		if len(x.Zone) > 64 {
 			bad("fleet.zone", "at most 64 bytes expected")
 		}
@@ -500,18 +500,18 @@
 		if !isAddress(u.Listen) {
 			bad("uwsgi.listen", "an IP address and a port, as 10.0.0.4:3031, expected, %.60q there", u.Listen)
 		}
-		if !slices.Contains([]string{"asked", "always", "never"}, u.Keep) {
-			bad("uwsgi.keep", "asked, always or never expected, %.40q there", u.Keep)
-		}
-		within("uwsgi.block_bytes", float64(u.BlockBytes), 512, 65535)
-		within("uwsgi.variables", float64(u.Variables), 8, 1024)
-		within("uwsgi.path_bytes", float64(u.PathBytes), 16, 65535)
-		within("uwsgi.body_bytes", float64(u.BodyBytes), 0, 16<<20)
-		within("uwsgi.bodies_kb", float64(u.BodiesKB), 1, 1<<20)
-		within("uwsgi.silence_ms", u.SilenceMs, 10, 60e3)
-		within("uwsgi.body_ms", u.BodyMs, 10, 600e3)
-		within("uwsgi.held_kb", u.HeldKB, 0.001, 2000)
-		if u.BodyBytes > u.BodiesKB<<10 {
+		if !slices.Contains([]string{"asked", "always", "never"}, u.KeepAlive) {
+			bad("uwsgi.keep", "asked, always or never expected, %.40q there", u.KeepAlive)
+		}
+		within("uwsgi.block_bytes", float64(u.MaxHeaderBytes), 512, 65535)
+		within("uwsgi.variables", float64(u.MaxVariables), 8, 1024)
+		within("uwsgi.path_bytes", float64(u.MaxPathBytes), 16, 65535)
+		within("uwsgi.body_bytes", float64(u.MaxBodyBytes), 0, 16<<20)
+		within("uwsgi.bodies_kb", float64(u.BodyMemoryKB), 1, 1<<20)
+		within("uwsgi.silence_ms", u.ReadTimeoutMs, 10, 60e3)
+		within("uwsgi.body_ms", u.BodyTimeoutMs, 10, 600e3)
+		within("uwsgi.held_kb", u.QueuedKB, 0.001, 2000)
+		if u.MaxBodyBytes > u.BodyMemoryKB<<10 {
 			bad("uwsgi.bodies_kb", "at least one body of body_bytes must fit")
 		}
 	} else if len(f.Routes) > 0 {
@@ -533,22 +533,22 @@
 				bad(fmt.Sprintf("%s.members[%d]", path, i), "%s is member %d already", m, k)
 			}
 		}
-		within(path+".connections", float64(p.Connections), 1, 4096)
-		within(path+".waiting", float64(p.Waiting), 0, 65536)
-		within(path+".wait_ms", p.WaitMs, 0, 60e3)
-		within(path+".connect_ms", p.ConnectMs, 1, 60e3)
-		within(path+".answer_bytes", float64(p.AnswerBytes), 1, 16<<20)
-		within(path+".failures", float64(p.Failures), 0, 1000)
-		if p.Outlier != 0 {
-			within(path+".outlier", p.Outlier, 1.5, 1000)
+		within(path+".connections", float64(p.MaxConnections), 1, 4096)
+		within(path+".waiting", float64(p.MaxQueued), 0, 65536)
+		within(path+".wait_ms", p.QueueTimeoutMs, 0, 60e3)
+		within(path+".connect_ms", p.ConnectTimeoutMs, 1, 60e3)
+		within(path+".answer_bytes", float64(p.MaxAnswerBytes), 1, 16<<20)
+		within(path+".failures", float64(p.MaxFailures), 0, 1000)
+		if p.OutlierFactor != 0 {
+			within(path+".outlier", p.OutlierFactor, 1.5, 1000)
 		}
 		within(path+".min_share", p.MinShare, 0, 1)
-		within(path+".eject_ms", p.EjectMs, 1, 600e3)
-		within(path+".return_ms", p.ReturnMs, 0, 600e3)
-		within(path+".check_ms", p.CheckMs, 0, 600e3)
+		within(path+".eject_ms", p.EjectionMs, 1, 600e3)
+		within(path+".return_ms", p.RecoveryMs, 0, 600e3)
+		within(path+".check_ms", p.HealthCheckMs, 0, 600e3)
 		within(path+".retry.share", p.Retry.Share, 0, 1)
 		within(path+".retry.floor", p.Retry.Floor, 0, 1000)
-		within(path+".retry.most", float64(p.Retry.Most), 1, 10)
+		within(path+".retry.most", float64(p.Retry.MaxAttempts), 1, 10)
 		if !slices.ContainsFunc(keys(f.Methods), func(m string) bool { return f.Methods[m].Pool == name }) {
 			bad(path, "no method has its work done there")
 		}
@@ -568,7 +568,7 @@
 			bad(path+".verb", "one of %s expected, %.40q there", strings.Join(route.Verbs, ", "), m.Verb)
 		}
 	}
-	if len(faults) == 0 && len(f.Expect) > 0 { // else a route that is wrong is the cause of most that is not as expected
+	if len(faults) == 0 && len(f.Expectations) > 0 { // else a route that is wrong is the cause of most that is not as expected
 		for _, x := range f.expectations(known) {
 			kind := "it does not hold"
 			if x.Untested {
@@ -584,7 +584,7 @@
 const maxSeeds = 64
 
 // maxKeepers: more than seven of them agree no better.
-const maxKeepers = 7
+const maxPermitServers = 7
 
 // maxMembers of a pool: each costs a look at every choice.
 const maxMembers = 64
@@ -634,21 +634,21 @@
 // Rules are the pool's for package pool.
 func (p *Pool) Rules() pool.Rules {
 	return pool.Rules{
-		Connections: p.Connections, Waiting: p.Waiting, Wait: p.WaitMs, Failures: p.Failures, Outlier: p.Outlier,
-		MinShare: p.MinShare, Eject: p.EjectMs, Return: p.ReturnMs, Check: p.CheckMs, RoundRobin: p.RoundRobin,
+		Connections: p.MaxConnections, Waiting: p.MaxQueued, Wait: p.QueueTimeoutMs, Failures: p.MaxFailures, Outlier: p.OutlierFactor,
+		MinShare: p.MinShare, Eject: p.EjectionMs, Return: p.RecoveryMs, Check: p.HealthCheckMs, RoundRobin: p.RoundRobin,
 	}
 }
 
 // Tries are the rules of the pool's budget.
-func (p *Pool) Tries() retry.Rules {
-	return retry.Rules{Share: p.Retry.Share, Floor: p.Retry.Floor, Most: p.Retry.Most}
+func (p *Pool) RetryRules() retry.Rules {
+	return retry.Rules{Share: p.Retry.Share, Floor: p.Retry.Floor, Most: p.Retry.MaxAttempts}
 }
 
 // Descriptors is how many the file's parts may take at once, beside the connections of the fronts.
 func (f *File) Descriptors() (n int) {
 	for _, p := range f.Pools {
-		n += len(p.Members) * p.Connections
-		if p.CheckMs > 0 {
+		n += len(p.Members) * p.MaxConnections
+		if p.HealthCheckMs > 0 {
 			n += len(p.Members)
 		}
 	}
@@ -666,4 +666,4 @@
 const fleetDescriptors = 48
 
 // Ms is a time of the file.
-func Ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
+func Milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -15,11 +15,11 @@
 func sound() *File {
 	return &File{
 		Version: "7",
-		UWSGI: &UWSGI{Listen: "127.0.0.1:3031", Keep: "asked", BlockBytes: 4096, Variables: 64, PathBytes: 1024, BodyBytes: 1024, BodiesKB: 64,
-			SilenceMs: 1000, BodyMs: 1000, HeldKB: 16},
+		UWSGI: &UWSGI{Listen: "127.0.0.1:3031", KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
+			ReadTimeoutMs: 1000, BodyTimeoutMs: 1000, QueuedKB: 16},
 		Routes: map[string]Route{"view": {Path: "/view", Method: "view", Customer: &Source{Fixed: "acme"}}},
-		Pools: map[string]Pool{"p": {Members: []string{"127.0.0.1:1", "127.0.0.1:2"}, Connections: 4, ConnectMs: 100, AnswerBytes: 4096,
-			EjectMs: 1000, Retry: Retry{0.1, 1, 3}}},
+		Pools: map[string]Pool{"p": {Members: []string{"127.0.0.1:1", "127.0.0.1:2"}, MaxConnections: 4, ConnectTimeoutMs: 100, MaxAnswerBytes: 4096,
+			EjectionMs: 1000, Retry: Retry{0.1, 1, 3}}},
 		Methods: map[string]Method{"view": {Pool: "p", Path: "/view", Verb: "GET"}},
 	}
 }
@@ -48,8 +48,8 @@
 		{"more behind it", nil, func(s string) string { return s + "{}" }, "one object expected"},
 		{"no version", func(f *File) { f.Version = "" }, nil, "version: "},
 		{"an address without a port", func(f *File) { f.UWSGI.Listen = "127.0.0.1" }, nil, "uwsgi.listen: "},
-		{"a body that no budget holds", func(f *File) { f.UWSGI.BodiesKB, f.UWSGI.BodyBytes = 1, 4096 }, nil, "uwsgi.bodies_kb: "},
-		{"not a number", func(f *File) { f.UWSGI.SilenceMs = -1 }, nil, "uwsgi.silence_ms: a number"},
+		{"a body that no budget holds", func(f *File) { f.UWSGI.BodyMemoryKB, f.UWSGI.MaxBodyBytes = 1, 4096 }, nil, "uwsgi.bodies_kb: "},
+		{"not a number", func(f *File) { f.UWSGI.ReadTimeoutMs = -1 }, nil, "uwsgi.silence_ms: a number"},
 		{"routes and no front", func(f *File) { f.UWSGI = nil }, nil, "routes: there is no front"},
 		{"an unknown method", func(f *File) { f.Routes["view"] = Route{Path: "/v", Method: "x", Customer: &Source{Fixed: "acme"}} }, nil, `routes."view".method: `},
 		{"a pool without members", func(f *File) { p := f.Pools["p"]; p.Members = nil; f.Pools["p"] = p }, nil, `pools."p".members: `},
@@ -61,27 +61,27 @@
 		}, nil, `methods."view".pool: `},
 		{"budgets without a fleet", func(f *File) { f.Budgets = &Budgets{Servers: 2} }, nil, "budgets: there is no fleet"},
 		{"floors beyond the bound", func(f *File) {
-			f.Budgets.Customers["acme"] = Budget{Bound: 10, Burst: 4, Floor: 3, LongestMs: 1000}
+			f.Budgets.Customers["acme"] = Budget{Bound: 10, Burst: 4, Floor: 3, MaxLeaseMs: 1000}
 		}, nil, `budgets.customers."acme".floor: 4 servers keep 12 together`},
-		{"a burst of less than one each", func(f *File) { f.Budgets.Customers["acme"] = Budget{Bound: 10, Burst: 3, LongestMs: 1000} }, nil, `budgets.customers."acme".burst: at least one`},
-		{"a budget of nobody", func(f *File) { f.Budgets.Customers["x"] = Budget{Bound: 10, Burst: 4, LongestMs: 1000} }, nil, `budgets.customers."x": no customer`},
-		{"a budget of no pool", func(f *File) { f.Budgets.Retries = map[string]Budget{"x": {Bound: 10, Burst: 4, LongestMs: 1000}} }, nil, `budgets.retries."x": no pool`},
-		{"fewer calls than servers", func(f *File) { f.Budgets.Calls = map[string]Budget{"p": {Bound: 3, LongestMs: 1000}} }, nil, `budgets.calls."p".bound: at least one`},
+		{"a burst of less than one each", func(f *File) { f.Budgets.Customers["acme"] = Budget{Bound: 10, Burst: 3, MaxLeaseMs: 1000} }, nil, `budgets.customers."acme".burst: at least one`},
+		{"a budget of nobody", func(f *File) { f.Budgets.Customers["x"] = Budget{Bound: 10, Burst: 4, MaxLeaseMs: 1000} }, nil, `budgets.customers."x": no customer`},
+		{"a budget of no pool", func(f *File) { f.Budgets.Retries = map[string]Budget{"x": {Bound: 10, Burst: 4, MaxLeaseMs: 1000}} }, nil, `budgets.retries."x": no pool`},
+		{"fewer calls than servers", func(f *File) { f.Budgets.Calls = map[string]Budget{"p": {Bound: 3, MaxLeaseMs: 1000}} }, nil, `budgets.calls."p".bound: at least one`},
 		{"a loan for ever", func(f *File) { f.Budgets.Customers["acme"] = Budget{Bound: 10, Burst: 4} }, nil, `budgets.customers."acme".longest_ms: a number`},
-		{"budgets, sound", func(f *File) { f.Budgets.Calls = map[string]Budget{"p": {Bound: 4, LongestMs: 1000, LingerMs: 100}} }, nil, ""},
-		{"no tries", func(f *File) { p := f.Pools["p"]; p.Retry.Most = 0; f.Pools["p"] = p }, nil, `pools."p".retry.most: `},
+		{"budgets, sound", func(f *File) { f.Budgets.Calls = map[string]Budget{"p": {Bound: 4, MaxLeaseMs: 1000, LingerMs: 100}} }, nil, ""},
+		{"no tries", func(f *File) { p := f.Pools["p"]; p.Retry.MaxAttempts = 0; f.Pools["p"] = p }, nil, `pools."p".retry.most: `},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := sound()
 			if strings.HasPrefix(c.want, "budgets.") || c.name == "budgets, sound" {
 				f.Fleet = &Fleet{Listen: "127.0.0.1:7946"}
-				f.Budgets = &Budgets{Servers: 4, Clocks: 1e-3, Customers: map[string]Budget{"acme": {Bound: 10, Burst: 4, LongestMs: 1000}}}
+				f.Budgets = &Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]Budget{"acme": {Bound: 10, Burst: 4, MaxLeaseMs: 1000}}}
 			}
 			if c.change != nil {
 				c.change(f)
 			}
-			b, err := Append(f)
+			b, err := Marshal(f)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,13 +123,13 @@
 		change func(*File)
 		want   string // of the error; "" for none
 	}{
-		{func(f *File) { f.UWSGI.BodyBytes = 1; delete(f.Routes, "view") }, ""},
+		{func(f *File) { f.UWSGI.MaxBodyBytes = 1; delete(f.Routes, "view") }, ""},
 		{func(f *File) { f.UWSGI.Listen = "127.0.0.1:1" }, "/uwsgi/listen: only a new start"},
 		{func(f *File) { f.UWSGI = nil }, "/uwsgi/listen: only a new start"},
-		{func(f *File) { f.Hold.SettledMs = 20 }, "/hold/settled_ms: only a new start"},
+		{func(f *File) { f.Queue.SettledMs = 20 }, "/hold/settled_ms: only a new start"},
 		{func(f *File) { f.Store = &Store{Dir: "/x"} }, "/store/"},
 	} {
-		x, err := configure.New(configure.Version{Number: 1, Tree: tree}, func(configure.Tree) []configure.Fault { return nil }, nil, StartOnly, 3)
+		x, err := configure.New(configure.Version{Number: 1, Tree: tree}, func(configure.Tree) []configure.Fault { return nil }, nil, RestartOnly, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,10 +150,10 @@
 }
 
 func FuzzRead(f *testing.F) {
-	b, _ := Append(sound())
+	b, _ := Marshal(sound())
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := Read(b)
+		r, err := Parse(b)
 		if err != nil {
 			return
 		}
--- a/internal/operator/tree.go
+++ b/internal/operator/tree.go
@@ -13,7 +13,7 @@
 
 // StartOnly are the paths that only a new start can change: what the decisions are made from, where the front listens,
 // and the files that are held open.
-var StartOnly = []configure.Path{{"hold"}, {"limits"}, {"trace"}, {"store"}, {"uwsgi", "listen"}, {"fleet"}}
+var RestartOnly = []configure.Path{{"hold"}, {"limits"}, {"trace"}, {"store"}, {"uwsgi", "listen"}, {"fleet"}}
 
 // Tree is a file as a tree.
 func Tree(f *File) (configure.Tree, error) {
@@ -39,10 +39,10 @@
 
 // Over is a version that is for a whole fleet laid over one server's own file: what only a start can change, and what is a server's own,
 // is as the own file has it where the version says nothing of it.
-func (f *File) Over(own *File) File {
+func (f *File) Overlay(own *File) File {
 	x := *f
-	if x.Hold == (Hold{}) {
-		x.Hold = own.Hold
+	if x.Queue == (Queue{}) {
+		x.Queue = own.Queue
 	}
 	if reflect.ValueOf(x.Limits).IsZero() {
 		x.Limits = own.Limits
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -100,9 +100,9 @@
 		file := o.File
 		file.Version = "bed"
 		if !o.Alone {
-			file.Fleet = &operator.Fleet{Name: o.Fleet, Listen: e.Listen(), Advertise: e.Reach(), Socket: b.Socket(name), Keepers: o.Keepers}
+			file.Fleet = &operator.Fleet{Name: o.Fleet, Listen: e.Listen(), Advertise: e.Reach(), Socket: b.Socket(name), PermitServers: o.Keepers}
 			if o.Folder != "" {
-				file.Fleet.Folder = filepath.Join(o.Folder, name)
+				file.Fleet.DataDir = filepath.Join(o.Folder, name)
 			}
 			if o.Zone != nil {
 				file.Fleet.Zone = o.Zone(i)
@@ -135,7 +135,7 @@
 
 // record writes what the operator tells a name.
 func (b *Bed) record(name string, f operator.File) error {
-	raw, err := operator.Append(&f)
+	raw, err := operator.Marshal(&f)
 	if err == nil {
 		err = os.WriteFile(b.path(name, "record"), raw, 0o600)
 	}
@@ -340,7 +340,7 @@
 	}
 	host, _, _ := net.SplitHostPort(f.Listen)
 	t["listen"] = net.JoinHostPort(host, "9999")
-	record, err := operator.Append(&operator.File{Version: "bed", Fleet: &f})
+	record, err := operator.Marshal(&operator.File{Version: "bed", Fleet: &f})
 	if err == nil {
 		told, err = json.Marshal(t)
 	}
