--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -48,18 +48,8 @@
 		return nil, err
 	}
 	// Side by side: the processes' load is light, and most of the time is waited for loans to end.
-	parts := []func(Options, *Report) error{budgetProcesses, budgetPools}
-	of, errs := make([]Report, len(parts)), make([]error, len(parts))
-	var both sync.WaitGroup
-	for i, part := range parts {
-		both.Go(func() { errs[i] = part(o, &of[i]) })
-	}
-	both.Wait()
-	for i := range parts {
-		if errs[i] != nil {
-			return nil, errs[i]
-		}
-		r.Rows, r.Bars = append(r.Rows, of[i].Rows...), append(r.Bars, of[i].Bars...)
+	if err := runPartsConcurrently(o, r, []func(Options, *Report) error{budgetProcesses, budgetPools}); err != nil {
+		return nil, err
 	}
 	return r, budgetCost(o, r)
 }
@@ -107,7 +97,7 @@
 		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(seed), Length: length * 1000, Script: s, Budgets: budgetsOf(n, ways[k])})
 		all[k][seed] = got{w, w.Run()}
 	})
-	chart := Chart{Name: "ways", X: "s", Y: "let through a second, of the bound"}
+	chart := Chart{Name: "ways", XLabel: "s", YLabel: "let through a second, of the bound"}
 	for k, way := range ways {
 		b := budgetsOf(n, way)
 		worst, contact, cut, sent, found := 0.0, 1.0, math.Inf(1), 0.0, 0
@@ -138,20 +128,20 @@
 			sent = max(sent, float64(x.w.Sent())/length)
 			if i == 0 {
 				for at, s := range x.w.Series[:length] {
-					line.XY = append(line.XY, plotter.XY{X: float64(at), Y: float64(s.Taken) / b.Rules.Bound})
+					line.Points = append(line.Points, plotter.XY{X: float64(at), Y: float64(s.Taken) / b.Rules.Bound})
 				}
 			}
 		}
 		chart.Lines = append(chart.Lines, line)
-		r.Row(fmt.Sprintf("%d simulated servers, %s: most in any second over bound and burst", n, way), seeds, worst, fmt.Sprintf("%d findings", found))
-		r.Row("  in contact, from 2 s after a move: served of the whole quota, the least", seeds, contact, "")
-		r.Row("  cut off with all callers: served of its floor", seeds, cut, "")
-		r.Row("  packets a second from a server, the most", seeds, sent, "")
+		r.AddRow(fmt.Sprintf("%d simulated servers, %s: most in any second over bound and burst", n, way), seeds, worst, fmt.Sprintf("%d findings", found))
+		r.AddRow("  in contact, from 2 s after a move: served of the whole quota, the least", seeds, contact, "")
+		r.AddRow("  cut off with all callers: served of its floor", seeds, cut, "")
+		r.AddRow("  packets a second from a server, the most", seeds, sent, "")
 		if way == fleetsim.Lent {
-			r.AtMost("simulated: most in any second, over bound and burst", worst, 1)
-			r.AtMost("simulated: findings on the parts, the floors and the tables", float64(found), 0)
-			r.AtLeast("simulated: served of the whole quota from 2 s after a move", contact, 0.95)
-			r.AtLeast("simulated: served of its floor by a server cut off", cut, 0.9)
+			r.AddChecks(atMost("simulated: most in any second, over bound and burst", worst, 1))
+			r.AddChecks(atMost("simulated: findings on the parts, the floors and the tables", float64(found), 0))
+			r.AddChecks(atLeast("simulated: served of the whole quota from 2 s after a move", contact, 0.95))
+			r.AddChecks(atLeast("simulated: served of its floor by a server cut off", cut, 0.9))
 		}
 	}
 	r.Charts = append(r.Charts, chart)
@@ -338,17 +328,17 @@
 		packets = max(packets, float64(now[name].Budgets.Sent-before[name].Budgets.Sent)/rest.Seconds())
 		bytes = max(bytes, float64(now[name].Traffic.BytesOut-before[name].Traffic.BytesOut)/rest.Seconds())
 	}
-	r.Row("8 processes: most that ran in any second over bound and burst, all phases", len(times), most(times), "")
-	r.Row("in contact, from 2 s after a move: served of the whole quota, the least; fixed parts beside", 2*rounds, contact, fixed)
-	r.Row("cut off with its callers: served of its floor", rounds, floor, "")
-	r.Row("after lenders killed and a borrower stopped: served of the whole quota", rounds, after, "")
-	r.Row("at rest: packets about loans, and bytes in all, a second from a server, the most", 1, packets, bytes)
-	r.AtMost("processes: most that ran in any second, over bound and burst", most(times), 1)
-	r.AtLeast("processes: served of the whole quota from 2 s after a move", contact, 0.95)
-	r.Above("processes: served, over fixed parts", contact, fixed)
-	r.AtLeast("processes: served of its floor by a server cut off", floor, 0.9)
-	r.AtLeast("processes: served again after the faults", after, 0.95)
-	r.AtMost("packets a second from a server at rest", packets, 5)
+	r.AddRow("8 processes: most that ran in any second over bound and burst, all phases", len(times), most(times), "")
+	r.AddRow("in contact, from 2 s after a move: served of the whole quota, the least; fixed parts beside", 2*rounds, contact, fixed)
+	r.AddRow("cut off with its callers: served of its floor", rounds, floor, "")
+	r.AddRow("after lenders killed and a borrower stopped: served of the whole quota", rounds, after, "")
+	r.AddRow("at rest: packets about loans, and bytes in all, a second from a server, the most", 1, packets, bytes)
+	r.AddChecks(atMost("processes: most that ran in any second, over bound and burst", most(times), 1))
+	r.AddChecks(atLeast("processes: served of the whole quota from 2 s after a move", contact, 0.95))
+	r.AddChecks(above("processes: served, over fixed parts", contact, fixed))
+	r.AddChecks(atLeast("processes: served of its floor by a server cut off", floor, 0.9))
+	r.AddChecks(atLeast("processes: served again after the faults", after, 0.95))
+	r.AddChecks(atMost("packets a second from a server at rest", packets, 5))
 	return nil
 }
 
@@ -426,8 +416,8 @@
 	}
 	further := float64(app.Taken() - taken - ran)
 	allowed := poolRetries*over + poolBurst
-	r.Row(fmt.Sprintf("8 processes, a failing service: further tries; allowed by the fleet's budget in %.1f s", over), ran, further, allowed)
-	r.AtMost("further tries to a failing service, of the fleet's budget", further/allowed, 1)
+	r.AddRow(fmt.Sprintf("8 processes, a failing service: further tries; allowed by the fleet's budget in %.1f s", over), ran, further, allowed)
+	r.AddChecks(atMost("further tries to a failing service, of the fleet's budget", further/allowed, 1))
 	if further == 0 || ran < 100 {
 		return fmt.Errorf("a failing service: %d RPCs ran, %g further tries", ran, further)
 	}
@@ -441,8 +431,8 @@
 		}
 	}
 	mostCalls := float64(app.Most())
-	r.Row("8 processes, a slow service: calls in hand, the most; ok of all", len(samples), mostCalls, ok)
-	r.AtMost("calls in hand at a slow service, of the fleet's budget", mostCalls/poolCalls, 1)
+	r.AddRow("8 processes, a slow service: calls in hand, the most; ok of all", len(samples), mostCalls, ok)
+	r.AddChecks(atMost("calls in hand at a slow service, of the fleet's budget", mostCalls/poolCalls, 1))
 	if mostCalls < poolCalls/2 {
 		return fmt.Errorf("a slow service: %g calls in hand at the most", mostCalls)
 	}
@@ -487,8 +477,8 @@
 	ns := float64(time.Since(began).Nanoseconds()) / calls
 	runtime.ReadMemStats(&after)
 	allocs := float64(after.Mallocs-before.Mallocs) / calls
-	r.Row("cost for an RPC: ns; allocations", calls, ns, allocs)
-	r.Row("bytes for a customer that sends", 2000, each, "")
-	r.AtMost("allocations for an RPC", math.Floor(allocs*100)/100, 0) // the fleet's own ticks allocate beside
+	r.AddRow("cost for an RPC: ns; allocations", calls, ns, allocs)
+	r.AddRow("bytes for a customer that sends", 2000, each, "")
+	r.AddChecks(atMost("allocations for an RPC", math.Floor(allocs*100)/100, 0)) // the fleet's own ticks allocate beside
 	return nil
 }
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -41,8 +41,8 @@
 	drainWork    = 20.0
 )
 
-// KeeperServer is a keeper as a process of the experiment: its name, its folder, and NAME,RAFT,HTTP of each.
-func KeeperServer(name, dir string, fresh bool, peers []string) error {
+// PermitServer is a keeper as a process of the experiment: its name, its folder, and NAME,RAFT,HTTP of each.
+func PermitServer(name, dir string, fresh bool, peers []string) error {
 	log := logrus.New()
 	log.SetLevel(logrus.WarnLevel)
 	o := permitserver.Options{Name: name, Dir: dir, New: fresh, Log: logrus.NewEntry(log)}
@@ -544,34 +544,34 @@
 		}
 		over = max(over, at)
 	}
-	r.Row(fmt.Sprintf("%d servers, limit %g, %d rolls: drains begun; answers that it may not yet", drainServers, drainLimit, rounds), begun, refused)
-	r.Row("s for a roll, the longest", longestRoll, "")
-	r.Row("most out by intent at a time, by the servers' own logs, from begun to back and warm", over, "")
-	r.Row("criticality served with drains; without", worth[0]/all[0], worth[1]/all[1])
+	r.AddRow(fmt.Sprintf("%d servers, limit %g, %d rolls: drains begun; answers that it may not yet", drainServers, drainLimit, rounds), begun, refused)
+	r.AddRow("s for a roll, the longest", longestRoll, "")
+	r.AddRow("most out by intent at a time, by the servers' own logs, from begun to back and warm", over, "")
+	r.AddRow("criticality served with drains; without", worth[0]/all[0], worth[1]/all[1])
 	v := rules[0].Verdict()
-	r.Row("RPCs whose connection ended without an answer; second effects", callers[0].lost.Load(), v.SecondRuns)
-	r.Row("servers killed; RPCs that they had in hand", len(downs.all), callers[0].killed.Load())
+	r.AddRow("RPCs whose connection ended without an answer; second effects", callers[0].lost.Load(), v.SecondRuns)
+	r.AddRow("servers killed; RPCs that they had in hand", len(downs.all), callers[0].killed.Load())
 	if len(halted) > 0 {
-		r.Row("halts; s until all heard servers know, p50", len(halted), standin.Quantile(halted, 0.5))
-		r.Row("  the longest", slices.Max(halted), "")
-		r.AtMost("s until a halt is known at all heard servers", slices.Max(halted), 1.25)
+		r.AddRow("halts; s until all heard servers know, p50", len(halted), standin.Quantile(halted, 0.5))
+		r.AddRow("  the longest", slices.Max(halted), "")
+		r.AddChecks(atMost("s until a halt is known at all heard servers", slices.Max(halted), 1.25))
 	}
-	r.Row("members of the pool drained; s until all servers leave it alone, the longest", below.drains, below.took)
-	r.Row("  RPCs to them from then on", below.after, "")
+	r.AddRow("members of the pool drained; s until all servers leave it alone, the longest", below.drains, below.took)
+	r.AddRow("  RPCs to them from then on", below.after, "")
 	if err := grants(o, r); err != nil {
 		return nil, err
 	}
-	r.AtMost("out by intent at a time", float64(over), drainLimit)
-	r.AtMost("begun while a loss used the allowance up", float64(afterLoss), 0)
-	r.AtMost("begun while halted", float64(whileHalted), 0)
-	r.AtLeast("halts", float64(len(halted)), 1)
-	r.AtLeast("servers killed", float64(len(downs.all)), 1)
-	r.AtLeast("members drained", below.drains, 1)
-	r.AtMost("RPCs to drained members", below.after, 0)
-	r.AtLeast("drains begun", float64(begun), float64(rounds*drainServers))
-	r.AtMost("RPCs lost", float64(callers[0].lost.Load()), 0)
-	r.AtMost("second effects", float64(v.SecondRuns), 0)
-	r.AtLeast("criticality served, of that without drains", worth[0]/all[0]/(worth[1]/all[1]), 0.98)
+	r.AddChecks(atMost("out by intent at a time", float64(over), drainLimit))
+	r.AddChecks(atMost("begun while a loss used the allowance up", float64(afterLoss), 0))
+	r.AddChecks(atMost("begun while halted", float64(whileHalted), 0))
+	r.AddChecks(atLeast("halts", float64(len(halted)), 1))
+	r.AddChecks(atLeast("servers killed", float64(len(downs.all)), 1))
+	r.AddChecks(atLeast("members drained", below.drains, 1))
+	r.AddChecks(atMost("RPCs to drained members", below.after, 0))
+	r.AddChecks(atLeast("drains begun", float64(begun), float64(rounds*drainServers)))
+	r.AddChecks(atMost("RPCs lost", float64(callers[0].lost.Load()), 0))
+	r.AddChecks(atMost("second effects", float64(v.SecondRuns), 0))
+	r.AddChecks(atLeast("criticality served, of that without drains", worth[0]/all[0]/(worth[1]/all[1]), 0.98))
 	return r, nil
 }
 
--- a/internal/experiment/durable.go
+++ b/internal/experiment/durable.go
@@ -30,8 +30,8 @@
 	return store.Bounds{Bytes: 64 << 20, Segment: 256 << 10, Answer: 4 << 10, Window: 61000, Tolerance: 2000}
 }
 
-// Node serves with a durable store until it is killed or its standard input ends.
-func Node(dir, engine, rpc, web string) error {
+// StoreServer serves with a durable store until it is killed or its standard input ends.
+func StoreServer(dir, engine, rpc, web string) error {
 	fs, err := store.OpenDir(dir)
 	if err != nil {
 		return err
@@ -222,11 +222,11 @@
 	}
 	v := rules.Verdict()
 	r := &Report{Name: "durable-kill", Header: []string{"kills", "purchases", "told ok", "tries ok", "pushed back", "aborted", "lost with the process", "runs twice", "start ms"}}
-	r.Row(kills, len(all), told, counts[standin.OK], counts[standin.PushedBack], counts[standin.Aborted], counts[standin.Lost], v.SecondRuns, float64(down.Milliseconds())/float64(kills))
-	r.AtMost("double runs", float64(v.SecondRuns), 0)
-	r.AtMost("answers that contradict the first", float64(contradicted), 0)
-	r.AtMost("told ok and not found after the restart", float64(missing), 0)
-	r.AtLeast("purchases told ok", float64(told), float64(kills))
+	r.AddRow(kills, len(all), told, counts[standin.OK], counts[standin.PushedBack], counts[standin.Aborted], counts[standin.Lost], v.SecondRuns, float64(down.Milliseconds())/float64(kills))
+	r.AddChecks(atMost("double runs", float64(v.SecondRuns), 0))
+	r.AddChecks(atMost("answers that contradict the first", float64(contradicted), 0))
+	r.AddChecks(atMost("told ok and not found after the restart", float64(missing), 0))
+	r.AddChecks(atLeast("purchases told ok", float64(told), float64(kills)))
 	return r, nil
 }
 
@@ -311,15 +311,15 @@
 		f := figures{map[string]float64{}, map[string]float64{}}
 		for _, row := range standin.Summary(samples, false) {
 			f.perSecond[row.Method], f.p99[row.Method] = float64(row.OK)/length.Seconds(), row.P99
-			r.Row(way, row.Method, row.N, row.OK, f.perSecond[row.Method], row.PushedBack, row.Aborted, row.P50, row.P99,
+			r.AddRow(way, row.Method, row.N, row.OK, f.perSecond[row.Method], row.PushedBack, row.Aborted, row.P50, row.P99,
 				st.Syncs, float64(st.Records)/max(1, float64(st.Syncs)), timed.mean())
 		}
 		got[way] = f
 	}
 	for _, way := range []string{"on", "slow disk"} {
-		r.AtMost("idempotent p99, "+way+" over off", got[way].p99["account-view"]/got["off"].p99["account-view"], 1.1)
+		r.AddChecks(atMost("idempotent p99, "+way+" over off", got[way].p99["account-view"]/got["off"].p99["account-view"], 1.1))
 	}
-	r.AtLeast("tokened ok a second, on over off", got["on"].perSecond["topup-buy"]/got["off"].perSecond["topup-buy"], 0.8)
+	r.AddChecks(atLeast("tokened ok a second, on over off", got["on"].perSecond["topup-buy"]/got["off"].perSecond["topup-buy"], 0.8))
 	return r, nil
 }
 
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -163,12 +163,12 @@
 			return nil, err
 		}
 		for _, row := range standin.Summary(samples, false, 250*time.Millisecond) {
-			r.Row(way, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, peaks[0], peaks[1])
+			r.AddRow(way, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, peaks[0], peaks[1])
 		}
 		served[way] = criticality(samples, embeddedMethods)
 	}
-	r.Above("criticality served, above bare", served["valve"], served["bare"])
-	r.Above("criticality served, above a semaphore", served["valve"], served["semaphore"])
+	r.AddChecks(above("criticality served, above bare", served["valve"], served["bare"]))
+	r.AddChecks(above("criticality served, above a semaphore", served["valve"], served["semaphore"]))
 	return r, nil
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,140 +1,48 @@
-// Package lab is what the experiments share: a server of this build put together in the process, what an experiment
-// reports, and the bars that it must clear. It must never print a figure that was not measured in the run at hand.
+// Package experiment holds the project's experiments and the small vocabulary they share. An Experiment is a named run
+// that puts servers of this build on loopback (or a fleet on the simulator's virtual clock), takes them through a table
+// of steps, and fills a Report: a table of measurements, charts, and checks, each of which holds one measured value
+// against its bound.
+//
+// Each experiment compares alternatives within one run, so that a result does not depend on the machine. A report never
+// holds a figure that was not measured in the run at hand.
 package experiment
 
-import (
-	"encoding/csv"
-	"fmt"
-	"io"
-	"os"
-	"path/filepath"
-	"strings"
-	"text/tabwriter"
+import "io"
 
-	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
-	"gonum.org/v1/plot/plotutil"
-	"gonum.org/v1/plot/vg"
-)
+// Experiment is one entry of the list of experiments.
+type Experiment struct {
+	Name    string // as the command line takes it
+	Summary string // one line
+	Run     func(Options) (*Report, error)
+}
 
 // Options are those of one run.
 type Options struct {
-	Quick bool
-	Seed  int64
-	Dir   string // for the table and the chart; "" for none
-	Out   io.Writer
-
-	Servers  int    // of a simulated fleet; 0 for the experiment's own
-	Schedule string // a file of faults; "" for none
-	Seeds    string // A..B; "" for the experiment's own
-}
-
-// Report is what an experiment found.
-type Report struct {
-	Name   string
-	Header []string
-	Rows   [][]string
-	Bars   []Bar
-	Charts []Chart
-}
-
-// Bar is one figure and what is wanted of it.
-type Bar struct {
-	Name   string
-	Value  float64
-	Wanted string // as >= 0.97
-	Holds  bool
-}
-
-// AtLeast and AtMost add a bar.
-func (r *Report) AtLeast(name string, v, least float64) {
-	r.Bars = append(r.Bars, Bar{name, v, fmt.Sprintf("at least %g", least), v >= least})
-}
-
-func (r *Report) AtMost(name string, v, most float64) {
-	r.Bars = append(r.Bars, Bar{name, v, fmt.Sprintf("at most %g", most), v <= most})
-}
-
-// Above adds a bar that another run of the same experiment sets.
-func (r *Report) Above(name string, v, other float64) {
-	r.Bars = append(r.Bars, Bar{name, v, fmt.Sprintf("above %.4g", other), v > other})
-}
-
-// Row adds a row of the table.
-func (r *Report) Row(cells ...any) {
-	row := make([]string, len(cells))
-	for i, c := range cells {
-		if v, ok := c.(float64); ok {
-			row[i] = fmt.Sprintf("%.4g", v)
-		} else {
-			row[i] = fmt.Sprint(c)
-		}
-	}
-	r.Rows = append(r.Rows, row)
-}
-
-// Chart is lines over time or any other axis.
-type Chart struct {
-	Name, X, Y string
-	Lines      []Line
-}
-
-// Line is one of a chart.
-type Line struct {
-	Name string
-	XY   plotter.XYs
-}
-
-// Write prints the table and the bars, and writes both and the charts to the folder. It tells whether all bars hold.
-func (r *Report) Write(o Options) (bool, error) {
-	w := tabwriter.NewWriter(o.Out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(w, strings.Join(r.Header, "\t"))
-	for _, row := range r.Rows {
-		fmt.Fprintln(w, strings.Join(row, "\t"))
-	}
-	w.Flush()
-	holds := true
-	for _, b := range r.Bars {
-		short := ""
-		if !b.Holds {
-			holds, short = false, "  FALLS SHORT"
-		}
-		fmt.Fprintf(o.Out, "bar %s: %.4g (wanted %s)%s\n", b.Name, b.Value, b.Wanted, short)
-	}
-	if o.Dir == "" {
-		return holds, nil
-	}
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return holds, err
-	}
-	f, err := os.Create(filepath.Join(o.Dir, r.Name+".csv"))
-	if err != nil {
-		return holds, err
-	}
-	defer f.Close()
-	if err := csv.NewWriter(f).WriteAll(append([][]string{r.Header}, r.Rows...)); err != nil {
-		return holds, err
-	}
-	for _, c := range r.Charts {
-		if err := c.write(filepath.Join(o.Dir, r.Name+"-"+c.Name+".svg")); err != nil {
-			return holds, err
-		}
-	}
-	return holds, nil
-}
-
-func (c *Chart) write(path string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Name, c.X, c.Y
-	p.Legend.Top = true
-	for i, l := range c.Lines {
-		line, err := plotter.NewLine(l.XY)
-		if err != nil {
-			return err
-		}
-		line.Color, line.Dashes = plotutil.Color(i), plotutil.Dashes(i)
-		p.Add(line)
-		p.Legend.Add(l.Name, line)
+	Quick     bool      // run the short form, within 45 s where the machine is otherwise idle
+	Seed      int64     // of every random number in the load
+	OutputDir string    // for the table as CSV and the charts as SVG; "" for none
+	Out       io.Writer // for the table, the checks and findings
+
+	Servers  int    // number of servers in a simulated fleet; 0 for the experiment's own
+	Schedule string // path of a fault schedule; "" for none
+	Seeds    string // range of seeds, "A..B"; "" for the experiment's own
+}
+
+// All lists the experiments in the order in which the command line shows them.
+func All() []Experiment {
+	return []Experiment{
+		{"uwsgi-mixed", "both protocols at 120% of one machine: past the valve, a plain queue, the valve", Mixed},
+		{"parity", "one sequence of arrivals through the daemon and through gin, on a virtual clock and in real time", Parity},
+		{"durable-kill", "a process with a durable store, killed at random under repeated purchases by both fronts", DurableKill},
+		{"durable-cost", "what the durable store costs: off, on, on a slow disk", DurableCost},
+		{"embedded", "a gin program at 150% of its cores: bare, behind a semaphore, behind the valve", Embedded},
+		{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", Hearing},
+		{"fleet-sim", "simulated fleets under random faults, how they grow, and a twin of real processes", FleetSim},
+		{"fleet-twin", "the same schedules through eight processes and through the simulator", FleetTwin},
+		{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", FleetBudgets},
+		{"fleet-judge", "a pool of which members turn bad, judged by each server for itself and by the fleet together", FleetJudge},
+		{"fleet-drain", "a fleet of processes drained one by one by permits of three keepers, with faults, beside one without drains", FleetDrain},
+		{"fleet-release", "versions of the settings in waves: judged, in fixed waves, at once; simulated, and processes", FleetRelease},
+		{"pools", "five uwsgi members of which one turns bad and recovers, beside round robin without ejection", Pools},
 	}
-	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
--- a/internal/experiment/grants.go
+++ b/internal/experiment/grants.go
@@ -99,16 +99,16 @@
 		name := "ms to grant, one client, three keepers: p50; p99"
 		if kill {
 			name = "  with the leader killed: p50; the longest"
-			r.Row(name, standin.Quantile(took, 0.5), standin.Quantile(took, 1))
-			r.AtMost("ms to grant over a leader's loss", standin.Quantile(took, 1), 5000)
+			r.AddRow(name, standin.Quantile(took, 0.5), standin.Quantile(took, 1))
+			r.AddChecks(atMost("ms to grant over a leader's loss", standin.Quantile(took, 1), 5000))
 			for _, name := range k.names {
 				if k.procs[name] == nil {
 					k.start(name, false)
 				}
 			}
 		} else {
-			r.Row(name, standin.Quantile(took, 0.5), standin.Quantile(took, 0.99))
-			r.AtMost("ms to grant, p99", standin.Quantile(took, 0.99), 250)
+			r.AddRow(name, standin.Quantile(took, 0.5), standin.Quantile(took, 0.99))
+			r.AddChecks(atMost("ms to grant, p99", standin.Quantile(took, 0.99), 250))
 		}
 	}
 	// Many at once, up to the number wanted.
@@ -160,13 +160,13 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	restart := time.Since(again)
-	r.Row(fmt.Sprintf("%d permits given and returned by %d clients: permits a second", st.State.Next, grantClients), float64(permits)/took.Seconds(), "")
-	r.Row("  MB resident of the largest keeper before; after", before, after)
-	r.Row("  MB on a keeper's disk; s until one that was killed serves again", log, restart.Seconds())
-	r.AtLeast("permits given", float64(st.State.Next), float64(permits))
-	r.AtMost("MB resident of a keeper, after", after, 192)
-	r.AtMost("MB on a keeper's disk", log, 256)
-	r.AtMost("s until a killed keeper serves again", restart.Seconds(), 5)
+	r.AddRow(fmt.Sprintf("%d permits given and returned by %d clients: permits a second", st.State.Next, grantClients), float64(permits)/took.Seconds(), "")
+	r.AddRow("  MB resident of the largest keeper before; after", before, after)
+	r.AddRow("  MB on a keeper's disk; s until one that was killed serves again", log, restart.Seconds())
+	r.AddChecks(atLeast("permits given", float64(st.State.Next), float64(permits)))
+	r.AddChecks(atMost("MB resident of a keeper, after", after, 192))
+	r.AddChecks(atMost("MB on a keeper's disk", log, 256))
+	r.AddChecks(atMost("s until a killed keeper serves again", restart.Seconds(), 5))
 	return nil
 }
 
--- a/internal/experiment/hearing.go
+++ b/internal/experiment/hearing.go
@@ -151,7 +151,7 @@
 	var cut, heal float64
 	for _, what := range order {
 		p50, most := timesOf(times[what])
-		r.Row(what, len(times[what]), p50, most)
+		r.AddRow(what, len(times[what]), p50, most)
 		if strings.HasSuffix(what, "it is alone") {
 			cut = most
 		}
@@ -159,8 +159,8 @@
 			heal = max(heal, most)
 		}
 	}
-	r.AtMost("s until a server that was cut off is alone", cut, 3)
-	r.AtMost("s from a heal until all are whole", heal, 5)
+	r.AddChecks(atMost("s until a server that was cut off is alone", cut, 3))
+	r.AddChecks(atMost("s from a heal until all are whole", heal, 5))
 
 	// At rest: what it costs. Nobody asks the servers meanwhile.
 	before, cpu, err := cost(b)
@@ -179,9 +179,9 @@
 		bytes = max(bytes, float64(after[name].Traffic.BytesOut-before[name].Traffic.BytesOut)/over)
 		core = max(core, 100*(cpu2[name]-cpu[name]).Seconds()/over)
 	}
-	r.Row(fmt.Sprintf("at rest, %d servers: bytes a second out, the most of any", servers), 1, bytes, "")
-	r.Row("at rest: % of a core, the most of any, admission's ticks included", 1, core, "")
-	r.AtMost("bytes a second from each server at rest", bytes, 4096)
+	r.AddRow(fmt.Sprintf("at rest, %d servers: bytes a second out, the most of any", servers), 1, bytes, "")
+	r.AddRow("at rest: % of a core, the most of any, admission's ticks included", 1, core, "")
+	r.AddChecks(atMost("bytes a second from each server at rest", bytes, 4096))
 
 	// Loss: nobody who runs is to be called silent.
 	if err := do("0s loss *>* 0.1"); err != nil {
@@ -197,8 +197,8 @@
 	if c.Lost == 0 {
 		return nil, fmt.Errorf("no packet was lost under loss")
 	}
-	r.Row(fmt.Sprintf("10%% loss for %.0f s: wrong deaths", lossy.Seconds()), 1, float64(wrong), "")
-	r.AtMost("wrong deaths under 10% loss", float64(wrong), 0)
+	r.AddRow(fmt.Sprintf("10%% loss for %.0f s: wrong deaths", lossy.Seconds()), 1, float64(wrong), "")
+	r.AddChecks(atMost("wrong deaths under 10% loss", float64(wrong), 0))
 	if err := b.Await(longest, names, testbed.Hears("whole", servers)); err != nil {
 		return nil, err
 	}
@@ -206,13 +206,13 @@
 	if err != nil {
 		return nil, err
 	}
-	r.AtMost("pushback p99 with membership, under faults, over without", ratio, 1.1)
+	r.AddChecks(atMost("pushback p99 with membership, under faults, over without", ratio, 1.1))
 	b.Close()
 	share, err := fleetCost(o, r)
 	if err != nil {
 		return nil, err
 	}
-	r.AtMost("% of a core for membership at 8 servers", share, 1)
+	r.AddChecks(atMost("% of a core for membership at 8 servers", share, 1))
 	return r, many(o, r)
 }
 
@@ -267,7 +267,7 @@
 	if err != nil {
 		return 0, err
 	}
-	r.Row("at rest without membership: % of a core", 1, 100*(cpu1-cpu0).Seconds()/idle.Seconds(), "")
+	r.AddRow("at rest without membership: % of a core", 1, 100*(cpu1-cpu0).Seconds()/idle.Seconds(), "")
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	var side sync.WaitGroup
@@ -315,7 +315,7 @@
 			return 0, fmt.Errorf("%s: %d pushed back of %d", way, len(pushed), len(samples[way]))
 		}
 		p99[way] = standin.Quantile(pushed, 0.99)
-		r.Row(way+" membership, faults beside: pushback p99 in ms; ok; pushed back", len(samples[way]), p99[way], fmt.Sprint(ok, " ", len(pushed)))
+		r.AddRow(way+" membership, faults beside: pushback p99 in ms; ok; pushed back", len(samples[way]), p99[way], fmt.Sprint(ok, " ", len(pushed)))
 	}
 	return p99["with"] / p99["without"], nil
 }
@@ -370,7 +370,7 @@
 				whole++
 			}
 		}
-		line.XY = append(line.XY, plotter.XY{X: time.Since(began).Seconds(), Y: float64(whole) / float64(n)})
+		line.Points = append(line.Points, plotter.XY{X: time.Since(began).Seconds(), Y: float64(whole) / float64(n)})
 		if whole == n {
 			break
 		}
@@ -398,9 +398,9 @@
 	b1, p1 := sum()
 	per := window.Seconds() * float64(n)
 	share = 100 * cpu.Seconds() / per
-	r.Row(fmt.Sprintf("%d in one process: s until all whole; bytes and packets a second, %% of a core for each", n), 1, agreed,
+	r.AddRow(fmt.Sprintf("%d in one process: s until all whole; bytes and packets a second, %% of a core for each", n), 1, agreed,
 		fmt.Sprintf("%.0f B %.1f p %.3f%%", float64(b1-b0)/per, float64(p1-p0)/per, share))
-	r.Charts = append(r.Charts, Chart{Name: fmt.Sprint("start-", n), X: "s since the start", Y: "share of views that are whole", Lines: []Line{line}})
+	r.Charts = append(r.Charts, Chart{Name: fmt.Sprint("start-", n), XLabel: "s since the start", YLabel: "share of views that are whole", Lines: []Line{line}})
 	return share, nil
 }
 
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -117,11 +117,11 @@
 			}
 		}
 	}
-	chart := Chart{Name: "ok", X: "s", Y: "ok in target, share"}
+	chart := Chart{Name: "ok", XLabel: "s", YLabel: "ok in target, share"}
 	for k, name := range []string{"each for itself", "together"} {
 		line := Line{Name: name}
 		for i, x := range ways[k][0].Windows[:int(length/1000)] {
-			line.XY = append(line.XY, plotter.XY{X: float64(i), Y: float64(x.OK) / math.Max(1, float64(x.Asked))})
+			line.Points = append(line.Points, plotter.XY{X: float64(i), Y: float64(x.OK) / math.Max(1, float64(x.Asked))})
 		}
 		chart.Lines = append(chart.Lines, line)
 	}
@@ -165,14 +165,14 @@
 				}
 			}
 		}
-		r.Row(p.name+": ok in target", ok[0], ok[1], "")
+		r.AddRow(p.name+": ok in target", ok[0], ok[1], "")
 		if p.who >= 0 {
-			r.Row("  s until nine in ten servers have it out", out[0], out[1], "")
+			r.AddRow("  s until nine in ten servers have it out", out[0], out[1], "")
 			if p.on.Slow == 0 {
 				slowest = math.Max(slowest, out[1]/out[0])
 			}
 		}
-		r.Row("  sound members out, over all servers at a time", wrong[0], wrong[1], "")
+		r.AddRow("  sound members out, over all servers at a time", wrong[0], wrong[1], "")
 		// What chance does: two standard deviations of the difference.
 		chance := 2 * math.Sqrt(2*ok[0]*(1-ok[0])/float64(max(1, all/2))) / ok[0]
 		worstPhase = math.Min(worstPhase, ok[1]/ok[0]+chance)
@@ -180,23 +180,23 @@
 			leastBad = math.Min(leastBad, ok[1]/ok[0])
 		}
 		if p.sound {
-			r.AtMost(p.name+": sound members out, together", float64(wrong[1]), 0)
+			r.AddChecks(atMost(p.name+": sound members out, together", float64(wrong[1]), 0))
 		}
 	}
 	most := 0.0
 	for _, w := range ways[1] {
 		most = math.Max(most, w.MostOut())
 	}
-	r.Row("tries to members bad for all, from 3 s after they turned so", sick[0], sick[1], "")
-	r.Row("  in the first 3 s", early[0], early[1], "")
-	r.Row("most members out at one server, share", "", most, "")
-	r.Row(fmt.Sprintf("%d servers, %d members, %g RPC/s each, %d seeds: s of real time", n, judgeMembers, rate, seeds), "", time.Since(began).Seconds(), "")
-	r.AtMost("time until a failing member is out, over each for itself", slowest, 0.5)
-	r.AtMost("probes: tries to bad members from 3 s on, over each for itself", sick[1]/sick[0], 0.25)
-	r.AtMost("most members out at one server, share", most, 1-judgeRules.MinShare)
-	r.AtMost("findings on the allowance", float64(found), 0)
-	r.AtLeast("ok in target over each for itself, the worst phase, and two standard deviations", worstPhase, 1)
-	r.AtLeast("ok in target over each for itself, the least of the bad phases", leastBad, 1.02)
+	r.AddRow("tries to members bad for all, from 3 s after they turned so", sick[0], sick[1], "")
+	r.AddRow("  in the first 3 s", early[0], early[1], "")
+	r.AddRow("most members out at one server, share", "", most, "")
+	r.AddRow(fmt.Sprintf("%d servers, %d members, %g RPC/s each, %d seeds: s of real time", n, judgeMembers, rate, seeds), "", time.Since(began).Seconds(), "")
+	r.AddChecks(atMost("time until a failing member is out, over each for itself", slowest, 0.5))
+	r.AddChecks(atMost("probes: tries to bad members from 3 s on, over each for itself", sick[1]/sick[0], 0.25))
+	r.AddChecks(atMost("most members out at one server, share", most, 1-judgeRules.MinShare))
+	r.AddChecks(atMost("findings on the allowance", float64(found), 0))
+	r.AddChecks(atLeast("ok in target over each for itself, the worst phase, and two standard deviations", worstPhase, 1))
+	r.AddChecks(atLeast("ok in target over each for itself, the least of the bad phases", leastBad, 1.02))
 	ramp(r, ways[1], phases, begins, n)
 	agree(r, ways[1], phases, begins, n)
 	return r, judgeProcesses(o, r)
@@ -230,8 +230,8 @@
 		}
 	}
 	chance := 2 / math.Sqrt(math.Max(1, wanted))
-	r.Row("RPCs to members that return, over their ramps; wanted", "", got, wanted)
-	r.AtMost("load on returning members off its ramp, less two standard deviations", math.Max(0, math.Abs(got/wanted-1)-chance), 0.1)
+	r.AddRow("RPCs to members that return, over their ramps; wanted", "", got, wanted)
+	r.AddChecks(atMost("load on returning members off its ramp, less two standard deviations", math.Max(0, math.Abs(got/wanted-1)-chance), 0.1))
 }
 
 // agree is how long servers held different members out, after a cut was healed.
@@ -254,5 +254,5 @@
 			worst = math.Max(worst, float64(last-from))
 		}
 	}
-	r.AtMost("s from a heal until all hold the same members out", worst, 3)
+	r.AddChecks(atMost("s from a heal until all hold the same members out", worst, 3))
 }
--- a/internal/experiment/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -186,7 +186,7 @@
 		}
 		together.Net.Heal()
 		slowest = max(slowest, took)
-		r.Row(fmt.Sprintf("8 processes, a member %s: tries to it in %.0f s", t.name, phase.Seconds()), n[0], n[1], fmt.Sprintf("out at all 8 after %.1f s", took))
+		r.AddRow(fmt.Sprintf("8 processes, a member %s: tries to it in %.0f s", t.name, phase.Seconds()), n[0], n[1], fmt.Sprintf("out at all 8 after %.1f s", took))
 		began = time.Now()
 		back := phase.Seconds()
 		for time.Since(began) < phase {
@@ -196,7 +196,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		r.Row("  s until it is back everywhere", "", back, "")
+		r.AddRow("  s until it is back everywhere", "", back, "")
 		was = append(was, together.apps[k].Addr())
 		time.Sleep(time.Until(began.Add(phase)))
 	}
@@ -205,15 +205,15 @@
 	for i, j := range beds {
 		ok[i] = float64(j.inTime) / float64(max(1, j.asked))
 	}
-	r.Row("8 processes: ok in target over all", ok[0], ok[1], fmt.Sprintf("%d RPCs", beds[0].asked+beds[1].asked))
-	r.AtMost("processes: s until a bad member is out at all", slowest, 4)
+	r.AddRow("8 processes: ok in target over all", ok[0], ok[1], fmt.Sprintf("%d RPCs", beds[0].asked+beds[1].asked))
+	r.AddChecks(atMost("processes: s until a bad member is out at all", slowest, 4))
 	most := 0.5
 	if o.Quick { // two or three of five seconds pass until it is out, in which some ten tries go there either way
 		most = 0.75
 	}
-	r.AtMost("processes: tries to a bad member, over each for itself", sick[1]/max(1, sick[0]), most)
-	r.AtMost("processes: sound members out at a time", float64(wrong), 0)
-	r.AtLeast("processes: ok in target over each for itself", ok[1]/ok[0], 1)
+	r.AddChecks(atMost("processes: tries to a bad member, over each for itself", sick[1]/max(1, sick[0]), most))
+	r.AddChecks(atMost("processes: sound members out at a time", float64(wrong), 0))
+	r.AddChecks(atLeast("processes: ok in target over each for itself", ok[1]/ok[0], 1))
 	if slices.Min([]float64{sick[0], ok[0]}) == 0 {
 		return fmt.Errorf("the bad members got nothing, or nothing was ok")
 	}
--- a/internal/experiment/mixed.go
+++ b/internal/experiment/mixed.go
@@ -97,7 +97,7 @@
 		cores.Close()
 		rows := standin.Summary(samples, true, 400*time.Millisecond)
 		for _, row := range rows {
-			r.Row(way, row.Protocol, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, row.Pushed99, row.Held)
+			r.AddRow(way, row.Protocol, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, row.Pushed99, row.Held)
 		}
 		served[way] = criticality(samples, mixedMethods)
 		r.Charts = append(r.Charts, overTime(way, samples))
@@ -107,7 +107,7 @@
 		apart, pushed := 0.0, 0.0
 		for i, row := range rows {
 			if row.Method == "topup-buy" {
-				r.AtLeast("topup-buy in target by "+row.Protocol, row.InTime, 0.97)
+				r.AddChecks(atLeast("topup-buy in target by "+row.Protocol, row.InTime, 0.97))
 			}
 			if i%2 == 1 {
 				apart = math.Max(apart, math.Abs(row.InTime-rows[i-1].InTime))
@@ -115,14 +115,14 @@
 			pushed = math.Max(pushed, row.Pushed99)
 		}
 		v := rules.Verdict()
-		r.AtMost("protocols apart", apart, 0.03)
-		r.AtMost("pushed back p99 ms", pushed, 20)
-		r.AtMost("RPCs without an answer", float64(v.Unanswered), 0)
-		r.AtMost("RPCs with two", float64(v.Twice), 0)
-		r.AtMost("second runs", float64(v.SecondRuns), 0)
-		r.AtMost("results changed", float64(len(v.Broken)), 0)
+		r.AddChecks(atMost("protocols apart", apart, 0.03))
+		r.AddChecks(atMost("pushed back p99 ms", pushed, 20))
+		r.AddChecks(atMost("RPCs without an answer", float64(v.Unanswered), 0))
+		r.AddChecks(atMost("RPCs with two", float64(v.Twice), 0))
+		r.AddChecks(atMost("second runs", float64(v.SecondRuns), 0))
+		r.AddChecks(atMost("results changed", float64(len(v.Broken)), 0))
 	}
-	r.Above("criticality served", served["valve"], served["plain queue"])
+	r.AddChecks(above("criticality served", served["valve"], served["plain queue"]))
 	return r, nil
 }
 
@@ -147,7 +147,7 @@
 
 // overTime is the share ok in target of each method, second by second.
 func overTime(way string, samples []standin.Sample) Chart {
-	c := Chart{Name: way, X: "s", Y: "ok within the latency target"}
+	c := Chart{Name: way, XLabel: "s", YLabel: "ok within the latency target"}
 	type cell struct{ ok, all float64 }
 	at := map[string]map[int]*cell{}
 	last := 0
@@ -169,10 +169,10 @@
 		l := Line{Name: m.Name}
 		for s := range last + 1 {
 			if x := at[m.Name][s]; x != nil {
-				l.XY = append(l.XY, struct{ X, Y float64 }{float64(s), x.ok / x.all})
+				l.Points = append(l.Points, struct{ X, Y float64 }{float64(s), x.ok / x.all})
 			}
 		}
-		if len(l.XY) > 0 {
+		if len(l.Points) > 0 {
 			c.Lines = append(c.Lines, l)
 		}
 	}
--- a/internal/experiment/parity.go
+++ b/internal/experiment/parity.go
@@ -519,7 +519,7 @@
 			if clock == "real" {
 				shares = math.Max(shares, math.Abs(float64(a-b))/float64(n))
 			}
-			r.Row(clock, m.Name, n, a, b, onlyA, onlyB)
+			r.AddRow(clock, m.Name, n, a, b, onlyA, onlyB)
 		}
 		apart[clock] = float64(differ) / float64(len(seq))
 		if clock == "real" {
@@ -528,11 +528,11 @@
 					noise += 1 / float64(len(seq))
 				}
 			}
-			r.Row(clock, "two daemons part in", len(seq), "", "", noise, "")
+			r.AddRow(clock, "two daemons part in", len(seq), "", "", noise, "")
 		}
 	}
-	r.AtMost("turned away by one only, virtual clock", apart["virtual"], 0)
-	r.AtMost("share of a method turned away, apart in real time", shares, 0.01)
-	r.AtMost("turned away by one only in real time, beyond what two daemons part", apart["real"]-noise, 0.01)
+	r.AddChecks(atMost("turned away by one only, virtual clock", apart["virtual"], 0))
+	r.AddChecks(atMost("share of a method turned away, apart in real time", shares, 0.01))
+	r.AddChecks(atMost("turned away by one only in real time, beyond what two daemons part", apart["real"]-noise, 0.01))
 	return r, nil
 }
--- a/internal/experiment/pools.go
+++ b/internal/experiment/pools.go
@@ -74,7 +74,7 @@
 		}()
 	}
 	wg.Wait()
-	chart := Chart{Name: "share", X: "s", Y: "share of tries that the bad member gets"}
+	chart := Chart{Name: "share", XLabel: "s", YLabel: "share of tries that the bad member gets"}
 	inTime := map[string]float64{}
 	for _, w := range ways {
 		if w.err != nil {
@@ -96,7 +96,7 @@
 				}
 			}
 			for _, row := range standin.Summary(part, false, poolTarget) {
-				r.Row(w.way, t.name, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99)
+				r.AddRow(w.way, t.name, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99)
 			}
 		}
 		w.share.Name = w.way
@@ -104,14 +104,14 @@
 	}
 	r.Charts = append(r.Charts, chart)
 	ours := ways[1]
-	r.AtLeast("ok in target", inTime["valve"], 0.99)
-	r.Above("better than round robin", inTime["valve"], inTime["round robin, no ejection"])
-	r.AtMost("further tries", ours.further, math.Floor(ours.allowed))
-	r.AtMost("s until a recovered member has its part", ours.back, 10)
-	r.AtMost("in hand there, over the others' most", ours.overrun, 1.5)
-	r.AtMost("second runs", float64(ours.verdict.SecondRuns), 0)
-	r.AtMost("RPCs without an answer", float64(ours.verdict.Unanswered), 0)
-	r.AtMost("RPCs with two", float64(ours.verdict.Twice), 0)
+	r.AddChecks(atLeast("ok in target", inTime["valve"], 0.99))
+	r.AddChecks(above("better than round robin", inTime["valve"], inTime["round robin, no ejection"]))
+	r.AddChecks(atMost("further tries", ours.further, math.Floor(ours.allowed)))
+	r.AddChecks(atMost("s until a recovered member has its part", ours.back, 10))
+	r.AddChecks(atMost("in hand there, over the others' most", ours.overrun, 1.5))
+	r.AddChecks(atMost("second runs", float64(ours.verdict.SecondRuns), 0))
+	r.AddChecks(atMost("RPCs without an answer", float64(ours.verdict.Unanswered), 0))
+	r.AddChecks(atMost("RPCs with two", float64(ours.verdict.Twice), 0))
 	return r, nil
 }
 
@@ -203,7 +203,7 @@
 				others += float64(now[i] - last[i])
 			}
 			last = now
-			w.share.XY = append(w.share.XY, struct{ X, Y float64 }{time.Since(began).Seconds(), mine / math.Max(1, mine+others)})
+			w.share.Points = append(w.share.Points, struct{ X, Y float64 }{time.Since(began).Seconds(), mine / math.Max(1, mine+others)})
 			if !recovered.IsZero() {
 				w.back = math.Max(w.back, time.Since(recovered).Seconds())
 				if mine >= 0.8*others/(poolMembers-1) {
--- a/internal/experiment/release.go
+++ b/internal/experiment/release.go
@@ -50,7 +50,7 @@
 	count := make([]int, fleetsim.Bads)
 	reached := make([][ways]float64, fleetsim.Bads)
 	took := make([]float64, fleetsim.Bads)
-	chart := Chart{Name: "reached", X: "release", Y: "servers that ran the bad version"}
+	chart := Chart{Name: "reached", XLabel: "release", YLabel: "servers that ran the bad version"}
 	lines := [ways]Line{{Name: "judged"}, {Name: "fixed waves"}, {Name: "at once"}}
 	for i := range ends {
 		kind := i % fleetsim.Bads
@@ -60,7 +60,7 @@
 			served[kind][way] += ends[i][way].Served
 			reached[kind][way] += float64(ends[i][way].Reached)
 			if kind != int(fleetsim.Good) {
-				lines[way].XY = append(lines[way].XY, plotter.XY{X: float64(i), Y: float64(ends[i][way].Reached)})
+				lines[way].Points = append(lines[way].Points, plotter.XY{X: float64(i), Y: float64(ends[i][way].Reached)})
 			}
 		}
 		mixed += e.Mixed
@@ -86,23 +86,23 @@
 	leastBad, leastGood := 1.0, 1.0
 	for kind := range fleetsim.Bads {
 		n := float64(max(1, count[kind]))
-		r.Row(fmt.Sprintf("%s: ok over without it", fleetsim.Bad(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
-		r.Row("  servers reached, mean", reached[kind][0]/n, reached[kind][1]/n, reached[kind][2]/n)
+		r.AddRow(fmt.Sprintf("%s: ok over without it", fleetsim.Bad(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
+		r.AddRow("  servers reached, mean", reached[kind][0]/n, reached[kind][1]/n, reached[kind][2]/n)
 		if kind != int(fleetsim.Good) {
-			r.Row("  s from the first assignment to the way back", took[kind]/n, "", "")
+			r.AddRow("  s from the first assignment to the way back", took[kind]/n, "", "")
 			leastBad = min(leastBad, served[kind][0]/n)
 		} else {
 			leastGood = served[kind][0] / n
 		}
 	}
-	r.Row(fmt.Sprintf("%d releases at 300 servers in 3 zones, three ways: s of real time", runs), time.Since(began).Seconds(), "", "")
-	r.AtLeast("releases", float64(runs), 1)
-	r.AtMost("bad versions beyond the canary and one wave that had shown for 20 s", float64(beyond), 0)
-	r.AtMost("good versions not brought to their end, share", float64(falsely)/float64(max(1, good)), 0.02)
-	r.AtMost("servers not on what they are assigned at the end", float64(mixed), 0)
-	r.AtMost("releases taken back that left a server with another than its former version", float64(unrestored), 0)
-	r.AtLeast("ok through a good release, over without it", leastGood, 0.98)
-	r.AtLeast("ok through a bad one, the worst kind, over without it", leastBad, 0.95)
+	r.AddRow(fmt.Sprintf("%d releases at 300 servers in 3 zones, three ways: s of real time", runs), time.Since(began).Seconds(), "", "")
+	r.AddChecks(atLeast("releases", float64(runs), 1))
+	r.AddChecks(atMost("bad versions beyond the canary and one wave that had shown for 20 s", float64(beyond), 0))
+	r.AddChecks(atMost("good versions not brought to their end, share", float64(falsely)/float64(max(1, good)), 0.02))
+	r.AddChecks(atMost("servers not on what they are assigned at the end", float64(mixed), 0))
+	r.AddChecks(atMost("releases taken back that left a server with another than its former version", float64(unrestored), 0))
+	r.AddChecks(atLeast("ok through a good release, over without it", leastGood, 0.98))
+	r.AddChecks(atLeast("ok through a bad one, the worst kind, over without it", leastBad, 0.95))
 	return r, releaseProcesses(o, r)
 }
 
@@ -295,13 +295,13 @@
 			wrong++
 		}
 	}
-	r.Row("8 processes: ok at rest", quiet[0], "", quiet[1])
-	r.Row("  through a good release over a leader's loss; s", through[0], "", goodTook.Seconds())
-	r.Row("  through a bad one; at once", bad[0], "", bad[1])
-	r.Row("  s until it is taken back; RPCs that it failed, both beds", badTook.Seconds(), "", apps[2].Taken()-before)
-	r.AtLeast("processes: ok through a good release, over at rest", through[0]/quiet[0], 0.98)
-	r.AtLeast("processes: ok through a bad one, over at rest", bad[0]/quiet[0], 0.95)
-	r.AtMost("processes: the same at once, over at rest", bad[1]/quiet[1], bad[0]/quiet[0])
-	r.AtMost("processes: servers that do not run the version of before", float64(wrong), 0)
+	r.AddRow("8 processes: ok at rest", quiet[0], "", quiet[1])
+	r.AddRow("  through a good release over a leader's loss; s", through[0], "", goodTook.Seconds())
+	r.AddRow("  through a bad one; at once", bad[0], "", bad[1])
+	r.AddRow("  s until it is taken back; RPCs that it failed, both beds", badTook.Seconds(), "", apps[2].Taken()-before)
+	r.AddChecks(atLeast("processes: ok through a good release, over at rest", through[0]/quiet[0], 0.98))
+	r.AddChecks(atLeast("processes: ok through a bad one, over at rest", bad[0]/quiet[0], 0.95))
+	r.AddChecks(atMost("processes: the same at once, over at rest", bad[1]/quiet[1], bad[0]/quiet[0]))
+	r.AddChecks(atMost("processes: servers that do not run the version of before", float64(wrong), 0))
 	return nil
 }
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -38,24 +38,6 @@
 		Budgets: budgetsOf(servers, fleetsim.Lent)}
 }
 
-// inParallel runs f for each number over the cores; what it returns does not depend on how many there are.
-func inParallel(n int, f func(i int)) {
-	var wg sync.WaitGroup
-	next := make(chan int)
-	for range runtime.GOMAXPROCS(0) {
-		wg.Go(func() {
-			for i := range next {
-				f(i)
-			}
-		})
-	}
-	for i := range n {
-		next <- i
-	}
-	close(next)
-	wg.Wait()
-}
-
 // FleetSim is the experiment fleet-sim.
 func FleetSim(o Options) (*Report, error) {
 	r := &Report{Name: "fleet-sim", Header: []string{"what", "runs", "value", "beside"}}
@@ -107,13 +89,13 @@
 	found := 0
 	for seed := from; seed <= to; seed++ {
 		got := fleetsim.New(simOptions(servers, seed, s)).Run()
-		r.Row(fmt.Sprintf("seed %d: digest %016x", seed, got.Digest), 1, got.Settled/1000, fmt.Sprintf("%d events", got.Events))
+		r.AddRow(fmt.Sprintf("seed %d: digest %016x", seed, got.Digest), 1, got.Settled/1000, fmt.Sprintf("%d events", got.Events))
 		for _, f := range got.Findings {
 			found++
 			fmt.Fprintln(o.Out, f)
 		}
 	}
-	r.AtMost("findings", float64(found), 0)
+	r.AddChecks(atMost("findings", float64(found), 0))
 	return nil
 }
 
@@ -162,10 +144,10 @@
 			}
 			return false
 		})
-		fmt.Fprintf(o.Out, "%v\nagain: valvelab run fleet-sim --servers %d --seeds %d..%d\ncut down to:\n%s", got.Findings[0], servers, seed, seed, less)
+		fmt.Fprintf(o.Out, "%v\nagain: valveexperiment run fleet-sim --servers %d --seeds %d..%d\ncut down to:\n%s", got.Findings[0], servers, seed, seed, less)
 	}
 	took := time.Since(began).Seconds()
-	r.Row(fmt.Sprintf("random schedules of %d servers, digest %016x", servers, digest), n, float64(failed), fmt.Sprintf("failed; %.0f s", took))
+	r.AddRow(fmt.Sprintf("random schedules of %d servers, digest %016x", servers, digest), n, float64(failed), fmt.Sprintf("failed; %.0f s", took))
 	var cases []string
 	for _, c := range fleetsim.AllCheckers() {
 		cases = append(cases, fmt.Sprintf("%s %d", c.Name(), saw[c.Name()]))
@@ -173,10 +155,10 @@
 			return fmt.Errorf("the checker %s saw no case in %d schedules", c.Name(), n)
 		}
 	}
-	r.Row("cases that the checkers saw", n, "", strings.Join(cases, ", "))
-	r.Row("s until views settle after the last fault, p50 and p99", n, standin.Quantile(settled, 0.5), standin.Quantile(settled, 0.99))
-	r.Row("events a second, simulated server-seconds a second, on all cores", n, float64(events)/took, seconds/took)
-	r.AtMost("schedules with findings", float64(failed), 0)
+	r.AddRow("cases that the checkers saw", n, "", strings.Join(cases, ", "))
+	r.AddRow("s until views settle after the last fault, p50 and p99", n, standin.Quantile(settled, 0.5), standin.Quantile(settled, 0.99))
+	r.AddRow("events a second, simulated server-seconds a second, on all cores", n, float64(events)/took, seconds/took)
+	r.AddChecks(atMost("schedules with findings", float64(failed), 0))
 	return nil
 }
 
@@ -206,14 +188,14 @@
 		runtime.ReadMemStats(&after)
 		kb := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / 1024 / float64(n)
 		runtime.KeepAlive(w)
-		r.Row(fmt.Sprintf("%d servers at %g RPC/s, %g s, one core: s a second; KB a server", n, opt.Rate, opt.Length/1000), 1, took,
+		r.AddRow(fmt.Sprintf("%d servers at %g RPC/s, %g s, one core: s a second; KB a server", n, opt.Rate, opt.Length/1000), 1, took,
 			fmt.Sprintf("%.0f KB, %.2g events/s", kb, float64(got.Events)/(took*opt.Length/1000)))
 		if got.OK < got.Offered/2 {
 			return fmt.Errorf("%d servers: %d ok of %d", n, got.OK, got.Offered)
 		}
-		line.XY = append(line.XY, plotter.XY{X: float64(n), Y: took})
+		line.Points = append(line.Points, plotter.XY{X: float64(n), Y: took})
 		if n == 1000 {
-			r.AtMost("s of real time for a second of 1,000 servers", took, 1)
+			r.AddChecks(atMost("s of real time for a second of 1,000 servers", took, 1))
 		}
 		if n == sizes[0] {
 			first = took
@@ -222,8 +204,8 @@
 			last, most = took, n
 		}
 	}
-	r.Row("exponent of the growth from the first to the last at 20 RPC/s", len(sizes), math.Log(last/first)/math.Log(float64(most)/float64(sizes[0])), "")
-	r.Charts = append(r.Charts, Chart{Name: "growth", X: "servers", Y: "s a second", Lines: []Line{line}})
+	r.AddRow("exponent of the growth from the first to the last at 20 RPC/s", len(sizes), math.Log(last/first)/math.Log(float64(most)/float64(sizes[0])), "")
+	r.Charts = append(r.Charts, Chart{Name: "growth", XLabel: "servers", YLabel: "s a second", Lines: []Line{line}})
 	return nil
 }
 
@@ -271,16 +253,16 @@
 			settled[i], share[i] = got.Settled/1000, got.Worth/got.WorthAll
 		})
 		meanSettled, meanShare := mean(settled[:]), mean(share[:])
-		r.Row(fmt.Sprintf("schedule %d: s to settle, processes and simulator", k+1), runs, settledReal, meanSettled)
-		r.Row(fmt.Sprintf("schedule %d: criticality served, processes and simulator", k+1), runs, shareReal, meanShare)
+		r.AddRow(fmt.Sprintf("schedule %d: s to settle, processes and simulator", k+1), runs, settledReal, meanSettled)
+		r.AddRow(fmt.Sprintf("schedule %d: criticality served, processes and simulator", k+1), runs, shareReal, meanShare)
 		sumReal, sumSim = sumReal+settledReal, sumSim+meanSettled
 		worthReal, worthSim = worthReal+shareReal, worthSim+meanShare
 	}
 	apart := func(a, b float64) float64 { return math.Abs(a-b) / b }
 	if !o.Quick { // one schedule's time to settle is chance
-		r.AtMost("times to settle, processes off the simulator by", apart(sumReal, sumSim), 0.15)
+		r.AddChecks(atMost("times to settle, processes off the simulator by", apart(sumReal, sumSim), 0.15))
 	}
-	r.AtMost("criticality served, processes off the simulator by", apart(worthReal, worthSim), 0.15)
+	r.AddChecks(atMost("criticality served, processes off the simulator by", apart(worthReal, worthSim), 0.15))
 	return nil
 }
 
