--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -185,7 +185,7 @@
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(s)
 	}
-	return permitclient.Write(os.Stdout, s)
+	return permitclient.WriteStatus(os.Stdout, s)
 }
 
 func main() {
--- a/cmd/valvefleet/release.go
+++ b/cmd/valvefleet/release.go
@@ -33,13 +33,13 @@
 	Keepers []string `required:"" placeholder:"ADDRESS" help:"Where keepers take clients; any of them leads on to the leader."`
 }
 
-func (k keepersFlag) do(c release.Command) (release.Answer, error) {
+func (k keepersFlag) do(c release.Command) (release.Result, error) {
 	var draw [12]byte
 	rand.Read(draw[:])
 	c.ID = fmt.Sprintf("op-%x", draw)
-	c.Who = "unknown"
+	c.Actor = "unknown"
 	if u, err := user.Current(); err == nil {
-		c.Who = u.Username
+		c.Actor = u.Username
 	}
 	client := permitclient.New(k.Keepers)
 	defer client.Close()
@@ -47,7 +47,7 @@
 	defer end()
 	a, err := client.Release(ctx, c)
 	if err == nil && !a.OK {
-		err = fmt.Errorf("%s: %s", c.Kind, a.Why)
+		err = fmt.Errorf("%s: %s", c.Kind, a.Reason)
 	}
 	return a, err
 }
@@ -87,13 +87,13 @@
 		}
 		track, name = release.Settings, r.File.Version
 	}
-	put, err := c.do(release.Command{Track: track, Kind: release.Put, Body: body, Why: c.Why})
+	put, err := c.do(release.Command{Track: track, Kind: release.PutVersion, Body: body, Reason: c.Why})
 	if err != nil {
 		return err
 	}
-	rules := release.Rules{Canary: c.Canary, Growth: c.Growth, Most: c.Most, Bake: float64(c.Bake) / 1e6, Least: c.Least, Longest: float64(c.Longest) / 1e6,
-		Alarm: c.Alarm, Margin: c.Margin, Unheard: c.Unheard}
-	plan, err := c.do(release.Command{Track: track, Kind: release.Plan, Version: put.Version, Rules: &rules, Why: c.Why})
+	rules := release.Rules{CanaryServers: c.Canary, MaxGrowth: c.Growth, MaxWaveShare: c.Most, BakeMS: float64(c.Bake) / 1e6, MinRPCs: c.Least, MaxWaveMS: float64(c.Longest) / 1e6,
+		FalseAlarmRate: c.Alarm, Margin: c.Margin, MaxUnreachable: c.Unheard}
+	plan, err := c.do(release.Command{Track: track, Kind: release.PlanRelease, Version: put.Version, Rules: &rules, Reason: c.Why})
 	if err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 }
 
 func (s step) run(kind release.Kind) error {
-	_, err := s.do(release.Command{Track: trackOf(s.Of), Kind: kind, Why: s.Why})
+	_, err := s.do(release.Command{Track: trackOf(s.Of), Kind: kind, Reason: s.Why})
 	return err
 }
 
@@ -133,11 +133,11 @@
 	endRelease struct{ step }
 )
 
-func (c startCmd) Run() error   { return c.run(release.Start) }
-func (c holdCmd) Run() error    { return c.run(release.Hold) }
+func (c startCmd) Run() error   { return c.run(release.StartRelease) }
+func (c holdCmd) Run() error    { return c.run(release.Pause) }
 func (c goOnCmd) Run() error    { return c.run(release.Resume) }
-func (c takeBack) Run() error   { return c.run(release.Back) }
-func (c endRelease) Run() error { return c.run(release.End) }
+func (c takeBack) Run() error   { return c.run(release.RollBack) }
+func (c endRelease) Run() error { return c.run(release.Abandon) }
 
 type releaseSt struct {
 	keepersFlag
@@ -154,30 +154,30 @@
 	if err != nil {
 		return err
 	}
-	b := st.Releases
+	b := st.SettingsReleases
 	if trackOf(c.Of) == release.Program {
-		b = st.Programs
+		b = st.ProgramReleases
 	}
 	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(b)
 	}
 	if r := b.Release; r != nil {
-		fmt.Printf("release %d of version %d: %s, wave %d of %d, for %.0f s: %s\n", r.Number, r.Version, r.Phase, r.Wave+1, len(r.Waves), r.For/1000, r.Why)
-		if e := r.Evidence; e.Ratio > 0 {
-			fmt.Printf("against it: %s %s, by %.3g more than it may be, %.3g times likelier (taken back from %.3g)\n", e.Signal, e.Zone, e.Worse, e.Ratio, e.Wanted)
+		fmt.Printf("release %d of version %d: %s, wave %d of %d, for %.0f s: %s\n", r.Number, r.Version, r.Phase, r.Wave+1, len(r.Waves), r.PhaseMS/1000, r.Reason)
+		if e := r.Evidence; e.LikelihoodRatio > 0 {
+			fmt.Printf("against it: %s %s, by %.3g more than it may be, %.3g times likelier (taken back from %.3g)\n", e.Signal, e.Zone, e.Excess, e.LikelihoodRatio, e.Threshold)
 		}
-		if len(r.Missing) > 0 {
-			fmt.Printf("not heard, or not yet what they are to be: %s\n", strings.Join(r.Missing[:min(16, len(r.Missing))], " "))
+		if len(r.Pending) > 0 {
+			fmt.Printf("not heard, or not yet what they are to be: %s\n", strings.Join(r.Pending[:min(16, len(r.Pending))], " "))
 		}
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "version\thash\tby\twhy")
 	for _, v := range b.Versions {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Number, v.Hash[:min(12, len(v.Hash))], v.Who, v.Why)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", v.Number, v.Hash[:min(12, len(v.Hash))], v.Actor, v.Reason)
 	}
 	fmt.Fprintln(w, "\nrelease\tphase\twave\tby\twhy")
-	for _, s := range b.Steps[max(0, len(b.Steps)-20):] {
-		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\n", s.Release, s.Phase, s.Wave+1, s.Who, s.Why)
+	for _, s := range b.Transitions[max(0, len(b.Transitions)-20):] {
+		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\n", s.Release, s.Phase, s.Wave+1, s.Actor, s.Reason)
 	}
 	return w.Flush()
 }
--- a/cmd/valvekeeper/main.go
+++ b/cmd/valvekeeper/main.go
@@ -102,12 +102,12 @@
 	rand.Read(draw[:])
 	x.ID = fmt.Sprintf("op-%x", draw)
 	if u, err := user.Current(); err == nil {
-		x.Who = u.Username
+		x.Actor = u.Username
 	}
 	return c.ask(func(ctx context.Context, k *permitclient.Client) error {
 		a, err := k.Do(ctx, x)
 		if err == nil && !a.OK {
-			err = fmt.Errorf("%s: %s", x.Kind, a.Why)
+			err = fmt.Errorf("%s: %s", x.Kind, a.Reason)
 		}
 		return err
 	})
@@ -118,14 +118,14 @@
 	Why string `required:"" help:"For the others."`
 }
 
-func (c haltCmd) Run() error { return c.do(permit.Command{Kind: permit.Halt, Why: c.Why}) }
+func (c haltCmd) Run() error { return c.do(permit.Command{Kind: permit.Halt, Reason: c.Why}) }
 
 type resumeCmd struct {
 	clients
 	Why string `help:"For the others."`
 }
 
-func (c resumeCmd) Run() error { return c.do(permit.Command{Kind: permit.Resume, Why: c.Why}) }
+func (c resumeCmd) Run() error { return c.do(permit.Command{Kind: permit.Resume, Reason: c.Why}) }
 
 type freeCmd struct {
 	clients
@@ -134,7 +134,7 @@
 }
 
 func (c freeCmd) Run() error {
-	return c.do(permit.Command{Kind: permit.Free, Subject: c.Subject, Why: c.Why})
+	return c.do(permit.Command{Kind: permit.Free, Subject: c.Subject, Reason: c.Why})
 }
 
 type replaceCmd struct {
@@ -144,10 +144,10 @@
 }
 
 func (c replaceCmd) Run() error {
-	x := permitclient.Exchange{Out: c.Out}
+	x := permitclient.Replacement{Removed: c.Out}
 	if c.In != "" {
 		var ok bool
-		if x.Name, x.Raft, ok = strings.Cut(c.In, "="); !ok || x.Name == "" {
+		if x.Added, x.AddedRaftAddr, ok = strings.Cut(c.In, "="); !ok || x.Added == "" {
 			return fmt.Errorf("NAME=RAFT expected, %q there", c.In)
 		}
 	}
@@ -175,7 +175,7 @@
 		line := 1 + bytes.Count(b[:min(len(b), int(d.InputOffset()))], []byte{'\n'})
 		return fmt.Errorf("%s:%d: %w", c.File, line, err)
 	}
-	return c.do(permit.Command{Kind: permit.Set, Servers: f.Servers, Members: f.Members, Limits: f.Limits})
+	return c.do(permit.Command{Kind: permit.Configure, Servers: f.Servers, Members: f.Members, Limits: f.Limits})
 }
 
 type statusCmd struct {
@@ -192,7 +192,7 @@
 		if c.JSON {
 			return json.NewEncoder(os.Stdout).Encode(st)
 		}
-		return permitclient.Write(os.Stdout, st)
+		return permitclient.WriteStatus(os.Stdout, st)
 	})
 }
 
--- a/decision/permit/halt_test.go
+++ b/decision/permit/halt_test.go
@@ -8,46 +8,46 @@
 
 // Halts that come by themselves end with their cause and not before; one by hand ends by hand.
 func TestHaltByItself(t *testing.T) {
-	s := fresh(t, 6, Limits{Fleet: Limit{Number: 2}, Pushed: 0.2})
+	s := fresh(t, 6, Limits{Fleet: Limit{MaxCount: 2}, MaxRejectedShare: 0.2})
 	n := 0
-	ask := func(name string, pushed float64, seen ...Seen) Answer {
+	ask := func(name string, pushed float64, seen ...Observation) Result {
 		n++
-		return s.Apply(Command{ID: fmt.Sprint(n), Kind: Ask, Subject: name, Who: "w", Start: 1, Seen: seen, Pushed: pushed})
+		return s.Apply(Command{ID: fmt.Sprint(n), Kind: Acquire, Subject: name, Actor: "w", Incarnation: 1, Observations: seen, RejectedShare: pushed})
 	}
 	for _, c := range []struct {
 		name   string
 		pushed float64
-		seen   []Seen
+		seen   []Observation
 		auto   string
 	}{
 		{"all well", 0.1, nil, ""},
-		{"one lost", 0.1, []Seen{{Name: "n1", Out: 1}}, ""},
-		{"two lost", 0.1, []Seen{{Name: "n1", Out: 1}, {Name: "n2", Out: 1}}, lost},
-		{"one of them half back", 0.1, []Seen{{Name: "n1", Out: 1}, {Name: "n2", Out: 0.5}}, ""},
-		{"much is pushed back", 0.3, nil, pushes},
-		{"a little less", 0.15, nil, pushes},
+		{"one lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}}, ""},
+		{"two lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 1}}, causeLosses},
+		{"one of them half back", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 0.5}}, ""},
+		{"much is pushed back", 0.3, nil, causeRejections},
+		{"a little less", 0.15, nil, causeRejections},
 		{"half of the bound", 0.1, nil, ""},
-		{"not a number", nan(), nil, pushes},
+		{"not a number", nan(), nil, causeRejections},
 	} {
 		a := ask("n5", c.pushed, c.seen...)
-		if s.Auto != c.auto || a.Halted != (c.auto != "") {
-			t.Errorf("%s: %q, %+v", c.name, s.Auto, a)
+		if s.AutoHaltReason != c.auto || a.Halted != (c.auto != "") {
+			t.Errorf("%s: %q, %+v", c.name, s.AutoHaltReason, a)
 		}
 		if a.OK {
-			s.Apply(Command{ID: "r" + fmt.Sprint(n), Kind: Return, Subject: "n5", Permit: a.Permit, Start: 1})
+			s.Apply(Command{ID: "r" + fmt.Sprint(n), Kind: Return, Subject: "n5", PermitID: a.PermitID, Incarnation: 1})
 		}
 	}
-	s.Apply(Command{ID: "h", Kind: Halt, Who: "me", Why: "look"})
-	if a := ask("n5", 0); a.OK || s.Auto != "" {
-		t.Errorf("%+v %q", a, s.Auto)
+	s.Apply(Command{ID: "h", Kind: Halt, Actor: "me", Reason: "look"})
+	if a := ask("n5", 0); a.OK || s.AutoHaltReason != "" {
+		t.Errorf("%+v %q", a, s.AutoHaltReason)
 	}
-	s.Apply(Command{ID: "on", Kind: Resume, Who: "me"})
+	s.Apply(Command{ID: "on", Kind: Resume, Actor: "me"})
 	if a := ask("n5", 0); !a.OK {
 		t.Errorf("%+v", a)
 	}
 	// Who holds a permit is out by intent, and no loss.
-	if a := ask("n0", 0, Seen{Name: "n5", Out: 1}); !a.OK || s.Auto != "" {
-		t.Errorf("%+v %q", a, s.Auto)
+	if a := ask("n0", 0, Observation{Name: "n5", OutOfService: 1}); !a.OK || s.AutoHaltReason != "" {
+		t.Errorf("%+v %q", a, s.AutoHaltReason)
 	}
 	if got := len(s.History); got < 6 {
 		t.Errorf("%d steps recorded", got)
@@ -58,40 +58,42 @@
 
 // What servers are told, and when a member's drain is done.
 func TestOrdersAndProgress(t *testing.T) {
-	s := fresh(t, 3, Limits{Fleet: Limit{Number: 1}, Pools: map[string]Limit{"p": {Number: 2}}})
+	s := fresh(t, 3, Limits{Fleet: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 2}}})
 	n := 0
-	do := func(c Command) Answer {
+	do := func(c Command) Result {
 		n++
 		c.ID = fmt.Sprint(n)
 		return s.Apply(c)
 	}
-	a := do(Command{Kind: Ask, Subject: "p/m1", Who: "me", Why: "disk"})
-	if o := s.Orders("n0"); len(o.Aside) != 0 {
+	a := do(Command{Kind: Acquire, Subject: "p/m1", Actor: "me", Reason: "disk"})
+	if o := s.DirectivesFor("n0"); len(o.DrainingMembers) != 0 {
 		t.Errorf("left alone before it has begun: %+v", o)
 	}
-	do(Command{Kind: Check, Subject: "p/m1", Permit: a.Permit, Who: "me"})
-	if o := s.Orders("n0"); !reflect.DeepEqual(o.Aside, map[string]uint64{"p/m1": a.Permit}) {
+	do(Command{Kind: Begin, Subject: "p/m1", PermitID: a.PermitID, Actor: "me"})
+	if o := s.DirectivesFor("n0"); !reflect.DeepEqual(o.DrainingMembers, map[string]uint64{"p/m1": a.PermitID}) {
 		t.Errorf("%+v", o)
 	}
-	word := func(id uint64, hand int) map[string]Left { return map[string]Left{"p/m1": {Permit: id, InHand: hand}} }
+	word := func(id uint64, hand int) map[string]MemberDrain {
+		return map[string]MemberDrain{"p/m1": {PermitID: id, InFlight: hand}}
+	}
 	for _, c := range []struct {
 		name  string
-		words map[string]map[string]Left
-		want  Drained
+		words map[string]map[string]MemberDrain
+		want  DrainStatus
 	}{
-		{"nobody is heard", nil, Drained{Unheard: []string{"n0", "n1", "n2"}}},
-		{"one has not said", map[string]map[string]Left{"n0": word(a.Permit, 0), "n1": {}}, Drained{Waits: []string{"n1"}, Unheard: []string{"n2"}}},
-		{"one speaks of a former drain", map[string]map[string]Left{"n0": word(a.Permit, 0), "n1": word(a.Permit-1, 0)}, Drained{Waits: []string{"n1"}, Unheard: []string{"n2"}}},
-		{"calls in hand", map[string]map[string]Left{"n0": word(a.Permit, 2), "n1": word(a.Permit, 1)}, Drained{InHand: 3, Unheard: []string{"n2"}}},
-		{"one can't", map[string]map[string]Left{"n0": {"p/m1": {Permit: a.Permit, Cannot: "all"}}, "n1": word(a.Permit, 0)}, Drained{Cannot: []string{"n0: all"}, Unheard: []string{"n2"}}},
-		{"all heard have", map[string]map[string]Left{"n0": word(a.Permit, 0), "n1": word(a.Permit, 0)}, Drained{Done: true, Unheard: []string{"n2"}}},
+		{"nobody is heard", nil, DrainStatus{Unreachable: []string{"n0", "n1", "n2"}}},
+		{"one has not said", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": {}}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"one speaks of a former drain", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": word(a.PermitID-1, 0)}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"calls in hand", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 2), "n1": word(a.PermitID, 1)}, DrainStatus{InFlight: 3, Unreachable: []string{"n2"}}},
+		{"one can't", map[string]map[string]MemberDrain{"n0": {"p/m1": {PermitID: a.PermitID, BlockedReason: "all"}}, "n1": word(a.PermitID, 0)}, DrainStatus{Blocked: []string{"n0: all"}, Unreachable: []string{"n2"}}},
+		{"all heard have", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": word(a.PermitID, 0)}, DrainStatus{Done: true, Unreachable: []string{"n2"}}},
 	} {
-		c.want.Subject, c.want.Permit = "p/m1", a.Permit
-		if got := s.Progress(c.words); len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
+		c.want.Subject, c.want.PermitID = "p/m1", a.PermitID
+		if got := s.DrainProgress(c.words); len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	if b := do(Command{Kind: Back, Subject: "p/m1", Who: "me"}); !b.OK || len(s.Orders("n0").Aside) != 0 {
+	if b := do(Command{Kind: Recall, Subject: "p/m1", Actor: "me"}); !b.OK || len(s.DirectivesFor("n0").DrainingMembers) != 0 {
 		t.Errorf("%+v", b)
 	}
 	// An operator wants a server gone from elsewhere: it is told until it has begun or the word is taken back.
@@ -99,30 +101,30 @@
 		c  Command
 		ok bool
 	}{
-		{Command{Kind: Want, Subject: "n1", Who: "me", Why: "kernel"}, true},
-		{Command{Kind: Want, Subject: "n1", Who: "you", Why: "kernel"}, false},
-		{Command{Kind: Want, Subject: "p/m1", Who: "me", Why: "kernel"}, false},
-		{Command{Kind: Back, Subject: "n1", Who: "me"}, true},
-		{Command{Kind: Back, Subject: "n1", Who: "me"}, false},
-		{Command{Kind: Want, Subject: "n1", Who: "you", Why: "kernel"}, true},
+		{Command{Kind: RequestDrain, Subject: "n1", Actor: "me", Reason: "kernel"}, true},
+		{Command{Kind: RequestDrain, Subject: "n1", Actor: "you", Reason: "kernel"}, false},
+		{Command{Kind: RequestDrain, Subject: "p/m1", Actor: "me", Reason: "kernel"}, false},
+		{Command{Kind: Recall, Subject: "n1", Actor: "me"}, true},
+		{Command{Kind: Recall, Subject: "n1", Actor: "me"}, false},
+		{Command{Kind: RequestDrain, Subject: "n1", Actor: "you", Reason: "kernel"}, true},
 	} {
 		if b := do(c.c); b.OK != c.ok {
 			t.Errorf("%+v: %+v", c.c, b)
 		}
 	}
-	if o := s.Orders("n1"); o.Want == nil || o.Want.Who != "you" {
+	if o := s.DirectivesFor("n1"); o.DrainRequest == nil || o.DrainRequest.Actor != "you" {
 		t.Errorf("%+v", o)
 	}
-	b := do(Command{Kind: Ask, Subject: "n1", Who: "you", Start: 1})
-	do(Command{Kind: Check, Subject: "n1", Permit: b.Permit, Start: 1})
-	if o := s.Orders("n1"); o.Want != nil || o.Permit != b.Permit {
+	b := do(Command{Kind: Acquire, Subject: "n1", Actor: "you", Incarnation: 1})
+	do(Command{Kind: Begin, Subject: "n1", PermitID: b.PermitID, Incarnation: 1})
+	if o := s.DirectivesFor("n1"); o.DrainRequest != nil || o.PermitID != b.PermitID {
 		t.Errorf("%+v", o)
 	}
-	do(Command{Kind: Back, Subject: "n1", Who: "me"})
-	if o := s.Orders("n1"); o.Recall != "me" {
+	do(Command{Kind: Recall, Subject: "n1", Actor: "me"})
+	if o := s.DirectivesFor("n1"); o.RecalledBy != "me" {
 		t.Errorf("%+v", o)
 	}
-	if c := do(Command{Kind: Return, Subject: "n1", Permit: b.Permit, Start: 1}); !c.OK {
+	if c := do(Command{Kind: Return, Subject: "n1", PermitID: b.PermitID, Incarnation: 1}); !c.OK {
 		t.Errorf("one that was called back and stayed: %+v", c)
 	}
 }
--- a/decision/permit/permit.go
+++ b/decision/permit/permit.go
@@ -18,8 +18,8 @@
 
 // Limit is how much may be out at a time: the smaller of the two that are set.
 type Limit struct {
-	Number float64 `json:"number,omitempty"` // 0: not set
-	Share  float64 `json:"share,omitempty"`  // of the capacity of those that the limit is over; 0: not set
+	MaxCount float64 `json:"number,omitempty"` // 0: not set
+	MaxShare float64 `json:"share,omitempty"`  // of the capacity of those that the limit is over; 0: not set
 }
 
 // Limits are what an operator sets. A scope without a limit has none of its own.
@@ -29,7 +29,7 @@
 	Group Limit            `json:"group"` // of each
 	Pools map[string]Limit `json:"pools,omitempty"`
 	// Pushed is the share of its RPCs that the fleet may push back before nothing new begins; 0: not looked at.
-	Pushed float64 `json:"pushed,omitempty"`
+	MaxRejectedShare float64 `json:"pushed,omitempty"`
 }
 
 // Server is one on the roster that an operator keeps: who is to be there, not who is heard.
@@ -49,43 +49,43 @@
 
 // Seen is how much of a server is out as a leader sees it: 1 if it drains, is not heard or has crashed, the part of its ramp
 // that it does not yet take while it is cold.
-type Seen struct {
-	Name  string  `json:"name"`
-	Out   float64 `json:"out"`
-	Start uint64  `json:"start,omitempty"` // of its name; larger after each restart
+type Observation struct {
+	Name         string  `json:"name"`
+	OutOfService float64 `json:"out"`
+	Incarnation  uint64  `json:"start,omitempty"` // of its name; larger after each restart
 }
 
 // Kind is what a command does.
 type Kind string
 
 const (
-	Ask    Kind = "ask"    // for a permit
-	Check  Kind = "check"  // whether it is still good, just before it is begun; notes the beginning
-	Return Kind = "return" // by its holder: unused, or back and warm
-	Free   Kind = "free"   // by an operator's word
-	Halt   Kind = "halt"
-	Resume Kind = "resume"
-	Set    Kind = "set"  // roster and limits
-	Back   Kind = "back" // an operator wants a holder back
-	Note   Kind = "note" // what a leader sees, where nothing is asked
-	Want   Kind = "want" // an operator has a server ask, which may be elsewhere
-	Stop   Kind = "stop" // a server was told to stop by others: unplanned, and only recorded
+	Acquire      Kind = "ask"    // for a permit
+	Begin        Kind = "check"  // whether it is still good, just before it is begun; notes the beginning
+	Return       Kind = "return" // by its holder: unused, or back and warm
+	Free         Kind = "free"   // by an operator's word
+	Halt         Kind = "halt"
+	Resume       Kind = "resume"
+	Configure    Kind = "set"  // roster and limits
+	Recall       Kind = "back" // an operator wants a holder back
+	Observe      Kind = "note" // what a leader sees, where nothing is asked
+	RequestDrain Kind = "want" // an operator has a server ask, which may be elsewhere
+	ReportStop   Kind = "stop" // a server was told to stop by others: unplanned, and only recorded
 )
 
 // Command is one entry of the keepers' log. ID is its sender's own: the same again gets the same answer and does nothing.
 type Command struct {
-	ID      string   `json:"id"`
-	Kind    Kind     `json:"kind"`
-	Subject string   `json:"subject,omitempty"` // a server's name, or pool/member
-	Permit  uint64   `json:"permit,omitempty"`
-	Who     string   `json:"who,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Start   uint64   `json:"start,omitempty"`  // Ask, Check, Return: the holder's
-	Seen    []Seen   `json:"seen,omitempty"`   // Ask, Check, Note: of all on the roster that are not wholly in use
-	Pushed  float64  `json:"pushed,omitempty"` // Ask, Check, Note: share of its RPCs that the fleet pushes back
-	Servers []Server `json:"servers,omitempty"`
-	Members []Member `json:"members,omitempty"`
-	Limits  *Limits  `json:"limits,omitempty"`
+	ID            string        `json:"id"`
+	Kind          Kind          `json:"kind"`
+	Subject       string        `json:"subject,omitempty"` // a server's name, or pool/member
+	PermitID      uint64        `json:"permit,omitempty"`
+	Actor         string        `json:"who,omitempty"`
+	Reason        string        `json:"why,omitempty"`
+	Incarnation   uint64        `json:"start,omitempty"`  // Ask, Check, Return: the holder's
+	Observations  []Observation `json:"seen,omitempty"`   // Ask, Check, Note: of all on the roster that are not wholly in use
+	RejectedShare float64       `json:"pushed,omitempty"` // Ask, Check, Note: share of its RPCs that the fleet pushes back
+	Servers       []Server      `json:"servers,omitempty"`
+	Members       []Member      `json:"members,omitempty"`
+	Limits        *Limits       `json:"limits,omitempty"`
 }
 
 // Member is one of a pool.
@@ -97,260 +97,260 @@
 func (m *Member) subject() string { return m.Pool + "/" + m.Name }
 
 // Answer is what a command comes to.
-type Answer struct {
-	OK     bool     `json:"ok"`
-	Permit uint64   `json:"permit,omitempty"`
-	Why    string   `json:"why,omitempty"`
-	Out    []string `json:"out,omitempty"` // who uses the allowance up, where that is why
-	Halted bool     `json:"halted,omitempty"`
+type Result struct {
+	OK           bool     `json:"ok"`
+	PermitID     uint64   `json:"permit,omitempty"`
+	Reason       string   `json:"why,omitempty"`
+	OutOfService []string `json:"out,omitempty"` // who uses the allowance up, where that is why
+	Halted       bool     `json:"halted,omitempty"`
 }
 
 // Permit is one that is held.
 type Permit struct {
-	ID      uint64 `json:"id"`
-	Subject string `json:"subject"`
-	Who     string `json:"who"`
-	Why     string `json:"why"`
-	Start   uint64 `json:"start"` // of the holder as it asked
-	Begun   bool   `json:"begun"`
-	Recall  string `json:"recall,omitempty"` // who wants it back
+	ID          uint64 `json:"id"`
+	Subject     string `json:"subject"`
+	Holder      string `json:"who"`
+	Reason      string `json:"why"`
+	Incarnation uint64 `json:"start"` // of the holder as it asked
+	Begun       bool   `json:"begun"`
+	RecalledBy  string `json:"recall,omitempty"` // who wants it back
 }
 
 // Entry is one thing that an operator may want to look up.
-type Entry struct {
-	Index   uint64 `json:"index"`
-	Kind    Kind   `json:"kind"`
-	Subject string `json:"subject,omitempty"`
-	Permit  uint64 `json:"permit,omitempty"`
-	Who     string `json:"who,omitempty"`
-	Why     string `json:"why,omitempty"`
-	OK      bool   `json:"ok"`
+type HistoryEntry struct {
+	Index    uint64 `json:"index"`
+	Kind     Kind   `json:"kind"`
+	Subject  string `json:"subject,omitempty"`
+	PermitID uint64 `json:"permit,omitempty"`
+	Actor    string `json:"who,omitempty"`
+	Reason   string `json:"why,omitempty"`
+	OK       bool   `json:"ok"`
 }
 
 const (
-	mostServers = 4096
-	mostMembers = 4096
+	maxServers = 4096
+	maxMembers = 4096
 	// mostAnswers are kept for commands that come again: a sender tries again within seconds, and 300 servers that ask at once
 	// are far fewer.
-	mostAnswers = 8192
-	mostEntries = 1024
-	textBytes   = 256
+	maxResults   = 8192
+	maxHistory   = 1024
+	maxTextBytes = 256
 )
 
 // State is all that keepers agree on. It is written as JSON for snapshots.
 type State struct {
-	Index   uint64             `json:"index"` // of the last command
-	Next    uint64             `json:"next"`  // permit
-	Servers []Server           `json:"servers"`
-	Members []Member           `json:"members"`
-	Limits  Limits             `json:"limits"`
-	Permits map[string]*Permit `json:"permits"`          // by subject
-	Halted  string             `json:"halted,omitempty"` // by hand, and ended by hand
-	By      string             `json:"by,omitempty"`
-	Auto    string             `json:"auto,omitempty"` // by itself, and ended with its cause
-	Wants   map[string]Wanted  `json:"wants,omitempty"`
-	Answers map[string]Answer  `json:"answers"`
-	Order   []string           `json:"order"` // of the answers, the oldest first
-	History []Entry            `json:"history"`
+	Index          uint64                  `json:"index"` // of the last command
+	LastPermitID   uint64                  `json:"next"`  // permit
+	Servers        []Server                `json:"servers"`
+	Members        []Member                `json:"members"`
+	Limits         Limits                  `json:"limits"`
+	Permits        map[string]*Permit      `json:"permits"`          // by subject
+	HaltReason     string                  `json:"halted,omitempty"` // by hand, and ended by hand
+	HaltedBy       string                  `json:"by,omitempty"`
+	AutoHaltReason string                  `json:"auto,omitempty"` // by itself, and ended with its cause
+	DrainRequests  map[string]DrainRequest `json:"wants,omitempty"`
+	Results        map[string]Result       `json:"answers"`
+	ResultOrder    []string                `json:"order"` // of the answers, the oldest first
+	History        []HistoryEntry          `json:"history"`
 }
 
 // Wanted is who wants a server to leave.
-type Wanted struct {
-	Who string `json:"who"`
-	Why string `json:"why"`
+type DrainRequest struct {
+	Actor  string `json:"who"`
+	Reason string `json:"why"`
 }
 
 // New is a state that knows nobody: nothing is granted until a roster and limits are set.
 func New() *State {
-	return &State{Permits: map[string]*Permit{}, Answers: map[string]Answer{}}
+	return &State{Permits: map[string]*Permit{}, Results: map[string]Result{}}
 }
 
 // Apply carries out one command.
-func (s *State) Apply(c Command) Answer {
+func (s *State) Apply(c Command) Result {
 	s.Index++
-	if c.ID == "" || len(c.ID) > textBytes || len(c.Who) > textBytes || len(c.Why) > textBytes || len(c.Subject) > textBytes {
-		return Answer{Why: fmt.Sprintf("an id, and texts of at most %d bytes, expected", textBytes), Halted: s.Halted != ""}
+	if c.ID == "" || len(c.ID) > maxTextBytes || len(c.Actor) > maxTextBytes || len(c.Reason) > maxTextBytes || len(c.Subject) > maxTextBytes {
+		return Result{Reason: fmt.Sprintf("an id, and texts of at most %d bytes, expected", maxTextBytes), Halted: s.HaltReason != ""}
 	}
-	if a, done := s.Answers[c.ID]; done {
+	if a, done := s.Results[c.ID]; done {
 		return a
 	}
-	if c.Kind == Ask || c.Kind == Check || c.Kind == Note {
-		s.watch(&c)
+	if c.Kind == Acquire || c.Kind == Begin || c.Kind == Observe {
+		s.updateAutoHalt(&c)
 	}
 	a := s.apply(&c)
-	a.Halted = s.halted(c.Subject) != ""
-	s.Answers[c.ID] = a
-	s.Order = append(s.Order, c.ID)
-	if len(s.Order) > mostAnswers {
-		delete(s.Answers, s.Order[0])
-		s.Order = slices.Delete(s.Order, 0, 1)
+	a.Halted = s.haltReason(c.Subject) != ""
+	s.Results[c.ID] = a
+	s.ResultOrder = append(s.ResultOrder, c.ID)
+	if len(s.ResultOrder) > maxResults {
+		delete(s.Results, s.ResultOrder[0])
+		s.ResultOrder = slices.Delete(s.ResultOrder, 0, 1)
 	}
-	if c.Kind != Note && (c.Kind != Ask || a.OK) {
-		s.record(Entry{s.Index, c.Kind, c.Subject, a.Permit, c.Who, c.Why, a.OK})
+	if c.Kind != Observe && (c.Kind != Acquire || a.OK) {
+		s.record(HistoryEntry{s.Index, c.Kind, c.Subject, a.PermitID, c.Actor, c.Reason, a.OK})
 	}
 	return a
 }
 
-func (s *State) record(e Entry) {
+func (s *State) record(e HistoryEntry) {
 	s.History = append(s.History, e)
-	if len(s.History) > mostEntries {
-		s.History = slices.Delete(s.History, 0, len(s.History)-mostEntries)
+	if len(s.History) > maxHistory {
+		s.History = slices.Delete(s.History, 0, len(s.History)-maxHistory)
 	}
 }
 
-func (s *State) apply(c *Command) Answer {
+func (s *State) apply(c *Command) Result {
 	held := s.Permits[c.Subject]
 	switch c.Kind {
-	case Ask:
-		return s.ask(c, held)
-	case Check:
+	case Acquire:
+		return s.acquire(c, held)
+	case Begin:
 		switch {
-		case held == nil || held.ID != c.Permit:
-			return Answer{Why: "the permit is not held any more"}
-		case held.Start != c.Start:
-			return Answer{Permit: held.ID, Why: "it was given to a former start of its holder"}
+		case held == nil || held.ID != c.PermitID:
+			return Result{Reason: "the permit is not held any more"}
+		case held.Incarnation != c.Incarnation:
+			return Result{PermitID: held.ID, Reason: "it was given to a former start of its holder"}
 		case held.Begun:
-			return Answer{OK: true, Permit: held.ID}
-		case s.halted(c.Subject) != "":
-			return Answer{Permit: held.ID, Why: "halted: " + s.halted(c.Subject)}
-		case held.Recall != "":
-			return Answer{Permit: held.ID, Why: held.Recall + " wants it back"}
+			return Result{OK: true, PermitID: held.ID}
+		case s.haltReason(c.Subject) != "":
+			return Result{PermitID: held.ID, Reason: "halted: " + s.haltReason(c.Subject)}
+		case held.RecalledBy != "":
+			return Result{PermitID: held.ID, Reason: held.RecalledBy + " wants it back"}
 		}
-		if over, out := s.over(c.Subject, c.Seen); over != "" { // losses since it was given use up the allowance first
-			return Answer{Permit: held.ID, Why: over, Out: out}
+		if over, out := s.exceededLimit(c.Subject, c.Observations); over != "" { // losses since it was given use up the allowance first
+			return Result{PermitID: held.ID, Reason: over, OutOfService: out}
 		}
 		held.Begun = true
-		delete(s.Wants, c.Subject)
-		return Answer{OK: true, Permit: held.ID}
+		delete(s.DrainRequests, c.Subject)
+		return Result{OK: true, PermitID: held.ID}
 	case Return:
-		if held == nil || c.Permit != 0 && held.ID != c.Permit {
-			return Answer{OK: true, Why: "it was not held"}
+		if held == nil || c.PermitID != 0 && held.ID != c.PermitID {
+			return Result{OK: true, Reason: "it was not held"}
 		}
-		if c.Permit == 0 && c.Start <= held.Start { // whoever is back does not know what its former start held
-			return Answer{Permit: held.ID, Why: "its holder is not of a later start"}
+		if c.PermitID == 0 && c.Incarnation <= held.Incarnation { // whoever is back does not know what its former start held
+			return Result{PermitID: held.ID, Reason: "its holder is not of a later start"}
 		}
-		if held.Begun && c.Start <= held.Start && held.Recall == "" && !strings.Contains(c.Subject, "/") {
-			return Answer{Permit: held.ID, Why: "its holder has begun, and has not been back since"}
+		if held.Begun && c.Incarnation <= held.Incarnation && held.RecalledBy == "" && !strings.Contains(c.Subject, "/") {
+			return Result{PermitID: held.ID, Reason: "its holder has begun, and has not been back since"}
 		}
 		delete(s.Permits, c.Subject)
-		return Answer{OK: true, Permit: held.ID}
+		return Result{OK: true, PermitID: held.ID}
 	case Free:
 		if held == nil {
-			return Answer{Why: "no permit is held for it"}
+			return Result{Reason: "no permit is held for it"}
 		}
-		if c.Who == "" || c.Why == "" {
-			return Answer{Permit: held.ID, Why: "who and why expected"}
+		if c.Actor == "" || c.Reason == "" {
+			return Result{PermitID: held.ID, Reason: "who and why expected"}
 		}
 		delete(s.Permits, c.Subject)
-		return Answer{OK: true, Permit: held.ID}
-	case Back:
-		_, wanted := s.Wants[c.Subject]
-		delete(s.Wants, c.Subject)
+		return Result{OK: true, PermitID: held.ID}
+	case Recall:
+		_, wanted := s.DrainRequests[c.Subject]
+		delete(s.DrainRequests, c.Subject)
 		if held == nil && wanted {
-			return Answer{OK: true, Why: "it had no permit yet"}
+			return Result{OK: true, Reason: "it had no permit yet"}
 		}
 		if held == nil {
-			return Answer{Why: "no permit is held for it"}
+			return Result{Reason: "no permit is held for it"}
 		}
 		if strings.Contains(c.Subject, "/") { // nobody but the operator holds a member's
 			delete(s.Permits, c.Subject)
-			return Answer{OK: true, Permit: held.ID}
+			return Result{OK: true, PermitID: held.ID}
 		}
-		held.Recall = cmp.Or(c.Who, "somebody")
-		return Answer{OK: true, Permit: held.ID}
+		held.RecalledBy = cmp.Or(c.Actor, "somebody")
+		return Result{OK: true, PermitID: held.ID}
 	case Halt:
-		s.Halted, s.By = cmp.Or(c.Why, "no reason told"), c.Who
-		return Answer{OK: true}
+		s.HaltReason, s.HaltedBy = cmp.Or(c.Reason, "no reason told"), c.Actor
+		return Result{OK: true}
 	case Resume:
-		s.Halted, s.By = "", ""
-		return Answer{OK: true}
-	case Set:
-		return s.set(c)
-	case Want:
-		if w, is := s.Wants[c.Subject]; is && w.Who != c.Who {
-			return Answer{Why: w.Who + " has asked for it before"}
+		s.HaltReason, s.HaltedBy = "", ""
+		return Result{OK: true}
+	case Configure:
+		return s.configure(c)
+	case RequestDrain:
+		if w, is := s.DrainRequests[c.Subject]; is && w.Actor != c.Actor {
+			return Result{Reason: w.Actor + " has asked for it before"}
 		}
 		if !slices.ContainsFunc(s.Servers, func(x Server) bool { return x.Name == c.Subject }) {
-			return Answer{Why: "it is no server of the roster"}
+			return Result{Reason: "it is no server of the roster"}
 		}
-		if s.Wants == nil {
-			s.Wants = map[string]Wanted{}
+		if s.DrainRequests == nil {
+			s.DrainRequests = map[string]DrainRequest{}
 		}
-		s.Wants[c.Subject] = Wanted{cmp.Or(c.Who, "somebody"), c.Why}
-		return Answer{OK: true}
-	case Note, Stop:
-		return Answer{OK: true}
+		s.DrainRequests[c.Subject] = DrainRequest{cmp.Or(c.Actor, "somebody"), c.Reason}
+		return Result{OK: true}
+	case Observe, ReportStop:
+		return Result{OK: true}
 	}
-	return Answer{Why: fmt.Sprintf("%.40q is no command", string(c.Kind))}
+	return Result{Reason: fmt.Sprintf("%.40q is no command", string(c.Kind))}
 }
 
-func (s *State) set(c *Command) Answer {
-	if len(c.Servers) > mostServers || len(c.Members) > mostMembers {
-		return Answer{Why: fmt.Sprintf("at most %d servers and %d members expected", mostServers, mostMembers)}
+func (s *State) configure(c *Command) Result {
+	if len(c.Servers) > maxServers || len(c.Members) > maxMembers {
+		return Result{Reason: fmt.Sprintf("at most %d servers and %d members expected", maxServers, maxMembers)}
 	}
 	known := map[string]bool{}
 	for i := range c.Servers {
 		x := &c.Servers[i]
 		if x.Name == "" || strings.Contains(x.Name, "/") || known[x.Name] || !(x.Capacity >= 0) || math.IsInf(x.Capacity, 0) {
-			return Answer{Why: fmt.Sprintf("servers[%d]: a name of its own without a slash, and a capacity, expected", i)}
+			return Result{Reason: fmt.Sprintf("servers[%d]: a name of its own without a slash, and a capacity, expected", i)}
 		}
 		known[x.Name] = true
 	}
 	for i := range c.Members {
 		x := &c.Members[i]
 		if x.Pool == "" || x.Name == "" || strings.Contains(x.Pool, "/") || known[x.subject()] {
-			return Answer{Why: fmt.Sprintf("members[%d]: a pool and a name of its own expected", i)}
+			return Result{Reason: fmt.Sprintf("members[%d]: a pool and a name of its own expected", i)}
 		}
 		known[x.subject()] = true
 	}
 	if c.Limits == nil {
-		return Answer{Why: "limits expected"}
+		return Result{Reason: "limits expected"}
 	}
-	if !(c.Limits.Pushed >= 0 && c.Limits.Pushed <= 1) {
-		return Answer{Why: "limits.pushed: a share from 0 to 1 expected"}
+	if !(c.Limits.MaxRejectedShare >= 0 && c.Limits.MaxRejectedShare <= 1) {
+		return Result{Reason: "limits.pushed: a share from 0 to 1 expected"}
 	}
 	for _, l := range append(slices.Collect(maps.Values(c.Limits.Pools)), c.Limits.Fleet, c.Limits.Zone, c.Limits.Group) {
-		if !(l.Number >= 0 && l.Share >= 0 && l.Share <= 1) {
-			return Answer{Why: "limits: a number from 0 and a share from 0 to 1 expected"}
+		if !(l.MaxCount >= 0 && l.MaxShare >= 0 && l.MaxShare <= 1) {
+			return Result{Reason: "limits: a number from 0 and a share from 0 to 1 expected"}
 		}
 	}
 	s.Servers, s.Members, s.Limits = slices.Clone(c.Servers), slices.Clone(c.Members), *c.Limits
-	maps.DeleteFunc(s.Wants, func(name string, _ Wanted) bool { return !s.known(name) })
+	maps.DeleteFunc(s.DrainRequests, func(name string, _ DrainRequest) bool { return !s.onRoster(name) })
 	// Permits of those that are no longer on the roster stay: they are out until somebody says otherwise.
-	return Answer{OK: true}
+	return Result{OK: true}
 }
 
-func (s *State) ask(c *Command, held *Permit) Answer {
-	if s.halted(c.Subject) != "" {
-		return Answer{Why: "halted: " + s.halted(c.Subject)}
+func (s *State) acquire(c *Command, held *Permit) Result {
+	if s.haltReason(c.Subject) != "" {
+		return Result{Reason: "halted: " + s.haltReason(c.Subject)}
 	}
 	if held != nil {
-		if held.Who == c.Who && held.Start == c.Start && held.Recall == "" {
-			return Answer{OK: true, Permit: held.ID, Why: "it is held already"}
+		if held.Holder == c.Actor && held.Incarnation == c.Incarnation && held.RecalledBy == "" {
+			return Result{OK: true, PermitID: held.ID, Reason: "it is held already"}
 		}
-		return Answer{Permit: held.ID, Why: fmt.Sprintf("%s has asked for it before", held.Who)}
+		return Result{PermitID: held.ID, Reason: fmt.Sprintf("%s has asked for it before", held.Holder)}
 	}
-	if !s.known(c.Subject) {
-		return Answer{Why: "it is not on the roster"}
+	if !s.onRoster(c.Subject) {
+		return Result{Reason: "it is not on the roster"}
 	}
-	if over, out := s.over(c.Subject, c.Seen); over != "" {
-		return Answer{Why: over, Out: out}
+	if over, out := s.exceededLimit(c.Subject, c.Observations); over != "" {
+		return Result{Reason: over, OutOfService: out}
 	}
-	s.Next++
-	s.Permits[c.Subject] = &Permit{ID: s.Next, Subject: c.Subject, Who: c.Who, Why: c.Why, Start: c.Start}
-	return Answer{OK: true, Permit: s.Next}
+	s.LastPermitID++
+	s.Permits[c.Subject] = &Permit{ID: s.LastPermitID, Subject: c.Subject, Holder: c.Actor, Reason: c.Reason, Incarnation: c.Incarnation}
+	return Result{OK: true, PermitID: s.LastPermitID}
 }
 
-func (s *State) known(subject string) bool {
+func (s *State) onRoster(subject string) bool {
 	return slices.ContainsFunc(s.Servers, func(x Server) bool { return x.Name == subject }) ||
 		slices.ContainsFunc(s.Members, func(x Member) bool { return x.subject() == subject })
 }
 
 // Outs is how much of each subject is out, whyever: 1 with a permit, else as it is seen. Those off the roster that hold one count.
-func (s *State) outs(seen []Seen) map[string]float64 {
+func (s *State) outOfService(seen []Observation) map[string]float64 {
 	out := map[string]float64{}
 	for _, x := range seen {
-		if v := x.Out; v > 0 || math.IsNaN(v) {
+		if v := x.OutOfService; v > 0 || math.IsNaN(v) {
 			if !(v < 1) {
 				v = 1
 			}
@@ -364,8 +364,8 @@
 }
 
 // over names the limit that would be passed if a subject went out, and who is out in it; "" for none.
-func (s *State) over(subject string, seen []Seen) (why string, who []string) {
-	out := s.outs(seen)
+func (s *State) exceededLimit(subject string, seen []Observation) (why string, who []string) {
+	out := s.outOfService(seen)
 	out[subject] = 1
 	if pool, _, is := strings.Cut(subject, "/"); is {
 		l, has := s.Limits.Pools[pool]
@@ -382,7 +382,7 @@
 				}
 			}
 		}
-		return passes("the pool "+pool, l, sum, sum, all), who
+		return exceeds("the pool "+pool, l, sum, sum, all), who
 	}
 	var mine *Server
 	for i := range s.Servers {
@@ -423,12 +423,12 @@
 			}
 		}
 		for name := range s.Permits { // off the roster, and out
-			if !strings.Contains(name, "/") && !s.known(name) && scope.name == "the fleet" {
+			if !strings.Contains(name, "/") && !s.onRoster(name) && scope.name == "the fleet" {
 				number, share = number+1, share+1
 				who = append(who, name)
 			}
 		}
-		if why := passes(scope.name, scope.l, number, share, all); why != "" {
+		if why := exceeds(scope.name, scope.l, number, share, all); why != "" {
 			slices.Sort(who)
 			return why, who
 		}
@@ -437,15 +437,15 @@
 }
 
 // trifle is let pass where parts are summed up, since such sums are not exact.
-const trifle = 1e-9
+const sumTolerance = 1e-9
 
 // passes tells whether so much out is beyond a limit.
-func passes(name string, l Limit, number, share, all float64) string {
-	if l.Number > 0 && number > l.Number+trifle {
-		return fmt.Sprintf("%s: %.3g would be out, %g may", name, number, l.Number)
+func exceeds(name string, l Limit, number, share, all float64) string {
+	if l.MaxCount > 0 && number > l.MaxCount+sumTolerance {
+		return fmt.Sprintf("%s: %.3g would be out, %g may", name, number, l.MaxCount)
 	}
-	if l.Share > 0 && share > l.Share*all+trifle {
-		return fmt.Sprintf("%s: %.3g of a capacity of %g would be out, %.3g may", name, share, all, l.Share*all)
+	if l.MaxShare > 0 && share > l.MaxShare*all+sumTolerance {
+		return fmt.Sprintf("%s: %.3g of a capacity of %g would be out, %.3g may", name, share, all, l.MaxShare*all)
 	}
 	if l == (Limit{}) {
 		return name + " has no limit"
@@ -454,7 +454,7 @@
 }
 
 // Held are the permits, by subject.
-func (s *State) Held() (all []Permit) {
+func (s *State) Granted() (all []Permit) {
 	for _, name := range slices.Sorted(maps.Keys(s.Permits)) {
 		all = append(all, *s.Permits[name])
 	}
--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -20,34 +20,34 @@
 func fresh(t interface{ Fatalf(string, ...any) }, n int, l Limits) *State {
 	s := New()
 	members := []Member{{"p", "m0"}, {"p", "m1"}, {"p", "m2"}, {"p", "m3"}}
-	if a := s.Apply(Command{ID: "set", Kind: Set, Servers: roster(n), Members: members, Limits: &l}); !a.OK {
+	if a := s.Apply(Command{ID: "set", Kind: Configure, Servers: roster(n), Members: members, Limits: &l}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
 	return s
 }
 
 func TestLimits(t *testing.T) {
-	s := fresh(t, 8, Limits{Fleet: Limit{Share: 0.25}, Zone: Limit{Number: 1}, Pools: map[string]Limit{"p": {Number: 1}}})
+	s := fresh(t, 8, Limits{Fleet: Limit{MaxShare: 0.25}, Zone: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 1}}})
 	id := 0
-	do := func(c Command) Answer {
+	do := func(c Command) Result {
 		id++
 		c.ID = fmt.Sprint(id)
 		return s.Apply(c)
 	}
-	ask := func(name string, seen ...Seen) Answer {
-		return do(Command{Kind: Ask, Subject: name, Who: "w", Start: 1, Seen: seen})
+	ask := func(name string, seen ...Observation) Result {
+		return do(Command{Kind: Acquire, Subject: name, Actor: "w", Incarnation: 1, Observations: seen})
 	}
 	for _, c := range []struct {
 		name string
-		a    Answer
+		a    Result
 		ok   bool
 	}{
-		{"a loss in the zone", ask("n0", Seen{Name: "n2", Out: 1}), false},
-		{"a cold one, by half, in the zone", ask("n0", Seen{Name: "n2", Out: 0.5}), false},
-		{"a loss elsewhere", ask("n0", Seen{Name: "n3", Out: 1}), true},
+		{"a loss in the zone", ask("n0", Observation{Name: "n2", OutOfService: 1}), false},
+		{"a cold one, by half, in the zone", ask("n0", Observation{Name: "n2", OutOfService: 0.5}), false},
+		{"a loss elsewhere", ask("n0", Observation{Name: "n3", OutOfService: 1}), true},
 		{"the zone's one is out", ask("n2"), false},
 		{"the same asks again", ask("n0"), true},
-		{"the fleet's two are out", ask("n1", Seen{Name: "n3", Out: 0.3}), false},
+		{"the fleet's two are out", ask("n1", Observation{Name: "n3", OutOfService: 0.3}), false},
 		{"the other zone", ask("n1"), true},
 		{"not on the roster", ask("x"), false},
 		{"a member", ask("p/m0"), true},
@@ -59,42 +59,42 @@
 		}
 	}
 	held := s.Permits["n0"].ID
-	if a := do(Command{Kind: Check, Subject: "n0", Permit: held, Start: 2}); a.OK {
+	if a := do(Command{Kind: Begin, Subject: "n0", PermitID: held, Incarnation: 2}); a.OK {
 		t.Error("a later start began on its former one's permit")
 	}
-	if a := do(Command{Kind: Check, Subject: "n0", Permit: held, Start: 1, Seen: []Seen{{Name: "n2", Out: 1}}}); a.OK {
+	if a := do(Command{Kind: Begin, Subject: "n0", PermitID: held, Incarnation: 1, Observations: []Observation{{Name: "n2", OutOfService: 1}}}); a.OK {
 		t.Error("begun though a loss has used the allowance up")
 	}
-	if a := do(Command{Kind: Check, Subject: "n0", Permit: held, Start: 1}); !a.OK {
+	if a := do(Command{Kind: Begin, Subject: "n0", PermitID: held, Incarnation: 1}); !a.OK {
 		t.Errorf("%+v", a)
 	}
-	if a := do(Command{Kind: Return, Subject: "n0", Permit: held, Start: 1}); a.OK {
+	if a := do(Command{Kind: Return, Subject: "n0", PermitID: held, Incarnation: 1}); a.OK {
 		t.Error("back without having been away")
 	}
-	if a := do(Command{Kind: Free, Subject: "n0", Who: "me"}); a.OK {
+	if a := do(Command{Kind: Free, Subject: "n0", Actor: "me"}); a.OK {
 		t.Error("freed without a reason")
 	}
-	if a := do(Command{Kind: Return, Subject: "n0", Permit: held, Start: 2}); !a.OK {
+	if a := do(Command{Kind: Return, Subject: "n0", PermitID: held, Incarnation: 2}); !a.OK {
 		t.Errorf("%+v", a)
 	}
-	do(Command{Kind: Halt, Who: "me", Why: "look"})
+	do(Command{Kind: Halt, Actor: "me", Reason: "look"})
 	if a := ask("n4"); a.OK || !a.Halted {
 		t.Errorf("%+v", a)
 	}
-	if a := do(Command{Kind: Check, Subject: "n1", Permit: s.Permits["n1"].ID, Start: 1}); a.OK {
+	if a := do(Command{Kind: Begin, Subject: "n1", PermitID: s.Permits["n1"].ID, Incarnation: 1}); a.OK {
 		t.Error("begun while halted")
 	}
-	do(Command{Kind: Resume, Who: "me"})
-	do(Command{Kind: Back, Subject: "n1", Who: "me"})
-	if a := do(Command{Kind: Check, Subject: "n1", Permit: s.Permits["n1"].ID, Start: 1}); a.OK {
+	do(Command{Kind: Resume, Actor: "me"})
+	do(Command{Kind: Recall, Subject: "n1", Actor: "me"})
+	if a := do(Command{Kind: Begin, Subject: "n1", PermitID: s.Permits["n1"].ID, Incarnation: 1}); a.OK {
 		t.Error("begun though it is wanted back")
 	}
 	// A smaller limit, and a roster without a holder: nobody is freed, nothing is granted.
-	do(Command{Kind: Set, Servers: roster(8)[2:], Limits: &Limits{Fleet: Limit{Number: 1}}})
-	if a := ask("n5"); a.OK || !slices.Contains(a.Out, "n1") {
+	do(Command{Kind: Configure, Servers: roster(8)[2:], Limits: &Limits{Fleet: Limit{MaxCount: 1}}})
+	if a := ask("n5"); a.OK || !slices.Contains(a.OutOfService, "n1") {
 		t.Errorf("%+v", a)
 	}
-	if a := do(Command{Kind: Free, Subject: "n1", Who: "me", Why: "scrapped"}); !a.OK {
+	if a := do(Command{Kind: Free, Subject: "n1", Actor: "me", Reason: "scrapped"}); !a.OK {
 		t.Errorf("%+v", a)
 	}
 	if a := ask("n5"); !a.OK {
@@ -111,33 +111,33 @@
 }
 
 // invariant is what must hold after each command, whatever came before.
-func invariant(t interface{ Fatalf(string, ...any) }, before map[string]Permit, s *State, c Command, a Answer, limit int) {
+func invariant(t interface{ Fatalf(string, ...any) }, before map[string]Permit, s *State, c Command, a Result, limit int) {
 	if len(s.Permits) > limit {
 		t.Fatalf("%d permits, %d may be out", len(s.Permits), limit)
 	}
 	for name, p := range s.Permits {
 		was, had := before[name]
-		if !had && !(c.Kind == Ask && c.Subject == name && a.OK) {
+		if !had && !(c.Kind == Acquire && c.Subject == name && a.OK) {
 			t.Fatalf("%s has a permit after %+v", name, c)
 		}
 		if had && was.ID != p.ID {
 			t.Fatalf("the permit of %s was granted twice", name)
 		}
-		if p.Begun && (!had || !was.Begun) && !(c.Kind == Check && c.Subject == name && c.Permit == p.ID && c.Start == p.Start && s.Halted == "") {
+		if p.Begun && (!had || !was.Begun) && !(c.Kind == Begin && c.Subject == name && c.PermitID == p.ID && c.Incarnation == p.Incarnation && s.HaltReason == "") {
 			t.Fatalf("%s has begun after %+v", name, c)
 		}
 	}
 	for name := range before {
-		if s.Permits[name] == nil && !(a.OK && c.Subject == name && (c.Kind == Return && (c.Permit == before[name].ID || c.Permit == 0 && c.Start > before[name].Start) || c.Kind == Free)) {
+		if s.Permits[name] == nil && !(a.OK && c.Subject == name && (c.Kind == Return && (c.PermitID == before[name].ID || c.PermitID == 0 && c.Incarnation > before[name].Incarnation) || c.Kind == Free)) {
 			t.Fatalf("the permit of %s is gone after %+v", name, c)
 		}
 	}
-	if a.OK && (c.Kind == Ask && before[c.Subject].ID == 0) {
+	if a.OK && (c.Kind == Acquire && before[c.Subject].ID == 0) {
 		out := map[string]bool{}
 		for name := range s.Permits {
 			out[name] = true
 		}
-		for _, x := range c.Seen {
+		for _, x := range c.Observations {
 			out[x.Name] = true
 		}
 		if len(out) > limit {
@@ -158,21 +158,21 @@
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 3).Draw(t, "limit")
-		s := fresh(t, 5, Limits{Fleet: Limit{Number: float64(limit)}})
+		s := fresh(t, 5, Limits{Fleet: Limit{MaxCount: float64(limit)}})
 		var sent []Command
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
-			c := Command{ID: fmt.Sprint("c", i), Subject: fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "subject")), Who: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "who"),
-				Why: "w", Start: uint64(rapid.IntRange(1, 3).Draw(t, "start")), Permit: uint64(rapid.IntRange(0, 6).Draw(t, "permit")),
-				Kind: rapid.SampledFrom([]Kind{Ask, Ask, Ask, Check, Check, Return, Return, Free, Halt, Resume, Resume, Back, Note}).Draw(t, "kind")}
+			c := Command{ID: fmt.Sprint("c", i), Subject: fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "subject")), Actor: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "who"),
+				Reason: "w", Incarnation: uint64(rapid.IntRange(1, 3).Draw(t, "start")), PermitID: uint64(rapid.IntRange(0, 6).Draw(t, "permit")),
+				Kind: rapid.SampledFrom([]Kind{Acquire, Acquire, Acquire, Begin, Begin, Return, Return, Free, Halt, Resume, Resume, Recall, Observe}).Draw(t, "kind")}
 			if p := s.Permits[c.Subject]; p != nil && rapid.Bool().Draw(t, "right") {
-				c.Permit, c.Start = p.ID, p.Start
+				c.PermitID, c.Incarnation = p.ID, p.Incarnation
 			}
 			for k := range rapid.IntRange(0, 2).Draw(t, "losses") {
-				c.Seen = append(c.Seen, Seen{Name: fmt.Sprint("n", (i+k)%5), Out: 1})
+				c.Observations = append(c.Observations, Observation{Name: fmt.Sprint("n", (i+k)%5), OutOfService: 1})
 			}
 			if len(sent) > 0 && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
 				c = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
-				before, held := s.Answers[c.ID], copyOf(s)
+				before, held := s.Results[c.ID], copyOf(s)
 				if a := s.Apply(c); !reflect.DeepEqual(a, before) || !reflect.DeepEqual(copyOf(s), held) {
 					t.Fatalf("%+v again: %+v, was %+v", c, a, before)
 				}
@@ -192,20 +192,20 @@
 	}
 	key := func(s *State) string {
 		x := *s
-		x.Index, x.Answers, x.Order, x.History = 0, nil, nil, nil
+		x.Index, x.Results, x.ResultOrder, x.History = 0, nil, nil, nil
 		b, _ := json.Marshal(x)
 		return string(b)
 	}
 	clone := func(s *State) *State {
 		x := *s
-		x.Permits, x.Answers, x.Order, x.History = map[string]*Permit{}, map[string]Answer{}, nil, nil
+		x.Permits, x.Results, x.ResultOrder, x.History = map[string]*Permit{}, map[string]Result{}, nil, nil
 		for k, p := range s.Permits {
 			q := *p
 			x.Permits[k] = &q
 		}
 		return &x
 	}
-	first := fresh(t, 3, Limits{Fleet: Limit{Number: 2}})
+	first := fresh(t, 3, Limits{Fleet: Limit{MaxCount: 2}})
 	seen, edge, steps := map[string]bool{key(first): true}, []*State{first}, 0
 	const mostPermits = 3
 	for len(edge) > 0 {
@@ -214,18 +214,18 @@
 		var all []Command
 		for _, name := range []string{"n0", "n1", "n2"} {
 			for start := uint64(1); start <= 2; start++ {
-				for _, loss := range [][]Seen{nil, {{Name: "n2", Out: 1}}} {
-					all = append(all, Command{Kind: Ask, Subject: name, Who: "x", Start: start, Seen: loss})
+				for _, loss := range [][]Observation{nil, {{Name: "n2", OutOfService: 1}}} {
+					all = append(all, Command{Kind: Acquire, Subject: name, Actor: "x", Incarnation: start, Observations: loss})
 					for p := uint64(1); p <= mostPermits; p++ {
-						all = append(all, Command{Kind: Check, Subject: name, Permit: p, Start: start, Seen: loss}, Command{Kind: Return, Subject: name, Permit: p, Start: start})
+						all = append(all, Command{Kind: Begin, Subject: name, PermitID: p, Incarnation: start, Observations: loss}, Command{Kind: Return, Subject: name, PermitID: p, Incarnation: start})
 					}
 				}
 			}
-			all = append(all, Command{Kind: Free, Subject: name, Who: "x", Why: "w"}, Command{Kind: Back, Subject: name, Who: "x"})
+			all = append(all, Command{Kind: Free, Subject: name, Actor: "x", Reason: "w"}, Command{Kind: Recall, Subject: name, Actor: "x"})
 		}
-		all = append(all, Command{Kind: Halt, Why: "w"}, Command{Kind: Resume})
+		all = append(all, Command{Kind: Halt, Reason: "w"}, Command{Kind: Resume})
 		for _, c := range all {
-			if c.Kind == Ask && s.Next >= mostPermits {
+			if c.Kind == Acquire && s.LastPermitID >= mostPermits {
 				continue
 			}
 			c.ID = "c"
--- a/decision/release/book.go
+++ b/decision/release/book.go
@@ -17,86 +17,86 @@
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash"` // SHA-256 of the body, hex
 	Body   []byte `json:"body"`
-	Who    string `json:"who"`
-	Why    string `json:"why"`
+	Actor  string `json:"who"`
+	Reason string `json:"why"`
 }
 
 // Phase is where a release stands.
 type Phase string
 
 const (
-	Planned  Phase = "planned"
-	Before   Phase = "before" // how all are before the first wave is counted
-	Running  Phase = "running"
-	Held     Phase = "held"    // what was assigned stays; nothing more is
-	Backing  Phase = "backing" // waves go back, the last first
-	BackHeld Phase = "back held"
-	Done     Phase = "done"
-	Returned Phase = "returned"
-	Ended    Phase = "ended" // by hand: all stays as it is
+	Planned        Phase = "planned"
+	Baseline       Phase = "before" // how all are before the first wave is counted
+	Running        Phase = "running"
+	Paused         Phase = "held"    // what was assigned stays; nothing more is
+	RollingBack    Phase = "backing" // waves go back, the last first
+	RollbackPaused Phase = "back held"
+	Completed      Phase = "done"
+	RolledBack     Phase = "returned"
+	Abandoned      Phase = "ended" // by hand: all stays as it is
 )
 
 // Active tells whether a release goes on.
 func (p Phase) Active() bool {
-	return p != Planned && p != Done && p != Returned && p != Ended && p != ""
+	return p != Planned && p != Completed && p != RolledBack && p != Abandoned && p != ""
 }
 
 // Release is one version on its way to all.
 type Release struct {
-	Number   uint64             `json:"number"`
-	Version  uint64             `json:"version"`
-	Rules    Rules              `json:"rules"`
-	Waves    [][]string         `json:"waves"`
-	Zones    map[string]string  `json:"zones"`
-	Phase    Phase              `json:"phase"`
-	Wave     int                `json:"wave"`   // the latest that has begun, -1 for none
-	For      float64            `json:"for"`    // ms of the wave or phase at hand
-	Warm     float64            `json:"warm"`   // ms since all that are heard of the wave run the version, warm
-	Why      string             `json:"why"`    // of the phase
-	Who      string             `json:"who"`    // by hand; "" by itself
-	Former   map[string]uint64  `json:"former"` // what each had before
-	Base     Counts             `json:"base"`   // of all, before the first wave
-	Last     map[string]Was     `json:"last"`   // what was told last
-	Sums     map[string]Counts  `json:"sums"`   // of this wave's minutes, by server
-	Starts   map[string]Life    `json:"starts"` // of each since its wave began
-	Least    map[string]float64 `json:"least"`  // MB resident in this wave's minutes
-	Wary     float64            `json:"wary"`   // ms for which too much was not known, or the fleet had halted by itself
-	Heavy    int                `json:"heavy"`  // looks in a row with too much memory
-	Evidence Evidence           `json:"evidence"`
-	Missing  []string           `json:"missing"` // of the waves so far: not heard, or not yet what they are to be
+	Number           uint64                  `json:"number"`
+	Version          uint64                  `json:"version"`
+	Rules            Rules                   `json:"rules"`
+	Waves            [][]string              `json:"waves"`
+	Zones            map[string]string       `json:"zones"`
+	Phase            Phase                   `json:"phase"`
+	Wave             int                     `json:"wave"`   // the latest that has begun, -1 for none
+	PhaseMS          float64                 `json:"for"`    // ms of the wave or phase at hand
+	WarmMS           float64                 `json:"warm"`   // ms since all that are heard of the wave run the version, warm
+	Reason           string                  `json:"why"`    // of the phase
+	Actor            string                  `json:"who"`    // by hand; "" by itself
+	Previous         map[string]uint64       `json:"former"` // what each had before
+	Baseline         Counts                  `json:"base"`   // of all, before the first wave
+	LastReports      map[string]LastReport   `json:"last"`   // what was told last
+	WaveCounts       map[string]Counts       `json:"sums"`   // of this wave's minutes, by server
+	Restarts         map[string]RestartCount `json:"starts"` // of each since its wave began
+	MinMemoryMB      map[string]float64      `json:"least"`  // MB resident in this wave's minutes
+	UncertainMS      float64                 `json:"wary"`   // ms for which too much was not known, or the fleet had halted by itself
+	HighMemoryStreak int                     `json:"heavy"`  // looks in a row with too much memory
+	Evidence         Evidence                `json:"evidence"`
+	Pending          []string                `json:"missing"` // of the waves so far: not heard, or not yet what they are to be
 }
 
 // Was is what a server told last, so that what came since is known.
-type Was struct {
-	Start   uint64 `json:"start"`
-	Version uint64 `json:"version"`
-	Counts  Counts `json:"counts"`
+type LastReport struct {
+	Incarnation uint64 `json:"start"`
+	Version     uint64 `json:"version"`
+	Counts      Counts `json:"counts"`
 }
 
 // Life counts the starts of a server in its wave.
-type Life struct {
-	Start uint64 `json:"start"`
-	Count int    `json:"count"`
+type RestartCount struct {
+	Incarnation uint64 `json:"start"`
+	Starts      int    `json:"count"`
 }
 
 // Seen is what a leader heard of one server.
-type Seen struct {
-	Name    string  `json:"name"`
-	Start   uint64  `json:"start"`
-	Version uint64  `json:"version"`           // that it runs; 0: its own file's
-	Refused uint64  `json:"refused,omitempty"` // that it would not take
-	Why     string  `json:"why,omitempty"`     // it would not
-	Warm    bool    `json:"warm"`
-	MB      float64 `json:"mb,omitempty"` // resident
-	Counts  Counts  `json:"counts"`       // since it runs the version, warm
-
-	Program uint64 `json:"program,omitempty"` // version of the program that it runs; 0: what it is started with by itself
+type Report struct {
+	Name            string  `json:"name"`
+	Incarnation     uint64  `json:"start"`
+	Version         uint64  `json:"version"`           // that it runs; 0: its own file's
+	RejectedVersion uint64  `json:"refused,omitempty"` // that it would not take
+	RejectReason    string  `json:"why,omitempty"`     // it would not
+	Warm            bool    `json:"warm"`
+	ResidentMB      float64 `json:"mb,omitempty"` // resident
+	Counts          Counts  `json:"counts"`       // since it runs the version, warm
+
+	ProgramVersion uint64 `json:"program,omitempty"` // version of the program that it runs; 0: what it is started with by itself
 }
 
 // Of is what the server's program is to its release, as the version is to that of settings.
-func (s *Seen) Of() Seen {
+func (s *Report) ForProgram() Report {
 	x := *s
-	x.Version, x.Refused, x.Why, x.Program = s.Program, 0, "", 0
+	x.Version, x.RejectedVersion, x.RejectReason, x.ProgramVersion = s.ProgramVersion, 0, "", 0
 	return x
 }
 
@@ -113,191 +113,191 @@
 type Kind string
 
 const (
-	Put    Kind = "put"  // a version
-	Plan   Kind = "plan" // a release of it
-	Start  Kind = "start"
-	Hold   Kind = "hold"
-	Resume Kind = "resume"
-	Back   Kind = "back"
-	End    Kind = "end"
-	Look   Kind = "look" // by a leader: what is seen, and the time since the last look
+	PutVersion   Kind = "put"  // a version
+	PlanRelease  Kind = "plan" // a release of it
+	StartRelease Kind = "start"
+	Pause        Kind = "hold"
+	Resume       Kind = "resume"
+	RollBack     Kind = "back"
+	Abandon      Kind = "end"
+	Observe      Kind = "look" // by a leader: what is seen, and the time since the last look
 )
 
 // Command is one entry of the keepers' log.
 type Command struct {
-	ID      string   `json:"id"`
-	Track   Track    `json:"track,omitempty"`
-	Kind    Kind     `json:"kind"`
-	Body    []byte   `json:"body,omitempty"`    // Put
-	Version uint64   `json:"version,omitempty"` // Plan
-	Rules   *Rules   `json:"rules,omitempty"`   // Plan
-	Release uint64   `json:"release,omitempty"` // Start, Hold, Resume, Back, End
-	Who     string   `json:"who,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Passed  float64  `json:"passed,omitempty"`  // Look: ms
-	Seen    []Seen   `json:"seen,omitempty"`    // Look: of those that are heard
-	Halted  string   `json:"halted,omitempty"`  // Look: why nothing new begins in the fleet, by hand
-	Wary    string   `json:"wary,omitempty"`    // Look: the same, by itself: it may pass
-	Servers []Server `json:"servers,omitempty"` // Plan: the roster, which its keeper adds
-	Other   string   `json:"other,omitempty"`   // Plan: a release of the other track that goes on, which its keeper's log adds
+	ID             string   `json:"id"`
+	Track          Track    `json:"track,omitempty"`
+	Kind           Kind     `json:"kind"`
+	Body           []byte   `json:"body,omitempty"`    // Put
+	Version        uint64   `json:"version,omitempty"` // Plan
+	Rules          *Rules   `json:"rules,omitempty"`   // Plan
+	Release        uint64   `json:"release,omitempty"` // Start, Hold, Resume, Back, End
+	Actor          string   `json:"who,omitempty"`
+	Reason         string   `json:"why,omitempty"`
+	ElapsedMS      float64  `json:"passed,omitempty"`  // Look: ms
+	Reports        []Report `json:"seen,omitempty"`    // Look: of those that are heard
+	HaltReason     string   `json:"halted,omitempty"`  // Look: why nothing new begins in the fleet, by hand
+	AutoHaltReason string   `json:"wary,omitempty"`    // Look: the same, by itself: it may pass
+	Servers        []Server `json:"servers,omitempty"` // Plan: the roster, which its keeper adds
+	OtherRelease   string   `json:"other,omitempty"`   // Plan: a release of the other track that goes on, which its keeper's log adds
 }
 
 // Answer is what a command comes to.
-type Answer struct {
+type Result struct {
 	OK      bool     `json:"ok"`
 	Version uint64   `json:"version,omitempty"`
 	Release *Release `json:"release,omitempty"`
-	Why     string   `json:"why,omitempty"`
+	Reason  string   `json:"why,omitempty"`
 }
 
 // Step is one that an operator may want to look up.
-type Step struct {
+type Transition struct {
 	Release uint64 `json:"release"`
 	Phase   Phase  `json:"phase"`
 	Wave    int    `json:"wave"`
-	Who     string `json:"who,omitempty"`
-	Why     string `json:"why,omitempty"`
+	Actor   string `json:"who,omitempty"`
+	Reason  string `json:"why,omitempty"`
 }
 
 const (
-	mostVersions = 32
-	mostBody     = 256 << 10
-	mostSteps    = 512
-	mostAnswers  = 256
-	textBytes    = 256
+	maxVersions    = 32
+	maxBodyBytes   = 256 << 10
+	maxTransitions = 512
+	maxResults     = 256
+	maxTextBytes   = 256
 	// mostPassed ms of a look count: after a longer gap nobody knows what was in it.
-	mostPassed = 5e3
+	maxElapsedMS = 5e3
 	// heavyLooks in a row with too much memory: one may be a collector that is late.
-	heavyLooks = 3
+	highMemoryObservations = 3
 	// doubtful evidence, times likelier with a difference, is no proof and no reason to go on: the wave waits for more.
-	doubtful = 20.0
+	doubtfulRatio = 20.0
 	// wariness ms of too many unheard servers, or of a halt by itself, and the release is held. After a change of leaders all are
 	// unheard for a second or two, and nothing goes on in that time either.
-	wariness = 8e3
+	maxUncertainMS = 8e3
 )
 
 // Book is all that keepers agree on of versions and releases.
-type Book struct {
-	Next     uint64            `json:"next"` // version
-	Versions []Version         `json:"versions"`
-	Number   uint64            `json:"number"` // of the latest release
-	Release  *Release          `json:"release,omitempty"`
-	Assigned map[string]uint64 `json:"assigned"` // version by server; 0 or none: its own file's
-	Settled  uint64            `json:"settled"`  // the version of the last release that came to its end: for who is new
-	Steps    []Step            `json:"steps"`
-	Answers  map[string]Answer `json:"answers"`
-	Order    []string          `json:"order"`
+type State struct {
+	LastVersion    uint64            `json:"next"` // version
+	Versions       []Version         `json:"versions"`
+	LastRelease    uint64            `json:"number"` // of the latest release
+	Release        *Release          `json:"release,omitempty"`
+	Assigned       map[string]uint64 `json:"assigned"` // version by server; 0 or none: its own file's
+	DefaultVersion uint64            `json:"settled"`  // the version of the last release that came to its end: for who is new
+	Transitions    []Transition      `json:"steps"`
+	Results        map[string]Result `json:"answers"`
+	ResultOrder    []string          `json:"order"`
 }
 
 // New is a book without versions.
-func New() *Book { return &Book{Assigned: map[string]uint64{}, Answers: map[string]Answer{}} }
+func New() *State { return &State{Assigned: map[string]uint64{}, Results: map[string]Result{}} }
 
 // Apply carries out one command. The same again gets the same answer and does nothing.
-func (b *Book) Apply(c Command) Answer {
-	if c.ID == "" || len(c.ID) > textBytes || len(c.Who) > textBytes || len(c.Why) > textBytes {
-		return Answer{Why: fmt.Sprintf("an id, and texts of at most %d bytes, expected", textBytes)}
+func (b *State) Apply(c Command) Result {
+	if c.ID == "" || len(c.ID) > maxTextBytes || len(c.Actor) > maxTextBytes || len(c.Reason) > maxTextBytes {
+		return Result{Reason: fmt.Sprintf("an id, and texts of at most %d bytes, expected", maxTextBytes)}
 	}
-	if a, done := b.Answers[c.ID]; done {
+	if a, done := b.Results[c.ID]; done {
 		return a
 	}
 	a := b.apply(&c)
-	if c.Kind != Look {
-		b.Answers[c.ID] = a
-		if b.Order = append(b.Order, c.ID); len(b.Order) > mostAnswers {
-			delete(b.Answers, b.Order[0])
-			b.Order = slices.Delete(b.Order, 0, 1)
+	if c.Kind != Observe {
+		b.Results[c.ID] = a
+		if b.ResultOrder = append(b.ResultOrder, c.ID); len(b.ResultOrder) > maxResults {
+			delete(b.Results, b.ResultOrder[0])
+			b.ResultOrder = slices.Delete(b.ResultOrder, 0, 1)
 		}
 	}
 	return a
 }
 
-func (b *Book) apply(c *Command) Answer {
+func (b *State) apply(c *Command) Result {
 	switch c.Kind {
-	case Put:
+	case PutVersion:
 		return b.put(c)
-	case Plan:
+	case PlanRelease:
 		return b.plan(c)
-	case Look:
-		b.look(c)
-		return Answer{OK: true}
-	case Start, Hold, Resume, Back, End:
+	case Observe:
+		b.observe(c)
+		return Result{OK: true}
+	case StartRelease, Pause, Resume, RollBack, Abandon:
 	default:
-		return Answer{Why: fmt.Sprintf("%.40q is no command", string(c.Kind))}
+		return Result{Reason: fmt.Sprintf("%.40q is no command", string(c.Kind))}
 	}
 	r := b.Release
 	if r == nil || c.Release != 0 && c.Release != r.Number {
-		return Answer{Why: fmt.Sprintf("release %d is not the one at hand", c.Release)}
+		return Result{Reason: fmt.Sprintf("release %d is not the one at hand", c.Release)}
 	}
-	to, why := Phase(""), cmp.Or(c.Why, "no reason told")
+	to, why := Phase(""), cmp.Or(c.Reason, "no reason told")
 	switch p := r.Phase; {
-	case c.Kind == Start && p == Planned:
-		to = Before
-	case c.Kind == Hold && (p == Running || p == Before):
-		to = Held
-	case c.Kind == Hold && p == Backing:
-		to = BackHeld
-	case c.Kind == Resume && p == Held && r.Wave < 0:
-		to = Before
-	case c.Kind == Resume && p == Held:
+	case c.Kind == StartRelease && p == Planned:
+		to = Baseline
+	case c.Kind == Pause && (p == Running || p == Baseline):
+		to = Paused
+	case c.Kind == Pause && p == RollingBack:
+		to = RollbackPaused
+	case c.Kind == Resume && p == Paused && r.Wave < 0:
+		to = Baseline
+	case c.Kind == Resume && p == Paused:
 		to = Running
-	case c.Kind == Resume && p == BackHeld:
-		to = Backing
-	case c.Kind == Back && (p == Running || p == Held || p == Before || p == Done && c.Release == r.Number):
-		to = Backing
-	case c.Kind == Back && (p == Backing || p == BackHeld):
-		return Answer{OK: true, Release: r.shown(), Why: "it goes back already"}
-	case c.Kind == End && (p.Active() || p == Planned):
-		to = Ended
+	case c.Kind == Resume && p == RollbackPaused:
+		to = RollingBack
+	case c.Kind == RollBack && (p == Running || p == Paused || p == Baseline || p == Completed && c.Release == r.Number):
+		to = RollingBack
+	case c.Kind == RollBack && (p == RollingBack || p == RollbackPaused):
+		return Result{OK: true, Release: r.summary(), Reason: "it goes back already"}
+	case c.Kind == Abandon && (p.Active() || p == Planned):
+		to = Abandoned
 	default:
-		return Answer{Why: fmt.Sprintf("release %d is %s: no %s", r.Number, p, c.Kind), Release: r.shown()}
+		return Result{Reason: fmt.Sprintf("release %d is %s: no %s", r.Number, p, c.Kind), Release: r.summary()}
 	}
-	b.turn(to, cmp.Or(c.Who, "somebody"), why)
-	return Answer{OK: true, Release: r.shown()}
+	b.enterPhase(to, cmp.Or(c.Actor, "somebody"), why)
+	return Result{OK: true, Release: r.summary()}
 }
 
 // shown is a copy without what only the machine needs.
-func (r *Release) shown() *Release {
+func (r *Release) summary() *Release {
 	x := *r
-	x.Missing = slices.Clone(x.Missing)
-	x.Last, x.Sums, x.Starts, x.Former, x.Zones, x.Least = nil, nil, nil, nil, nil, nil
+	x.Pending = slices.Clone(x.Pending)
+	x.LastReports, x.WaveCounts, x.Restarts, x.Previous, x.Zones, x.MinMemoryMB = nil, nil, nil, nil, nil, nil
 	return &x
 }
 
-func (b *Book) put(c *Command) Answer {
-	if len(c.Body) == 0 || len(c.Body) > mostBody {
-		return Answer{Why: fmt.Sprintf("a version of up to %d bytes expected, %d there", mostBody, len(c.Body))}
+func (b *State) put(c *Command) Result {
+	if len(c.Body) == 0 || len(c.Body) > maxBodyBytes {
+		return Result{Reason: fmt.Sprintf("a version of up to %d bytes expected, %d there", maxBodyBytes, len(c.Body))}
 	}
 	sum := sha256.Sum256(c.Body)
 	hash := hex.EncodeToString(sum[:])
 	for i := range b.Versions {
 		if b.Versions[i].Hash == hash {
-			return Answer{OK: true, Version: b.Versions[i].Number, Why: "it is known already"}
+			return Result{OK: true, Version: b.Versions[i].Number, Reason: "it is known already"}
 		}
 	}
-	if len(b.Versions) >= mostVersions { // the oldest that nobody has and no release may need goes
-		needed := map[uint64]bool{b.Settled: true}
+	if len(b.Versions) >= maxVersions { // the oldest that nobody has and no release may need goes
+		needed := map[uint64]bool{b.DefaultVersion: true}
 		for _, v := range b.Assigned {
 			needed[v] = true
 		}
 		if b.Release != nil {
 			needed[b.Release.Version] = true
-			for _, v := range b.Release.Former {
+			for _, v := range b.Release.Previous {
 				needed[v] = true
 			}
 		}
 		i := slices.IndexFunc(b.Versions, func(v Version) bool { return !needed[v.Number] })
 		if i < 0 {
-			return Answer{Why: fmt.Sprintf("%d versions are kept, and all are in use", mostVersions)}
+			return Result{Reason: fmt.Sprintf("%d versions are kept, and all are in use", maxVersions)}
 		}
 		b.Versions = slices.Delete(b.Versions, i, i+1)
 	}
-	b.Next++
-	b.Versions = append(b.Versions, Version{b.Next, hash, c.Body, c.Who, c.Why})
-	return Answer{OK: true, Version: b.Next}
+	b.LastVersion++
+	b.Versions = append(b.Versions, Version{b.LastVersion, hash, c.Body, c.Actor, c.Reason})
+	return Result{OK: true, Version: b.LastVersion}
 }
 
 // Version returns one that is kept.
-func (b *Book) Version(number uint64) *Version {
+func (b *State) Version(number uint64) *Version {
 	for i := range b.Versions {
 		if b.Versions[i].Number == number {
 			return &b.Versions[i]
@@ -306,42 +306,42 @@
 	return nil
 }
 
-func (b *Book) plan(c *Command) Answer {
+func (b *State) plan(c *Command) Result {
 	if r := b.Release; r != nil && r.Phase.Active() {
-		return Answer{Why: fmt.Sprintf("release %d of version %d is %s: it comes to its end first", r.Number, r.Version, r.Phase), Release: r.shown()}
+		return Result{Reason: fmt.Sprintf("release %d of version %d is %s: it comes to its end first", r.Number, r.Version, r.Phase), Release: r.summary()}
 	}
-	if c.Other != "" {
-		return Answer{Why: c.Other + ": it comes to its end first"}
+	if c.OtherRelease != "" {
+		return Result{Reason: c.OtherRelease + ": it comes to its end first"}
 	}
 	if b.Version(c.Version) == nil {
-		return Answer{Why: fmt.Sprintf("version %d is not kept", c.Version)}
+		return Result{Reason: fmt.Sprintf("version %d is not kept", c.Version)}
 	}
 	if c.Rules == nil {
-		return Answer{Why: "rules expected"}
+		return Result{Reason: "rules expected"}
 	}
-	if wrong := c.Rules.Check(); wrong != "" {
-		return Answer{Why: wrong}
+	if wrong := c.Rules.Validate(); wrong != "" {
+		return Result{Reason: wrong}
 	}
 	if len(c.Servers) == 0 {
-		return Answer{Why: "the roster is empty"}
+		return Result{Reason: "the roster is empty"}
 	}
 	roster := map[string]bool{}
 	for _, x := range c.Servers {
 		roster[x.Name] = true
 	}
 	maps.DeleteFunc(b.Assigned, func(name string, _ uint64) bool { return !roster[name] })
-	b.Number++
-	r := &Release{Number: b.Number, Version: c.Version, Rules: *c.Rules, Waves: Waves(*c.Rules, c.Servers, b.Number), Phase: Planned, Wave: -1,
-		Zones: map[string]string{}, Former: map[string]uint64{}, Last: map[string]Was{}, Sums: map[string]Counts{}, Starts: map[string]Life{}, Least: map[string]float64{}, Who: c.Who, Why: c.Why}
+	b.LastRelease++
+	r := &Release{Number: b.LastRelease, Version: c.Version, Rules: *c.Rules, Waves: Waves(*c.Rules, c.Servers, b.LastRelease), Phase: Planned, Wave: -1,
+		Zones: map[string]string{}, Previous: map[string]uint64{}, LastReports: map[string]LastReport{}, WaveCounts: map[string]Counts{}, Restarts: map[string]RestartCount{}, MinMemoryMB: map[string]float64{}, Actor: c.Actor, Reason: c.Reason}
 	for _, s := range c.Servers {
 		r.Zones[s.Name] = s.Zone
 	}
 	b.Release = r
-	return Answer{OK: true, Version: c.Version, Release: r.shown()}
+	return Result{OK: true, Version: c.Version, Release: r.summary()}
 }
 
 // Goes names the release that goes on; "" if none does.
-func (b *Book) Goes() string {
+func (b *State) ActiveSummary() string {
 	if r := b.Release; r != nil && r.Phase.Active() {
 		return fmt.Sprintf("release %d of version %d is %s", r.Number, r.Version, r.Phase)
 	}
@@ -349,50 +349,50 @@
 }
 
 // Target is the version that a server is to run: what its wave has come to, not the newest there is.
-func (b *Book) Target(name string) uint64 {
+func (b *State) Target(name string) uint64 {
 	if v, is := b.Assigned[name]; is {
 		return v
 	}
-	return b.Settled
+	return b.DefaultVersion
 }
 
 // turn brings a release into another phase, and records why.
-func (b *Book) turn(to Phase, who, why string) {
+func (b *State) enterPhase(to Phase, who, why string) {
 	r := b.Release
-	if to == Backing && r.Phase == Done { // the last wave first, as from any other
+	if to == RollingBack && r.Phase == Completed { // the last wave first, as from any other
 		r.Wave = len(r.Waves) - 1
 	}
-	r.Phase, r.Who, r.Why, r.For, r.Warm, r.Heavy, r.Wary = to, who, why, 0, 0, 0, 0
-	clear(r.Sums)
-	clear(r.Least)
-	if to == Before { // what each has is what it goes back to
+	r.Phase, r.Actor, r.Reason, r.PhaseMS, r.WarmMS, r.HighMemoryStreak, r.UncertainMS = to, who, why, 0, 0, 0, 0
+	clear(r.WaveCounts)
+	clear(r.MinMemoryMB)
+	if to == Baseline { // what each has is what it goes back to
 		for name := range r.Zones {
-			r.Former[name] = b.Target(name)
+			r.Previous[name] = b.Target(name)
 		}
-		r.Base = Counts{}
+		r.Baseline = Counts{}
 	}
-	b.step()
+	b.recordTransition()
 }
 
-func (b *Book) step() {
+func (b *State) recordTransition() {
 	r := b.Release
-	b.Steps = append(b.Steps, Step{r.Number, r.Phase, r.Wave, r.Who, r.Why})
-	if len(b.Steps) > mostSteps {
-		b.Steps = slices.Delete(b.Steps, 0, len(b.Steps)-mostSteps)
+	b.Transitions = append(b.Transitions, Transition{r.Number, r.Phase, r.Wave, r.Actor, r.Reason})
+	if len(b.Transitions) > maxTransitions {
+		b.Transitions = slices.Delete(b.Transitions, 0, len(b.Transitions)-maxTransitions)
 	}
 }
 
 // look takes what is seen, and the steps that follow from it.
-func (b *Book) look(c *Command) {
+func (b *State) observe(c *Command) {
 	r := b.Release
 	if r == nil || !r.Phase.Active() {
 		return
 	}
-	passed := min(max(c.Passed, 0), mostPassed)
-	r.For += passed
-	seen := map[string]*Seen{}
-	for i := range c.Seen {
-		if s := &c.Seen[i]; s.Name != "" {
+	passed := min(max(c.ElapsedMS, 0), maxElapsedMS)
+	r.PhaseMS += passed
+	seen := map[string]*Report{}
+	for i := range c.Reports {
+		if s := &c.Reports[i]; s.Name != "" {
 			seen[s.Name] = s
 		}
 	}
@@ -400,8 +400,8 @@
 	if r.Wave >= 0 {
 		wave = r.Waves[r.Wave]
 	}
-	b.count(seen, wave)
-	r.Missing = r.Missing[:0]
+	b.accumulate(seen, wave)
+	r.Pending = r.Pending[:0]
 	unheard := 0
 	for _, name := range slices.Sorted(maps.Keys(r.Zones)) {
 		s := seen[name]
@@ -409,20 +409,20 @@
 			unheard++
 		}
 		if s == nil || s.Version != b.Target(name) {
-			r.Missing = append(r.Missing, name)
+			r.Pending = append(r.Pending, name)
 		}
 	}
 	switch r.Phase {
-	case Backing:
-		b.backs(seen)
-	case Before, Running:
-		b.goes(c, seen, wave, unheard, passed)
+	case RollingBack:
+		b.rollBackWaves(seen)
+	case Baseline, Running:
+		b.advance(c, seen, wave, unheard, passed)
 	}
 }
 
 // count adds what came since the last look to the sums of this wave's minutes. Only what a server carried warm, on one version and
 // in one life, counts.
-func (b *Book) count(seen map[string]*Seen, wave []string) {
+func (b *State) accumulate(seen map[string]*Report, wave []string) {
 	r := b.Release
 	moved := false
 	for name := range r.Zones {
@@ -430,58 +430,58 @@
 		if s == nil {
 			continue
 		}
-		was, had := r.Last[name]
-		r.Last[name] = Was{s.Start, s.Version, s.Counts}
-		if had && was.Start == s.Start && was.Version == s.Version && s.Warm {
+		was, had := r.LastReports[name]
+		r.LastReports[name] = LastReport{s.Incarnation, s.Version, s.Counts}
+		if had && was.Incarnation == s.Incarnation && was.Version == s.Version && s.Warm {
 			d := s.Counts.minus(was.Counts)
-			if r.Phase == Before {
-				r.Base.add(d)
+			if r.Phase == Baseline {
+				r.Baseline.add(d)
 			}
-			x := r.Sums[name]
+			x := r.WaveCounts[name]
 			x.add(d)
-			r.Sums[name] = x
+			r.WaveCounts[name] = x
 		} else if had && was.Version != s.Version {
 			moved = true
 		}
-		if s.Warm && s.MB > 0 {
-			if least, is := r.Least[name]; !is || s.MB < least {
-				r.Least[name] = s.MB
+		if s.Warm && s.ResidentMB > 0 {
+			if least, is := r.MinMemoryMB[name]; !is || s.ResidentMB < least {
+				r.MinMemoryMB[name] = s.ResidentMB
 			}
 		}
 		if slices.Contains(wave, name) && s.Version == r.Version {
-			if l := r.Starts[name]; l.Start != s.Start {
-				r.Starts[name] = Life{s.Start, l.Count + 1}
+			if l := r.Restarts[name]; l.Incarnation != s.Incarnation {
+				r.Restarts[name] = RestartCount{s.Incarnation, l.Starts + 1}
 			}
 		}
 	}
 	if moved && r.Phase == Running { // both sides are counted over the same minutes: from when the last one has taken it
-		clear(r.Sums)
-		clear(r.Least)
+		clear(r.WaveCounts)
+		clear(r.MinMemoryMB)
 	}
 }
 
 // goes is a look at a release on its way forward.
-func (b *Book) goes(c *Command, seen map[string]*Seen, wave []string, unheard int, passed float64) {
+func (b *State) advance(c *Command, seen map[string]*Report, wave []string, unheard int, passed float64) {
 	r := b.Release
-	hold := func(format string, a ...any) { b.turn(Held, "", fmt.Sprintf(format, a...)) }
-	back := func(format string, a ...any) { b.turn(Backing, "", fmt.Sprintf(format, a...)) }
-	wary := c.Wary
-	if unheard > r.Rules.Unheard {
+	hold := func(format string, a ...any) { b.enterPhase(Paused, "", fmt.Sprintf(format, a...)) }
+	back := func(format string, a ...any) { b.enterPhase(RollingBack, "", fmt.Sprintf(format, a...)) }
+	wary := c.AutoHaltReason
+	if unheard > r.Rules.MaxUnreachable {
 		wary = fmt.Sprintf("%d servers are not heard", unheard)
 	}
-	if r.Wary += passed; wary == "" {
-		r.Wary = 0
+	if r.UncertainMS += passed; wary == "" {
+		r.UncertainMS = 0
 	}
-	if r.Phase == Before {
+	if r.Phase == Baseline {
 		switch {
-		case c.Halted != "":
-			hold("halted: %s", c.Halted)
-		case r.Wary >= wariness:
+		case c.HaltReason != "":
+			hold("halted: %s", c.HaltReason)
+		case r.UncertainMS >= maxUncertainMS:
 			hold("%s", wary)
-		case wary == "" && r.For >= r.Rules.Bake && r.Base.All >= r.Rules.Least:
-			b.next()
-		case r.For >= r.Rules.Longest:
-			hold("too little is carried to judge by: %.0f RPCs in %.0f s", r.Base.All, r.For/1000)
+		case wary == "" && r.PhaseMS >= r.Rules.BakeMS && r.Baseline.Total >= r.Rules.MinRPCs:
+			b.nextWave()
+		case r.PhaseMS >= r.Rules.MaxWaveMS:
+			hold("too little is carried to judge by: %.0f RPCs in %.0f s", r.Baseline.Total, r.PhaseMS/1000)
 		}
 		return
 	}
@@ -493,75 +493,75 @@
 			silent++
 			continue
 		}
-		if s.Refused == r.Version {
-			back("%s will not take it: %s", name, s.Why)
+		if s.RejectedVersion == r.Version {
+			back("%s will not take it: %s", name, s.RejectReason)
 			return
 		}
-		if r.Starts[name].Count > mostStarts {
+		if r.Restarts[name].Starts > maxStarts {
 			crashed = name
 		}
 	}
 	if crashed != "" {
-		back("%s has started %d times on it", crashed, r.Starts[crashed].Count)
+		back("%s has started %d times on it", crashed, r.Restarts[crashed].Starts)
 		return
 	}
-	fresh, old, mine, theirs, all := b.sides(seen, wave)
-	if why := heavy(mine, theirs); why != "" {
-		if r.Heavy++; r.Heavy >= heavyLooks {
+	fresh, old, mine, theirs, all := b.split(seen, wave)
+	if why := excessMemory(mine, theirs); why != "" {
+		if r.HighMemoryStreak++; r.HighMemoryStreak >= highMemoryObservations {
 			back("%s", why)
 			return
 		}
 	} else {
-		r.Heavy = 0
+		r.HighMemoryStreak = 0
 	}
 	if len(old) > 0 {
 		e, worse := compare(r.Rules, len(r.Waves), fresh, old)
 		if r.Evidence = e; worse {
-			back("worse by %.3g: %s %s", e.Worse, e.Signal, e.Zone)
+			back("worse by %.3g: %s %s", e.Excess, e.Signal, e.Zone)
 			return
 		}
 	}
-	if why, both := bothWorse(r.Base, old); both {
+	if why, both := controlDegraded(r.Baseline, old); both {
 		hold("%s", why)
 		return
 	}
 	// Not known, or not allowed: no further, and no blame.
 	switch {
-	case c.Halted != "":
-		hold("halted: %s", c.Halted)
+	case c.HaltReason != "":
+		hold("halted: %s", c.HaltReason)
 		return
-	case silent == len(wave) && r.For >= r.Rules.Longest/2:
+	case silent == len(wave) && r.PhaseMS >= r.Rules.MaxWaveMS/2:
 		back("nobody of the wave is heard any more")
 		return
-	case r.Wary >= wariness:
+	case r.UncertainMS >= maxUncertainMS:
 		hold("%s", wary)
 		return
 	}
 	if all {
-		r.Warm += passed
+		r.WarmMS += passed
 	} else {
-		r.Warm = 0
+		r.WarmMS = 0
 	}
 	var carried Counts
 	for i := range fresh {
-		carried.add(fresh[i].n)
+		carried.add(fresh[i].counts)
 	}
-	doubt := wary != "" || r.Heavy > 0 || len(old) > 0 && r.Evidence.Ratio >= doubtful
+	doubt := wary != "" || r.HighMemoryStreak > 0 || len(old) > 0 && r.Evidence.LikelihoodRatio >= doubtfulRatio
 	switch {
-	case r.Warm >= r.Rules.Bake && carried.All >= r.Rules.Least && !doubt:
-		b.next()
-	case r.For >= r.Rules.Longest && doubt:
-		hold("in doubt after %.0f s: %s %s, worse by %.3g", r.For/1000, r.Evidence.Signal, r.Evidence.Zone, r.Evidence.Worse)
-	case r.For >= r.Rules.Longest && !all:
-		hold("after %.0f s not all of the wave run it: %v", r.For/1000, r.Missing)
-	case r.For >= r.Rules.Longest:
-		hold("too little is carried to judge by: %.0f RPCs in %.0f s", carried.All, r.For/1000)
+	case r.WarmMS >= r.Rules.BakeMS && carried.Total >= r.Rules.MinRPCs && !doubt:
+		b.nextWave()
+	case r.PhaseMS >= r.Rules.MaxWaveMS && doubt:
+		hold("in doubt after %.0f s: %s %s, worse by %.3g", r.PhaseMS/1000, r.Evidence.Signal, r.Evidence.Zone, r.Evidence.Excess)
+	case r.PhaseMS >= r.Rules.MaxWaveMS && !all:
+		hold("after %.0f s not all of the wave run it: %v", r.PhaseMS/1000, r.Pending)
+	case r.PhaseMS >= r.Rules.MaxWaveMS:
+		hold("too little is carried to judge by: %.0f RPCs in %.0f s", carried.Total, r.PhaseMS/1000)
 	}
 }
 
 // sides are those with the version and those without, as far as they are heard and warm, their memory, and whether all of the wave
 // that are heard run it warm. Earlier waves are on the version's side.
-func (b *Book) sides(seen map[string]*Seen, wave []string) (fresh, old []sample, mine, theirs []weight, all bool) {
+func (b *State) split(seen map[string]*Report, wave []string) (fresh, old []sample, mine, theirs []memoryUse, all bool) {
 	r := b.Release
 	all = true
 	for _, name := range wave {
@@ -574,15 +574,15 @@
 		if s == nil || !s.Warm {
 			continue
 		}
-		x := sample{r.Zones[name], r.Sums[name]}
-		w := weight{name, s.MB, 0}
-		if least, is := r.Least[name]; is {
-			w.grew = s.MB - least
+		x := sample{r.Zones[name], r.WaveCounts[name]}
+		w := memoryUse{name, s.ResidentMB, 0}
+		if least, is := r.MinMemoryMB[name]; is {
+			w.grownMB = s.ResidentMB - least
 		}
 		switch {
 		case s.Version == r.Version && b.Target(name) == r.Version:
 			fresh, mine = append(fresh, x), append(mine, w)
-		case s.Version == r.Former[name] && b.Target(name) == r.Former[name]:
+		case s.Version == r.Previous[name] && b.Target(name) == r.Previous[name]:
 			old, theirs = append(old, x), append(theirs, w)
 		}
 	}
@@ -590,50 +590,50 @@
 }
 
 // next begins the next wave, or is the end.
-func (b *Book) next() {
+func (b *State) nextWave() {
 	r := b.Release
 	if r.Wave+1 == len(r.Waves) {
-		b.Settled = r.Version
-		b.turn(Done, "", "all waves run it")
+		b.DefaultVersion = r.Version
+		b.enterPhase(Completed, "", "all waves run it")
 		return
 	}
 	r.Wave++
 	for _, name := range r.Waves[r.Wave] {
 		b.Assigned[name] = r.Version
 	}
-	clear(r.Starts)
-	b.turn(Running, "", fmt.Sprintf("wave %d of %d", r.Wave+1, len(r.Waves)))
+	clear(r.Restarts)
+	b.enterPhase(Running, "", fmt.Sprintf("wave %d of %d", r.Wave+1, len(r.Waves)))
 }
 
 // backs takes a wave back at a time, the last first. Those that are not heard are not waited for: they are told when they return.
-func (b *Book) backs(seen map[string]*Seen) {
+func (b *State) rollBackWaves(seen map[string]*Report) {
 	r := b.Release
 	if r.Wave < 0 {
-		b.turn(Returned, r.Who, r.Why)
+		b.enterPhase(RolledBack, r.Actor, r.Reason)
 		return
 	}
 	settled := true
 	for _, name := range r.Waves[r.Wave] {
-		b.Assigned[name] = r.Former[name]
-		if s := seen[name]; s != nil && s.Version != r.Former[name] {
+		b.Assigned[name] = r.Previous[name]
+		if s := seen[name]; s != nil && s.Version != r.Previous[name] {
 			settled = false
 		}
 	}
-	if settled || r.For >= r.Rules.Longest {
-		r.For = 0
+	if settled || r.PhaseMS >= r.Rules.MaxWaveMS {
+		r.PhaseMS = 0
 		if r.Wave--; r.Wave < 0 {
-			if b.Settled == r.Version {
-				b.Settled = former(r)
+			if b.DefaultVersion == r.Version {
+				b.DefaultVersion = mostCommonPrevious(r)
 			}
-			b.turn(Returned, r.Who, r.Why)
+			b.enterPhase(RolledBack, r.Actor, r.Reason)
 		}
 	}
 }
 
 // former is the version that most had before.
-func former(r *Release) (version uint64) {
+func mostCommonPrevious(r *Release) (version uint64) {
 	n := map[uint64]int{}
-	for _, v := range r.Former {
+	for _, v := range r.Previous {
 		n[v]++
 	}
 	for _, v := range slices.Sorted(maps.Keys(n)) {
--- a/decision/release/plan.go
+++ b/decision/release/plan.go
@@ -19,44 +19,44 @@
 
 // Rules are what an operator sets of a release. Times are ms.
 type Rules struct {
-	Canary  int     `json:"canary"`  // servers of the first wave
-	Growth  float64 `json:"growth"`  // servers of a wave over all before it, at the most
-	Most    float64 `json:"most"`    // share of the fleet in one wave, at the most
-	Bake    float64 `json:"bake"`    // for which a wave runs the version, warm, before the next
-	Least   float64 `json:"least"`   // RPCs on each side before a wave is judged
-	Longest float64 `json:"longest"` // of a wave; then the release is held
-	Alarm   float64 `json:"alarm"`   // chance that a version that is no worse is taken back, over the whole release
-	Margin  float64 `json:"margin"`  // by which a share may be worse
-	Unheard int     `json:"unheard"` // servers of the plan that may be unheard before the release is held
+	CanaryServers  int     `json:"canary"`  // servers of the first wave
+	MaxGrowth      float64 `json:"growth"`  // servers of a wave over all before it, at the most
+	MaxWaveShare   float64 `json:"most"`    // share of the fleet in one wave, at the most
+	BakeMS         float64 `json:"bake"`    // for which a wave runs the version, warm, before the next
+	MinRPCs        float64 `json:"least"`   // RPCs on each side before a wave is judged
+	MaxWaveMS      float64 `json:"longest"` // of a wave; then the release is held
+	FalseAlarmRate float64 `json:"alarm"`   // chance that a version that is no worse is taken back, over the whole release
+	Margin         float64 `json:"margin"`  // by which a share may be worse
+	MaxUnreachable int     `json:"unheard"` // servers of the plan that may be unheard before the release is held
 }
 
 // Usual are rules for a fleet whose servers answer some RPCs a second each: a wave of a minute, one false alarm in two hundred
 // releases, and a hundredth of all RPCs for what does not matter.
-func Usual() Rules {
-	return Rules{Canary: 1, Growth: 2, Most: 0.34, Bake: 60e3, Least: 400, Longest: 600e3, Alarm: 0.005, Margin: 0.01, Unheard: 1}
+func DefaultRules() Rules {
+	return Rules{CanaryServers: 1, MaxGrowth: 2, MaxWaveShare: 0.34, BakeMS: 60e3, MinRPCs: 400, MaxWaveMS: 600e3, FalseAlarmRate: 0.005, Margin: 0.01, MaxUnreachable: 1}
 }
 
 // Check names what is wrong with rules; "" if nothing is.
-func (r *Rules) Check() string {
+func (r *Rules) Validate() string {
 	in := func(v, low, high float64) bool { return v >= low && v <= high }
 	switch {
-	case r.Canary < 1 || r.Canary > 64:
+	case r.CanaryServers < 1 || r.CanaryServers > 64:
 		return "canary: from 1 to 64 servers expected"
-	case !in(r.Growth, 1, 16):
+	case !in(r.MaxGrowth, 1, 16):
 		return "growth: from 1 to 16 expected"
-	case !in(r.Most, 0.001, 1):
+	case !in(r.MaxWaveShare, 0.001, 1):
 		return "most: a share of the fleet expected"
-	case !in(r.Bake, 0, 86400e3):
+	case !in(r.BakeMS, 0, 86400e3):
 		return "bake: up to a day in ms expected"
-	case !in(r.Least, 0, 1e9):
+	case !in(r.MinRPCs, 0, 1e9):
 		return "least: a number of RPCs expected"
-	case !in(r.Longest, math.Max(1, r.Bake), 7*86400e3):
+	case !in(r.MaxWaveMS, math.Max(1, r.BakeMS), 7*86400e3):
 		return "longest: at least bake, up to a week in ms expected"
-	case !in(r.Alarm, 1e-6, 0.5):
+	case !in(r.FalseAlarmRate, 1e-6, 0.5):
 		return "alarm: a chance from 0.000001 to 0.5 expected"
 	case !in(r.Margin, 0, 1):
 		return "margin: a share expected"
-	case r.Unheard < 0:
+	case r.MaxUnreachable < 0:
 		return "unheard: a number of servers expected"
 	}
 	return ""
@@ -78,7 +78,7 @@
 	}
 	all := make([]placed, 0, len(servers))
 	for _, s := range servers {
-		all = append(all, placed{Server: s, by: draw(number, s.Name)})
+		all = append(all, placed{Server: s, by: hashOrder(number, s.Name)})
 	}
 	slices.SortFunc(all, func(a, b placed) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.by, b.by), cmp.Compare(a.Name, b.Name))
@@ -88,7 +88,7 @@
 		for to < len(all) && all[to].Zone == all[from].Zone {
 			to++
 		}
-		first := float64(draw(number, all[from].Zone)>>11) / (1 << 53) // zones begin at different places, lest all canaries of one lie together
+		first := float64(hashOrder(number, all[from].Zone)>>11) / (1 << 53) // zones begin at different places, lest all canaries of one lie together
 		for i := from; i < to; i++ {
 			all[i].at = (float64(i-from) + first) / float64(to-from)
 		}
@@ -96,9 +96,9 @@
 	}
 	slices.SortStableFunc(all, func(a, b placed) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.by, b.by)) })
 	for done := 0; done < len(all); {
-		n := r.Canary
+		n := r.CanaryServers
 		if done > 0 {
-			n = int(math.Min(math.Ceil(r.Growth*float64(done)), math.Floor(r.Most*float64(len(all)))))
+			n = int(math.Min(math.Ceil(r.MaxGrowth*float64(done)), math.Floor(r.MaxWaveShare*float64(len(all)))))
 		}
 		n = min(max(n, 1), len(all)-done)
 		wave := make([]string, 0, n)
@@ -110,7 +110,7 @@
 	return waves
 }
 
-func draw(number uint64, name string) uint64 {
+func hashOrder(number uint64, name string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprint(h, number, "/", name)
 	x := h.Sum64()
--- a/decision/release/release_test.go
+++ b/decision/release/release_test.go
@@ -21,15 +21,15 @@
 // Every server is in one wave, waves grow as they may, and each is spread over the zones by their sizes.
 func TestWaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Usual()
-		r.Canary = rapid.IntRange(1, 8).Draw(t, "canary")
-		r.Growth = rapid.Float64Range(1, 4).Draw(t, "growth")
-		r.Most = rapid.Float64Range(0.01, 1).Draw(t, "most")
+		r := DefaultRules()
+		r.CanaryServers = rapid.IntRange(1, 8).Draw(t, "canary")
+		r.MaxGrowth = rapid.Float64Range(1, 4).Draw(t, "growth")
+		r.MaxWaveShare = rapid.Float64Range(0.01, 1).Draw(t, "most")
 		servers := fleet(rapid.IntRange(1, 400).Draw(t, "servers"), rapid.IntRange(1, 5).Draw(t, "zones"))
 		waves := Waves(r, servers, rapid.Uint64().Draw(t, "number"))
 		seen, done := map[string]bool{}, 0
 		for i, w := range waves {
-			if i == 0 && len(w) > r.Canary || i > 0 && len(w) > 1 && (float64(len(w)) > r.Growth*float64(done)+1 || float64(len(w)) > r.Most*float64(len(servers))) {
+			if i == 0 && len(w) > r.CanaryServers || i > 0 && len(w) > 1 && (float64(len(w)) > r.MaxGrowth*float64(done)+1 || float64(len(w)) > r.MaxWaveShare*float64(len(servers))) {
 				t.Fatalf("wave %d has %d, %d before, rules %+v", i, len(w), done, r)
 			}
 			for _, name := range w {
@@ -45,7 +45,7 @@
 		}
 	})
 	zones := map[string]int{}
-	for _, name := range Waves(Usual(), fleet(300, 3), 1)[3] {
+	for _, name := range Waves(DefaultRules(), fleet(300, 3), 1)[3] {
 		var i int
 		fmt.Sscanf(name, "n%d", &i)
 		zones[fmt.Sprint("z", i%3)]++
@@ -58,8 +58,8 @@
 // The false alarms of the test itself: no difference, looked at after each of many steps.
 func TestAlarmsAreRare(t *testing.T) {
 	chance := rand.New(rand.NewSource(3))
-	rules := Usual()
-	rules.Alarm = 0.05
+	rules := DefaultRules()
+	rules.FalseAlarmRate = 0.05
 	alarms, found := 0, 0
 	const runs = 400
 	for i := range 2 * runs {
@@ -74,9 +74,9 @@
 						p = 0.12
 					}
 					for range 10 {
-						side[k].n.All++
+						side[k].counts.Total++
 						if chance.Float64() < p {
-							side[k].n.Failed++
+							side[k].counts.Failed++
 						}
 					}
 				}
@@ -96,25 +96,25 @@
 }
 
 // book is one with a version put and planned, six servers in three waves.
-func book(t *testing.T) (*Book, *play) {
+func book(t *testing.T) (*State, *play) {
 	t.Helper()
-	p := &play{T: t, b: New(), at: map[string]*Seen{}}
+	p := &play{T: t, b: New(), at: map[string]*Report{}}
 	for i := range 6 {
 		name := fmt.Sprint("n", i)
-		p.at[name] = &Seen{Name: name, Start: 1, Warm: true, MB: 30}
+		p.at[name] = &Report{Name: name, Incarnation: 1, Warm: true, ResidentMB: 30}
 	}
-	p.do(Command{Kind: Put, Body: []byte("one"), Who: "me"}, true)
+	p.do(Command{Kind: PutVersion, Body: []byte("one"), Actor: "me"}, true)
 	return p.b, p
 }
 
 type play struct {
 	*testing.T
-	b  *Book
+	b  *State
 	n  int
-	at map[string]*Seen
+	at map[string]*Report
 }
 
-func (p *play) do(c Command, ok bool) Answer {
+func (p *play) do(c Command, ok bool) Result {
 	p.Helper()
 	p.n++
 	c.ID = fmt.Sprint("c", p.n)
@@ -125,31 +125,31 @@
 	return a
 }
 
-var quick = Rules{Canary: 1, Growth: 2, Most: 0.5, Bake: 4000, Least: 20, Longest: 60e3, Alarm: 0.01, Margin: 0.01, Unheard: 1}
+var quick = Rules{CanaryServers: 1, MaxGrowth: 2, MaxWaveShare: 0.5, BakeMS: 4000, MinRPCs: 20, MaxWaveMS: 60e3, FalseAlarmRate: 0.01, Margin: 0.01, MaxUnreachable: 1}
 
 func (p *play) plan(version uint64) uint64 {
 	p.Helper()
 	r := quick
-	return p.do(Command{Kind: Plan, Version: version, Rules: &r, Servers: fleet(6, 2)}, true).Release.Number
+	return p.do(Command{Kind: PlanRelease, Version: version, Rules: &r, Servers: fleet(6, 2)}, true).Release.Number
 }
 
 // pass has servers carry RPCs and take what they are told, and looks each second; away ones are not heard.
-func (p *play) pass(seconds int, bad func(*Seen) float64, away ...string) {
+func (p *play) pass(seconds int, bad func(*Report) float64, away ...string) {
 	for range seconds {
-		c := Command{Kind: Look, Passed: 1000}
+		c := Command{Kind: Observe, ElapsedMS: 1000}
 		for _, name := range []string{"n0", "n1", "n2", "n3", "n4", "n5"} {
 			s := p.at[name]
 			if slices.Contains(away, name) {
 				continue
 			}
-			if to := p.b.Target(name); to != s.Version && (to == 0 || s.Refused != to) {
+			if to := p.b.Target(name); to != s.Version && (to == 0 || s.RejectedVersion != to) {
 				s.Version, s.Counts = to, Counts{}
 			}
-			s.Counts.All += 20
+			s.Counts.Total += 20
 			if bad != nil {
 				s.Counts.Failed += 20 * bad(s)
 			}
-			c.Seen = append(c.Seen, *s)
+			c.Reports = append(c.Reports, *s)
 		}
 		p.do(c, true)
 	}
@@ -157,7 +157,7 @@
 
 // How releases end, by what is seen.
 func TestReleaseEnds(t *testing.T) {
-	worse := func(s *Seen) float64 {
+	worse := func(s *Report) float64 {
 		if s.Version == 1 {
 			return 0.5
 		}
@@ -169,82 +169,82 @@
 		want Phase
 		have []uint64 // what the six are assigned at the end, nil for all of the former
 	}{
-		{"a good one", func(p *play, r uint64) { p.pass(60, nil) }, Done, []uint64{1, 1, 1, 1, 1, 1}},
-		{"a bad one", func(p *play, r uint64) { p.pass(60, worse) }, Returned, nil},
+		{"a good one", func(p *play, r uint64) { p.pass(60, nil) }, Completed, []uint64{1, 1, 1, 1, 1, 1}},
+		{"a bad one", func(p *play, r uint64) { p.pass(60, worse) }, RolledBack, nil},
 		{"worse everywhere at once: nobody is blamed", func(p *play, r uint64) {
 			p.pass(6, nil)
-			p.pass(60, func(*Seen) float64 { return 0.4 })
-		}, Held, nil},
+			p.pass(60, func(*Report) float64 { return 0.4 })
+		}, Paused, nil},
 		{"refused", func(p *play, r uint64) {
 			for _, s := range p.at {
-				s.Refused = 1
+				s.RejectedVersion = 1
 			}
 			p.pass(60, nil)
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"the canary starts again and again", func(p *play, r uint64) {
 			for range 40 {
 				p.pass(1, nil)
 				for _, s := range p.at {
 					if s.Version == 1 {
-						s.Start++
+						s.Incarnation++
 					}
 				}
 			}
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"memory grows", func(p *play, r uint64) {
 			for range 40 {
 				p.pass(1, nil)
 				for _, s := range p.at {
 					if s.Version == 1 {
-						s.MB += 8
+						s.ResidentMB += 8
 					}
 				}
 			}
-		}, Returned, nil},
-		{"a third is not heard", func(p *play, r uint64) { p.pass(60, nil, "n0", "n1") }, Held, nil},
+		}, RolledBack, nil},
+		{"a third is not heard", func(p *play, r uint64) { p.pass(60, nil, "n0", "n1") }, Paused, nil},
 		{"halted by the fleet", func(p *play, r uint64) {
 			p.pass(2, nil)
-			p.do(Command{Kind: Look, Passed: 1000, Halted: "losses"}, true)
+			p.do(Command{Kind: Observe, ElapsedMS: 1000, HaltReason: "losses"}, true)
 			p.pass(20, nil)
-		}, Held, nil},
+		}, Paused, nil},
 		{"too little is carried", func(p *play, r uint64) {
 			for range 70 {
-				p.do(Command{Kind: Look, Passed: 1000, Seen: []Seen{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}, {Name: "n5"}}}, true)
+				p.do(Command{Kind: Observe, ElapsedMS: 1000, Reports: []Report{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}, {Name: "n5"}}}, true)
 			}
-		}, Held, nil},
+		}, Paused, nil},
 		{"by hand, back from half", func(p *play, r uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: Back, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
 			p.pass(10, nil)
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"the way back is held, and goes on", func(p *play, r uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: Back, Release: r, Who: "me"}, true)
-			p.do(Command{Kind: Hold, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: Pause, Release: r, Actor: "me"}, true)
 			p.pass(10, nil)
-			if p.b.Release.Phase != BackHeld {
+			if p.b.Release.Phase != RollbackPaused {
 				p.Errorf("%s", p.b.Release.Phase)
 			}
-			p.do(Command{Kind: Resume, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: Resume, Release: r, Actor: "me"}, true)
 			p.pass(10, nil)
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"back with half cut off: they are told when they return", func(p *play, r uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: Back, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
 			p.pass(10, nil, "n0", "n1", "n2")
-			if p.b.Release.Phase != Returned {
+			if p.b.Release.Phase != RolledBack {
 				p.Errorf("%s", p.b.Release.Phase)
 			}
 			p.pass(1, nil)
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"back after its end", func(p *play, r uint64) {
 			p.pass(60, nil)
-			p.do(Command{Kind: Back, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
 			p.pass(10, nil)
-		}, Returned, nil},
+		}, RolledBack, nil},
 		{"ended by hand in the middle", func(p *play, r uint64) {
 			p.pass(7, nil)
-			p.do(Command{Kind: End, Release: r, Who: "me"}, true)
+			p.do(Command{Kind: Abandon, Release: r, Actor: "me"}, true)
 			p.pass(30, nil)
 			p.plan(1) // another may begin now
 		}, Planned, nil},
@@ -252,13 +252,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			b, p := book(t)
 			r := p.plan(1)
-			p.do(Command{Kind: Start, Release: r, Who: "me"}, true)
-			p.do(Command{Kind: Plan, Version: 1, Rules: &quick, Servers: fleet(6, 2)}, false) // one at a time
+			p.do(Command{Kind: StartRelease, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: PlanRelease, Version: 1, Rules: &quick, Servers: fleet(6, 2)}, false) // one at a time
 			c.play(p, r)
 			if b.Release.Phase != c.want {
-				t.Fatalf("%s: %s (%s)", c.name, b.Release.Phase, b.Release.Why)
+				t.Fatalf("%s: %s (%s)", c.name, b.Release.Phase, b.Release.Reason)
 			}
-			if c.want == Returned || c.have != nil {
+			if c.want == RolledBack || c.have != nil {
 				for i := range 6 {
 					want := uint64(0)
 					if c.have != nil {
@@ -286,19 +286,19 @@
 // Versions are numbered whole, a repeated one is the same, and none that is in use goes.
 func TestVersions(t *testing.T) {
 	b, p := book(t)
-	if a := p.do(Command{Kind: Put, Body: []byte("one")}, true); a.Version != 1 {
+	if a := p.do(Command{Kind: PutVersion, Body: []byte("one")}, true); a.Version != 1 {
 		t.Errorf("%+v", a)
 	}
-	p.do(Command{Kind: Put}, false)
-	p.do(Command{Kind: Put, Body: make([]byte, mostBody+1)}, false)
-	p.do(Command{Kind: Plan, Version: 7, Rules: &quick, Servers: fleet(6, 2)}, false)
+	p.do(Command{Kind: PutVersion}, false)
+	p.do(Command{Kind: PutVersion, Body: make([]byte, maxBodyBytes+1)}, false)
+	p.do(Command{Kind: PlanRelease, Version: 7, Rules: &quick, Servers: fleet(6, 2)}, false)
 	r := p.plan(1)
-	p.do(Command{Kind: Start, Release: r}, true)
+	p.do(Command{Kind: StartRelease, Release: r}, true)
 	p.pass(60, nil)
-	for i := range 2 * mostVersions {
-		p.do(Command{Kind: Put, Body: []byte(fmt.Sprint(i))}, true)
+	for i := range 2 * maxVersions {
+		p.do(Command{Kind: PutVersion, Body: []byte(fmt.Sprint(i))}, true)
 	}
-	if b.Version(1) == nil || len(b.Versions) > mostVersions {
+	if b.Version(1) == nil || len(b.Versions) > maxVersions {
 		t.Errorf("%d versions, the one in use kept: %v", len(b.Versions), b.Version(1) != nil)
 	}
 	if got := b.Target("a new one"); got != 1 {
@@ -310,24 +310,24 @@
 func TestAnyRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
-		b.Apply(Command{ID: "put", Kind: Put, Body: []byte("one")})
-		b.Apply(Command{ID: "put2", Kind: Put, Body: []byte("two")})
-		at := map[string]*Seen{}
+		b.Apply(Command{ID: "put", Kind: PutVersion, Body: []byte("one")})
+		b.Apply(Command{ID: "put2", Kind: PutVersion, Body: []byte("two")})
+		at := map[string]*Report{}
 		for i := range 5 {
 			name := fmt.Sprint("n", i)
-			at[name] = &Seen{Name: name, Start: 1, Warm: true}
+			at[name] = &Report{Name: name, Incarnation: 1, Warm: true}
 		}
 		for i := range rapid.IntRange(5, 120).Draw(t, "commands") {
-			c := Command{ID: fmt.Sprint(i), Kind: rapid.SampledFrom([]Kind{Look, Look, Look, Look, Look, Look, Plan, Start, Start, Hold, Resume, Back, End}).Draw(t, "kind"), Rules: &quick, Version: uint64(rapid.IntRange(1, 2).Draw(t, "version")),
-				Servers: fleet(5, 2), Passed: 3000, Who: "x"}
+			c := Command{ID: fmt.Sprint(i), Kind: rapid.SampledFrom([]Kind{Observe, Observe, Observe, Observe, Observe, Observe, PlanRelease, StartRelease, StartRelease, Pause, Resume, RollBack, Abandon}).Draw(t, "kind"), Rules: &quick, Version: uint64(rapid.IntRange(1, 2).Draw(t, "version")),
+				Servers: fleet(5, 2), ElapsedMS: 3000, Actor: "x"}
 			for _, name := range []string{"n0", "n1", "n2", "n3", "n4"} {
 				s := at[name]
 				if rapid.IntRange(0, 9).Draw(t, "away") == 0 {
 					continue
 				}
 				s.Version = b.Target(name)
-				s.Counts.All += 30
-				c.Seen = append(c.Seen, *s)
+				s.Counts.Total += 30
+				c.Reports = append(c.Reports, *s)
 			}
 			was := ""
 			if b.Release != nil {
@@ -338,16 +338,16 @@
 			if r == nil {
 				continue
 			}
-			if c.Kind == Plan && a.OK && was != "" && was != fmt.Sprint(r.Number-1, Planned) && was != fmt.Sprint(r.Number-1, Done) && was != fmt.Sprint(r.Number-1, Returned) && was != fmt.Sprint(r.Number-1, Ended) {
+			if c.Kind == PlanRelease && a.OK && was != "" && was != fmt.Sprint(r.Number-1, Planned) && was != fmt.Sprint(r.Number-1, Completed) && was != fmt.Sprint(r.Number-1, RolledBack) && was != fmt.Sprint(r.Number-1, Abandoned) {
 				t.Fatalf("two at once: %s", was)
 			}
 			for k, wave := range r.Waves {
 				for _, name := range wave {
-					if r.Phase.Active() && k > r.Wave && b.Target(name) == r.Version && r.Former[name] != r.Version {
+					if r.Phase.Active() && k > r.Wave && b.Target(name) == r.Version && r.Previous[name] != r.Version {
 						t.Fatalf("%s of wave %d is assigned %d in wave %d, %s", name, k, r.Version, r.Wave, r.Phase)
 					}
-					if r.Phase == Returned && b.Target(name) != r.Former[name] {
-						t.Fatalf("%s is to run %d after the way back, %d before", name, b.Target(name), r.Former[name])
+					if r.Phase == RolledBack && b.Target(name) != r.Previous[name] {
+						t.Fatalf("%s is to run %d after the way back, %d before", name, b.Target(name), r.Previous[name])
 					}
 				}
 			}
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -244,8 +244,8 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), time.Duration(rounds)*bound+2*longest)
 	defer end()
-	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Set, Servers: servers, Members: members,
-		Limits: &permit.Limits{Fleet: permit.Limit{Number: drainLimit}, Pools: map[string]permit.Limit{"apps": {Number: 1}}}}); err != nil || !a.OK {
+	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Configure, Servers: servers, Members: members,
+		Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: drainLimit}, Pools: map[string]permit.Limit{"apps": {MaxCount: 1}}}}); err != nil || !a.OK {
 		return nil, fmt.Errorf("roster: %+v %v", a, err)
 	}
 	beds := make([]*testbed.Bed, 2) // with drains, and without
@@ -414,7 +414,9 @@
 				began := time.Now()
 				done := func() bool {
 					st, err := client.State(watch)
-					return err == nil && slices.ContainsFunc(st.Drained, func(d permit.Drained) bool { return d.Subject == "apps/"+addrs[m] && d.Done && len(d.Unheard) == 0 })
+					return err == nil && slices.ContainsFunc(st.Drains, func(d permit.DrainStatus) bool {
+						return d.Subject == "apps/"+addrs[m] && d.Done && len(d.Unreachable) == 0
+					})
 				}
 				for !done() && watch.Err() == nil && time.Since(began) < 10*time.Second {
 					time.Sleep(50 * time.Millisecond)
--- a/internal/experiment/grants.go
+++ b/internal/experiment/grants.go
@@ -51,7 +51,7 @@
 	for i := range grantServers {
 		servers = append(servers, permit.Server{Name: fmt.Sprint("n", i)})
 	}
-	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Set, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{Number: 4 * grantServers}}}); err != nil || !a.OK {
+	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 4 * grantServers}}}); err != nil || !a.OK {
 		return fmt.Errorf("roster: %+v %w", a, err)
 	}
 	hearing, endHearing := context.WithCancel(ctx)
@@ -62,7 +62,7 @@
 		for hearing.Err() == nil {
 			for i := range grantServers {
 				one, done := context.WithTimeout(hearing, 2*time.Second)
-				client.Here(one, permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
+				client.Heartbeat(one, permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
 				done()
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -70,10 +70,10 @@
 	})
 	cycle := func(c *permitclient.Client, name, id string) (took time.Duration, err error) {
 		began := time.Now()
-		a, err := c.Do(ctx, permit.Command{ID: "a" + id, Kind: permit.Ask, Subject: name, Who: "lab", Start: 1})
+		a, err := c.Do(ctx, permit.Command{ID: "a" + id, Kind: permit.Acquire, Subject: name, Actor: "lab", Incarnation: 1})
 		took = time.Since(began)
 		if err == nil && a.OK {
-			_, err = c.Do(ctx, permit.Command{ID: "r" + id, Kind: permit.Return, Subject: name, Permit: a.Permit, Start: 1})
+			_, err = c.Do(ctx, permit.Command{ID: "r" + id, Kind: permit.Return, Subject: name, PermitID: a.PermitID, Incarnation: 1})
 		}
 		return took, err
 	}
@@ -160,10 +160,10 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	restart := time.Since(again)
-	r.AddRow(fmt.Sprintf("%d permits given and returned by %d clients: permits a second", st.State.Next, grantClients), float64(permits)/took.Seconds(), "")
+	r.AddRow(fmt.Sprintf("%d permits given and returned by %d clients: permits a second", st.State.LastPermitID, grantClients), float64(permits)/took.Seconds(), "")
 	r.AddRow("  MB resident of the largest keeper before; after", before, after)
 	r.AddRow("  MB on a keeper's disk; s until one that was killed serves again", log, restart.Seconds())
-	r.AddChecks(atLeast("permits given", float64(st.State.Next), float64(permits)))
+	r.AddChecks(atLeast("permits given", float64(st.State.LastPermitID), float64(permits)))
 	r.AddChecks(atMost("MB resident of a keeper, after", after, 192))
 	r.AddChecks(atMost("MB on a keeper's disk", log, 256))
 	r.AddChecks(atMost("s until a killed keeper serves again", restart.Seconds(), 5))
--- a/internal/experiment/release.go
+++ b/internal/experiment/release.go
@@ -24,8 +24,8 @@
 
 // releaseRules are the usual ones with a shorter look, so that a release of 300 servers takes minutes.
 func releaseRules() release.Rules {
-	r := release.Usual()
-	r.Canary, r.Bake, r.Least = 3, 30e3, 300
+	r := release.DefaultRules()
+	r.CanaryServers, r.BakeMS, r.MinRPCs = 3, 30e3, 300
 	return r
 }
 
@@ -66,7 +66,7 @@
 		mixed += e.Mixed
 		switch {
 		case kind == int(fleetsim.Good):
-			if good++; e.Phase != release.Done {
+			if good++; e.Phase != release.Completed {
 				falsely++
 				fmt.Fprintf(o.Out, "seed %d: a good version is %s: %s\n", i, e.Phase, e.Why)
 			}
@@ -76,7 +76,7 @@
 				beyond++
 				fmt.Fprintf(o.Out, "seed %d, %s: reached %d of 300: %s\n", i, fleetsim.Bad(kind), e.Reached, e.Why)
 			}
-			if e.Phase == release.Returned && !e.Restored {
+			if e.Phase == release.RolledBack && !e.Restored {
 				unrestored++
 			}
 		}
@@ -171,7 +171,7 @@
 	for i, name := range fleetsim.Names(servers) {
 		roster = append(roster, permit.Server{Name: name, Zone: fmt.Sprint("z", i%2)})
 	}
-	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Set, Servers: roster, Limits: &permit.Limits{Fleet: permit.Limit{Number: servers}}}); err != nil || !a.OK {
+	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Configure, Servers: roster, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: servers}}}); err != nil || !a.OK {
 		return fmt.Errorf("roster: %+v %w", a, err)
 	}
 	// Load: the share that was ok is read by phase.
@@ -221,14 +221,14 @@
 		if err != nil {
 			return nil, err
 		}
-		rules := release.Rules{Canary: 1, Growth: 2, Most: 0.5, Bake: 1500, Least: 30, Longest: 60e3, Alarm: 0.01, Margin: 0.01, Unheard: 2}
-		var a release.Answer
-		for _, c := range []release.Command{{Kind: release.Put, Body: body}, {Kind: release.Plan, Rules: &rules}, {Kind: release.Start}} {
+		rules := release.Rules{CanaryServers: 1, MaxGrowth: 2, MaxWaveShare: 0.5, BakeMS: 1500, MinRPCs: 30, MaxWaveMS: 60e3, FalseAlarmRate: 0.01, Margin: 0.01, MaxUnreachable: 2}
+		var a release.Result
+		for _, c := range []release.Command{{Kind: release.PutVersion, Body: body}, {Kind: release.PlanRelease, Rules: &rules}, {Kind: release.StartRelease}} {
 			n++
-			c.ID, c.Who, c.Why = fmt.Sprint("lab", n), "lab", "lab"
-			if c.Kind == release.Plan {
+			c.ID, c.Actor, c.Reason = fmt.Sprint("lab", n), "lab", "lab"
+			if c.Kind == release.PlanRelease {
 				c.Version = a.Version
-			} else if c.Kind == release.Start {
+			} else if c.Kind == release.StartRelease {
 				c.Release = a.Release.Number
 			}
 			if a, err = client.Release(ctx, c); err != nil || !a.OK {
@@ -241,11 +241,11 @@
 		began := time.Now()
 		for ctx.Err() == nil {
 			st, err := client.State(ctx)
-			if err == nil && st.Releases.Release != nil && st.Releases.Release.Phase == want && len(st.Releases.Release.Missing) == 0 {
+			if err == nil && st.SettingsReleases.Release != nil && st.SettingsReleases.Release.Phase == want && len(st.SettingsReleases.Release.Pending) == 0 {
 				return time.Since(began), nil
 			}
 			if err == nil && time.Since(began) > 50*time.Second {
-				return 0, fmt.Errorf("not %s: %+v", want, st.Releases.Release)
+				return 0, fmt.Errorf("not %s: %+v", want, st.SettingsReleases.Release)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -264,7 +264,7 @@
 			k.kill(st.Leader)
 			defer k.start(st.Leader, false)
 		}
-		goodTook, err = until(release.Done)
+		goodTook, err = until(release.Completed)
 		return err
 	})
 	if err != nil {
@@ -283,7 +283,7 @@
 				return err
 			}
 		}
-		badTook, err = until(release.Returned)
+		badTook, err = until(release.RolledBack)
 		return err
 	})
 	if err != nil {
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -66,10 +66,10 @@
 	if st := v.status(); st.Version != 2 || st.Hash != hash || st.Program != 3 || st.Refused != "" {
 		t.Errorf("status %+v", st)
 	}
-	if v.wants(&permitclient.Orders{Program: 4, Index: 57}) || !v.wants(&permitclient.Orders{Program: 4, Index: 58}) {
+	if v.wants(&permitclient.Directives{ProgramVersion: 4, Index: 57}) || !v.wants(&permitclient.Directives{ProgramVersion: 4, Index: 58}) {
 		t.Error("the program's word is not the 57th")
 	}
-	if v.follow(t.Context(), nil, &permitclient.Orders{Version: 9, Hash: "x", Index: 41}) {
+	if v.follow(t.Context(), nil, &permitclient.Directives{SettingsVersion: 9, SettingsHash: "x", Index: 41}) {
 		t.Error("an older word about the settings is followed")
 	}
 	// What is written again is what was there.
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -96,8 +96,8 @@
 	// Who is drained is asked before the first RPC, for as long as a start may wait: else it would use them until its first word.
 	asking, end := context.WithTimeout(d.ctx, startWait)
 	h := d.word()
-	if orders, err := d.keep.Here(asking, h); err == nil {
-		d.follow(h, orders.Orders)
+	if orders, err := d.keep.Heartbeat(asking, h); err == nil {
+		d.follow(h, orders.Directives)
 	}
 	end()
 	d.wg.Add(1)
@@ -121,41 +121,41 @@
 }
 
 // word is what is told of this server now.
-func (d *Drains) word() permitclient.Here {
+func (d *Drains) word() permitclient.Heartbeat {
 	start, out, _ := d.self()
-	h := permitclient.Here{Name: d.f.o.Name, Out: out, Start: start, Runs: d.settled.seen(out == 0)}
+	h := permitclient.Heartbeat{Name: d.f.o.Name, OutOfService: out, Incarnation: start, Release: d.settled.seen(out == 0)}
 	below := d.life.Below()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if arrived, pushed := d.life.Flow(); true {
 		now := time.Now()
 		if s := now.Sub(d.wasAt).Seconds(); !d.wasAt.IsZero() && s > 0 {
-			h.Seen, h.Pushed = float64(arrived-d.was[0])/s, float64(pushed-d.was[1])/s
+			h.DecidedRPS, h.RejectedRPS = float64(arrived-d.was[0])/s, float64(pushed-d.was[1])/s
 		}
 		d.was, d.wasAt = [2]uint64{arrived, pushed}, now
 	}
 	for pool, members := range below {
 		for addr, m := range members {
 			subject := pool + "/" + addr
-			if h.Members == nil {
-				h.Members, h.Left = map[string]bool{}, map[string]permit.Left{}
+			if h.MembersOut == nil {
+				h.MembersOut, h.MemberDrains = map[string]bool{}, map[string]permit.MemberDrain{}
 			}
-			h.Members[subject] = m.Out
+			h.MembersOut[subject] = m.Out
 			if id, is := d.aside[subject]; is {
-				h.Left[subject] = permit.Left{Permit: id, InHand: m.InHand, Cannot: d.cannot[subject]}
+				h.MemberDrains[subject] = permit.MemberDrain{PermitID: id, InFlight: m.InHand, BlockedReason: d.cannot[subject]}
 			}
 		}
 	}
 	for subject, id := range d.aside { // of a pool or a member that this server does not have
-		if _, has := h.Members[subject]; !has {
-			if h.Left == nil {
-				h.Left = map[string]permit.Left{}
+		if _, has := h.MembersOut[subject]; !has {
+			if h.MemberDrains == nil {
+				h.MemberDrains = map[string]permit.MemberDrain{}
 			}
-			h.Left[subject] = permit.Left{Permit: id}
+			h.MemberDrains[subject] = permit.MemberDrain{PermitID: id}
 		}
 	}
-	if len(h.Members) > permitclient.MostMembers || len(h.Left) > permitclient.MostMembers {
-		h.Members, h.Left = nil, nil
+	if len(h.MembersOut) > permitclient.MaxMembers || len(h.MemberDrains) > permitclient.MaxMembers {
+		h.MembersOut, h.MemberDrains = nil, nil
 	}
 	return h
 }
@@ -168,7 +168,7 @@
 	for {
 		h := d.word()
 		ctx, end := context.WithTimeout(d.ctx, hereWait)
-		orders, err := d.keep.Here(ctx, h)
+		orders, err := d.keep.Heartbeat(ctx, h)
 		end()
 		d.mu.Lock()
 		if was := d.state.Keepers; was != (err == nil) && d.ctx.Err() == nil {
@@ -183,13 +183,13 @@
 		d.mu.Unlock()
 		again := false
 		if err == nil {
-			again = d.follow(h, orders.Orders)
+			again = d.follow(h, orders.Directives)
 			again = d.settled.follow(d.ctx, d.keep, &orders) || again
 			d.changeProgram(h, &orders)
 		}
-		if err == nil && !back && h.Out == 0 && time.Since(asked) > backEvery {
+		if err == nil && !back && h.OutOfService == 0 && time.Since(asked) > backEvery {
 			asked = time.Now()
-			d.isBack(h.Start)
+			d.isBack(h.Incarnation)
 		}
 		d.unplanned()
 		d.mu.Lock()
@@ -210,24 +210,24 @@
 }
 
 // follow does what the keepers order. It tells whether there is news for them.
-func (d *Drains) follow(h permitclient.Here, o permit.Orders) (news bool) {
+func (d *Drains) follow(h permitclient.Heartbeat, o permit.Directives) (news bool) {
 	d.mu.Lock()
-	if d.state.Halted != o.Halted {
-		d.state.Halted = o.Halted
-		d.log.WithField("why", o.Halted).Warn("drain: a halt begins, or ends if no reason is told")
+	if d.state.Halted != o.HaltReason {
+		d.state.Halted = o.HaltReason
+		d.log.WithField("why", o.HaltReason).Warn("drain: a halt begins, or ends if no reason is told")
 	}
-	changed := !maps.Equal(d.aside, o.Aside)
+	changed := !maps.Equal(d.aside, o.DrainingMembers)
 	begun, asking := d.begun, d.asking
 	d.mu.Unlock()
 	if changed {
-		d.leaveAlone(o.Aside)
+		d.leaveAlone(o.DrainingMembers)
 		news = true
 	}
-	if o.Recall != "" && o.Permit != 0 && begun {
-		d.Back(d.ctx, o.Recall)
+	if o.RecalledBy != "" && o.PermitID != 0 && begun {
+		d.Back(d.ctx, o.RecalledBy)
 	}
-	if o.Want != nil && !begun && !asking && h.Out == 0 {
-		d.ask(func() { d.Drain(d.ctx, o.Want.Who, o.Want.Why) })
+	if o.DrainRequest != nil && !begun && !asking && h.OutOfService == 0 {
+		d.ask(func() { d.Drain(d.ctx, o.DrainRequest.Actor, o.DrainRequest.Reason) })
 	}
 	return news
 }
@@ -249,14 +249,14 @@
 
 // changeProgram drains by permit to another version of the program, which what supervises this server starts in its place: it goes by the
 // exit code and by the name in the folder.
-func (d *Drains) changeProgram(h permitclient.Here, o *permitclient.Orders) {
+func (d *Drains) changeProgram(h permitclient.Heartbeat, o *permitclient.Directives) {
 	d.mu.Lock()
 	busy := d.begun || d.asking
 	d.mu.Unlock()
-	if busy || h.Out > 0 || !d.settled.wants(o) {
+	if busy || h.OutOfService > 0 || !d.settled.wants(o) {
 		return
 	}
-	number, name, index := o.Program, o.Name, o.Index
+	number, name, index := o.ProgramVersion, o.ProgramName, o.Index
 	d.ask(func() {
 		// Noted only once it may begin: a process that is killed before that is started as what it was.
 		d.drainTo(d.ctx, "release", fmt.Sprintf("version %d of the program: %s", number, name), ExitProgram, func() error {
@@ -301,7 +301,7 @@
 	d.log.Warn("drain: this stop is not by permit")
 	ctx, end := context.WithTimeout(d.ctx, hereWait)
 	defer end()
-	d.keep.Do(ctx, permit.Command{ID: newID("stop"), Kind: permit.Stop, Subject: d.f.o.Name, Start: start, Who: d.f.o.Name, Why: "told to stop, without a permit"})
+	d.keep.Do(ctx, permit.Command{ID: newID("stop"), Kind: permit.ReportStop, Subject: d.f.o.Name, Incarnation: start, Actor: d.f.o.Name, Reason: "told to stop, without a permit"})
 }
 
 // Back takes this server's drain back, if it has not closed yet, and returns its permit.
@@ -332,13 +332,13 @@
 	d.mu.Unlock()
 	asking, end := context.WithTimeout(ctx, permitWait)
 	defer end()
-	d.keep.Here(asking, d.word()) // else it counts as lost, from the return of its permit to its next word
-	if _, err := d.keep.Do(asking, permit.Command{ID: newID("recall"), Kind: permit.Back, Subject: d.f.o.Name, Who: who}); err != nil {
+	d.keep.Heartbeat(asking, d.word()) // else it counts as lost, from the return of its permit to its next word
+	if _, err := d.keep.Do(asking, permit.Command{ID: newID("recall"), Kind: permit.Recall, Subject: d.f.o.Name, Actor: who}); err != nil {
 		return err
 	}
-	a, err := d.keep.Do(asking, permit.Command{ID: newID("stayed"), Kind: permit.Return, Subject: d.f.o.Name, Permit: id, Start: start, Who: who, Why: "taken back"})
+	a, err := d.keep.Do(asking, permit.Command{ID: newID("stayed"), Kind: permit.Return, Subject: d.f.o.Name, PermitID: id, Incarnation: start, Actor: who, Reason: "taken back"})
 	if err == nil && !a.OK {
-		err = errors.New(a.Why)
+		err = errors.New(a.Reason)
 	}
 	if err == nil {
 		d.mu.Lock()
@@ -355,7 +355,7 @@
 	defer end()
 	a, err := d.keep.Do(asking, c)
 	if err == nil && !a.OK {
-		err = fmt.Errorf("%s: %s %v", c.Kind, a.Why, a.Out)
+		err = fmt.Errorf("%s: %s %v", c.Kind, a.Reason, a.OutOfService)
 	}
 	return err
 }
@@ -365,17 +365,17 @@
 func (d *Drains) Member(ctx context.Context, subject, who, why string) error {
 	asking, end := context.WithTimeout(ctx, permitWait)
 	defer end()
-	a, err := d.keep.Do(asking, permit.Command{ID: newID("ask"), Kind: permit.Ask, Subject: subject, Who: who, Why: why})
+	a, err := d.keep.Do(asking, permit.Command{ID: newID("ask"), Kind: permit.Acquire, Subject: subject, Actor: who, Reason: why})
 	if err != nil {
 		return err
 	}
 	if !a.OK {
-		return fmt.Errorf("no permit: %s %v", a.Why, a.Out)
+		return fmt.Errorf("no permit: %s %v", a.Reason, a.OutOfService)
 	}
-	b, err := d.keep.Do(asking, permit.Command{ID: newID("check"), Kind: permit.Check, Subject: subject, Permit: a.Permit, Who: who})
+	b, err := d.keep.Do(asking, permit.Command{ID: newID("check"), Kind: permit.Begin, Subject: subject, PermitID: a.PermitID, Actor: who})
 	if err == nil && !b.OK {
-		err = fmt.Errorf("the permit is not good any more: %s %v", b.Why, b.Out)
-		d.keep.Do(asking, permit.Command{ID: newID("unused"), Kind: permit.Return, Subject: subject, Permit: a.Permit, Who: who, Why: "not begun"})
+		err = fmt.Errorf("the permit is not good any more: %s %v", b.Reason, b.OutOfService)
+		d.keep.Do(asking, permit.Command{ID: newID("unused"), Kind: permit.Return, Subject: subject, PermitID: a.PermitID, Actor: who, Reason: "not begun"})
 	}
 	return err
 }
@@ -392,12 +392,12 @@
 func (d *Drains) isBack(start uint64) {
 	ctx, end := context.WithTimeout(d.ctx, permitWait)
 	defer end()
-	a, err := d.keep.Do(ctx, permit.Command{ID: newID("back"), Kind: permit.Return, Subject: d.f.o.Name, Start: start, Who: d.f.o.Name, Why: "back and warm"})
+	a, err := d.keep.Do(ctx, permit.Command{ID: newID("back"), Kind: permit.Return, Subject: d.f.o.Name, Incarnation: start, Actor: d.f.o.Name, Reason: "back and warm"})
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err == nil && a.OK {
-		if d.back = true; a.Permit != 0 {
-			d.log.WithField("permit", a.Permit).Info("drain: back and warm, the permit is returned")
+		if d.back = true; a.PermitID != 0 {
+			d.log.WithField("permit", a.PermitID).Info("drain: back and warm, the permit is returned")
 		}
 	}
 }
@@ -432,22 +432,22 @@
 	}
 	asking, end := context.WithTimeout(ctx, permitWait)
 	defer end()
-	c := permit.Command{ID: newID("ask"), Kind: permit.Ask, Subject: d.f.o.Name, Start: start, Who: who, Why: why}
+	c := permit.Command{ID: newID("ask"), Kind: permit.Acquire, Subject: d.f.o.Name, Incarnation: start, Actor: who, Reason: why}
 	a, err := d.keep.Do(asking, c)
 	if err != nil {
 		return err
 	}
 	if !a.OK {
-		return fmt.Errorf("no permit: %s %v", a.Why, a.Out)
+		return fmt.Errorf("no permit: %s %v", a.Reason, a.OutOfService)
 	}
 	d.mu.Lock()
-	d.state.Permit = a.Permit
+	d.state.Permit = a.PermitID
 	d.mu.Unlock()
 	checking, end := context.WithTimeout(ctx, permitWait)
 	defer end()
-	var b permit.Answer
+	var b permit.Result
 	for sent := time.Now(); ; sent = time.Now() {
-		b, err = d.keep.Do(checking, permit.Command{ID: newID("check"), Kind: permit.Check, Subject: d.f.o.Name, Permit: a.Permit, Start: start, Who: who})
+		b, err = d.keep.Do(checking, permit.Command{ID: newID("check"), Kind: permit.Begin, Subject: d.f.o.Name, PermitID: a.PermitID, Incarnation: start, Actor: who})
 		if err != nil || !b.OK || time.Since(sent) < checkFresh {
 			break // else this process may have been stopped meanwhile, and the permit taken back
 		}
@@ -460,7 +460,7 @@
 		err = first()
 	}
 	if err == nil && b.OK {
-		d.log.WithFields(logrus.Fields{"permit": a.Permit, "who": who, "why": why}).Info("drain: begins by permit")
+		d.log.WithFields(logrus.Fields{"permit": a.PermitID, "who": who, "why": why}).Info("drain: begins by permit")
 		d.mu.Lock()
 		d.begun = true
 		d.mu.Unlock()
@@ -468,16 +468,16 @@
 		return nil
 	}
 	if err == nil {
-		err = fmt.Errorf("the permit is not good any more: %s %v", b.Why, b.Out)
+		err = fmt.Errorf("the permit is not good any more: %s %v", b.Reason, b.OutOfService)
 	}
 	if b.OK { // begun as the keepers have it, and yet not here: it is called back, or they would not take it as unused
 		calling, end := context.WithTimeout(d.ctx, permitWait)
 		defer end()
-		d.keep.Do(calling, permit.Command{ID: newID("recall"), Kind: permit.Back, Subject: d.f.o.Name, Who: who})
+		d.keep.Do(calling, permit.Command{ID: newID("recall"), Kind: permit.Recall, Subject: d.f.o.Name, Actor: who})
 	}
 	giving, end := context.WithTimeout(d.ctx, permitWait) // unused, if it can be said; else an operator frees it
 	defer end()
-	d.keep.Do(giving, permit.Command{ID: newID("unused"), Kind: permit.Return, Subject: d.f.o.Name, Permit: a.Permit, Start: start, Who: who, Why: "not begun"})
+	d.keep.Do(giving, permit.Command{ID: newID("unused"), Kind: permit.Return, Subject: d.f.o.Name, PermitID: a.PermitID, Incarnation: start, Actor: who, Reason: "not begun"})
 	d.mu.Lock()
 	d.state.Permit = 0
 	d.mu.Unlock()
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -59,7 +59,7 @@
 			t.Fatalf("%+v: %+v %v", c, a, err)
 		}
 	}
-	do(permit.Command{Kind: permit.Set, Servers: []permit.Server{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}, Limits: &permit.Limits{Fleet: permit.Limit{Number: 1}}})
+	do(permit.Command{Kind: permit.Configure, Servers: []permit.Server{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}})
 	drain := func(name string) error {
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
@@ -84,11 +84,11 @@
 			}
 		}
 	}
-	do(permit.Command{Kind: permit.Halt, Who: "me", Why: "test"})
+	do(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "test"})
 	if err := drain("n0"); err == nil || !strings.Contains(err.Error(), "halted") {
 		t.Errorf("while halted: %v", err)
 	}
-	do(permit.Command{Kind: permit.Resume, Who: "me"})
+	do(permit.Command{Kind: permit.Resume, Actor: "me"})
 	until("n0")
 	gone("n0")
 	if err := drain("n1"); err == nil || !strings.Contains(err.Error(), "n0") {
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held := st.Held(); len(held) != 1 || held[0].Subject != "n1" || !held[0].Begun {
+	if held := st.Granted(); len(held) != 1 || held[0].Subject != "n1" || !held[0].Begun {
 		t.Errorf("%+v", held)
 	}
 	if err := b.Procs.Start("n1"); err != nil {
@@ -111,7 +111,7 @@
 	}
 	await(t, b, n, testbed.Hears("whole", 3))
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) { // it returns its permit by itself
-		if st, _, err := k.State(); err == nil && len(st.Held()) == 0 {
+		if st, _, err := k.State(); err == nil && len(st.Granted()) == 0 {
 			break
 		}
 		if time.Now().After(end) {
@@ -206,7 +206,7 @@
 	return k
 }
 
-func (k *keepers) do(c permit.Command) permit.Answer {
+func (k *keepers) do(c permit.Command) permit.Result {
 	k.Helper()
 	ctx, end := context.WithTimeout(context.Background(), within)
 	defer end()
@@ -271,7 +271,7 @@
 		servers = append(servers, permit.Server{Name: name})
 	}
 	members := []permit.Member{{Pool: "apps", Name: addrs[0]}, {Pool: "apps", Name: addrs[1]}, {Pool: "apps", Name: addrs[2]}}
-	if a := k.do(permit.Command{Kind: permit.Set, Servers: servers, Members: members, Limits: &permit.Limits{Fleet: permit.Limit{Number: 1}, Pools: map[string]permit.Limit{"apps": {Number: 1}}}}); !a.OK {
+	if a := k.do(permit.Command{Kind: permit.Configure, Servers: servers, Members: members, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}, Pools: map[string]permit.Limit{"apps": {MaxCount: 1}}}}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
 	op := func(name, query string) error {
@@ -289,7 +289,7 @@
 		}
 		t.Fatalf("%s %s: %v", name, query, err)
 	}
-	free := func(st permitclient.Status) bool { return len(st.State.Held()) == 0 }
+	free := func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 }
 	pids := map[string]int{}
 	for _, name := range n {
 		pids[name] = b.Procs.Pid(name)
@@ -302,7 +302,7 @@
 			t.Errorf("%s has ended, or is another", name)
 		}
 	}
-	k.until("heard", func(st permitclient.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
+	k.until("heard", func(st permitclient.Status) bool { return len(st.Observations) == 0 && st.State.AutoHaltReason == "" })
 	until("n0", "what=drain")
 	if err := op("n0", "what=back"); err != nil {
 		t.Errorf("back while it drains: %v", err)
@@ -319,11 +319,11 @@
 
 	// A member: nothing new goes there once all that are heard have said so; one that is stopped is named.
 	do(t, b, "0s stop n5")
-	k.until("n5 missed", func(st permitclient.Status) bool { return len(st.Seen) == 1 && st.Seen[0].Name == "n5" })
+	k.until("n5 missed", func(st permitclient.Status) bool { return len(st.Observations) == 1 && st.Observations[0].Name == "n5" })
 	subject := "apps/" + addrs[1]
 	until("n2", "what=drain&subject="+subject)
 	k.until("drained", func(st permitclient.Status) bool {
-		return len(st.Drained) == 1 && st.Drained[0].Done && slices.Equal(st.Drained[0].Unheard, []string{"n5"})
+		return len(st.Drains) == 1 && st.Drains[0].Done && slices.Equal(st.Drains[0].Unreachable, []string{"n5"})
 	})
 	if err := op("n3", "what=drain&subject=apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
 		t.Errorf("a second member: %v", err)
@@ -335,7 +335,7 @@
 	}
 	do(t, b, "0s cont n5") // it has to hear before it is one of those that leave it alone
 	k.until("drained by n5 too", func(st permitclient.Status) bool {
-		return len(st.Drained) == 1 && st.Drained[0].Done && len(st.Drained[0].Unheard) == 0
+		return len(st.Drains) == 1 && st.Drains[0].Done && len(st.Drains[0].Unreachable) == 0
 	})
 	if err := op("n4", "what=back&subject="+subject); err != nil {
 		t.Error(err)
@@ -352,21 +352,21 @@
 		t.Fatal(err)
 	}
 	k.until("recorded", func(st permitclient.Status) bool {
-		return slices.ContainsFunc(st.State.History, func(e permit.Entry) bool { return e.Kind == permit.Stop && e.Subject == "n3" })
+		return slices.ContainsFunc(st.State.History, func(e permit.HistoryEntry) bool { return e.Kind == permit.ReportStop && e.Subject == "n3" })
 	})
 	for end := time.Now().Add(within); b.Procs.Runs("n3"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("n3 goes on")
 		}
 	}
-	k.until("halted by itself", func(st permitclient.Status) bool { return st.State.Auto != "" })
+	k.until("halted by itself", func(st permitclient.Status) bool { return st.State.AutoHaltReason != "" })
 	if err := op("n4", "what=drain"); err == nil {
 		t.Error("begun though a loss has used the allowance up")
 	}
 	if err := b.Procs.Start("n3"); err != nil {
 		t.Fatal(err)
 	}
-	k.until("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.Auto == "" })
+	k.until("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.AutoHaltReason == "" })
 
 	// By hand, and a server that is asked for by another's socket: it begins after the halt.
 	if err := op("n0", "what=halt"); err != nil {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -88,10 +88,10 @@
 }
 
 // wants tells whether the keepers want another version of the program, by a newer word than the last that was followed.
-func (v *versions) wants(o *permitclient.Orders) bool {
+func (v *versions) wants(o *permitclient.Directives) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.s.Folder != "" && o.Program != v.prog.Version && o.Index > v.prog.Index
+	return v.s.Folder != "" && o.ProgramVersion != v.prog.Version && o.Index > v.prog.Index
 }
 
 // wanted notes which program is to be started next.
@@ -192,28 +192,28 @@
 
 // follow takes the version that the keepers tell, if theirs is a newer word than that by which the present one was taken. It tells
 // whether there is news for them.
-func (v *versions) follow(ctx context.Context, c *permitclient.Client, o *permitclient.Orders) (news bool) {
+func (v *versions) follow(ctx context.Context, c *permitclient.Client, o *permitclient.Directives) (news bool) {
 	v.mu.Lock()
 	runs, refused := v.runs, v.refused
 	v.mu.Unlock()
-	if o.Version == runs.Version && o.Hash == runs.Hash {
-		if o.Version != refused && refused != 0 {
+	if o.SettingsVersion == runs.Version && o.SettingsHash == runs.Hash {
+		if o.SettingsVersion != refused && refused != 0 {
 			v.mu.Lock()
 			v.refused, v.why = 0, ""
 			v.mu.Unlock()
 		}
 		return false
 	}
-	if o.Index <= runs.Index || o.Version == refused && o.Version != 0 {
+	if o.Index <= runs.Index || o.SettingsVersion == refused && o.SettingsVersion != 0 {
 		return false // an older word than the one that was followed; or one that was refused, and does not change
 	}
-	next := running{Version: o.Version, Hash: o.Hash, Index: o.Index}
+	next := running{Version: o.SettingsVersion, Hash: o.SettingsHash, Index: o.Index}
 	var err error
-	if o.Version != 0 {
+	if o.SettingsVersion != 0 {
 		asking, end := context.WithTimeout(ctx, hereWait) // a server that asks for long is not heard meanwhile
 		defer end()
 		var got release.Version
-		if got, err = c.Version(asking, o.Version); err != nil {
+		if got, err = c.Version(asking, o.SettingsVersion); err != nil {
 			v.log.WithError(err).Warn("release: a version can't be fetched, the present one stays")
 			return false
 		}
@@ -222,9 +222,9 @@
 	err = v.take(&next)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	line := v.log.WithFields(logrus.Fields{"release": o.Version, "hash": short(o.Hash), "was": runs.Version})
+	line := v.log.WithFields(logrus.Fields{"release": o.SettingsVersion, "hash": short(o.SettingsHash), "was": runs.Version})
 	if err != nil {
-		v.refused, v.why = o.Version, clean(err.Error())
+		v.refused, v.why = o.SettingsVersion, clean(err.Error())
 		line.WithError(err).Error("release: a version is refused, the present one stays")
 		return true
 	}
@@ -236,7 +236,7 @@
 }
 
 // seen is what is told of the version that runs. What it carried counts from when the server was warm on it.
-func (v *versions) seen(warm bool) *release.Seen {
+func (v *versions) seen(warm bool) *release.Report {
 	v.s.Mark()
 	flow := v.s.Flow()
 	v.mu.Lock()
@@ -246,9 +246,9 @@
 	}
 	d := func(now, was uint64) float64 { return float64(now - was) }
 	b := &v.base
-	return &release.Seen{Version: v.runs.Version, Refused: v.refused, Why: v.why, Warm: warm, MB: resident(), Program: v.prog.Version, Counts: release.Counts{
-		All: d(flow.All, b.All), Failed: d(flow.Aborted, b.Aborted), Pushed: d(flow.PushedBack, b.PushedBack), Late: d(flow.Late, b.Late),
-		Top: d(flow.Top, b.Top), TopBad: d(flow.TopBad, b.TopBad)}}
+	return &release.Report{Version: v.runs.Version, RejectedVersion: v.refused, RejectReason: v.why, Warm: warm, ResidentMB: resident(), ProgramVersion: v.prog.Version, Counts: release.Counts{
+		Total: d(flow.All, b.All), Failed: d(flow.Aborted, b.Aborted), Rejected: d(flow.PushedBack, b.PushedBack), Late: d(flow.Late, b.Late),
+		Critical: d(flow.Top, b.Top), CriticalFailed: d(flow.TopBad, b.TopBad)}}
 }
 
 // resident is this process's memory in MB; 0 if that can't be read.
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -19,7 +19,7 @@
 	"sorrelvalve/internal/testbed"
 )
 
-var quickRelease = release.Rules{Canary: 1, Growth: 2, Most: 0.5, Bake: 2000, Least: 15, Longest: 60e3, Alarm: 0.01, Margin: 0.01, Unheard: 2}
+var quickRelease = release.Rules{CanaryServers: 1, MaxGrowth: 2, MaxWaveShare: 0.5, BakeMS: 2000, MinRPCs: 15, MaxWaveMS: 60e3, FalseAlarmRate: 0.01, Margin: 0.01, MaxUnreachable: 2}
 
 // Six servers and three keepers: a good version goes to all in waves, over the loss of the leader; one whose pool is no good is taken
 // back from the canary; one that is refused goes nowhere; a server that is killed comes back on the version that it had, one that
@@ -65,10 +65,10 @@
 	for i, name := range n {
 		servers = append(servers, permit.Server{Name: name, Zone: fmt.Sprint("z", i%2)})
 	}
-	if a := k.do(permit.Command{Kind: permit.Set, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{Number: 6}}}); !a.OK {
+	if a := k.do(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
-	do := func(c release.Command) release.Answer {
+	do := func(c release.Command) release.Result {
 		t.Helper()
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
@@ -79,18 +79,18 @@
 		}
 		return a
 	}
-	begin := func(f operator.File) release.Answer {
+	begin := func(f operator.File) release.Result {
 		t.Helper()
 		body, err := operator.Marshal(&f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		put := do(release.Command{Kind: release.Put, Body: body, Who: "me", Why: "test"})
-		plan := do(release.Command{Kind: release.Plan, Version: put.Version, Rules: &quickRelease, Who: "me", Why: "test"})
+		put := do(release.Command{Kind: release.PutVersion, Body: body, Actor: "me", Reason: "test"})
+		plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &quickRelease, Actor: "me", Reason: "test"})
 		if !put.OK || !plan.OK {
 			t.Fatalf("%+v %+v", put, plan)
 		}
-		if a := do(release.Command{Kind: release.Start, Release: plan.Release.Number, Who: "me"}); !a.OK {
+		if a := do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number, Actor: "me"}); !a.OK {
 			t.Fatalf("%+v", a)
 		}
 		return plan
@@ -98,7 +98,7 @@
 	phase := func(want release.Phase) {
 		t.Helper()
 		k.until(string(want), func(st permitclient.Status) bool {
-			return st.Releases.Release != nil && st.Releases.Release.Phase == want
+			return st.SettingsReleases.Release != nil && st.SettingsReleases.Release.Phase == want
 		})
 	}
 	runs := func(name string, version uint64) {
@@ -116,7 +116,7 @@
 
 	// A good one, with the leader lost in its midst.
 	plan := begin(file("two", next))
-	if a := do(release.Command{Kind: release.Plan, Version: plan.Version, Rules: &quickRelease}); a.OK || !strings.Contains(a.Why, fmt.Sprint("release ", plan.Release.Number)) {
+	if a := do(release.Command{Kind: release.PlanRelease, Version: plan.Version, Rules: &quickRelease}); a.OK || !strings.Contains(a.Reason, fmt.Sprint("release ", plan.Release.Number)) {
 		t.Errorf("two at once: %+v", a)
 	}
 	phase(release.Running)
@@ -126,7 +126,7 @@
 			break
 		}
 	}
-	phase(release.Done)
+	phase(release.Completed)
 	for _, name := range n {
 		runs(name, plan.Version)
 	}
@@ -143,8 +143,8 @@
 
 	// One whose pool fails everything: back from the canary, with nobody else reached.
 	worse := begin(file("three", bad))
-	phase(release.Returned)
-	k.until("as before", func(st permitclient.Status) bool { return len(st.Releases.Release.Missing) == 0 })
+	phase(release.RolledBack)
+	k.until("as before", func(st permitclient.Status) bool { return len(st.SettingsReleases.Release.Pending) == 0 })
 	for _, name := range n {
 		runs(name, plan.Version)
 	}
@@ -154,7 +154,7 @@
 			reached++
 		}
 	}
-	if reached == 0 || reached > quickRelease.Canary {
+	if reached == 0 || reached > quickRelease.CanaryServers {
 		t.Errorf("the bad version reached %d servers", reached)
 	}
 
@@ -162,19 +162,19 @@
 	wrong := file("four", next)
 	wrong.Queue.SettledMs = 77 // only a new start can change that
 	begin(wrong)
-	phase(release.Returned)
+	phase(release.RolledBack)
 	k.until("the reason", func(st permitclient.Status) bool {
-		return strings.Contains(st.Releases.Release.Why, "only a new start")
+		return strings.Contains(st.SettingsReleases.Release.Reason, "only a new start")
 	})
 
 	// Stopped while all go back to their own file, it takes that when it goes on.
 	five := begin(file("five", old))
-	phase(release.Done)
+	phase(release.Completed)
 	playLines(t, b, "0s stop n5")
-	if a := do(release.Command{Kind: release.Back, Release: five.Release.Number, Who: "me", Why: "test"}); !a.OK {
+	if a := do(release.Command{Kind: release.RollBack, Release: five.Release.Number, Actor: "me", Reason: "test"}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
-	phase(release.Returned)
+	phase(release.RolledBack)
 	playLines(t, b, "0s cont n5")
 	for _, name := range n {
 		runs(name, plan.Version)
@@ -231,21 +231,21 @@
 	for _, name := range n {
 		servers = append(servers, permit.Server{Name: name})
 	}
-	if a := k.do(permit.Command{Kind: permit.Set, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{Number: 1}}}); !a.OK {
+	if a := k.do(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
 	rules := quickRelease
-	rules.Bake, rules.Longest, rules.Most = 1000, 20e3, 1
+	rules.BakeMS, rules.MaxWaveMS, rules.MaxWaveShare = 1000, 20e3, 1
 	at := 0
 	begin := func(name string) uint64 {
 		t.Helper()
-		var a release.Answer
-		for _, c := range []release.Command{{Kind: release.Put, Body: []byte(name)}, {Kind: release.Plan, Rules: &rules}, {Kind: release.Start}} {
+		var a release.Result
+		for _, c := range []release.Command{{Kind: release.PutVersion, Body: []byte(name)}, {Kind: release.PlanRelease, Rules: &rules}, {Kind: release.StartRelease}} {
 			at++
-			c.ID, c.Track, c.Who, c.Why = fmt.Sprint("program", at), release.Program, "me", "test"
-			if c.Kind == release.Plan {
+			c.ID, c.Track, c.Actor, c.Reason = fmt.Sprint("program", at), release.Program, "me", "test"
+			if c.Kind == release.PlanRelease {
 				c.Version = a.Version
-			} else if c.Kind == release.Start {
+			} else if c.Kind == release.StartRelease {
 				c.Release = a.Release.Number
 			}
 			ctx, end := context.WithTimeout(ctx, within)
@@ -263,31 +263,31 @@
 		t.Helper()
 		k.until(string(want), func(st permitclient.Status) bool {
 			out := 0
-			for _, p := range st.State.Held() {
+			for _, p := range st.State.Granted() {
 				if p.Begun {
 					out++
 				}
 			}
 			most = max(most, out)
-			if r := st.Programs.Release; r != nil && r.Phase == release.Held { // an operator goes on: a server that restarts is away for a while
+			if r := st.ProgramReleases.Release; r != nil && r.Phase == release.Paused { // an operator goes on: a server that restarts is away for a while
 				ctx, end := context.WithTimeout(ctx, within)
 				defer end()
 				at++
-				k.Release(ctx, release.Command{ID: fmt.Sprint("on", at), Track: release.Program, Kind: release.Resume, Release: r.Number, Who: "me"})
+				k.Release(ctx, release.Command{ID: fmt.Sprint("on", at), Track: release.Program, Kind: release.Resume, Release: r.Number, Actor: "me"})
 			}
-			return st.Programs.Release != nil && st.Programs.Release.Phase == want
+			return st.ProgramReleases.Release != nil && st.ProgramReleases.Release.Phase == want
 		})
 	}
 	two := begin("build-2")
-	phase(release.Done)
+	phase(release.Completed)
 	for _, name := range n {
 		if s, err := b.View(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != two {
 			t.Errorf("%s: %v %+v", name, err, s.Drain)
 		}
 	}
-	k.until("all back", func(st permitclient.Status) bool { return len(st.State.Held()) == 0 })
+	k.until("all back", func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 })
 	begin("crashes")
-	phase(release.Returned)
+	phase(release.RolledBack)
 	held, stays := 0, 0
 	for _, name := range n {
 		if program(name) == "crashes" {
@@ -299,7 +299,7 @@
 	if held != 1 || stays != 3 {
 		t.Errorf("%d servers met what crashes, %d have what they had", held, stays)
 	}
-	k.until("its permit stays", func(st permitclient.Status) bool { return len(st.State.Held()) == 1 })
+	k.until("its permit stays", func(st permitclient.Status) bool { return len(st.State.Granted()) == 1 })
 	if most > 1 {
 		t.Errorf("%d out at a time, one may be", most)
 	}
@@ -326,14 +326,14 @@
 	for _, name := range n {
 		servers = append(servers, permit.Server{Name: name})
 	}
-	if a := k.do(permit.Command{Kind: permit.Set, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{Number: 6}}}); !a.OK {
+	if a := k.do(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
 	at := 0
-	do := func(c release.Command) release.Answer {
+	do := func(c release.Command) release.Result {
 		t.Helper()
 		at++
-		c.ID, c.Who, c.Why = fmt.Sprint("faults", at), "me", "test"
+		c.ID, c.Actor, c.Reason = fmt.Sprint("faults", at), "me", "test"
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
 		a, err := k.Release(ctx, c)
@@ -343,12 +343,12 @@
 		return a
 	}
 	rules := quickRelease
-	rules.Unheard = 1
+	rules.MaxUnreachable = 1
 	begin := func(body []byte) (number, version uint64) {
 		t.Helper()
-		put := do(release.Command{Kind: release.Put, Body: body})
-		plan := do(release.Command{Kind: release.Plan, Version: put.Version, Rules: &rules})
-		if !put.OK || !plan.OK || !do(release.Command{Kind: release.Start, Release: plan.Release.Number}).OK {
+		put := do(release.Command{Kind: release.PutVersion, Body: body})
+		plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &rules})
+		if !put.OK || !plan.OK || !do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number}).OK {
 			t.Fatalf("%+v %+v", put, plan)
 		}
 		return plan.Release.Number, put.Version
@@ -363,15 +363,15 @@
 	wave := func(least int) {
 		t.Helper()
 		k.until(fmt.Sprint("in wave ", least), func(st permitclient.Status) bool {
-			r := st.Releases.Release
+			r := st.SettingsReleases.Release
 			return r.Phase == release.Running && r.Wave >= least
 		})
 	}
 	phase := func(want release.Phase) {
 		t.Helper()
 		k.until(string(want), func(st permitclient.Status) bool {
-			r := st.Releases.Release
-			if r.Phase == release.Held && want == release.Done {
+			r := st.SettingsReleases.Release
+			if r.Phase == release.Paused && want == release.Completed {
 				do(release.Command{Kind: release.Resume, Release: r.Number})
 			}
 			return r.Phase == want
@@ -412,45 +412,45 @@
 		}
 	}
 	k.find()
-	phase(release.Done)
+	phase(release.Completed)
 	runs(one, n...)
 
 	// Two of six fall silent in mid wave: held, another is refused by name, the way back does not wait for them, and they follow.
 	two, _ := begin(body("two"))
 	wave(1)
 	playLines(t, b, "0s stop n4\n0s stop n5")
-	phase(release.Held)
-	if a := do(release.Command{Kind: release.Plan, Version: one, Rules: &rules}); a.OK || !strings.Contains(a.Why, fmt.Sprint("release ", two)) {
+	phase(release.Paused)
+	if a := do(release.Command{Kind: release.PlanRelease, Version: one, Rules: &rules}); a.OK || !strings.Contains(a.Reason, fmt.Sprint("release ", two)) {
 		t.Errorf("another one meanwhile: %+v", a)
 	}
-	if a := do(release.Command{Kind: release.Back, Release: two}); !a.OK {
+	if a := do(release.Command{Kind: release.RollBack, Release: two}); !a.OK {
 		t.Errorf("%+v", a)
 	}
-	phase(release.Returned)
+	phase(release.RolledBack)
 	runs(one, n[:4]...)
 	playLines(t, b, "0s cont n4\n0s cont n5")
 	runs(one, n...)
 
 	// An operator's halt: the next wave does not begin.
-	k.until("all heard", func(st permitclient.Status) bool { return len(st.Seen) == 0 && st.State.Auto == "" })
+	k.until("all heard", func(st permitclient.Status) bool { return len(st.Observations) == 0 && st.State.AutoHaltReason == "" })
 	three, _ := begin(body("three"))
 	wave(0)
-	k.do(permit.Command{Kind: permit.Halt, Who: "me", Why: "look"})
-	phase(release.Held)
-	k.do(permit.Command{Kind: permit.Resume, Who: "me"})
-	if a := do(release.Command{Kind: release.Back, Release: three}); !a.OK {
+	k.do(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "look"})
+	phase(release.Paused)
+	k.do(permit.Command{Kind: permit.Resume, Actor: "me"})
+	if a := do(release.Command{Kind: release.RollBack, Release: three}); !a.OK {
 		t.Errorf("%+v", a)
 	}
-	phase(release.Returned)
+	phase(release.RolledBack)
 
 	// What is no version: nothing, nonsense, and the same again.
-	if a := do(release.Command{Kind: release.Put}); a.OK {
+	if a := do(release.Command{Kind: release.PutVersion}); a.OK {
 		t.Errorf("%+v", a)
 	}
-	if a := do(release.Command{Kind: release.Put, Body: body("one")}); a.Version != one {
+	if a := do(release.Command{Kind: release.PutVersion, Body: body("one")}); a.Version != one {
 		t.Errorf("%+v", a)
 	}
 	begin([]byte("{ this is no record"))
-	phase(release.Returned)
+	phase(release.RolledBack)
 	runs(one, n...)
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -203,15 +203,15 @@
 		case what == "drain" && subject == f.o.Name:
 			err = drains.Drain(ctx, who, why)
 		case what == "drain":
-			err = drains.Command(ctx, permit.Command{Kind: permit.Want, Subject: subject, Who: who, Why: why})
+			err = drains.Command(ctx, permit.Command{Kind: permit.RequestDrain, Subject: subject, Actor: who, Reason: why})
 		case what == "back" && subject == f.o.Name && drains.leaving():
 			err = drains.Back(ctx, who)
 		case what == "back":
-			err = drains.Command(ctx, permit.Command{Kind: permit.Back, Subject: subject, Who: who, Why: why})
+			err = drains.Command(ctx, permit.Command{Kind: permit.Recall, Subject: subject, Actor: who, Reason: why})
 		case what == "halt":
-			err = drains.Command(ctx, permit.Command{Kind: permit.Halt, Who: who, Why: why})
+			err = drains.Command(ctx, permit.Command{Kind: permit.Halt, Actor: who, Reason: why})
 		case what == "resume":
-			err = drains.Command(ctx, permit.Command{Kind: permit.Resume, Who: who, Why: why})
+			err = drains.Command(ctx, permit.Command{Kind: permit.Resume, Actor: who, Reason: why})
 		default:
 			http.Error(w, fmt.Sprintf("what: drain, back, halt or resume expected, %.20q there", what), http.StatusBadRequest)
 			return
--- a/internal/fleetsim/release.go
+++ b/internal/fleetsim/release.go
@@ -93,19 +93,19 @@
 		servers[i], roster = s, append(roster, release.Server{Name: s.name, Zone: z})
 	}
 	n := 0
-	do := func(c release.Command) release.Answer {
+	do := func(c release.Command) release.Result {
 		n++
 		c.ID = fmt.Sprint(n)
 		return book.Apply(c)
 	}
 	rules := x.Rules
 	if x.AtOnce {
-		rules.Canary, rules.Most, rules.Growth = 64, 1, 16
+		rules.CanaryServers, rules.MaxWaveShare, rules.MaxGrowth = 64, 1, 16
 	}
-	put := do(release.Command{Kind: release.Put, Body: []byte("new")})
-	plan := do(release.Command{Kind: release.Plan, Version: put.Version, Rules: &rules, Servers: roster})
-	if !plan.OK || !do(release.Command{Kind: release.Start, Release: plan.Release.Number}).OK {
-		end.Wrong = append(end.Wrong, plan.Why)
+	put := do(release.Command{Kind: release.PutVersion, Body: []byte("new")})
+	plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &rules, Servers: roster})
+	if !plan.OK || !do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number}).OK {
+		end.Wrong = append(end.Wrong, plan.Reason)
 		return end
 	}
 	waves := plan.Release.Waves
@@ -191,50 +191,50 @@
 			}
 			b := math.Min(n-tops, poisson((n-tops)*bad))
 			tb := math.Min(tops, poisson(tops*top))
-			s.counts.All += n
+			s.counts.Total += n
 			s.counts.Failed += b
-			s.counts.Top += tops
-			s.counts.TopBad += tb
+			s.counts.Critical += tops
+			s.counts.CriticalFailed += tb
 			ok, usual = ok+n-b-tb, usual+n*(1-without)
 		}
 		if len(reached) > 0 && len(reached) <= end.Second && (x.Bad != UnderLoad || load > 1.1) {
 			end.Shown += releaseMs
 		}
-		look := release.Command{Kind: release.Look, Passed: releaseMs}
+		look := release.Command{Kind: release.Observe, ElapsedMS: releaseMs}
 		if x.Faults && chance.Float64() < 0.01 {
-			look.Passed = 0 // another leads
+			look.ElapsedMS = 0 // another leads
 		}
 		for _, s := range servers {
 			if now < s.away {
 				continue
 			}
-			o := release.Seen{Name: s.name, Start: s.start, Version: s.version, Refused: s.refused, Why: "it is wrong", Warm: now >= s.warm, MB: s.mb, Counts: s.counts}
+			o := release.Report{Name: s.name, Incarnation: s.start, Version: s.version, RejectedVersion: s.refused, RejectReason: "it is wrong", Warm: now >= s.warm, ResidentMB: s.mb, Counts: s.counts}
 			if !x.Judged { // what it carries is told without its ends
-				o.Counts, o.MB = release.Counts{All: s.counts.All}, 0
-				o.Start, o.Warm = 1, true
+				o.Counts, o.ResidentMB = release.Counts{Total: s.counts.Total}, 0
+				o.Incarnation, o.Warm = 1, true
 			}
-			look.Seen = append(look.Seen, o)
+			look.Reports = append(look.Reports, o)
 		}
 		do(look)
 		r := book.Release
 		switch r.Phase {
-		case release.Held:
+		case release.Paused:
 			if resumes++; x.Bad == Good && resumes < 20 || resumes < 20 && x.Faults { // an operator looks, finds nothing, and goes on
 				now += 30e3
-				do(release.Command{Kind: release.Resume, Release: r.Number, Who: "me"})
+				do(release.Command{Kind: release.Resume, Release: r.Number, Actor: "me"})
 				continue
 			}
 			limit = math.Min(limit, now+120e3)
-		case release.Returned, release.Done, release.Ended:
+		case release.RolledBack, release.Completed, release.Abandoned:
 			limit = math.Min(limit, now+120e3) // and what comes after: those that were not heard
 		}
-		if (r.Phase == release.Returned || r.Phase == release.Done || r.Phase == release.Backing) && end.Took == 0 && !math.IsInf(first, 1) {
+		if (r.Phase == release.RolledBack || r.Phase == release.Completed || r.Phase == release.RollingBack) && end.Took == 0 && !math.IsInf(first, 1) {
 			end.Took = now - first
 		}
 	}
 	r := book.Release
-	end.Phase, end.Why, end.Reached, end.Served = r.Phase, r.Why, len(reached), ok/usual
-	end.Restored = r.Phase == release.Returned
+	end.Phase, end.Why, end.Reached, end.Served = r.Phase, r.Reason, len(reached), ok/usual
+	end.Restored = r.Phase == release.RolledBack
 	for _, s := range servers {
 		if s.version != book.Target(s.name) && !(s.refused != 0 && book.Target(s.name) == s.refused) {
 			end.Mixed++
--- a/internal/fleetsim/release_test.go
+++ b/internal/fleetsim/release_test.go
@@ -9,8 +9,8 @@
 // Releases of each kind at 300 servers in three zones, with faults: a bad one never reaches more than the canary and one wave, a good one
 // is not taken back, and what was taken back is as it was.
 func TestReleases(t *testing.T) {
-	rules := release.Usual()
-	rules.Canary, rules.Bake, rules.Least = 3, 30e3, 300
+	rules := release.DefaultRules()
+	rules.CanaryServers, rules.BakeMS, rules.MinRPCs = 3, 30e3, 300
 	seen := map[Bad]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
 		x := ReleaseRun{Servers: 300, Zones: 3, Rate: 4, Seed: seed, Bad: Bad(seed) % bads, Faults: seed%2 == 0, Rules: rules, Judged: true}
@@ -19,7 +19,7 @@
 		if len(e.Wrong) > 0 || e.Mixed > 0 {
 			t.Errorf("seed %d, %s: %+v", seed, x.Bad, e)
 		}
-		if x.Bad == Good && e.Phase != release.Done {
+		if x.Bad == Good && e.Phase != release.Completed {
 			t.Errorf("seed %d: a good version is %s: %s", seed, e.Phase, e.Why)
 		}
 		if x.Bad != Good && e.Shown >= 20e3 && (e.Reached > e.Second || !e.Restored) {
--- a/internal/permitserver/compat_test.go
+++ b/internal/permitserver/compat_test.go
@@ -42,10 +42,10 @@
 	for end := time.Now().Add(soon); ; time.Sleep(10 * time.Millisecond) {
 		st, _, err := k.State()
 		if err == nil {
-			if st.Halted != "in the log after the snapshot" || st.By != "op" || len(st.Servers) != 100 || st.Servers[7].Name != "n7" || st.Servers[7].Zone != "z1" {
-				t.Errorf("halted %q by %q, %d servers", st.Halted, st.By, len(st.Servers))
+			if st.HaltReason != "in the log after the snapshot" || st.HaltedBy != "op" || len(st.Servers) != 100 || st.Servers[7].Name != "n7" || st.Servers[7].Zone != "z1" {
+				t.Errorf("halted %q by %q, %d servers", st.HaltReason, st.HaltedBy, len(st.Servers))
 			}
-			if st.Limits.Fleet.Number != 2 {
+			if st.Limits.Fleet.MaxCount != 2 {
 				t.Errorf("limits %+v", st.Limits)
 			}
 			return
--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -86,7 +86,7 @@
 // hear has a keeper hear all servers.
 func hear(k *Keeper, n int) {
 	for i := range n {
-		k.Here(permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
+		k.Here(permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
 	}
 }
 
@@ -96,7 +96,7 @@
 	for i := range n {
 		all = append(all, permit.Server{Name: fmt.Sprint("n", i)})
 	}
-	if a, err := x.all[x.leader(0, 1, 2)].Do(permit.Command{ID: "set", Kind: permit.Set, Servers: all, Limits: &permit.Limits{Fleet: permit.Limit{Number: 1}}}); err != nil || !a.OK {
+	if a, err := x.all[x.leader(0, 1, 2)].Do(permit.Command{ID: "set", Kind: permit.Configure, Servers: all, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); err != nil || !a.OK {
 		x.Fatalf("%+v %v", a, err)
 	}
 }
@@ -125,28 +125,28 @@
 					x.net.Change("cut", []string{x.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 			}
-			old := make(chan permit.Answer, 1)
+			old := make(chan permit.Result, 1)
 			go func() { // asked at once, while it takes itself for the leader
-				a, err := x.all[was].Do(permit.Command{ID: "old", Kind: permit.Ask, Subject: "n0", Who: "x", Start: 1})
+				a, err := x.all[was].Do(permit.Command{ID: "old", Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
 				if err != nil {
-					a = permit.Answer{}
+					a = permit.Result{}
 				}
 				old <- a
 			}()
 			now := x.leader(rest...)
 			hear(x.all[now], 3)
-			a, err := x.all[now].Do(permit.Command{ID: "new", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1})
+			a, err := x.all[now].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
 			for i := 0; err != nil && i < 50; i++ {
 				now = x.leader(rest...)
 				hear(x.all[now], 3)
-				a, err = x.all[now].Do(permit.Command{ID: "new", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1})
+				a, err = x.all[now].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
 			}
 			if b := <-old; a.OK == b.OK && a.OK {
 				t.Errorf("two grants of one place: %+v and %+v", a, b)
 			}
 			x.net.Heal()
 			st, _, err := x.all[x.leader(0, 1, 2)].State()
-			if err != nil || len(st.Held()) != 1 {
+			if err != nil || len(st.Granted()) != 1 {
 				t.Errorf("%+v %v", st, err)
 			}
 		})
@@ -161,9 +161,9 @@
 	for i := range 30 {
 		k := x.all[x.leader(0, 1, 2)]
 		hear(k, 3)
-		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Ask, Subject: "n0", Who: "x", Start: 1})
+		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
 		if err == nil && a.OK {
-			k.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", Permit: a.Permit, Start: 1})
+			k.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1})
 		}
 	}
 	lost := (x.leader(0, 1, 2) + 1) % 3
@@ -212,7 +212,7 @@
 	// The others go on.
 	k := x.all[x.leader((lost+1)%3, (lost+2)%3)]
 	hear(k, 3)
-	if a, err := k.Do(permit.Command{ID: "without", Kind: permit.Ask, Subject: "n1", Who: "x", Start: 1}); err != nil || !a.OK {
+	if a, err := k.Do(permit.Command{ID: "without", Kind: permit.Acquire, Subject: "n1", Actor: "x", Incarnation: 1}); err != nil || !a.OK {
 		t.Errorf("%+v %v", a, err)
 	}
 	// A new one in its place, with an empty disk.
@@ -248,7 +248,7 @@
 	for end := time.Now().Add(soon); ; time.Sleep(50 * time.Millisecond) {
 		for _, k := range append([]*Keeper{fresh}, x.all...) {
 			if k != nil && k.Leads() {
-				if a, err := k.Do(permit.Command{ID: "unused", Kind: permit.Free, Subject: "n1", Who: "x", Why: "test"}); err == nil && a.OK {
+				if a, err := k.Do(permit.Command{ID: "unused", Kind: permit.Free, Subject: "n1", Actor: "x", Reason: "test"}); err == nil && a.OK {
 					return
 				}
 			}
@@ -327,7 +327,7 @@
 		k := x.all[x.leader(0, 1, 2)]
 		hear(k, 3)
 		began := time.Now()
-		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Ask, Subject: fmt.Sprint("n", i%3), Who: "x", Start: 1})
+		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i%3), Actor: "x", Incarnation: 1})
 		if took := time.Since(began); took > applyWait+2*time.Second {
 			t.Errorf("an answer after %s", took)
 		}
@@ -335,12 +335,12 @@
 			granted++
 		}
 		st, _, err := x.all[x.leader(0, 1, 2)].State()
-		if err == nil && len(st.Held()) > 1 {
-			t.Fatalf("%+v", st.Held())
+		if err == nil && len(st.Granted()) > 1 {
+			t.Fatalf("%+v", st.Granted())
 		}
 		if err == nil {
-			for _, p := range st.Held() {
-				k.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, Permit: p.ID, Start: 1})
+			for _, p := range st.Granted() {
+				k.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, PermitID: p.ID, Incarnation: 1})
 			}
 		}
 	}
@@ -358,15 +358,15 @@
 	defer cancel()
 	end := s.heard(servers)
 	defer end()
-	for until := time.Now().Add(soon); len(s.state().Seen) > 0; time.Sleep(50 * time.Millisecond) {
+	for until := time.Now().Add(soon); len(s.state().Observations) > 0; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("not all are heard")
 		}
 	}
-	answers := make(chan permit.Answer, servers)
+	answers := make(chan permit.Result, servers)
 	for i := range servers {
 		go func() {
-			a, err := s.Do(ctx, permit.Command{ID: fmt.Sprint("all", i), Kind: permit.Ask, Subject: fmt.Sprint("n", i), Who: "x", Start: 1})
+			a, err := s.Do(ctx, permit.Command{ID: fmt.Sprint("all", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i), Actor: "x", Incarnation: 1})
 			if err != nil {
 				t.Errorf("n%d: %v", i, err)
 			}
--- a/internal/permitserver/http.go
+++ b/internal/permitserver/http.go
@@ -29,7 +29,7 @@
 		var other *ErrLeader
 		switch {
 		case errors.As(err, &other):
-			w.Header().Set(permitclient.LeaderField, other.Addr)
+			w.Header().Set(permitclient.LeaderHeader, other.Addr)
 			http.Error(w, err.Error(), http.StatusMisdirectedRequest)
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -57,13 +57,13 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/here", func(w http.ResponseWriter, r *http.Request) {
-		var h permitclient.Here
+		var h permitclient.Heartbeat
 		if read(w, r, &h) {
 			if !k.Leads() {
 				answer(w, nil, k.elsewhere())
 				return
 			}
-			if len(h.Members) > permitclient.MostMembers || len(h.Left) > permitclient.MostMembers {
+			if len(h.MembersOut) > permitclient.MaxMembers || len(h.MemberDrains) > permitclient.MaxMembers {
 				http.Error(w, "too many members", http.StatusBadRequest)
 				return
 			}
@@ -73,7 +73,7 @@
 	mux.HandleFunc("POST /v1/release", func(w http.ResponseWriter, r *http.Request) {
 		var c release.Command
 		if read(w, r, &c) {
-			if c.Kind == release.Look {
+			if c.Kind == release.Observe {
 				http.Error(w, "looks are the leader's", http.StatusBadRequest)
 				return
 			}
@@ -98,21 +98,21 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/keepers", func(w http.ResponseWriter, r *http.Request) {
-		var x permitclient.Exchange
+		var x permitclient.Replacement
 		if read(w, r, &x) {
-			answer(w, struct{}{}, k.Replace(x.Out, Peer{Name: x.Name, Raft: x.Raft}))
+			answer(w, struct{}{}, k.Replace(x.Removed, Peer{Name: x.Added, Raft: x.AddedRaftAddr}))
 		}
 	})
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, r *http.Request) {
 		s, seen, err := k.State()
-		x := permitclient.Status{Leader: k.o.Name, Seen: seen, State: s}
+		x := permitclient.Status{Leader: k.o.Name, Observations: seen, State: s}
 		if err == nil {
-			x.Releases, err = k.releases(release.Settings)
+			x.SettingsReleases, err = k.releases(release.Settings)
 			if err == nil {
-				x.Programs, err = k.releases(release.Program)
+				x.ProgramReleases, err = k.releases(release.Program)
 			}
 			words, pushed := k.words()
-			x.Pushed, x.Drained = pushed, s.Progress(words)
+			x.RejectedShare, x.Drains = pushed, s.DrainProgress(words)
 		}
 		answer(w, x, err)
 	})
--- a/internal/permitserver/server.go
+++ b/internal/permitserver/server.go
@@ -86,14 +86,14 @@
 // word is what a server last said of itself, by this keeper's clock.
 type word struct {
 	at time.Time
-	permitclient.Here
+	permitclient.Heartbeat
 }
 
 // machine is the state that raft keeps the same everywhere.
 type machine struct {
 	mu     sync.Mutex
 	s      *permit.State
-	books  map[release.Track]*release.Book
+	books  map[release.Track]*release.State
 	index  uint64 // of the last entry
 	broken bool   // an entry could not be read: this copy is not what the others have
 	breaks func()
@@ -115,16 +115,16 @@
 	if c := e.Release; c != nil {
 		b, is := m.books[c.Track]
 		if !is {
-			return release.Answer{Why: fmt.Sprintf("%.20q is no track", string(c.Track))}
+			return release.Result{Reason: fmt.Sprintf("%.20q is no track", string(c.Track))}
 		}
-		c.Other = ""
+		c.OtherRelease = ""
 		for track, other := range m.books {
-			if goes := other.Goes(); track != c.Track && goes != "" && (c.Kind == release.Plan || c.Kind == release.Start) {
-				c.Other = goes
+			if goes := other.ActiveSummary(); track != c.Track && goes != "" && (c.Kind == release.PlanRelease || c.Kind == release.StartRelease) {
+				c.OtherRelease = goes
 			}
 		}
-		if c.Kind == release.Start && c.Other != "" {
-			return release.Answer{Why: c.Other + ": it comes to its end first"}
+		if c.Kind == release.StartRelease && c.OtherRelease != "" {
+			return release.Result{Reason: c.OtherRelease + ": it comes to its end first"}
 		}
 		return b.Apply(*c)
 	}
@@ -133,13 +133,13 @@
 
 // kept is a snapshot.
 type kept struct {
-	Permits  *permit.State                   `json:"permits"`
-	Releases map[release.Track]*release.Book `json:"releases"`
-	Index    uint64                          `json:"index"`
+	Permits  *permit.State                    `json:"permits"`
+	Releases map[release.Track]*release.State `json:"releases"`
+	Index    uint64                           `json:"index"`
 }
 
-func newBooks() map[release.Track]*release.Book {
-	return map[release.Track]*release.Book{release.Settings: release.New(), release.Program: release.New()}
+func newBooks() map[release.Track]*release.State {
+	return map[release.Track]*release.State{release.Settings: release.New(), release.Program: release.New()}
 }
 
 // Snapshot is the state as it stands, in one piece: the log goes on while it is written.
@@ -332,13 +332,13 @@
 	seen := k.seen()
 	_, pushed := k.words()
 	k.fsm.mu.Lock()
-	cause, was := k.fsm.s.Halt(seen, pushed), k.fsm.s.Auto
+	cause, was := k.fsm.s.AutoHaltCause(seen, pushed), k.fsm.s.AutoHaltReason
 	k.fsm.mu.Unlock()
 	if cause == was {
 		return
 	}
 	k.marks++
-	if _, err := k.Do(permit.Command{ID: fmt.Sprintf("note-%s-%d-%d", k.o.Name, time.Now().UnixNano(), k.marks), Kind: permit.Note}); err == nil {
+	if _, err := k.Do(permit.Command{ID: fmt.Sprintf("note-%s-%d-%d", k.o.Name, time.Now().UnixNano(), k.marks), Kind: permit.Observe}); err == nil {
 		k.o.Log.WithField("why", cause).Warn("keeper: a halt by itself begins, or ends if no reason is told")
 	}
 }
@@ -355,20 +355,20 @@
 
 // Here takes a server's word, and returns what it is to do as far as this keeper knows: what it does by that is asked for once more
 // through the log where it matters.
-func (k *Keeper) Here(h permitclient.Here) permitclient.Orders {
+func (k *Keeper) Here(h permitclient.Heartbeat) permitclient.Directives {
 	k.fsm.mu.Lock()
-	o := permitclient.Orders{Orders: k.fsm.s.Orders(h.Name), Index: k.fsm.index, Version: k.fsm.books[release.Settings].Target(h.Name)}
-	if v := k.fsm.books[release.Settings].Version(o.Version); v != nil {
-		o.Hash = v.Hash
+	o := permitclient.Directives{Directives: k.fsm.s.DirectivesFor(h.Name), Index: k.fsm.index, SettingsVersion: k.fsm.books[release.Settings].Target(h.Name)}
+	if v := k.fsm.books[release.Settings].Version(o.SettingsVersion); v != nil {
+		o.SettingsHash = v.Hash
 	}
 	if v := k.fsm.books[release.Program].Version(k.fsm.books[release.Program].Target(h.Name)); v != nil {
-		o.Program, o.Name = v.Number, string(v.Body)
+		o.ProgramVersion, o.ProgramName = v.Number, string(v.Body)
 	}
 	k.fsm.mu.Unlock()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.awake()
-	if w, is := k.heard[h.Name]; !is || h.Start >= w.Start { // else a former start's, late
+	if w, is := k.heard[h.Name]; !is || h.Incarnation >= w.Incarnation { // else a former start's, late
 		if is || len(k.heard) < mostHeard {
 			k.heard[h.Name] = word{time.Now(), h}
 		}
@@ -381,17 +381,17 @@
 
 // words are those of the servers that are heard: what they say of members that are drained, and the share of RPCs that they all
 // push back.
-func (k *Keeper) words() (left map[string]map[string]permit.Left, pushed float64) {
+func (k *Keeper) words() (left map[string]map[string]permit.MemberDrain, pushed float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.awake()
 	now := time.Now()
-	left = map[string]map[string]permit.Left{}
+	left = map[string]map[string]permit.MemberDrain{}
 	all, back := 0.0, 0.0
 	for name, w := range k.heard {
 		if now.Sub(w.at) <= silence {
-			left[name] = w.Left
-			all, back = all+w.Seen, back+w.Pushed
+			left[name] = w.MemberDrains
+			all, back = all+w.DecidedRPS, back+w.RejectedRPS
 		}
 	}
 	if all > 0 {
@@ -401,7 +401,7 @@
 }
 
 // seen is how much of each server on the roster is out, as this keeper sees it: all of those that it has not heard of late.
-func (k *Keeper) seen() (all []permit.Seen) {
+func (k *Keeper) seen() (all []permit.Observation) {
 	k.fsm.mu.Lock()
 	servers, members := k.fsm.s.Servers, k.fsm.s.Members
 	k.fsm.mu.Unlock()
@@ -413,9 +413,9 @@
 		w, is := k.heard[s.Name]
 		switch {
 		case !is || now.Sub(w.at) > silence:
-			all = append(all, permit.Seen{Name: s.Name, Out: 1})
-		case w.Out > 0:
-			all = append(all, permit.Seen{Name: s.Name, Out: w.Out, Start: w.Start})
+			all = append(all, permit.Observation{Name: s.Name, OutOfService: 1})
+		case w.OutOfService > 0:
+			all = append(all, permit.Observation{Name: s.Name, OutOfService: w.OutOfService, Incarnation: w.Incarnation})
 		}
 	}
 	// A member is out if most of those that are heard and know it have it out, or if nobody that is heard knows it.
@@ -423,7 +423,7 @@
 		subject := m.Pool + "/" + m.Name
 		know, out := 0, 0
 		for _, w := range k.heard {
-			if is, knows := w.Members[subject]; knows && now.Sub(w.at) <= silence {
+			if is, knows := w.MembersOut[subject]; knows && now.Sub(w.at) <= silence {
 				know++
 				if is {
 					out++
@@ -431,7 +431,7 @@
 			}
 		}
 		if know == 0 || 2*out >= know {
-			all = append(all, permit.Seen{Name: subject, Out: 1})
+			all = append(all, permit.Observation{Name: subject, OutOfService: 1})
 		}
 	}
 	return all
@@ -449,19 +449,19 @@
 
 // Do carries a command through the log and returns its answer, which most keepers hold then. It fails with ErrLeader at a
 // keeper that does not lead, and if most keepers can't be reached in time: then the same command may be sent again.
-func (k *Keeper) Do(c permit.Command) (a permit.Answer, err error) {
-	c.Seen = nil
-	if c.Kind == permit.Ask || c.Kind == permit.Check || c.Kind == permit.Note {
+func (k *Keeper) Do(c permit.Command) (a permit.Result, err error) {
+	c.Observations = nil
+	if c.Kind == permit.Acquire || c.Kind == permit.Begin || c.Kind == permit.Observe {
 		if k.raft.State() != raft.Leader {
 			return a, k.elsewhere()
 		}
-		c.Seen = k.seen()
-		_, c.Pushed = k.words()
+		c.Observations = k.seen()
+		_, c.RejectedShare = k.words()
 	}
 	r, err := k.apply(&entry{Command: c})
 	if err == nil {
 		var is bool
-		if a, is = r.(permit.Answer); !is {
+		if a, is = r.(permit.Result); !is {
 			err = ErrBroken
 		}
 	}
@@ -488,9 +488,9 @@
 }
 
 // Release carries a command on versions and releases through the log, as Do does. A plan is for the roster as it stands.
-func (k *Keeper) Release(c release.Command) (a release.Answer, err error) {
+func (k *Keeper) Release(c release.Command) (a release.Result, err error) {
 	c.Servers = nil
-	if c.Kind == release.Plan {
+	if c.Kind == release.PlanRelease {
 		if k.raft.State() != raft.Leader {
 			return a, k.elsewhere()
 		}
@@ -503,7 +503,7 @@
 	r, err := k.apply(&entry{Release: &c})
 	if err == nil {
 		var is bool
-		if a, is = r.(release.Answer); !is {
+		if a, is = r.(release.Result); !is {
 			err = ErrBroken
 		}
 	}
@@ -519,29 +519,29 @@
 	k.fsm.mu.Lock()
 	r := k.fsm.books[track].Release
 	active := r != nil && r.Phase.Active()
-	halted, wary := k.fsm.s.Halted, k.fsm.s.Auto
+	halted, wary := k.fsm.s.HaltReason, k.fsm.s.AutoHaltReason
 	k.fsm.mu.Unlock()
 	if !active {
 		return nil
 	}
-	c := release.Command{Kind: release.Look, Track: track, Passed: float64(passed) / 1e6, Halted: halted, Wary: wary}
+	c := release.Command{Kind: release.Observe, Track: track, ElapsedMS: float64(passed) / 1e6, HaltReason: halted, AutoHaltReason: wary}
 	now := time.Now()
 	k.mu.Lock()
 	k.awake()
 	for name, w := range k.heard {
-		if w.Runs != nil && now.Sub(w.at) <= silence {
-			s := *w.Runs
+		if w.Release != nil && now.Sub(w.at) <= silence {
+			s := *w.Release
 			if track == release.Program {
-				s = w.Runs.Of()
+				s = w.Release.ForProgram()
 			}
-			s.Name, s.Start = name, w.Start
-			c.Seen = append(c.Seen, s)
+			s.Name, s.Incarnation = name, w.Incarnation
+			c.Reports = append(c.Reports, s)
 		}
 	}
 	k.marks++
 	c.ID = fmt.Sprintf("look-%s-%d-%d", k.o.Name, now.UnixNano(), k.marks)
 	k.mu.Unlock()
-	slices.SortFunc(c.Seen, func(a, b release.Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(c.Reports, func(a, b release.Report) int { return cmp.Compare(a.Name, b.Name) })
 	_, err := k.apply(&entry{Release: &c})
 	return err
 }
@@ -558,7 +558,7 @@
 }
 
 // releases is a copy of a book, without the bodies of its versions.
-func (k *Keeper) releases(track release.Track) (*release.Book, error) {
+func (k *Keeper) releases(track release.Track) (*release.State, error) {
 	k.fsm.mu.Lock()
 	defer k.fsm.mu.Unlock()
 	x := *k.fsm.books[track]
@@ -568,7 +568,7 @@
 			x.Versions[i].Body = nil
 		}
 	}
-	x.Answers, x.Order = nil, nil
+	x.Results, x.ResultOrder = nil, nil
 	b, err := json.Marshal(x)
 	y := release.New()
 	if err == nil {
@@ -611,7 +611,7 @@
 }
 
 // State returns a copy of all that is agreed on, as of a moment after the call: it asks most keepers whether this one leads.
-func (k *Keeper) State() (*permit.State, []permit.Seen, error) {
+func (k *Keeper) State() (*permit.State, []permit.Observation, error) {
 	if err := k.raft.VerifyLeader().Error(); err != nil {
 		return nil, nil, k.elsewhere()
 	}
--- a/internal/permitserver/server_test.go
+++ b/internal/permitserver/server_test.go
@@ -126,7 +126,7 @@
 
 const soon = 30 * time.Second
 
-func (s *set) do(c permit.Command) permit.Answer {
+func (s *set) do(c permit.Command) permit.Result {
 	s.Helper()
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
@@ -153,7 +153,7 @@
 	for i := range n {
 		all = append(all, permit.Server{Name: fmt.Sprint("n", i)})
 	}
-	if a := s.do(permit.Command{ID: "set", Kind: permit.Set, Servers: all, Limits: &permit.Limits{Fleet: permit.Limit{Number: float64(limit)}}}); !a.OK {
+	if a := s.do(permit.Command{ID: "set", Kind: permit.Configure, Servers: all, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: float64(limit)}}}); !a.OK {
 		s.Fatalf("%+v", a)
 	}
 }
@@ -168,7 +168,7 @@
 			defer wg.Done()
 			for ctx.Err() == nil {
 				one, done := context.WithTimeout(ctx, 2*time.Second)
-				s.Here(one, permitclient.Here{Name: fmt.Sprint("n", i), Start: 1})
+				s.Heartbeat(one, permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
 				done()
 				select {
 				case <-ctx.Done():
@@ -181,32 +181,32 @@
 }
 
 // until asks until a permit is granted: servers that are not heard yet count as out.
-func (s *set) until(name, id string) permit.Answer {
+func (s *set) until(name, id string) permit.Result {
 	s.Helper()
 	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if a := s.do(permit.Command{ID: id + time.Now().String(), Kind: permit.Ask, Subject: name, Who: id, Start: 1}); a.OK {
+		if a := s.do(permit.Command{ID: id + time.Now().String(), Kind: permit.Acquire, Subject: name, Actor: id, Incarnation: 1}); a.OK {
 			return a
 		}
 	}
 	s.Fatalf("%s got no permit", name)
-	return permit.Answer{}
+	return permit.Result{}
 }
 
 // Not heard is out; a permit outlives the leader, and all keepers killed; the same command again is answered the same.
 func TestPermitsOutliveKeepers(t *testing.T) {
 	s := start(t)
 	s.roster(4, 1)
-	if a := s.do(permit.Command{ID: "early", Kind: permit.Ask, Subject: "n0", Who: "x", Start: 1}); a.OK {
+	if a := s.do(permit.Command{ID: "early", Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1}); a.OK {
 		t.Errorf("nobody is heard, and n0 may go: %+v", a)
 	}
 	end := s.heard(4)
 	defer end()
 	a := s.until("n0", "x")
 	s.kill(s.state().Leader)
-	if b := s.do(permit.Command{ID: "second", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1}); b.OK {
+	if b := s.do(permit.Command{ID: "second", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
 		t.Errorf("two of one: %+v", b)
 	}
-	if b := s.do(permit.Command{ID: "second", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1}); b.OK {
+	if b := s.do(permit.Command{ID: "second", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
 		t.Errorf("the same again: %+v", b)
 	}
 	for _, p := range s.peers {
@@ -215,10 +215,10 @@
 	for _, p := range s.peers {
 		s.run(p.Name, "old")
 	}
-	if held := s.state().State.Held(); len(held) != 1 || held[0].ID != a.Permit || held[0].Subject != "n0" {
+	if held := s.state().State.Granted(); len(held) != 1 || held[0].ID != a.PermitID || held[0].Subject != "n0" {
 		t.Errorf("%+v", held)
 	}
-	if b := s.do(permit.Command{ID: "unused", Kind: permit.Return, Subject: "n0", Permit: a.Permit, Start: 1}); !b.OK {
+	if b := s.do(permit.Command{ID: "unused", Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); !b.OK {
 		t.Errorf("%+v", b)
 	}
 	s.until("n2", "z")
@@ -232,7 +232,7 @@
 	defer end()
 	leader := s.state().Leader
 	a := s.until("n0", "x")
-	if b := s.do(permit.Command{ID: "back", Kind: permit.Return, Subject: "n0", Permit: a.Permit, Start: 1}); !b.OK {
+	if b := s.do(permit.Command{ID: "back", Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); !b.OK {
 		t.Fatalf("%+v", b)
 	}
 	for _, p := range s.peers {
@@ -242,20 +242,20 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 4*time.Second)
 	defer done()
-	if b, err := s.Do(ctx, permit.Command{ID: "minority", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1}); err == nil && b.OK {
+	if b, err := s.Do(ctx, permit.Command{ID: "minority", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); err == nil && b.OK {
 		t.Errorf("granted without the others: %+v", b)
 	}
 	for _, p := range s.peers {
 		s.signal(p.Name, syscall.SIGCONT)
 	}
 	// What was asked then may stand in the log that counts now, or not; the same command tells, and is carried out once.
-	if b := s.do(permit.Command{ID: "minority", Kind: permit.Ask, Subject: "n1", Who: "y", Start: 1}); b.OK {
-		if b := s.do(permit.Command{ID: "back too", Kind: permit.Return, Subject: "n1", Permit: b.Permit, Start: 1}); !b.OK {
+	if b := s.do(permit.Command{ID: "minority", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
+		if b := s.do(permit.Command{ID: "back too", Kind: permit.Return, Subject: "n1", PermitID: b.PermitID, Incarnation: 1}); !b.OK {
 			t.Errorf("%+v", b)
 		}
 	}
 	s.until("n2", "z")
-	if held := s.state().State.Held(); len(held) != 1 {
+	if held := s.state().State.Granted(); len(held) != 1 {
 		t.Errorf("%+v", held)
 	}
 }
@@ -274,7 +274,7 @@
 	}
 	for end := time.Now().Add(soon); !k.Leads() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 	}
-	if a, err := k.Do(permit.Command{ID: "1", Kind: permit.Halt, Who: "me", Why: "test"}); err != nil || !a.OK {
+	if a, err := k.Do(permit.Command{ID: "1", Kind: permit.Halt, Actor: "me", Reason: "test"}); err != nil || !a.OK {
 		t.Errorf("%+v %v", a, err)
 	}
 	k.Close()
@@ -284,7 +284,7 @@
 	defer k.Close()
 	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if st, _, err := k.State(); err == nil {
-			if st.Halted != "test" {
+			if st.HaltReason != "test" {
 				t.Errorf("%+v", st)
 			}
 			break
@@ -300,7 +300,7 @@
 // op is one call of a history, and its answer.
 type op struct {
 	c permit.Command
-	a permit.Answer
+	a permit.Result
 }
 
 // Histories of several clients, with keepers killed, stopped and started meanwhile, are those of one state machine: a
@@ -312,7 +312,7 @@
 	end := s.heard(servers)
 	defer end()
 	s.until("n0", "first")
-	s.do(permit.Command{ID: "free0", Kind: permit.Free, Subject: "n0", Who: "x", Why: "test"})
+	s.do(permit.Command{ID: "free0", Kind: permit.Free, Subject: "n0", Actor: "x", Reason: "test"})
 	stop := make(chan struct{})
 	var faults, clients sync.WaitGroup
 	faults.Add(1)
@@ -347,9 +347,9 @@
 			chance := rand.New(rand.NewSource(int64(client)))
 			held := map[string]uint64{}
 			for i := 0; time.Since(began) < 8*time.Second; i++ {
-				c := permit.Command{ID: fmt.Sprint(client, "-", i), Who: fmt.Sprint("c", client), Start: 1, Subject: fmt.Sprint("n", chance.Intn(servers)), Kind: permit.Ask}
+				c := permit.Command{ID: fmt.Sprint(client, "-", i), Actor: fmt.Sprint("c", client), Incarnation: 1, Subject: fmt.Sprint("n", chance.Intn(servers)), Kind: permit.Acquire}
 				if p := held[c.Subject]; p != 0 {
-					c.Kind, c.Permit = permit.Return, p
+					c.Kind, c.PermitID = permit.Return, p
 				}
 				call := time.Since(began)
 				ctx, done := context.WithTimeout(context.Background(), soon)
@@ -361,9 +361,9 @@
 				}
 				mu.Lock()
 				history = append(history, porcupine.Operation{ClientId: client, Input: op{c: c}, Output: op{a: a}, Call: int64(call), Return: int64(time.Since(began))})
-				if c.Kind == permit.Ask && a.OK {
+				if c.Kind == permit.Acquire && a.OK {
 					granted++
-					held[c.Subject] = a.Permit
+					held[c.Subject] = a.PermitID
 				} else if c.Kind == permit.Return && a.OK {
 					delete(held, c.Subject)
 				}
@@ -385,18 +385,18 @@
 				held[name] = id
 			}
 			c, a := in.(op).c, out.(op).a
-			id := fmt.Sprint(a.Permit, ":", c.Who)
+			id := fmt.Sprint(a.PermitID, ":", c.Actor)
 			switch {
 			case !a.OK:
 				return true, state
-			case c.Kind == permit.Ask:
+			case c.Kind == permit.Acquire:
 				if was, is := held[c.Subject]; is && was != id || !is && len(held) >= limit {
 					return false, state
 				}
 				held[c.Subject] = id
 			case c.Kind == permit.Return:
-				if held[c.Subject] != fmt.Sprint(c.Permit, ":", c.Who) {
-					return a.Why != "", state // it says that it was not held
+				if held[c.Subject] != fmt.Sprint(c.PermitID, ":", c.Actor) {
+					return a.Reason != "", state // it says that it was not held
 				}
 				delete(held, c.Subject)
 			}
