--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -32,7 +32,7 @@
 }
 
 func (s *source) read() (*operator.File, error) {
-	var known route.Known
+	var known route.Catalog
 	if s.Settings != "" {
 		p, err := startup.Load(func(key string) string {
 			return map[string]string{"EDGE_CONFIG": s.Settings}[key]
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -111,7 +111,7 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	file, faults := cuefile.Compile([]string{f.Name()}, route.Known{})
+	file, faults := cuefile.Compile([]string{f.Name()}, route.Catalog{})
 	for _, e := range faults {
 		return e
 	}
--- a/decision/expect/expect.go
+++ b/decision/expect/expect.go
@@ -88,7 +88,7 @@
 		add(true, "%.20q is no verb that a front takes", x.Verb)
 		return
 	}
-	found, err := table.Find(&route.Message{Host: x.Host, Path: x.Path, Verb: x.Verb, Query: x.Query, Variables: values(x.Variables)})
+	found, err := table.Resolve(&route.Message{Host: x.Host, Path: x.Path, Verb: x.Verb, Query: x.Query, Variables: values(x.Variables)})
 	rule := ""
 	if found.Rule >= 0 && found.Rule < len(s.Routes) {
 		rule = s.Routes[found.Rule].Name
--- a/decision/pool/balance.go
+++ b/decision/pool/balance.go
@@ -6,72 +6,72 @@
 )
 
 // Place is the outcome of Ask: a member granted at once, a place in the wait queue, or neither.
-type Place int
+type Placement int
 
 const (
-	Granted Place = iota // a member was granted
-	Queued               // End or Look will grant it, or Expire or Cancel end the wait
-	None                 // no room, in the pool and in its line
+	Granted    Placement = iota // a member was granted
+	Queued                      // End or Look will grant it, or Expire or Cancel end the wait
+	NoCapacity                  // no room, in the pool and in its line
 )
 
 // Ask asks for a place for an RPC. id is the caller's name for it in the line. Members in avoid, which have failed it,
 // are chosen only if there is no other that could ever do. caller is a hash of whose RPC it is.
-func (p *Pool) Ask(now float64, id uint64, avoid []int, caller uint64) (member int, got Place) {
+func (p *Pool) Acquire(now float64, id uint64, avoid []int, caller uint64) (member int, got Placement) {
 	p.updateEjections(now)
 	if len(p.queue) == 0 { // who waits goes first
 		if m := p.choose(now, avoid, caller); m != nil {
-			p.take(now, m)
+			p.assign(now, m)
 			return m.id, Granted
 		}
 	}
-	if len(p.queue) >= p.rules.Waiting {
-		return 0, None
+	if len(p.queue) >= p.config.MaxQueued {
+		return 0, NoCapacity
 	}
-	p.queue = append(p.queue, waiter{id, now + p.rules.Wait, avoid, caller})
+	p.queue = append(p.queue, queuedRequest{id, now + p.config.QueueTimeout, avoid, caller})
 	return 0, Queued
 }
 
 // Probe is a place at a member that is out, for one RPC that tells how it is.
-func (p *Pool) Probe(now float64, addr string) (member int, got bool) {
+func (p *Pool) AcquireEjected(now float64, addr string) (member int, got bool) {
 	for _, m := range p.members {
-		if m.addr == addr && !m.gone && m.out != Sound && !m.aside && m.inFlight < p.rules.Connections {
-			p.take(now, m)
+		if m.addr == addr && !m.removed && m.ejection != NotEjected && !m.draining && m.inFlight < p.config.MaxConnections {
+			p.assign(now, m)
 			return m.id, true
 		}
 	}
 	return 0, false
 }
 
-func (p *Pool) take(now float64, m *member) {
+func (p *Pool) assign(now float64, m *member) {
 	if m.inFlight == 0 {
-		m.quiet = now
+		m.silentSince = now
 	}
 	m.inFlight++
-	m.picked++
+	m.requests++
 }
 
 // part is how much of its full load a member may have: all, but for one that has just returned.
-func (p *Pool) part(now float64, m *member) float64 {
-	if p.rules.Return <= 0 || p.fleetAdmits != nil { // judged: it is full for those callers that it takes
+func (p *Pool) loadShare(now float64, m *member) float64 {
+	if p.config.SlowStart <= 0 || p.fleetAdmits != nil { // judged: it is full for those callers that it takes
 		return 1
 	}
-	return math.Min(1, math.Max(firstPart, (now-m.back)/p.rules.Return))
+	return math.Min(1, math.Max(initialLoadShare, (now-m.returnedAt)/p.config.SlowStart))
 }
 
 // open tells whether a member gets RPCs of a caller.
-func (p *Pool) open(m *member, caller uint64) bool {
-	return m.usable() && (p.fleetAdmits == nil || p.fleetAdmits(m.addr, caller, m.share))
+func (p *Pool) admits(m *member, caller uint64) bool {
+	return m.usable() && (p.fleetAdmits == nil || p.fleetAdmits(m.addr, caller, m.callerShare))
 }
 
 func (p *Pool) hasCapacity(now float64, m *member, caller uint64) bool {
-	return p.open(m, caller) && m.inFlight < p.places(now, m)
+	return p.admits(m, caller) && m.inFlight < p.connectionLimit(now, m)
 }
 
 // places is how many RPCs a member may have in flight from here. What is not whole is rounded by chance, the same for the
 // whole return: a member hears from all servers of a fleet, and were each to round up, the sum would be many times the part that it is
 // to have while each is to send less than one. The mean over the servers is that part, without any contact between them.
-func (p *Pool) places(now float64, m *member) int {
-	return min(p.rules.Connections, int(float64(p.rules.Connections)*p.part(now, m)+m.draw))
+func (p *Pool) connectionLimit(now float64, m *member) int {
+	return min(p.config.MaxConnections, int(float64(p.config.MaxConnections)*p.loadShare(now, m)+m.roundingDraw))
 }
 
 // choose takes the better of two members drawn by chance, each by its part.
@@ -83,33 +83,33 @@
 		}
 	}
 	if len(free) == 0 && len(avoid) > 0 && !slices.ContainsFunc(p.members, func(m *member) bool {
-		return p.open(m, caller) && !slices.Contains(avoid, m.id)
+		return p.admits(m, caller) && !slices.Contains(avoid, m.id)
 	}) { // all that are left have failed it
 		return p.choose(now, nil, caller)
 	}
 	if len(free) == 0 {
 		return nil
 	}
-	if p.rules.RoundRobin {
-		p.turn++
-		return free[p.turn%len(free)]
+	if p.config.RoundRobin {
+		p.roundRobinIndex++
+		return free[p.roundRobinIndex%len(free)]
 	}
-	a, b := p.draw(now, free), p.draw(now, free)
-	if p.load(now, b) < p.load(now, a) {
+	a, b := p.drawWeighted(now, free), p.drawWeighted(now, free)
+	if p.expectedWait(now, b) < p.expectedWait(now, a) {
 		return b
 	}
 	return a
 }
 
 // draw takes one by chance, each by its part.
-func (p *Pool) draw(now float64, free []*member) *member {
+func (p *Pool) drawWeighted(now float64, free []*member) *member {
 	sum := 0.0
 	for _, m := range free {
-		sum += p.part(now, m)
+		sum += p.loadShare(now, m)
 	}
 	x := p.random.Float64() * sum
 	for _, m := range free {
-		if x -= p.part(now, m); x < 0 {
+		if x -= p.loadShare(now, m); x < 0 {
 			return m
 		}
 	}
@@ -118,21 +118,21 @@
 
 // load is the expected time at a member: RPCs in flight, this one included, by their latency of late, and by the
 // part that a returning one may have.
-func (p *Pool) load(now float64, m *member) float64 {
-	latency := m.latency
-	if m.answers < enough {
-		latency = math.Max(latency, p.usual(m))
+func (p *Pool) expectedWait(now float64, m *member) float64 {
+	latency := m.meanLatency
+	if m.samples < minSamples {
+		latency = math.Max(latency, p.medianLatencyExcept(m))
 	}
-	return float64(m.inFlight+1) * math.Max(1, latency) / p.part(now, m)
+	return float64(m.inFlight+1) * math.Max(1, latency) / p.loadShare(now, m)
 }
 
 // How is the outcome of a request at a member, as End records it.
-type How int
+type Outcome int
 
 const (
-	OK       How = iota // a response that counts as success; its latency is recorded
-	Failed              // an answer that says so, a broken connection, none in time
-	Withdrew            // its caller gave up: nothing is said of the member
+	Succeeded Outcome = iota // a response that counts as success; its latency is recorded
+	Failed                   // an answer that says so, a broken connection, none in time
+	Canceled                 // its caller gave up: nothing is said of the member
 )
 
 // Grant is a member granted to a queued request: ID is the caller's name of the request, Member the member's id.
@@ -142,31 +142,31 @@
 }
 
 // End books the end of an RPC at a member after latency ms, and grants what room there is to those that wait.
-func (p *Pool) End(now float64, member int, how How, latency float64) []Grant {
+func (p *Pool) Complete(now float64, member int, how Outcome, latency float64) []Grant {
 	m := p.member(member)
 	if m == nil || m.inFlight == 0 {
 		return nil
 	}
 	m.inFlight--
 	switch how {
-	case OK:
-		m.fails, m.quiet = 0, now
-		if m.answers == 0 {
-			m.latency = latency
+	case Succeeded:
+		m.failuresInARow, m.silentSince = 0, now
+		if m.samples == 0 {
+			m.meanLatency = latency
 		} else { // a rise counts at once in part, so that a member that turns slow is left to itself soon
-			m.latency += weight * (latency - m.latency)
+			m.meanLatency += latencyWeight * (latency - m.meanLatency)
 		}
-		m.answers++
+		m.samples++
 	case Failed: // its latency says nothing: one that fails fast must not look quick
-		m.fails++
-		m.quiet = now
-		if m.out == Sound && p.rules.Failures > 0 && m.fails >= p.rules.Failures {
-			p.eject(now, m, Failing)
+		m.failuresInARow++
+		m.silentSince = now
+		if m.ejection == NotEjected && p.config.ConsecutiveFailures > 0 && m.failuresInARow >= p.config.ConsecutiveFailures {
+			p.eject(now, m, FailuresInARow)
 		}
 	}
 	if m.inFlight == 0 {
-		m.quiet = now
+		m.silentSince = now
 	}
-	p.forget()
-	return p.Look(now)
+	p.removeIdleDeleted()
+	return p.Update(now)
 }
--- a/decision/pool/fleet.go
+++ b/decision/pool/fleet.go
@@ -6,23 +6,23 @@
 )
 
 // Verdict is what the fleet says of a member.
-type Verdict struct {
-	Addr  string
-	Out   bool
-	Share float64 // of the callers that it gets RPCs of, if it is not out; takes says whose
+type FleetDecision struct {
+	Addr        string
+	Ejected     bool
+	CallerShare float64 // of the callers that it gets RPCs of, if it is not out; takes says whose
 }
 
 // Takes tells whether the pool goes by the fleet's verdicts.
-func (p *Pool) Takes() bool { return p.fleetAdmits != nil }
+func (p *Pool) FollowsFleet() bool { return p.fleetAdmits != nil }
 
 // Alone has the pool judge for itself again, as without a fleet. What it did on hearsay is taken back.
-func (p *Pool) Alone(now float64) {
+func (p *Pool) UseLocalDetection(now float64) {
 	if p.fleetAdmits == nil {
 		return
 	}
 	p.fleetAdmits = nil
 	for _, m := range p.members {
-		if m.out == Judged {
+		if m.ejection == EjectedByFleet {
 			p.restore(now, m)
 		}
 	}
@@ -30,51 +30,51 @@
 
 // Judge has the pool go by the fleet's verdicts from now on: it ejects and takes back nobody by itself. takes tells whether a
 // member with a share gets a caller's RPCs. A member without a verdict is in use.
-func (p *Pool) Judge(now float64, all []Verdict, takes func(member string, caller uint64, share float64) bool) {
+func (p *Pool) UseFleetDecisions(now float64, all []FleetDecision, takes func(member string, caller uint64, share float64) bool) {
 	p.fleetAdmits = takes
 	for _, m := range p.members {
 		out, share := false, 1.0
 		for i := range all {
 			if all[i].Addr == m.addr {
-				out, share = all[i].Out, all[i].Share
+				out, share = all[i].Ejected, all[i].CallerShare
 			}
 		}
 		switch {
-		case out && m.out == Sound:
-			m.out, m.until = Judged, math.Inf(1)
-			p.events = append(p.events, Event{Addr: m.addr, Why: Judged})
-		case !out && m.out != Sound:
+		case out && m.ejection == NotEjected:
+			m.ejection, m.ejectedUntil = EjectedByFleet, math.Inf(1)
+			p.events = append(p.events, Event{Addr: m.addr, Reason: EjectedByFleet})
+		case !out && m.ejection != NotEjected:
 			p.restore(now, m)
-			m.latency = p.middle(m) // its own is of another time: its load is to be its part of the callers
+			m.meanLatency = p.medianOfAnswering(m) // its own is of another time: its load is to be its part of the callers
 		}
-		m.share = share
+		m.callerShare = share
 	}
 }
 
 // Aside leaves members alone that are being drained, and no others: they get nothing new, neither first tries nor probes, and use
 // up what the pool may spare before any is ejected. One that is no longer drained returns by its ramp. Where all are drained
 // none is left alone: that is nobody's intent, and names come back as what could not be done.
-func (p *Pool) Aside(now float64, addrs []string) (cannot []string) {
+func (p *Pool) SetDraining(now float64, addrs []string) (cannot []string) {
 	in := 0
 	for _, m := range p.members {
-		if !m.gone && !slices.Contains(addrs, m.addr) {
+		if !m.removed && !slices.Contains(addrs, m.addr) {
 			in++
 		}
 	}
 	for _, m := range p.members {
-		drained := !m.gone && slices.Contains(addrs, m.addr)
+		drained := !m.removed && slices.Contains(addrs, m.addr)
 		if drained && in == 0 {
 			cannot = append(cannot, m.addr)
 			drained = false
 		}
 		switch {
-		case drained && !m.aside:
-			p.events = append(p.events, Event{Addr: m.addr, Why: Aside})
-		case !drained && m.aside && !m.gone:
+		case drained && !m.draining:
+			p.events = append(p.events, Event{Addr: m.addr, Reason: Draining})
+		case !drained && m.draining && !m.removed:
 			p.restore(now, m)
 		}
-		m.aside = drained
+		m.draining = drained
 	}
-	p.refill(now)
+	p.restoreMinHealthy(now)
 	return cannot
 }
--- a/decision/pool/pool_test.go
+++ b/decision/pool/pool_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var usual = Rules{Connections: 8, Waiting: 16, Wait: 100, Failures: 3, Outlier: 4, MinShare: 0.5, Eject: 1000, Return: 5000}
+var usual = Config{MaxConnections: 8, MaxQueued: 16, QueueTimeout: 100, ConsecutiveFailures: 3, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 1000, SlowStart: 5000}
 
 func addrs(n int) (all []string) {
 	for i := range n {
@@ -19,12 +19,12 @@
 }
 
 // warmed is a pool of which each member has answered often enough for its latency to tell.
-func warmed(r Rules, n int) *Pool {
+func warmed(r Config, n int) *Pool {
 	p := New(r, addrs(n), 1, 0)
 	for _, m := range p.members {
-		for range enough {
-			p.take(0, m)
-			p.End(0, m.id, OK, 20)
+		for range minSamples {
+			p.assign(0, m)
+			p.Complete(0, m.id, Succeeded, 20)
 		}
 	}
 	return p
@@ -34,23 +34,23 @@
 func grab(t *testing.T, p *Pool, now float64, addr string) int {
 	t.Helper()
 	for range 1000 {
-		id, got := p.Ask(now, 0, nil, 0)
+		id, got := p.Acquire(now, 0, nil, 0)
 		if got != Granted {
 			t.Fatalf("no place for %s", addr)
 		}
 		if p.Addr(id) == addr {
 			return id
 		}
-		p.End(now, id, Withdrew, 0)
+		p.Complete(now, id, Canceled, 0)
 	}
 	t.Fatalf("%s is never chosen", addr)
 	return 0
 }
 
 func out(p *Pool, now float64) (n int) {
-	p.Look(now)
-	for _, s := range p.States(now) {
-		if s.Out != Sound {
+	p.Update(now)
+	for _, s := range p.MemberStates(now) {
+		if s.Ejection != NotEjected {
 			n++
 		}
 	}
@@ -60,73 +60,73 @@
 func TestEjection(t *testing.T) {
 	cases := []struct {
 		name  string
-		rules func(*Rules)
+		rules func(*Config)
 		do    func(t *testing.T, p *Pool) (now float64)
-		want  Why // of m0
+		want  EjectionReason // of m0
 	}{
 		{"failures in a row", nil, func(t *testing.T, p *Pool) float64 {
 			for range 3 {
-				p.End(10, grab(t, p, 10, "m0"), Failed, 1)
+				p.Complete(10, grab(t, p, 10, "m0"), Failed, 1)
 			}
 			return 10
-		}, Failing},
+		}, FailuresInARow},
 		{"failures with an answer between", nil, func(t *testing.T, p *Pool) float64 {
-			for _, how := range []How{Failed, Failed, OK, Failed, Failed} {
-				p.End(10, grab(t, p, 10, "m0"), how, 20)
+			for _, how := range []Outcome{Failed, Failed, Succeeded, Failed, Failed} {
+				p.Complete(10, grab(t, p, 10, "m0"), how, 20)
 			}
 			return 10
-		}, Sound},
+		}, NotEjected},
 		{"callers that withdraw say nothing", nil, func(t *testing.T, p *Pool) float64 {
 			for range 9 {
-				p.End(10, grab(t, p, 10, "m0"), Withdrew, 1)
+				p.Complete(10, grab(t, p, 10, "m0"), Canceled, 1)
 			}
 			return 10
-		}, Sound},
+		}, NotEjected},
 		{"ten times slower than the rest", nil, func(t *testing.T, p *Pool) float64 {
 			for range 8 {
 				if out(p, 10) == 0 {
-					p.End(10, grab(t, p, 10, "m0"), OK, 200)
+					p.Complete(10, grab(t, p, 10, "m0"), Succeeded, 200)
 				}
 			}
 			return 10
-		}, Slow},
+		}, HighLatency},
 		{"all slow alike", nil, func(t *testing.T, p *Pool) float64 {
 			for i := range 40 {
-				p.End(10, grab(t, p, 10, fmt.Sprint("m", i%4)), OK, 20+float64(i)*5)
+				p.Complete(10, grab(t, p, 10, fmt.Sprint("m", i%4)), Succeeded, 20+float64(i)*5)
 			}
 			return 10
-		}, Sound},
+		}, NotEjected},
 		{"work in hand and no answer", nil, func(t *testing.T, p *Pool) float64 {
 			grab(t, p, 10, "m0")
 			grab(t, p, 10, "m0")
 			return 250
-		}, Silent},
+		}, Unresponsive},
 		{"the same while another is out: under the load of both it proves nothing", nil, func(t *testing.T, p *Pool) float64 {
 			for range 3 {
-				p.End(10, grab(t, p, 10, "m1"), Failed, 1)
+				p.Complete(10, grab(t, p, 10, "m1"), Failed, 1)
 			}
 			grab(t, p, 10, "m0")
 			grab(t, p, 10, "m0")
 			return 250
-		}, Sound},
+		}, NotEjected},
 		{"one long work is no silence", nil, func(t *testing.T, p *Pool) float64 {
 			grab(t, p, 10, "m0")
 			return 250
-		}, Sound},
-		{"checks that fail", func(r *Rules) { r.Check = 100 }, func(t *testing.T, p *Pool) float64 {
+		}, NotEjected},
+		{"checks that fail", func(r *Config) { r.HealthCheckInterval = 100 }, func(t *testing.T, p *Pool) float64 {
 			for now := 0.0; now < 1000; now += 50 {
-				for _, id := range p.Checks(now) {
-					p.Checked(now, id, p.Addr(id) != "m0")
+				for _, id := range p.DueHealthChecks(now) {
+					p.RecordHealthCheck(now, id, p.Addr(id) != "m0")
 				}
 			}
 			return 1000
-		}, Checked},
-		{"not below the share that stays", func(r *Rules) { r.MinShare = 1 }, func(t *testing.T, p *Pool) float64 {
+		}, HealthCheckFailed},
+		{"not below the share that stays", func(r *Config) { r.MinHealthyShare = 1 }, func(t *testing.T, p *Pool) float64 {
 			for range 9 {
-				p.End(10, grab(t, p, 10, "m0"), Failed, 1)
+				p.Complete(10, grab(t, p, 10, "m0"), Failed, 1)
 			}
 			return 10
-		}, Sound},
+		}, NotEjected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -136,9 +136,9 @@
 			}
 			p := warmed(r, 4)
 			now := c.do(t, p)
-			p.Look(now)
-			if got := p.States(now)[0]; got.Out != c.want {
-				t.Errorf("m0 is %v, want %v", got.Out, c.want)
+			p.Update(now)
+			if got := p.MemberStates(now)[0]; got.Ejection != c.want {
+				t.Errorf("m0 is %v, want %v", got.Ejection, c.want)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 	p := warmed(usual, 4)
 	fail := func(now float64) {
 		for range 3 {
-			p.End(now, grab(t, p, now, "m0"), Failed, 1)
+			p.Complete(now, grab(t, p, now, "m0"), Failed, 1)
 		}
 	}
 	fail(0)
@@ -160,11 +160,11 @@
 	places := func(now float64) int {
 		n := 0
 		for p.hasCapacity(now, p.members[0], 0) {
-			p.take(now, p.members[0])
+			p.assign(now, p.members[0])
 			n++
 		}
 		for range n {
-			p.End(now, p.members[0].id, Withdrew, 0)
+			p.Complete(now, p.members[0].id, Canceled, 0)
 		}
 		return n
 	}
@@ -175,7 +175,7 @@
 		{1000, 0.1, 0}, {1000, 0.3, 1}, {1000, 0.99, 1}, {2000, 0.1, 1}, {2000, 0.5, 2}, {3500, 0, 4}, {3500, 0.99, 4},
 		{6000, 0, 8}, {6000, 0.99, 8}, {60000, 0.99, 8},
 	} {
-		p.members[0].draw = c.draw
+		p.members[0].roundingDraw = c.draw
 		if got := places(c.at); got != c.want {
 			t.Errorf("%d places %g ms after its return with a draw of %g, want %d", got, c.at-1000, c.draw, c.want)
 		}
@@ -188,7 +188,7 @@
 	if out(p, 60999) != 1 || out(p, 61000) != 0 {
 		t.Error("after a calm time it is not a first one again")
 	}
-	if e := p.Events(); len(e) != 6 || e[0].Why != Failing || e[1].Why != Sound {
+	if e := p.Events(); len(e) != 6 || e[0].Reason != FailuresInARow || e[1].Reason != NotEjected {
 		t.Errorf("events %+v", e)
 	}
 }
@@ -196,38 +196,38 @@
 // All of them bad: with no share that must stay all go, and the wait is told; with one, some are still asked.
 func TestAllBad(t *testing.T) {
 	r := usual
-	r.MinShare = 0
+	r.MinHealthyShare = 0
 	p := warmed(r, 3)
 	for i := range 3 {
 		for range 3 {
-			p.End(0, grab(t, p, 0, fmt.Sprint("m", i)), Failed, 1)
+			p.Complete(0, grab(t, p, 0, fmt.Sprint("m", i)), Failed, 1)
 		}
 	}
-	if _, got := p.Ask(1, 1, nil, 0); got != Queued || p.Soonest(1) != 999 {
-		t.Errorf("place %v, soonest %g", got, p.Soonest(1))
+	if _, got := p.Acquire(1, 1, nil, 0); got != Queued || p.UntilNextReturn(1) != 999 {
+		t.Errorf("place %v, soonest %g", got, p.UntilNextReturn(1))
 	}
-	if ids := p.Expire(101); len(ids) != 1 || ids[0] != 1 {
+	if ids := p.ExpireQueued(101); len(ids) != 1 || ids[0] != 1 {
 		t.Errorf("expired %v", ids)
 	}
-	if got := p.Look(1000); len(got) != 0 || out(p, 1000) != 0 {
+	if got := p.Update(1000); len(got) != 0 || out(p, 1000) != 0 {
 		t.Errorf("granted %v", got)
 	}
 }
 
 func TestLine(t *testing.T) {
 	r := usual
-	r.Connections, r.Waiting = 1, 2
+	r.MaxConnections, r.MaxQueued = 1, 2
 	p := New(r, addrs(1), 1, 0)
-	id, _ := p.Ask(0, 1, nil, 0)
-	for n, want := range []Place{Queued, Queued, None} {
-		if _, got := p.Ask(0, uint64(n+2), nil, 0); got != want {
+	id, _ := p.Acquire(0, 1, nil, 0)
+	for n, want := range []Placement{Queued, Queued, NoCapacity} {
+		if _, got := p.Acquire(0, uint64(n+2), nil, 0); got != want {
 			t.Errorf("place %v for %d, want %v", got, n, want)
 		}
 	}
-	if !p.Cancel(2) || p.Cancel(2) {
+	if !p.CancelQueued(2) || p.CancelQueued(2) {
 		t.Error("cancelled twice, or never")
 	}
-	if got := p.End(1, id, OK, 1); len(got) != 1 || got[0].ID != 3 {
+	if got := p.Complete(1, id, Succeeded, 1); len(got) != 1 || got[0].ID != 3 {
 		t.Errorf("granted %v", got)
 	}
 }
@@ -241,28 +241,28 @@
 		t.Error("a member in use is forgotten")
 	}
 	for range 50 {
-		id, got := p.Ask(0, 0, nil, 0)
+		id, got := p.Acquire(0, 0, nil, 0)
 		if got != Granted || p.Addr(id) == "m0" {
 			t.Fatalf("place %v at %s", got, p.Addr(id))
 		}
-		p.End(0, id, OK, 20)
+		p.Complete(0, id, Succeeded, 20)
 	}
-	p.End(0, old, OK, 20)
-	if p.Addr(old) != "" || len(p.States(0)) != 2 || p.States(0)[1].Part != firstPart || p.States(0)[0].Part != 1 {
-		t.Errorf("members %+v", p.States(0))
+	p.Complete(0, old, Succeeded, 20)
+	if p.Addr(old) != "" || len(p.MemberStates(0)) != 2 || p.MemberStates(0)[1].LoadShare != initialLoadShare || p.MemberStates(0)[0].LoadShare != 1 {
+		t.Errorf("members %+v", p.MemberStates(0))
 	}
 }
 
 func TestAvoid(t *testing.T) {
 	p := warmed(usual, 2)
 	for range 100 {
-		id, got := p.Ask(0, 0, []int{0}, 0)
+		id, got := p.Acquire(0, 0, []int{0}, 0)
 		if got != Granted || id != 1 {
 			t.Fatalf("place %v at %d", got, id)
 		}
-		p.End(0, id, OK, 20)
+		p.Complete(0, id, Succeeded, 20)
 	}
-	if id, got := p.Ask(0, 0, []int{0, 1}, 0); got != Granted {
+	if id, got := p.Acquire(0, 0, []int{0, 1}, 0); got != Granted {
 		t.Errorf("none at all where all have failed it: %d", id)
 	}
 }
@@ -272,9 +272,9 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := usual
-		r.Connections, r.Waiting = rapid.IntRange(1, 3).Draw(t, "connections"), rapid.IntRange(0, 4).Draw(t, "waiting")
-		r.MinShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share")
-		r.Check = rapid.SampledFrom([]float64{0, 200}).Draw(t, "check")
+		r.MaxConnections, r.MaxQueued = rapid.IntRange(1, 3).Draw(t, "connections"), rapid.IntRange(0, 4).Draw(t, "waiting")
+		r.MinHealthyShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share")
+		r.HealthCheckInterval = rapid.SampledFrom([]float64{0, 200}).Draw(t, "check")
 		n := rapid.IntRange(1, 5).Draw(t, "members")
 		p := New(r, addrs(n), rapid.Uint64().Draw(t, "seed"), 0)
 		var flying []int
@@ -294,7 +294,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1, 2:
 				next++
-				id, got := p.Ask(now, next, nil, 0)
+				id, got := p.Acquire(now, next, nil, 0)
 				switch got {
 				case Granted:
 					flying = append(flying, id)
@@ -306,36 +306,36 @@
 					k := rapid.IntRange(0, len(flying)-1).Draw(t, "which")
 					id := flying[k]
 					flying = append(flying[:k], flying[k+1:]...)
-					granted(p.End(now, id, How(rapid.IntRange(0, 2).Draw(t, "how")), rapid.Float64Range(1, 500).Draw(t, "latency")))
+					granted(p.Complete(now, id, Outcome(rapid.IntRange(0, 2).Draw(t, "how")), rapid.Float64Range(1, 500).Draw(t, "latency")))
 				}
 			case 5:
-				for _, id := range p.Expire(now) {
+				for _, id := range p.ExpireQueued(now) {
 					if !waits[id] {
 						t.Fatalf("%d expired and does not wait", id)
 					}
 					delete(waits, id)
 				}
-				for _, id := range p.Checks(now) {
-					p.Checked(now, id, rapid.Bool().Draw(t, "good"))
+				for _, id := range p.DueHealthChecks(now) {
+					p.RecordHealthCheck(now, id, rapid.Bool().Draw(t, "good"))
 				}
-				granted(p.Look(now))
+				granted(p.Update(now))
 			case 6:
 				all := addrs(rapid.IntRange(1, 6).Draw(t, "new members"))
 				p.Set(now, r, all)
 			}
 			total, in := 0, 0
 			for _, m := range p.members {
-				if total += m.inFlight; m.inFlight > r.Connections || m.inFlight < 0 {
+				if total += m.inFlight; m.inFlight > r.MaxConnections || m.inFlight < 0 {
 					t.Fatalf("%d in flight at %s", m.inFlight, m.addr)
 				}
-				if m.out == Sound && !m.gone {
+				if m.ejection == NotEjected && !m.removed {
 					in++
 				}
 			}
-			if total != len(flying) || p.Waiting() != len(waits) || len(waits) > r.Waiting {
-				t.Fatalf("%d in flight of %d, %d waiting of %d", total, len(flying), p.Waiting(), len(waits))
+			if total != len(flying) || p.Queued() != len(waits) || len(waits) > r.MaxQueued {
+				t.Fatalf("%d in flight of %d, %d waiting of %d", total, len(flying), p.Queued(), len(waits))
 			}
-			if in == 0 && r.MinShare > 0 {
+			if in == 0 && r.MinHealthyShare > 0 {
 				t.Fatal("nobody is left in use")
 			}
 		}
@@ -350,7 +350,7 @@
 	}{{"power of two", false}, {"round robin", true}} {
 		b.Run(c.name, func(b *testing.B) {
 			r := usual
-			r.Outlier, r.Failures, r.RoundRobin, r.Connections = 0, 0, c.turn, 64
+			r.LatencyFactor, r.ConsecutiveFailures, r.RoundRobin, r.MaxConnections = 0, 0, c.turn, 64
 			p := New(r, addrs(5), 1, 0)
 			type run struct {
 				member int
@@ -362,12 +362,12 @@
 				now++
 				for k := 0; k < len(flying); k++ {
 					if f := flying[k]; f.end <= now {
-						p.End(now, f.member, OK, 20)
+						p.Complete(now, f.member, Succeeded, 20)
 						flying = append(flying[:k], flying[k+1:]...)
 						k--
 					}
 				}
-				if id, got := p.Ask(now, 0, nil, 0); got == Granted {
+				if id, got := p.Acquire(now, 0, nil, 0); got == Granted {
 					took := 10 * chance.ExpFloat64()
 					if n++; id == 0 {
 						took *= 10
@@ -383,36 +383,36 @@
 
 // Judged by the fleet, the pool ejects nobody by itself; who is out gets probes only; one that returns gets its callers' RPCs.
 func TestJudged(t *testing.T) {
-	p := New(Rules{Connections: 4, Waiting: 4, Wait: 100, Failures: 2, Outlier: 2, MinShare: 0.5, Eject: 1000, Return: 1000}, []string{"a", "b"}, 1, 0)
+	p := New(Config{MaxConnections: 4, MaxQueued: 4, QueueTimeout: 100, ConsecutiveFailures: 2, LatencyFactor: 2, MinHealthyShare: 0.5, BaseEjection: 1000, SlowStart: 1000}, []string{"a", "b"}, 1, 0)
 	odd := func(_ string, caller uint64, share float64) bool { return share >= 1 || caller%2 == 1 }
-	p.Judge(0, nil, odd)
+	p.UseFleetDecisions(0, nil, odd)
 	for range 20 {
-		id, _ := p.Ask(1, 0, nil, 0)
-		p.End(2, id, Failed, 1)
+		id, _ := p.Acquire(1, 0, nil, 0)
+		p.Complete(2, id, Failed, 1)
 	}
-	if s := p.States(3); s[0].Out != Sound || s[1].Out != Sound {
+	if s := p.MemberStates(3); s[0].Ejection != NotEjected || s[1].Ejection != NotEjected {
 		t.Errorf("%+v", s)
 	}
-	p.Judge(10, []Verdict{{Addr: "a", Out: true}}, odd)
+	p.UseFleetDecisions(10, []FleetDecision{{Addr: "a", Ejected: true}}, odd)
 	for range 8 {
-		if id, got := p.Ask(11, 1, nil, 1); got == Granted && p.Addr(id) == "a" {
+		if id, got := p.Acquire(11, 1, nil, 1); got == Granted && p.Addr(id) == "a" {
 			t.Error("it is out")
 		}
 	}
-	if id, got := p.Probe(12, "a"); !got || p.Addr(id) != "a" {
+	if id, got := p.AcquireEjected(12, "a"); !got || p.Addr(id) != "a" {
 		t.Error("no probe")
 	}
-	if _, got := p.Probe(12, "b"); got {
+	if _, got := p.AcquireEjected(12, "b"); got {
 		t.Error("a probe of one that is in use")
 	}
-	p = New(Rules{Connections: 100, Waiting: 4, Wait: 100, MinShare: 0.5, Return: 1000}, []string{"a", "b"}, 1, 0)
-	p.Judge(10, []Verdict{{Addr: "a", Share: 0.3}}, odd)
+	p = New(Config{MaxConnections: 100, MaxQueued: 4, QueueTimeout: 100, MinHealthyShare: 0.5, SlowStart: 1000}, []string{"a", "b"}, 1, 0)
+	p.UseFleetDecisions(10, []FleetDecision{{Addr: "a", CallerShare: 0.3}}, odd)
 	for caller := range uint64(40) {
-		if id, _ := p.Ask(11, 0, nil, caller); p.Addr(id) == "a" && caller%2 == 0 {
+		if id, _ := p.Acquire(11, 0, nil, caller); p.Addr(id) == "a" && caller%2 == 0 {
 			t.Error("a caller that it does not take")
 		}
 	}
-	if id, got := p.Ask(11, 0, []int{1}, 2); got != Granted || p.Addr(id) != "b" { // b has failed it, and a does not take it
+	if id, got := p.Acquire(11, 0, []int{1}, 2); got != Granted || p.Addr(id) != "b" { // b has failed it, and a does not take it
 		t.Errorf("%d %v", id, got)
 	}
 	if e := p.Events(); len(e) != 0 {
@@ -423,41 +423,41 @@
 // Drained members get nothing, use up what the pool may spare, and return by their ramp; where all would go, none does.
 func TestAside(t *testing.T) {
 	p := warmed(usual, 4)
-	if cannot := p.Aside(0, []string{"m1"}); len(cannot) != 0 {
+	if cannot := p.SetDraining(0, []string{"m1"}); len(cannot) != 0 {
 		t.Fatal(cannot)
 	}
 	for range 200 {
-		id, got := p.Ask(10, 0, nil, 0)
+		id, got := p.Acquire(10, 0, nil, 0)
 		if got != Granted || p.Addr(id) == "m1" {
 			t.Fatalf("%v at %s", got, p.Addr(id))
 		}
-		p.End(10, id, OK, 20)
+		p.Complete(10, id, Succeeded, 20)
 	}
-	if _, got := p.Probe(10, "m1"); got {
+	if _, got := p.AcquireEjected(10, "m1"); got {
 		t.Error("a probe of a drained member")
 	}
 	bad := func(addr string) {
-		for range usual.Failures {
-			p.End(20, grab(t, p, 20, addr), Failed, 1)
+		for range usual.ConsecutiveFailures {
+			p.Complete(20, grab(t, p, 20, addr), Failed, 1)
 		}
 	}
 	bad("m2") // two of four may be out: the drained one and this
-	for range usual.Failures {
-		if id, got := p.Ask(20, 0, nil, 0); got == Granted {
-			p.End(20, id, Failed, 1)
+	for range usual.ConsecutiveFailures {
+		if id, got := p.Acquire(20, 0, nil, 0); got == Granted {
+			p.Complete(20, id, Failed, 1)
 		}
 	}
 	if n := out(p, 30); n != 2 {
 		t.Errorf("%d of 4 out, 2 may be", n)
 	}
-	p.Aside(40, nil)
-	if part := p.part(40, p.members[1]); part > 0.2 {
+	p.SetDraining(40, nil)
+	if part := p.loadShare(40, p.members[1]); part > 0.2 {
 		t.Errorf("back with a part of %g at once", part)
 	}
-	if cannot := p.Aside(50, addrs(4)); len(cannot) != 4 {
+	if cannot := p.SetDraining(50, addrs(4)); len(cannot) != 4 {
 		t.Errorf("all drained: %v", cannot)
 	}
-	if _, got := p.Ask(60, 0, nil, 0); got != Granted {
+	if _, got := p.Acquire(60, 0, nil, 0); got != Granted {
 		t.Error("nobody is used where all are drained")
 	}
 }
@@ -477,29 +477,29 @@
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			chance := rand.New(rand.NewSource(int64(c.processes*100 + c.connections)))
 			rules := usual
-			rules.Connections = c.connections
+			rules.MaxConnections = c.connections
 			used, most := 0.0, 0.0
 			for n := range cases {
 				pools := make([]*Pool, c.processes)
 				for i := range pools {
 					p := New(rules, addrs(2), uint64(n*1000+i), 0)
-					p.restore(c.apart*rules.Return*chance.Float64(), p.members[0]) // each saw its end at another time
+					p.restore(c.apart*rules.SlowStart*chance.Float64(), p.members[0]) // each saw its end at another time
 					pools[i] = p
 				}
-				for now := c.apart * rules.Return; now < 3*rules.Return; now += rules.Return / 50 {
+				for now := c.apart * rules.SlowStart; now < 3*rules.SlowStart; now += rules.SlowStart / 50 {
 					all, inFlight := 0.0, 0
 					for i, p := range pools {
 						m := p.members[0]
-						all += float64(c.connections) * p.part(now, m)
+						all += float64(c.connections) * p.loadShare(now, m)
 						if c.skewed && i%5 > 0 && chance.Intn(4) > 0 {
 							continue // wants nothing just now
 						}
 						for p.hasCapacity(now, m, 0) { // first tries, retries and hedges alike
-							p.take(now, m)
+							p.assign(now, m)
 						}
 						inFlight += m.inFlight
 						if chance.Intn(2) == 0 && m.inFlight > 0 {
-							p.End(now, m.id, OK, 20)
+							p.Complete(now, m.id, Succeeded, 20)
 						}
 					}
 					if over := float64(inFlight) - all; over > 2*math.Sqrt(all)+2 {
--- a/decision/pool/queue.go
+++ b/decision/pool/queue.go
@@ -4,15 +4,15 @@
 	"slices"
 )
 
-type waiter struct {
-	id     uint64
-	until  float64
-	avoid  []int
-	caller uint64
+type queuedRequest struct {
+	id       uint64
+	deadline float64
+	avoid    []int
+	caller   uint64
 }
 
 // Look ejects and takes back members as the time asks for, and grants room to those that wait.
-func (p *Pool) Look(now float64) (grants []Grant) {
+func (p *Pool) Update(now float64) (grants []Grant) {
 	p.updateEjections(now)
 	for n := 0; n < len(p.queue); {
 		w := p.queue[n]
@@ -24,7 +24,7 @@
 			}
 			break
 		}
-		p.take(now, m)
+		p.assign(now, m)
 		p.queue = slices.Delete(p.queue, n, n+1)
 		grants = append(grants, Grant{w.id, m.id})
 	}
@@ -32,22 +32,22 @@
 }
 
 // Expire ends the waits that have taken too long and returns whose they were.
-func (p *Pool) Expire(now float64) (ids []uint64) {
-	p.queue = slices.DeleteFunc(p.queue, func(w waiter) bool {
-		if now >= w.until {
+func (p *Pool) ExpireQueued(now float64) (ids []uint64) {
+	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool {
+		if now >= w.deadline {
 			ids = append(ids, w.id)
 		}
-		return now >= w.until
+		return now >= w.deadline
 	})
 	return ids
 }
 
 // Cancel ends a wait. It tells whether there was one.
-func (p *Pool) Cancel(id uint64) bool {
+func (p *Pool) CancelQueued(id uint64) bool {
 	n := len(p.queue)
-	p.queue = slices.DeleteFunc(p.queue, func(w waiter) bool { return w.id == id })
+	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool { return w.id == id })
 	return len(p.queue) < n
 }
 
 // Waiting is the length of the line.
-func (p *Pool) Waiting() int { return len(p.queue) }
+func (p *Pool) Queued() int { return len(p.queue) }
--- a/decision/route/check.go
+++ b/decision/route/check.go
@@ -17,100 +17,100 @@
 }
 
 // Known is what the settings know. A nil Tokened or empty Customers says nothing about them.
-type Known struct {
-	Methods   []string
-	Tokened   map[string]bool // methods whose RPCs must carry a token
-	Customers []string
+type Catalog struct {
+	Methods      []string
+	RequireToken map[string]bool // methods whose RPCs must carry a token
+	Customers    []string
 
-	Criticality map[string]float64 // by method; nil: not known
-	OverShare   float64            // what an RPC over its customer's quota keeps of it
+	Criticality     map[string]float64 // by method; nil: not known
+	OverQuotaFactor float64            // what an RPC over its customer's quota keeps of it
 }
 
 // Verbs are those that the fronts take.
 var Verbs = []string{"DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"}
 
 // Check names all that is wrong with the rules, in their order.
-func Check(rules []Rule, k Known) (faults []Fault) {
-	c := checker{rules: rules, known: k}
+func Check(rules []Rule, k Catalog) (faults []Fault) {
+	c := checker{rules: rules, catalog: k}
 	names := map[string]int{}
 	for i := range rules {
-		c.at = i
+		c.rule = i
 		r := &rules[i]
 		if r.Name == "" {
-			c.fault("name", "a name expected")
+			c.add("name", "a name expected")
 		} else if first, had := names[r.Name]; had {
-			c.fault("name", fmt.Sprintf("%q is the name of route %d already", r.Name, first+1))
+			c.add("name", fmt.Sprintf("%q is the name of route %d already", r.Name, first+1))
 		} else {
 			names[r.Name] = i
 		}
-		c.host(r)
-		c.path(r)
-		c.verb(r)
-		c.when(r)
-		c.sources(r)
+		c.checkHost(r)
+		c.checkPath(r)
+		c.checkVerb(r)
+		c.checkConditions(r)
+		c.checkSources(r)
 	}
-	c.ties()
+	c.checkTies()
 	slices.SortStableFunc(c.faults, func(a, b Fault) int { return a.Rule - b.Rule })
 	return c.faults
 }
 
 type checker struct {
-	rules  []Rule
-	known  Known
-	at     int
-	faults []Fault
+	rules   []Rule
+	catalog Catalog
+	rule    int
+	faults  []Fault
 }
 
-func (c *checker) fault(key, text string) { c.faults = append(c.faults, Fault{c.at, key, text}) }
+func (c *checker) add(key, text string) { c.faults = append(c.faults, Fault{c.rule, key, text}) }
 
-func (c *checker) host(r *Rule) {
+func (c *checker) checkHost(r *Rule) {
 	h := strings.TrimPrefix(r.Host, "*.")
 	switch {
 	case r.Host == "":
 	case h == "" || strings.HasPrefix(h, ".") || strings.HasSuffix(h, ".") || strings.Contains(h, ".."):
-		c.fault("host", "can never match: a host name expected, or *. and one")
+		c.add("host", "can never match: a host name expected, or *. and one")
 	case strings.ContainsAny(h, "*/ :@"):
-		c.fault("host", "can never match: a host name without port expected; a star stands only as *. at its beginning")
+		c.add("host", "can never match: a host name without port expected; a star stands only as *. at its beginning")
 	case h != strings.ToLower(h):
-		c.fault("host", "can never match: hosts are compared in lower case")
+		c.add("host", "can never match: hosts are compared in lower case")
 	}
 }
 
-func (c *checker) path(r *Rule) {
+func (c *checker) checkPath(r *Rule) {
 	if !strings.HasPrefix(r.Path, "/") {
-		c.fault("path", "can never match: a path begins with a slash")
+		c.add("path", "can never match: a path begins with a slash")
 		return
 	}
 	if strings.ContainsAny(r.Path, "?#\x00") {
-		c.fault("path", "can never match: a path ends before ? and #")
+		c.add("path", "can never match: a path ends before ? and #")
 	}
 	seen := map[string]bool{}
-	segments := split(r.Path)
+	segments := splitPath(r.Path)
 	for i, s := range segments {
 		name, isParam := paramName(s)
 		switch {
 		case s == "" && i < len(segments)-1, s == ".", s == "..":
-			c.fault("path", "can never match: paths with empty, . or .. segments are turned away")
+			c.add("path", "can never match: paths with empty, . or .. segments are turned away")
 		case s == "*" && i < len(segments)-1:
-			c.fault("path", "can never match: a star is the last segment")
+			c.add("path", "can never match: a star is the last segment")
 		case isParam && seen[name]:
-			c.fault("path", fmt.Sprintf("the parameter {%s} stands twice", name))
+			c.add("path", fmt.Sprintf("the parameter {%s} stands twice", name))
 		case isParam:
 			seen[name] = true
 		case s != "*" && strings.ContainsAny(s, "{}*"):
-			c.fault("path", fmt.Sprintf("a segment is literal, {name} or *, not %.40q", s))
+			c.add("path", fmt.Sprintf("a segment is literal, {name} or *, not %.40q", s))
 		}
 	}
 }
 
-func (c *checker) verb(r *Rule) {
+func (c *checker) checkVerb(r *Rule) {
 	if r.Verb != "" && !slices.Contains(Verbs, r.Verb) {
-		c.fault("verb", fmt.Sprintf("can never match: the verbs taken are %s", strings.Join(Verbs, ", ")))
+		c.add("verb", fmt.Sprintf("can never match: the verbs taken are %s", strings.Join(Verbs, ", ")))
 	}
 }
 
 // when finds conditions that go against one another or against the rule's own host, path and verb.
-func (c *checker) when(r *Rule) {
+func (c *checker) checkConditions(r *Rule) {
 	seen := map[string]string{}
 	for i, w := range r.When {
 		key := fmt.Sprintf("when[%d]", i)
@@ -118,57 +118,57 @@
 		seen[w.Variable] = w.Value
 		switch {
 		case w.Variable == "":
-			c.fault(key+".variable", "the name of a variable expected")
+			c.add(key+".variable", "the name of a variable expected")
 		case had && old != w.Value:
-			c.fault(key+".value", fmt.Sprintf("can never match: %s must be %q as well", w.Variable, old))
+			c.add(key+".value", fmt.Sprintf("can never match: %s must be %q as well", w.Variable, old))
 		case had:
-			c.fault(key+".variable", fmt.Sprintf("%s stands twice", w.Variable))
+			c.add(key+".variable", fmt.Sprintf("%s stands twice", w.Variable))
 		case w.Variable == "REQUEST_METHOD" && r.Verb != "" && w.Value != r.Verb:
-			c.fault(key+".value", fmt.Sprintf("can never match: the verb of the route is %s", r.Verb))
-		case w.Variable == "PATH_INFO" && !fits(r.Path, w.Value):
-			c.fault(key+".value", fmt.Sprintf("can never match: the path of the route is %s", r.Path))
-		case w.Variable == "HTTP_HOST" && !hostFits(r.Host, w.Value):
-			c.fault(key+".value", fmt.Sprintf("can never match: the host of the route is %s", r.Host))
+			c.add(key+".value", fmt.Sprintf("can never match: the verb of the route is %s", r.Verb))
+		case w.Variable == "PATH_INFO" && !pathMatches(r.Path, w.Value):
+			c.add(key+".value", fmt.Sprintf("can never match: the path of the route is %s", r.Path))
+		case w.Variable == "HTTP_HOST" && !hostMatches(r.Host, w.Value):
+			c.add(key+".value", fmt.Sprintf("can never match: the host of the route is %s", r.Host))
 		}
 	}
 }
 
 // fits tells whether a path can be the one of a route.
-func fits(pattern, path string) bool {
+func pathMatches(pattern, path string) bool {
 	t := New([]Rule{{Path: pattern}})
 	return t.Match(&Message{Path: path}) == 0
 }
 
 // hostFits tells the same of a host, which may bear a port.
-func hostFits(pattern, host string) bool {
+func hostMatches(pattern, host string) bool {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	t := New([]Rule{{Host: pattern, Path: "/"}})
 	return t.Match(&Message{Host: host, Path: "/"}) == 0
 }
 
-func (c *checker) sources(r *Rule) {
+func (c *checker) checkSources(r *Rule) {
 	switch {
 	case r.Method == "":
-		c.fault("method", "the name of a method expected")
-	case c.known.Methods != nil && !slices.Contains(c.known.Methods, r.Method):
-		c.fault("method", fmt.Sprintf("%q is no method of the settings", r.Method))
-	case c.known.Tokened[r.Method] && r.Token.none():
-		c.fault("token", fmt.Sprintf("%s is tokened: without a token none of its RPCs can run", r.Method))
-	case c.known.Tokened[r.Method] && r.Token.Fixed != "":
-		c.fault("token.fixed", "a fixed token would make all RPCs repeats of one")
+		c.add("method", "the name of a method expected")
+	case c.catalog.Methods != nil && !slices.Contains(c.catalog.Methods, r.Method):
+		c.add("method", fmt.Sprintf("%q is no method of the settings", r.Method))
+	case c.catalog.RequireToken[r.Method] && r.Token.isEmpty():
+		c.add("token", fmt.Sprintf("%s is tokened: without a token none of its RPCs can run", r.Method))
+	case c.catalog.RequireToken[r.Method] && r.Token.Fixed != "":
+		c.add("token.fixed", "a fixed token would make all RPCs repeats of one")
 	}
 	for _, s := range []struct {
 		key string
 		src *Source
 	}{{"customer", &r.Customer}, {"caller", &r.Caller}, {"token", &r.Token}, {"subject", &r.Subject},
 		{"retry", &r.Retry}, {"hint", &r.Hint}, {"door", &r.Door}} {
-		c.source(r, s.key, s.src)
+		c.checkSource(r, s.key, s.src)
 	}
-	if len(c.known.Customers) == 0 {
+	if len(c.catalog.Customers) == 0 {
 		return
 	}
-	if r.Customer.none() {
-		c.fault("customer", "the settings have customers, so a route must tell whose its RPCs are")
+	if r.Customer.isEmpty() {
+		c.add("customer", "the settings have customers, so a route must tell whose its RPCs are")
 	}
 	told := []string{r.Customer.Fixed}
 	if r.Customer.Names != nil {
@@ -179,13 +179,13 @@
 		slices.Sort(told)
 	}
 	for _, name := range told {
-		if name != "" && !slices.Contains(c.known.Customers, name) {
-			c.fault("customer", fmt.Sprintf("%q is no customer of the settings", name))
+		if name != "" && !slices.Contains(c.catalog.Customers, name) {
+			c.add("customer", fmt.Sprintf("%q is no customer of the settings", name))
 		}
 	}
 }
 
-func (c *checker) source(r *Rule, key string, s *Source) {
+func (c *checker) checkSource(r *Rule, key string, s *Source) {
 	n := 0
 	for _, set := range []string{s.Fixed, s.Variable, s.Segment, s.Query} {
 		if set != "" {
@@ -193,30 +193,30 @@
 		}
 	}
 	if n > 1 {
-		c.fault(key, "one of fixed, variable, segment and query expected")
+		c.add(key, "one of fixed, variable, segment and query expected")
 	}
 	if s.Names != nil && (n == 0 || s.Fixed != "") {
-		c.fault(key+".names", "names go with a variable, a segment or a query key")
+		c.add(key+".names", "names go with a variable, a segment or a query key")
 	}
 	if s.Segment == "" {
 		return
 	}
-	for _, p := range split(r.Path) {
+	for _, p := range splitPath(r.Path) {
 		if name, is := paramName(p); is && name == s.Segment {
 			return
 		}
 	}
-	c.fault(key+".segment", fmt.Sprintf("the path has no parameter {%s}", s.Segment))
+	c.add(key+".segment", fmt.Sprintf("the path has no parameter {%s}", s.Segment))
 }
 
 // ties finds rules of one host and path of which the order does not tell which counts, and those that others leave
 // nothing to.
-func (c *checker) ties() {
+func (c *checker) checkTies() {
 	type place struct{ host, shape string }
 	groups := map[place][]int{}
 	for i := range c.rules {
 		r := &c.rules[i]
-		segments := split(r.Path)
+		segments := splitPath(r.Path)
 		for k, s := range segments {
 			if _, is := paramName(s); is {
 				segments[k] = "{}"
@@ -234,13 +234,13 @@
 		}
 		for n, i := range group {
 			a := &c.rules[i]
-			c.at = i
+			c.rule = i
 			if a.Verb == "" && len(plain) >= len(Verbs) {
-				c.fault("verb", "can never match: each verb has a route of its own for this host and path")
+				c.add("verb", "can never match: each verb has a route of its own for this host and path")
 			}
 			for _, k := range group[:n] {
-				if b := &c.rules[k]; a.Verb == b.Verb && len(a.When) == len(b.When) && together(a.When, b.When) {
-					c.fault("path", fmt.Sprintf("ties with route %q: both can fit one RPC, and neither is more telling", b.Name))
+				if b := &c.rules[k]; a.Verb == b.Verb && len(a.When) == len(b.When) && compatible(a.When, b.When) {
+					c.add("path", fmt.Sprintf("ties with route %q: both can fit one RPC, and neither is more telling", b.Name))
 				}
 			}
 		}
@@ -248,7 +248,7 @@
 }
 
 // together tells whether two sets of conditions can hold at once.
-func together(a, b []Condition) bool {
+func compatible(a, b []Condition) bool {
 	for _, x := range a {
 		for _, y := range b {
 			if x.Variable == y.Variable && x.Value != y.Value {
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -48,7 +48,7 @@
 	Names    map[string]string // what was read, to what it stands for; if set, anything else is an error
 }
 
-func (s *Source) none() bool {
+func (s *Source) isEmpty() bool {
 	return s.Fixed == "" && s.Variable == "" && s.Segment == "" && s.Query == ""
 }
 
@@ -65,7 +65,7 @@
 }
 
 // Found is what a message turned out to be.
-type Found struct {
+type Resolved struct {
 	Rule     int // its place in the rules
 	Method   string
 	Customer string
@@ -79,8 +79,8 @@
 
 // What can be wrong with a message. A ValueError says which value of its rule it is.
 var (
-	ErrNoRoute = errors.New("no route fits")
-	ErrVerb    = errors.New("no route for that path takes the verb")
+	ErrNoRoute        = errors.New("no route fits")
+	ErrVerbNotAllowed = errors.New("no route for that path takes the verb")
 )
 
 // ValueError is a value that could not be read.
@@ -92,85 +92,85 @@
 
 // Table is the index of the rules: for each host a trie of path segments.
 type Table struct {
-	rules  []Rule
-	exact  map[string]*node
-	below  map[string]*node // by what follows the star, from its dot
-	any    *node
-	params [][]param
+	rules         []Rule
+	exactHosts    map[string]*node
+	wildcardHosts map[string]*node // by what follows the star, from its dot
+	anyHost       *node
+	params        [][]pathParam
 }
 
-type param struct {
-	name string
-	at   int // its segment, from 0
+type pathParam struct {
+	name    string
+	segment int // its segment, from 0
 }
 
 type node struct {
-	next map[string]*node // by a literal segment
-	one  *node            // any one segment
-	ends []int            // rules that end here, the most telling first
-	tail []int            // rules with a tail from here on
+	literals  map[string]*node // by a literal segment
+	parameter *node            // any one segment
+	rules     []int            // rules that end here, the most telling first
+	tailRules []int            // rules with a tail from here on
 }
 
 // New indexes the rules. What Check would find wrong with them does not keep it from it; of rules that tie, the one
 // whose name is first in the alphabet is taken.
 func New(rules []Rule) *Table {
-	t := &Table{rules: rules, exact: map[string]*node{}, below: map[string]*node{}}
+	t := &Table{rules: rules, exactHosts: map[string]*node{}, wildcardHosts: map[string]*node{}}
 	for i := range rules {
 		r := &rules[i]
 		var root **node
 		var known *node
 		switch {
 		case r.Host == "":
-			root = &t.any
+			root = &t.anyHost
 		case strings.HasPrefix(r.Host, "*."):
-			known = t.below[r.Host[1:]]
+			known = t.wildcardHosts[r.Host[1:]]
 			root = &known
 		default:
-			known = t.exact[r.Host]
+			known = t.exactHosts[r.Host]
 			root = &known
 		}
 		if *root == nil {
 			*root = &node{}
 			if strings.HasPrefix(r.Host, "*.") {
-				t.below[r.Host[1:]] = *root
+				t.wildcardHosts[r.Host[1:]] = *root
 			} else if r.Host != "" {
-				t.exact[r.Host] = *root
+				t.exactHosts[r.Host] = *root
 			}
 		}
-		t.params = append(t.params, t.add(*root, i))
+		t.params = append(t.params, t.insert(*root, i))
 	}
 	return t
 }
 
-func (t *Table) add(n *node, rule int) (params []param) {
-	segments := split(t.rules[rule].Path)
+func (t *Table) insert(n *node, rule int) (params []pathParam) {
+	segments := splitPath(t.rules[rule].Path)
 	for at, s := range segments {
 		name, isParam := paramName(s)
 		switch {
 		case s == "*" && at == len(segments)-1:
-			n.tail = t.sorted(append(n.tail, rule))
+			n.tailRules = t.bySpecificity(append(n.tailRules, rule))
 			return params
 		case isParam:
-			params = append(params, param{name, at})
-			if n.one == nil {
-				n.one = &node{}
+			params = append(params, pathParam{name, at})
+			if n.parameter == nil {
+				n.parameter = &node{}
 			}
-			n = n.one
+			n = n.parameter
 		default:
-			if n.next == nil {
-				n.next = map[string]*node{}
+			if n.literals == nil {
+				n.literals = map[string]*node{}
 			}
-			if n.next[s] == nil {
-				n.next[s] = &node{}
+			if n.literals[s] == nil {
+				n.literals[s] = &node{}
 			}
-			n = n.next[s]
+			n = n.literals[s]
 		}
 	}
-	n.ends = t.sorted(append(n.ends, rule))
+	n.rules = t.bySpecificity(append(n.rules, rule))
 	return params
 }
 
-func (t *Table) sorted(rules []int) []int {
+func (t *Table) bySpecificity(rules []int) []int {
 	slices.SortFunc(rules, func(a, b int) int {
 		x, y := &t.rules[a], &t.rules[b]
 		switch {
@@ -188,7 +188,7 @@
 }
 
 // split is the segments of a path, which begins with a slash.
-func split(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
+func splitPath(path string) []string { return strings.Split(strings.TrimPrefix(path, "/"), "/") }
 
 func paramName(segment string) (name string, is bool) {
 	if len(segment) > 2 && segment[0] == '{' && segment[len(segment)-1] == '}' {
@@ -199,79 +199,79 @@
 
 // Find chooses the rule that fits a message best and reads what it says. The error is ErrNoRoute, ErrVerb or a
 // *ValueError; nothing may run then.
-func (t *Table) Find(m *Message) (f Found, err error) {
+func (t *Table) Resolve(m *Message) (f Resolved, err error) {
 	rule := t.Match(m)
 	if rule < 0 {
 		if len(t.Verbs(m)) > 0 {
-			return f, ErrVerb
+			return f, ErrVerbNotAllowed
 		}
 		return f, ErrNoRoute
 	}
-	return t.read(rule, m)
+	return t.resolveValues(rule, m)
 }
 
 // Match is the place of the rule that fits best, or -1. It allocates nothing.
 func (t *Table) Match(m *Message) int {
-	return t.roots(m.Host, func(n *node) int { return t.walk(n, strings.TrimPrefix(m.Path, "/"), m) })
+	return t.visitHosts(m.Host, func(n *node) int { return t.matchPath(n, strings.TrimPrefix(m.Path, "/"), m) })
 }
 
 // roots calls visit for the trees in which a host may stand, in their order, until one returns a place.
-func (t *Table) roots(host string, visit func(*node) int) int {
-	if n := t.exact[host]; n != nil && host != "" {
+func (t *Table) visitHosts(host string, visit func(*node) int) int {
+	if n := t.exactHosts[host]; n != nil && host != "" {
 		if r := visit(n); r >= 0 {
 			return r
 		}
 	}
-	if len(t.below) > 0 {
+	if len(t.wildcardHosts) > 0 {
 		for i := 0; i < len(host); i++ { // the first dot gives the longest suffix
 			if host[i] != '.' || i == 0 {
 				continue
 			}
-			if n := t.below[host[i:]]; n != nil {
+			if n := t.wildcardHosts[host[i:]]; n != nil {
 				if r := visit(n); r >= 0 {
 					return r
 				}
 			}
 		}
 	}
-	if t.any != nil {
-		return visit(t.any)
+	if t.anyHost != nil {
+		return visit(t.anyHost)
 	}
 	return -1
 }
 
 // walk goes down a tree, the more telling branch first, and back where it leads to nothing. A node stands at one depth
 // only, so it is entered once for a message at the most.
-func (t *Table) walk(n *node, rest string, m *Message) int {
+func (t *Table) matchPath(n *node, rest string, m *Message) int {
 	segment, more, deeper := strings.Cut(rest, "/")
-	for _, next := range [...]*node{n.next[segment], n.one} {
-		if next == nil || next == n.one && segment == "" {
+	for _, next := range [...]*node{n.literals[segment], n.parameter} {
+		if next == nil || next == n.parameter && segment == "" {
 			continue
 		}
 		if deeper {
-			if r := t.walk(next, more, m); r >= 0 {
+			if r := t.matchPath(next, more, m); r >= 0 {
 				return r
 			}
-		} else if r := t.first(next.ends, m); r >= 0 {
+		} else if r := t.firstMatching(next.rules, m); r >= 0 {
 			return r
 		}
 	}
 	if rest == "" {
 		return -1
 	}
-	return t.first(n.tail, m)
+	return t.firstMatching(n.tailRules, m)
 }
 
-func (t *Table) first(rules []int, m *Message) int {
+func (t *Table) firstMatching(rules []int, m *Message) int {
 	for _, i := range rules {
-		if r := &t.rules[i]; (r.Verb == "" || r.Verb == m.Verb) && holds(r.When, m.Variables) {
+		if r := &t.rules[i]; (r.Verb == "" || r.Verb == m.Verb) && conditionsHold(r.When, m.Variables) {
 			return i
 		}
 	}
 	return -1
 }
 
-func holds(when []Condition, v Variables) bool {
+func conditionsHold(when []Condition, v Variables) bool {
 	for i := range when {
 		if got, has := v.Get(when[i].Variable); !has || got != when[i].Value {
 			return false
@@ -286,45 +286,45 @@
 	var collect func(n *node, rest string)
 	take := func(rules []int) {
 		for _, i := range rules {
-			if r := &t.rules[i]; r.Verb != "" && holds(r.When, m.Variables) && !slices.Contains(verbs, r.Verb) {
+			if r := &t.rules[i]; r.Verb != "" && conditionsHold(r.When, m.Variables) && !slices.Contains(verbs, r.Verb) {
 				verbs = append(verbs, r.Verb)
 			}
 		}
 	}
 	collect = func(n *node, rest string) {
 		segment, more, deeper := strings.Cut(rest, "/")
-		for _, next := range [...]*node{n.next[segment], n.one} {
-			if next == nil || next == n.one && segment == "" {
+		for _, next := range [...]*node{n.literals[segment], n.parameter} {
+			if next == nil || next == n.parameter && segment == "" {
 				continue
 			}
 			if deeper {
 				collect(next, more)
 			} else {
-				take(next.ends)
+				take(next.rules)
 			}
 		}
 		if rest != "" {
-			take(n.tail)
+			take(n.tailRules)
 		}
 	}
-	t.roots(m.Host, func(n *node) int { collect(n, strings.TrimPrefix(m.Path, "/")); return -1 })
+	t.visitHosts(m.Host, func(n *node) int { collect(n, strings.TrimPrefix(m.Path, "/")); return -1 })
 	slices.Sort(verbs)
 	return verbs
 }
 
 const (
-	maxHint  = 3.6e6 // ms: an hour of work is no hint
-	maxToken = 64    // bytes, as with the routers' protocol, so that either may carry any
+	maxCostHint   = 3.6e6 // ms: an hour of work is no hint
+	maxTokenBytes = 64    // bytes, as with the routers' protocol, so that either may carry any
 )
 
-func (t *Table) read(rule int, m *Message) (f Found, err error) {
+func (t *Table) resolveValues(rule int, m *Message) (f Resolved, err error) {
 	r := &t.rules[rule]
-	f = Found{Rule: rule, Method: r.Method}
+	f = Resolved{Rule: rule, Method: r.Method}
 	get := func(key string, s *Source) string {
 		if err != nil {
 			return ""
 		}
-		v := t.value(rule, s, m)
+		v := t.sourceValue(rule, s, m)
 		if s.Names == nil || v == "" {
 			return v
 		}
@@ -350,8 +350,8 @@
 	if v := get("caller", &r.Caller); v != "" {
 		f.Caller = xxhash.Sum64String(v)
 	}
-	if f.Token = get("token", &r.Token); len(f.Token) > maxToken {
-		err = &ValueError{r.Name, "token", fmt.Sprintf("up to %d bytes", maxToken), f.Token}
+	if f.Token = get("token", &r.Token); len(f.Token) > maxTokenBytes {
+		err = &ValueError{r.Name, "token", fmt.Sprintf("up to %d bytes", maxTokenBytes), f.Token}
 	}
 	if v := get("subject", &r.Subject); v != "" {
 		f.Subject = max(1, xxhash.Sum64String(v))
@@ -365,13 +365,13 @@
 			err = &ValueError{r.Name, "retry", "0 or 1", v}
 		}
 	}
-	f.Hint = number("hint", &r.Hint, maxHint)
+	f.Hint = number("hint", &r.Hint, maxCostHint)
 	f.Door = number("door", &r.Door, 1e14)
 	return f, err
 }
 
 // value reads a source. A value that is not there is "".
-func (t *Table) value(rule int, s *Source, m *Message) string {
+func (t *Table) sourceValue(rule int, s *Source, m *Message) string {
 	switch {
 	case s.Fixed != "":
 		return s.Fixed
@@ -381,16 +381,16 @@
 	case s.Segment != "":
 		for _, p := range t.params[rule] {
 			if p.name == s.Segment {
-				return segment(m.Path, p.at)
+				return pathSegment(m.Path, p.segment)
 			}
 		}
 	case s.Query != "":
-		return query(m.Query, s.Query)
+		return queryValue(m.Query, s.Query)
 	}
 	return ""
 }
 
-func segment(path string, at int) string {
+func pathSegment(path string, at int) string {
 	rest := strings.TrimPrefix(path, "/")
 	for ; at > 0; at-- {
 		_, rest, _ = strings.Cut(rest, "/")
@@ -401,7 +401,7 @@
 
 // query is the first value of a key, as it stands: tokens and ids need no escapes, and one that has some is another
 // value than one that has none.
-func query(q, key string) string {
+func queryValue(q, key string) string {
 	for q != "" {
 		var part string
 		part, q, _ = strings.Cut(q, "&")
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -33,7 +33,7 @@
 	if r.Host != "" && r.Host != m.Host && !(strings.HasPrefix(r.Host, "*.") && strings.HasSuffix(m.Host, r.Host[1:]) && len(m.Host) > len(r.Host)-1) {
 		return false
 	}
-	want, got := split(r.Path), split(m.Path)
+	want, got := splitPath(r.Path), splitPath(m.Path)
 	for k, s := range want {
 		if s == "*" && k == len(want)-1 {
 			if len(got) <= k || len(got) == k+1 && got[k] == "" {
@@ -46,7 +46,7 @@
 			return false
 		}
 	}
-	return len(want) == len(got) && (r.Verb == "" || r.Verb == m.Verb) && holds(r.When, m.Variables)
+	return len(want) == len(got) && (r.Verb == "" || r.Verb == m.Verb) && conditionsHold(r.When, m.Variables)
 }
 
 func (p plain) before(i, k int, m *Message) bool {
@@ -63,7 +63,7 @@
 	if kind(a.Host) != kind(b.Host) {
 		return kind(a.Host) > kind(b.Host)
 	}
-	x, y := split(a.Path), split(b.Path)
+	x, y := splitPath(a.Path), splitPath(b.Path)
 	for n := range min(len(x), len(y)) {
 		rank := func(s []string) int {
 			if _, is := paramName(s[n]); is {
@@ -153,7 +153,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			f, err := table.Find(&Message{Host: "h", Path: c.path, Verb: c.verb, Query: c.query, Variables: c.vars})
+			f, err := table.Resolve(&Message{Host: "h", Path: c.path, Verb: c.verb, Query: c.query, Variables: c.vars})
 			var bad *ValueError
 			switch {
 			case c.key != "":
@@ -173,13 +173,13 @@
 	}
 	buy := New([]Rule{{Name: "buy", Path: "/buy", Verb: "POST", Method: "m"}, {Name: "put", Path: "/{x}", Verb: "PUT", Method: "m"}})
 	m := &Message{Path: "/buy", Verb: "GET", Variables: vars{}}
-	if _, err := buy.Find(m); !errors.Is(err, ErrVerb) || fmt.Sprint(buy.Verbs(m)) != "[POST PUT]" {
+	if _, err := buy.Resolve(m); !errors.Is(err, ErrVerbNotAllowed) || fmt.Sprint(buy.Verbs(m)) != "[POST PUT]" {
 		t.Errorf("error %v, verbs %v", err, buy.Verbs(m))
 	}
 }
 
 func TestCheck(t *testing.T) {
-	known := Known{Methods: []string{"view", "buy"}, Tokened: map[string]bool{"buy": true}, Customers: []string{"acme"}}
+	known := Catalog{Methods: []string{"view", "buy"}, RequireToken: map[string]bool{"buy": true}, Customers: []string{"acme"}}
 	sound := Rule{Name: "a", Path: "/a", Method: "view", Customer: Source{Fixed: "acme"}}
 	with := func(change func(*Rule)) []Rule { r := sound; change(&r); return []Rule{r} }
 	second := func(change func(*Rule)) []Rule { r := sound; r.Name = "b"; change(&r); return []Rule{sound, r} }
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	errCrowded     = &retry.Error{Reached: retry.NotSent, Why: "too many runs at once"}
-	errUnknown     = &retry.Error{Reached: retry.Sent, Why: "not known to the engine"}
-	errNothing     = &retry.Error{Reached: retry.Sent, Why: "nothing was started"}
-	errInterrupted = &retry.Error{Reached: retry.MayHaveRun, Why: "the run was stopped"}
-	errFailed      = &retry.Error{Reached: retry.MayHaveRun, Why: "the run failed"}
-	errResult      = &retry.Error{Reached: retry.MayHaveRun, Why: "the result can't be read"}
+	errCrowded     = &retry.Error{Progress: retry.NotSent, Reason: "too many runs at once"}
+	errUnknown     = &retry.Error{Progress: retry.Sent, Reason: "not known to the engine"}
+	errNothing     = &retry.Error{Progress: retry.Sent, Reason: "nothing was started"}
+	errInterrupted = &retry.Error{Progress: retry.MayHaveRun, Reason: "the run was stopped"}
+	errFailed      = &retry.Error{Progress: retry.MayHaveRun, Reason: "the run failed"}
+	errResult      = &retry.Error{Progress: retry.MayHaveRun, Reason: "the result can't be read"}
 )
 
 // End is the end of a run: a result, or an error that is a *retry.Error.
--- a/internal/back/engine/engine_test.go
+++ b/internal/back/engine/engine_test.go
@@ -89,7 +89,7 @@
 	s.link.Run(id, "m", []byte(body), func(e End) {
 		end := fmt.Sprintf("%s ok %g %s", id, e.Spent, e.Result)
 		if failed, ok := e.Err.(*retry.Error); ok {
-			end = fmt.Sprintf("%s error %d", id, failed.Reached)
+			end = fmt.Sprintf("%s error %d", id, failed.Progress)
 		}
 		s.ends <- end
 	})
--- a/internal/back/engine/runner.go
+++ b/internal/back/engine/runner.go
@@ -18,7 +18,7 @@
 			switch {
 			case e.Err == nil:
 				done(gate.Succeeded, e.Spent, nil, e.Result)
-			case errors.As(e.Err, &failed) && failed.Reached < retry.MayHaveRun:
+			case errors.As(e.Err, &failed) && failed.Progress < retry.MayHaveRun:
 				done(gate.NotStarted, e.Spent, nil, nil)
 			default:
 				done(gate.Failed, e.Spent, nil, nil)
--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -70,11 +70,11 @@
 func (a *attempt) do(packet, body []byte) (head, result []byte, failed *retry.Error) {
 	limit := min(a.connect, time.Until(a.until))
 	if limit <= 0 {
-		return nil, nil, &retry.Error{Reached: retry.NotSent, Why: "no time is left"}
+		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "no time is left"}
 	}
 	nc, err := net.DialTimeout("tcp", a.addr, limit)
 	if err != nil {
-		return nil, nil, &retry.Error{Reached: retry.NotSent, Why: "connect: " + reason(err)}
+		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "connect: " + reason(err)}
 	}
 	defer nc.Close()
 	nc.SetDeadline(a.until)
@@ -87,7 +87,7 @@
 		reached = retry.Sent
 	}
 	if err != nil && reached < retry.MayHaveRun {
-		return nil, nil, &retry.Error{Reached: reached, Why: "write: " + reason(err)}
+		return nil, nil, &retry.Error{Progress: reached, Reason: "write: " + reason(err)}
 	}
 	// One that answers before it has read the body may have closed; its answer counts if it is whole.
 	in := readers.Get().(*bufio.Reader)
@@ -98,10 +98,10 @@
 	}()
 	head, result, err = a.answer(in)
 	if err != nil {
-		e := &retry.Error{Reached: retry.MayHaveRun, Why: "answer: " + reason(err), Silent: errors.Is(err, os.ErrDeadlineExceeded)}
+		e := &retry.Error{Progress: retry.MayHaveRun, Reason: "answer: " + reason(err), TimedOut: errors.Is(err, os.ErrDeadlineExceeded)}
 		var busy errBusy
 		if errors.As(err, &busy) {
-			e.Away = float64(busy)
+			e.RetryAfter = float64(busy)
 		}
 		return nil, nil, e
 	}
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -30,12 +30,12 @@
 
 // Judges say which members are out of use, where the servers of a fleet judge together. Its methods must not block.
 type Judges interface {
-	Saw(pool, member string, how pool.How, latency float64) // the end of a try; or none so far, long after the usual
-	Busy(pool, member string, away float64)                 // a member's word that it is to be left alone, in ms
-	Verdicts(pool string) (all []pool.Verdict, judged bool)
+	Saw(pool, member string, how pool.Outcome, latency float64) // the end of a try; or none so far, long after the usual
+	Busy(pool, member string, away float64)                     // a member's word that it is to be left alone, in ms
+	Verdicts(pool string) (all []pool.FleetDecision, judged bool)
 	Takes(member string, caller uint64, share float64) bool
 	Probe(pool string) (member string) // that an RPC may be sent to though it is out; "" for none
-	Members(pools map[string][]string, rules func(pool string) pool.Rules)
+	Members(pools map[string][]string, rules func(pool string) pool.Config)
 }
 
 // Backs are the pools of a file, and the methods that they serve.
@@ -110,9 +110,9 @@
 			p.mu.Lock()
 			p.set = set
 			p.choose.Set(at, set.Rules(), set.Members)
-			p.choose.Aside(at, p.aside)
+			p.choose.SetDraining(at, p.aside)
 			p.tries.Set(set.RetryRules())
-			p.hand(p.choose.Look(at))
+			p.hand(p.choose.Update(at))
 			p.mu.Unlock()
 			continue
 		}
@@ -148,11 +148,11 @@
 	if j == nil {
 		return
 	}
-	members, rules := map[string][]string{}, map[string]pool.Rules{}
+	members, rules := map[string][]string{}, map[string]pool.Config{}
 	for name, p := range b.pools {
 		members[name], rules[name] = p.set.Members, p.set.Rules()
 	}
-	j.Members(members, func(name string) pool.Rules { return rules[name] })
+	j.Members(members, func(name string) pool.Config { return rules[name] })
 }
 
 // Serves tells whether the work of a method is done here.
@@ -200,7 +200,7 @@
 	for name, p := range b.pools {
 		p.mu.Lock()
 		p.aside = drained[name]
-		for _, m := range p.choose.Aside(now(), p.aside) {
+		for _, m := range p.choose.SetDraining(now(), p.aside) {
 			cannot[name+"/"+m] = "all members of the pool are drained"
 		}
 		p.tell()
@@ -215,19 +215,19 @@
 	at := now()
 	if j != nil {
 		if all, judged := j.Verdicts(p.name); judged {
-			p.choose.Judge(at, all, j.Takes)
+			p.choose.UseFleetDecisions(at, all, j.Takes)
 		} else {
-			p.choose.Alone(at)
+			p.choose.UseLocalDetection(at)
 		}
 	}
-	p.hand(p.choose.Look(at))
-	for _, id := range p.choose.Checks(at) {
+	p.hand(p.choose.Update(at))
+	for _, id := range p.choose.DueHealthChecks(at) {
 		addr, limit := p.choose.Addr(id), operator.Milliseconds(p.set.ConnectTimeoutMs)
 		go func() {
 			good := ping(addr, limit)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.choose.Checked(now(), id, good)
+			p.choose.RecordHealthCheck(now(), id, good)
 		}()
 	}
 	p.tell()
@@ -236,10 +236,10 @@
 // tell logs what happened to members. It is called with the lock held.
 func (p *backs) tell() {
 	for _, e := range p.choose.Events() {
-		if e.Why == pool.Sound {
+		if e.Reason == pool.NotEjected {
 			p.log.WithField("member", e.Addr).Info("pool: member returned")
 		} else {
-			p.log.WithFields(logrus.Fields{"member": e.Addr, "why": e.Why, "ms": e.For}).Warn("pool: member ejected")
+			p.log.WithFields(logrus.Fields{"member": e.Addr, "why": e.Reason, "ms": e.Duration}).Warn("pool: member ejected")
 		}
 	}
 }
@@ -255,7 +255,7 @@
 // State of a pool, for status and metrics.
 type State struct {
 	Name    string
-	Members []pool.State
+	Members []pool.MemberState
 	Waiting int
 	Tries   retry.Counts
 }
@@ -267,7 +267,7 @@
 	for _, name := range slices.Sorted(maps.Keys(b.pools)) {
 		p := b.pools[name]
 		p.mu.Lock()
-		all = append(all, State{name, p.choose.States(now()), p.choose.Waiting(), p.tries.Counts()})
+		all = append(all, State{name, p.choose.MemberStates(now()), p.choose.Queued(), p.tries.Counts()})
 		p.mu.Unlock()
 	}
 	return all
@@ -282,7 +282,7 @@
 		return nil, errShared
 	}
 	return func(err *retry.Error) {
-		x.budgets.CallEnds(pool, err != nil && err.Reached > retry.NotSent, err != nil && err.Silent)
+		x.budgets.CallEnds(pool, err != nil && err.Progress > retry.NotSent, err != nil && err.TimedOut)
 	}, nil
 }
 
@@ -291,10 +291,10 @@
 	began := now()
 	p := t.pool
 	packet, noBody := t.packet(w)
-	f := retry.Failed{Idempotent: idempotent}
+	f := retry.FailedAttempt{Idempotent: idempotent}
 	ran := false // some try may have run
 	p.mu.Lock()
-	p.tries.First(began)
+	p.tries.RecordFirstAttempt(began)
 	p.mu.Unlock()
 	var failed []int
 	for {
@@ -302,36 +302,36 @@
 		var head, body []byte
 		ends, err := parts.call(p.name, &w)
 		if err == nil {
-			if member, err = p.place(&w, failed, idempotent && f.Tries == 0, judge); err != nil {
+			if member, err = p.place(&w, failed, idempotent && f.Attempts == 0, judge); err != nil {
 				ends(err)
 			}
 		}
 		if err == nil {
 			p.mu.Lock()
 			at := now()
-			f.Left, f.Need = w.Due-at, p.choose.Usual()
+			f.TimeLeft, f.ExpectedLatency = w.Due-at, p.choose.MedianLatency()
 			a := attempt{
-				addr: p.choose.Addr(member), connect: operator.Milliseconds(min(p.set.ConnectTimeoutMs, f.Left)),
-				until: time.Now().Add(operator.Milliseconds(p.tries.Allowance(f))), most: p.set.MaxAnswerBytes, noBody: noBody,
+				addr: p.choose.Addr(member), connect: operator.Milliseconds(min(p.set.ConnectTimeoutMs, f.TimeLeft)),
+				until: time.Now().Add(operator.Milliseconds(p.tries.AttemptTimeout(f))), most: p.set.MaxAnswerBytes, noBody: noBody,
 			}
 			p.mu.Unlock()
 			over := func() bool { return false }
 			if judge != nil {
-				over = judge.quiet(p.name, a.addr, f.Need)
+				over = judge.quiet(p.name, a.addr, f.ExpectedLatency)
 			}
 			head, body, err = a.do(packet, w.Body)
 			told := over()
-			how := pool.OK
+			how := pool.Succeeded
 			if err != nil {
 				how = pool.Failed
 			}
 			p.mu.Lock()
 			end := now()
-			p.hand(p.choose.End(end, member, how, end-at))
+			p.hand(p.choose.Complete(end, member, how, end-at))
 			p.tell()
 			p.mu.Unlock()
 			ends(err)
-			if judge != nil && !(told && how == pool.Failed && err.Away == 0) { // it was told that it says nothing
+			if judge != nil && !(told && how == pool.Failed && err.RetryAfter == 0) { // it was told that it says nothing
 				judge.saw(p.name, a.addr, err, end-at)
 			}
 		}
@@ -339,14 +339,14 @@
 			done(gate.Succeeded, now()-began, head, body)
 			return
 		}
-		f.Tries++
-		f.Reached, f.Left = err.Reached, w.Due-now()
-		ran = ran || err.Reached >= retry.MayHaveRun
-		if !err.Full {
+		f.Attempts++
+		f.Progress, f.TimeLeft = err.Progress, w.Due-now()
+		ran = ran || err.Progress >= retry.MayHaveRun
+		if !err.NoCapacity {
 			failed = append(failed, member)
 			p.mu.Lock()
-			f.Need = p.choose.Usual()
-			after, again := p.tries.Again(now(), f)
+			f.ExpectedLatency = p.choose.MedianLatency()
+			after, again := p.tries.Retry(now(), f)
 			p.mu.Unlock()
 			if again && parts != nil && !parts.budgets.Retry(p.name, parts.worth(w.Method)) {
 				again = false
@@ -356,7 +356,7 @@
 				continue
 			}
 		}
-		p.log.WithField("tries", f.Tries).WithError(err).Warn("pool: no result")
+		p.log.WithField("tries", f.Attempts).WithError(err).Warn("pool: no result")
 		if ran {
 			done(gate.Failed, now()-began, nil, nil)
 		} else {
@@ -367,18 +367,18 @@
 }
 
 var (
-	errFull   = &retry.Error{Reached: retry.NotSent, Why: "no member has room", Full: true}
-	errShared = &retry.Error{Reached: retry.NotSent, Why: "the fleet's calls to the pool are all in hand", Full: true}
-	errGone   = &retry.Error{Reached: retry.NotSent, Why: "the pool is no longer in use", Full: true}
+	errFull   = &retry.Error{Progress: retry.NotSent, Reason: "no member has room", NoCapacity: true}
+	errShared = &retry.Error{Progress: retry.NotSent, Reason: "the fleet's calls to the pool are all in hand", NoCapacity: true}
+	errGone   = &retry.Error{Progress: retry.NotSent, Reason: "the pool is no longer in use", NoCapacity: true}
 )
 
 // saw tells the judges how a try ended.
 func (j *judging) saw(name, addr string, err *retry.Error, latency float64) {
 	switch {
 	case err == nil:
-		j.Saw(name, addr, pool.OK, latency)
-	case err.Away > 0:
-		j.Busy(name, addr, err.Away)
+		j.Saw(name, addr, pool.Succeeded, latency)
+	case err.RetryAfter > 0:
+		j.Busy(name, addr, err.RetryAfter)
 	default:
 		j.Saw(name, addr, pool.Failed, latency)
 	}
@@ -436,17 +436,17 @@
 		return 0, errGone
 	}
 	if probe != "" {
-		if member, got := p.choose.Probe(now(), probe); got {
+		if member, got := p.choose.AcquireEjected(now(), probe); got {
 			p.mu.Unlock()
 			return member, nil
 		}
 	}
 	p.nextID++
 	id := p.nextID
-	member, got := p.choose.Ask(now(), id, avoid, w.Caller)
+	member, got := p.choose.Acquire(now(), id, avoid, w.Caller)
 	if got != pool.Queued {
 		p.mu.Unlock()
-		if got == pool.None {
+		if got == pool.NoCapacity {
 			return 0, errFull
 		}
 		return member, nil
@@ -464,7 +464,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.choose.Cancel(id) {
+	if p.choose.CancelQueued(id) {
 		delete(p.waiting, id)
 		return 0, errFull
 	}
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -193,7 +193,7 @@
 	}
 	out := 0
 	for _, m := range r.backs.States()[0].Members {
-		if m.Out != 0 {
+		if m.Ejection != 0 {
 			out++
 		}
 	}
@@ -289,7 +289,7 @@
 func TestChecks(t *testing.T) {
 	r := start(t, 2, func(p *operator.Pool) { p.HealthCheckMs = 20 })
 	out := func() int {
-		return int(r.backs.States()[0].Members[0].Out)
+		return int(r.backs.States()[0].Members[0].Ejection)
 	}
 	r.apps[0].Set(standin.Stall)
 	for end := time.Now().Add(soon); out() == 0; time.Sleep(time.Millisecond) {
@@ -355,7 +355,7 @@
 	}()
 	a := attempt{addr: ln.Addr().String(), connect: time.Second, until: time.Now().Add(soon), most: 100}
 	_, _, failed := a.do(make([]byte, 100), make([]byte, 32<<20))
-	if failed == nil || failed.Reached != 2 {
+	if failed == nil || failed.Progress != 2 {
 		t.Errorf("failed %v", failed)
 	}
 }
@@ -429,13 +429,13 @@
 // fleetSays is a judge that notes what it is told, and says what it is set to.
 type fleetSays struct {
 	mu    sync.Mutex
-	saw   []pool.How
+	saw   []pool.Outcome
 	busy  float64
 	out   string
 	probe string
 }
 
-func (f *fleetSays) Saw(_, _ string, how pool.How, _ float64) {
+func (f *fleetSays) Saw(_, _ string, how pool.Outcome, _ float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.saw = append(f.saw, how)
@@ -447,13 +447,13 @@
 	f.busy = away
 }
 
-func (f *fleetSays) Verdicts(string) ([]pool.Verdict, bool) {
+func (f *fleetSays) Verdicts(string) ([]pool.FleetDecision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.out == "" {
 		return nil, true
 	}
-	return []pool.Verdict{{Addr: f.out, Out: true}}, true
+	return []pool.FleetDecision{{Addr: f.out, Ejected: true}}, true
 }
 
 func (f *fleetSays) Takes(string, uint64, float64) bool { return true }
@@ -466,7 +466,7 @@
 	return p
 }
 
-func (f *fleetSays) Members(map[string][]string, func(string) pool.Rules) {}
+func (f *fleetSays) Members(map[string][]string, func(string) pool.Config) {}
 
 // A pool that the fleet judges: who is out gets one RPC where a probe is due, and nothing else; a 503 with the time to return is
 // told as such, not as a failure.
@@ -474,7 +474,7 @@
 	r := start(t, 2)
 	f := &fleetSays{out: r.apps[0].Addr()}
 	r.backs.Judge(f)
-	for end := time.Now().Add(soon); r.backs.States()[0].Members[0].Out != pool.Judged && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(soon); r.backs.States()[0].Members[0].Ejection != pool.EjectedByFleet && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 	}
 	for range 10 {
 		r.end(r.begin("view", "1", time.Second))
--- a/internal/cuefile/cuefile.go
+++ b/internal/cuefile/cuefile.go
@@ -47,7 +47,7 @@
 
 // Compile reads the files, which are taken together, and checks them. known is what the settings know; the zero value
 // checks no names.
-func Compile(paths []string, known route.Known) (*operator.File, []*Error) {
+func Compile(paths []string, known route.Catalog) (*operator.File, []*Error) {
 	ctx := cuecontext.New()
 	form := ctx.CompileString(schema, cue.Filename("schema.cue"))
 	if err := form.Err(); err != nil {
--- a/internal/cuefile/cuefile_test.go
+++ b/internal/cuefile/cuefile_test.go
@@ -10,8 +10,8 @@
 	"sorrelvalve/internal/operator"
 )
 
-var known = route.Known{
-	Methods: []string{"account-view", "settings-save", "topup-buy"}, Tokened: map[string]bool{"topup-buy": true},
+var known = route.Catalog{
+	Methods: []string{"account-view", "settings-save", "topup-buy"}, RequireToken: map[string]bool{"topup-buy": true},
 	Customers: []string{"kaipara-wireless", "ruapehu-air", "maniototo-net"},
 }
 
@@ -107,7 +107,7 @@
 		t.Fatal(all, err)
 	}
 	for _, path := range all {
-		if f, errs := Compile([]string{path}, route.Known{}); len(errs) > 0 || f.Version == "" {
+		if f, errs := Compile([]string{path}, route.Catalog{}); len(errs) > 0 || f.Version == "" {
 			t.Errorf("%s: %v", path, errs)
 		}
 	}
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -93,7 +93,7 @@
 const versionsKept = 20
 
 // wrong names what is wrong with settings for this process, of which so many descriptors were set aside.
-func wrong(t configure.Tree, known route.Known, set int) (faults []configure.Fault) {
+func wrong(t configure.Tree, known route.Catalog, set int) (faults []configure.Fault) {
 	f, err := operator.FromTree(t)
 	if err != nil {
 		return []configure.Fault{{Text: err.Error()}}
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -16,7 +16,7 @@
 )
 
 // judgeRules are the usual ones of a pool.
-var judgeRules = pool.Rules{Connections: 32, Waiting: 0, Wait: 0, Failures: 5, Outlier: 4, MinShare: 0.5, Eject: 2000, Return: 5000}
+var judgeRules = pool.Config{MaxConnections: 32, MaxQueued: 0, QueueTimeout: 0, ConsecutiveFailures: 5, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 2000, SlowStart: 5000}
 
 // phase is one trouble of the experiment.
 type phase struct {
@@ -193,7 +193,7 @@
 	r.AddRow(fmt.Sprintf("%d servers, %d members, %g RPC/s each, %d seeds: s of real time", n, judgeMembers, rate, seeds), "", time.Since(began).Seconds(), "")
 	r.AddChecks(atMost("time until a failing member is out, over each for itself", slowest, 0.5))
 	r.AddChecks(atMost("probes: tries to bad members from 3 s on, over each for itself", sick[1]/sick[0], 0.25))
-	r.AddChecks(atMost("most members out at one server, share", most, 1-judgeRules.MinShare))
+	r.AddChecks(atMost("most members out at one server, share", most, 1-judgeRules.MinHealthyShare))
 	r.AddChecks(atMost("findings on the allowance", float64(found), 0))
 	r.AddChecks(atLeast("ok in target over each for itself, the worst phase, and two standard deviations", worstPhase, 1))
 	r.AddChecks(atLeast("ok in target over each for itself, the least of the bad phases", leastBad, 1.02))
@@ -214,7 +214,7 @@
 				if w.Windows[s].Out[p.who] > n/10 {
 					continue
 				}
-				for k := 1; k <= int(judgeRules.Return/1000); k++ { // the second of the return is left out: it is not known when in it
+				for k := 1; k <= int(judgeRules.SlowStart/1000); k++ { // the second of the return is left out: it is not known when in it
 					x := w.Windows[s+k]
 					others := 0
 					for m, picked := range x.Picked {
@@ -223,7 +223,7 @@
 						}
 					}
 					got += float64(x.Picked[p.who])
-					wanted += math.Min(1, float64(k)*1000/judgeRules.Return) * float64(others) / (judgeMembers - 1)
+					wanted += math.Min(1, float64(k)*1000/judgeRules.SlowStart) * float64(others) / (judgeMembers - 1)
 				}
 				break
 			}
--- a/internal/experiment/pools.go
+++ b/internal/experiment/pools.go
@@ -191,7 +191,7 @@
 			for _, addr := range addrs {
 				for _, m := range s.Pools.States()[0].Members {
 					if m.Addr == addr {
-						now = append(now, m.Picked)
+						now = append(now, m.Requests)
 					}
 				}
 			}
@@ -223,7 +223,7 @@
 	<-watched
 	w.verdict = rules.Verdict()
 	c := s.Pools.States()[0].Tries
-	w.first, w.further = float64(c.First), float64(c.Further)
+	w.first, w.further = float64(c.FirstAttempts), float64(c.Retries)
 	// What the rules allow: the share of first tries, the floor a second, and what may be saved up at the start.
 	w.allowed = p.Retry.Share*w.first + p.Retry.Floor*time.Since(began).Seconds() + p.Retry.Floor*10 + 100*p.Retry.Share
 	if len(w.samples) == 0 {
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -97,7 +97,7 @@
 		for _, s := range b.States() {
 			all[s.Name] = map[string]Below{}
 			for _, m := range s.Members {
-				all[s.Name][m.Addr] = Below{Out: m.Out != pool.Sound, InHand: m.InFlight}
+				all[s.Name][m.Addr] = Below{Out: m.Ejection != pool.NotEjected, InHand: m.InFlight}
 			}
 		}
 		return all
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -51,7 +51,7 @@
 	looked   float64
 	said     float64
 	bad      bool // something bad is to be said
-	verdicts atomic.Pointer[[]pool.Verdict]
+	verdicts atomic.Pointer[[]pool.FleetDecision]
 	together atomic.Bool // this server hears all; else it judges for itself
 	out      atomic.Bool // a member is, that this server may ask after
 	told     []outlier.Said
@@ -70,7 +70,7 @@
 func (j *Judges) now() float64 { return float64(time.Since(j.origin)) / 1e6 }
 
 // Members is pools.Judges: whom there is to judge.
-func (j *Judges) Members(all map[string][]string, rules func(string) pool.Rules) {
+func (j *Judges) Members(all map[string][]string, rules func(string) pool.Config) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.now()
@@ -81,7 +81,7 @@
 	}
 	for name, members := range all {
 		r := rules(name)
-		set := outlier.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}
+		set := outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}
 		p := j.pools[name]
 		if p == nil {
 			if len(j.pools) >= mostJudged {
@@ -89,7 +89,7 @@
 				continue
 			}
 			p = &judged{j: outlier.New(set, j.f.o.Name, j.f.o.Zone, members, now)}
-			p.verdicts.Store(&[]pool.Verdict{})
+			p.verdicts.Store(&[]pool.FleetDecision{})
 			j.pools[name] = p
 			continue
 		}
@@ -100,7 +100,7 @@
 }
 
 // Saw is pools.Judges: the end of a try.
-func (j *Judges) Saw(name, member string, how pool.How, latency float64) {
+func (j *Judges) Saw(name, member string, how pool.Outcome, latency float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	p := j.pools[name]
@@ -108,7 +108,7 @@
 		return
 	}
 	switch how {
-	case pool.OK:
+	case pool.Succeeded:
 		p.seen.OK(j.now(), member, latency)
 	case pool.Failed:
 		p.seen.Failed(j.now(), member)
@@ -140,7 +140,7 @@
 }
 
 // Verdicts is pools.Judges.
-func (j *Judges) Verdicts(name string) (all []pool.Verdict, is bool) {
+func (j *Judges) Verdicts(name string) (all []pool.FleetDecision, is bool) {
 	j.mu.Lock()
 	p := j.pools[name]
 	j.mu.Unlock()
@@ -193,12 +193,12 @@
 		})
 		p.told = slices.DeleteFunc(p.told, func(s outlier.Said) bool { return !slices.Contains(peers, s.Origin) })
 		p.j.Look(now, views, p.told, peers, whole)
-		verdicts, out := []pool.Verdict{}, false
+		verdicts, out := []pool.FleetDecision{}, false
 		bad := p.bad || outlier.Urgent(views) || p.j.Objects(views, j.chance.Float64(), len(peers)+1)
 		p.bad = false
 		for _, m := range p.j.Members() {
 			if m.Out || p.j.Part(now, m) < 1 {
-				verdicts = append(verdicts, pool.Verdict{Addr: m.Name, Out: m.Out, Share: p.j.Part(now, m)})
+				verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: p.j.Part(now, m)})
 				bad = true
 			}
 			out = out || m.Out && m.Probes
--- a/internal/fleetsim/services.go
+++ b/internal/fleetsim/services.go
@@ -20,7 +20,7 @@
 	Rate     float64 // RPCs a second from each server
 	Work     float64 // ms, mean
 	Together bool    // the servers judge together
-	Rules    pool.Rules
+	Rules    pool.Config
 	Troubles []Trouble
 	Target   float64 // ms
 	Again    float64 // part of the RPCs that may run twice; 0 for all
@@ -135,8 +135,8 @@
 	s.seen, s.heard = evidence.Own{}, map[int32]*word{}
 	if v.Together {
 		r := v.Rules
-		s.judge = outlier.New(outlier.Rules{MinShare: r.MinShare, Outlier: r.Outlier, Failures: r.Failures, Hold: r.Eject, Return: r.Return}, s.name, s.zone, names, now)
-		s.pool.Judge(now, nil, outlier.Takes)
+		s.judge = outlier.New(outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}, s.name, s.zone, names, now)
+		s.pool.UseFleetDecisions(now, nil, outlier.Takes)
 	}
 	w.after(s, lookMs*s.chance.Float64(), evLook, 0, 0)
 }
@@ -162,11 +162,11 @@
 func (w *World) tryNext(s *server, t tried) {
 	v := w.o.Services
 	now := w.local(s)
-	member, got := 0, pool.None
+	member, got := 0, pool.NoCapacity
 	if s.judge != nil && t.tries == 0 {
 		for _, m := range s.judge.Members() {
 			if m.Out && m.Probes && s.judge.Probe(now, m.Name) {
-				if id, ok := s.pool.Probe(now, m.Name); ok {
+				if id, ok := s.pool.AcquireEjected(now, m.Name); ok {
 					member, got = id, pool.Granted
 				}
 				break
@@ -174,8 +174,8 @@
 		}
 	}
 	if got != pool.Granted {
-		if member, got = s.pool.Ask(now, 0, t.failed, t.caller); got == pool.Queued {
-			s.pool.Cancel(0)
+		if member, got = s.pool.Acquire(now, 0, t.failed, t.caller); got == pool.Queued {
+			s.pool.CancelQueued(0)
 		}
 	}
 	if got != pool.Granted {
@@ -212,7 +212,7 @@
 	w.number++
 	t.number, t.told = w.number, false
 	w.tries[at] = t
-	if late := evidence.Late(s.pool.Usual()); s.judge != nil && late > 0 && work > late {
+	if late := evidence.Late(s.pool.MedianLatency()); s.judge != nil && late > 0 && work > late {
 		w.queue.put(event{at: w.now + late, kind: evQuiet, who: -1, a: at, b: t.number})
 	}
 	w.queue.put(event{at: w.now + work, kind: evCallOver, who: -1, a: at, b: int32(i)})
@@ -271,15 +271,15 @@
 		return
 	}
 	now := w.local(s)
-	how := pool.OK
+	how := pool.Succeeded
 	if !t.outcome {
 		how = pool.Failed
 	}
-	s.pool.End(now, t.member, how, w.now-t.began)
+	s.pool.Complete(now, t.member, how, w.now-t.began)
 	name := memberName(int(member))
 	if t.outcome {
 		s.seen.OK(now, name, w.now-t.began)
-		if s.judge != nil && w.now-t.began > w.o.Services.Work*w.o.Services.Rules.Outlier {
+		if s.judge != nil && w.now-t.began > w.o.Services.Work*w.o.Services.Rules.LatencyFactor {
 			s.alarm = w.now + alarmMs
 		}
 		if w.now-t.first <= w.o.Services.Target {
@@ -305,11 +305,11 @@
 func (w *World) lookTick(s *server) {
 	w.after(s, lookMs, evLook, 0, 0)
 	now := w.local(s)
-	s.pool.Look(now)
+	s.pool.Update(now)
 	if s.judge == nil {
 		return
 	}
-	if w.now < s.alarm || s.pool.Takes() != s.hear.WholeFor(now, outlier.Together) {
+	if w.now < s.alarm || s.pool.FollowsFleet() != s.hear.WholeFor(now, outlier.Together) {
 		w.lookBelow(s) // else nothing bad is known, nor has been of late: the look would find nothing
 	}
 	bad := s.bad
@@ -398,18 +398,18 @@
 	views := s.seen.Views(now)
 	s.judge.Look(now, views, peers, s.peers2, whole)
 	if !whole {
-		s.pool.Alone(now)
+		s.pool.UseLocalDetection(now)
 		return
 	}
 	s.bad = s.bad || outlier.Urgent(views) || s.judge.Objects(views, s.chance.Float64(), len(s.peers2)+1)
-	var verdicts []pool.Verdict
+	var verdicts []pool.FleetDecision
 	for _, m := range s.judge.Members() {
 		if part := s.judge.Part(now, m); m.Out || part < 1 {
-			verdicts = append(verdicts, pool.Verdict{Addr: m.Name, Out: m.Out, Share: part})
+			verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: part})
 		}
 	}
 	s.judge.Events()
-	s.pool.Judge(now, verdicts, outlier.Takes)
+	s.pool.UseFleetDecisions(now, verdicts, outlier.Takes)
 	s.pool.Events()
 }
 
@@ -422,8 +422,8 @@
 			continue
 		}
 		out := 0
-		for k, m := range s.pool.States(w.local(s)) {
-			if m.Out == pool.Sound {
+		for k, m := range s.pool.MemberStates(w.local(s)) {
+			if m.Ejection == pool.NotEjected {
 				continue
 			}
 			out++
@@ -434,7 +434,7 @@
 		}
 		v := w.o.Services
 		w.mostOut = math.Max(w.mostOut, float64(out)/float64(v.Members))
-		if v.Together && float64(v.Members-out) < v.Rules.MinShare*float64(v.Members) {
+		if v.Together && float64(v.Members-out) < v.Rules.MinHealthyShare*float64(v.Members) {
 			w.Found("services", "%s has %d of %d members out", s.name, out, v.Members)
 		}
 	}
--- a/internal/fleetsim/services_test.go
+++ b/internal/fleetsim/services_test.go
@@ -9,7 +9,7 @@
 
 func members10(together bool, t ...Trouble) *Services {
 	return &Services{Members: 10, Rate: 4, Work: 20, Together: together, Target: 200, Again: 0.4, Capacity: 6, Troubles: t,
-		Rules: pool.Rules{Connections: 32, Failures: 5, Outlier: 4, MinShare: 0.5, Eject: 2000, Return: 5000}}
+		Rules: pool.Config{MaxConnections: 32, ConsecutiveFailures: 5, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 2000, SlowStart: 5000}}
 }
 
 // What is out of use some seconds into a trouble, at how many of 24 servers, and that all is back some time after it.
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -134,7 +134,7 @@
 		if w := v.understand(&m); w != nil {
 			b.Fatal(w)
 		}
-		if _, err := v.routes.Find(&m.Message); err != nil {
+		if _, err := v.routes.Resolve(&m.Message); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -121,13 +121,13 @@
 	if w := v.understand(&m); w != nil {
 		return c.senseless(w, false)
 	}
-	found, err := v.routes.Find(&m.Message)
+	found, err := v.routes.Resolve(&m.Message)
 	if err != nil {
 		w := &wrong{status: 400, why: err.Error()}
 		switch {
 		case errors.Is(err, route.ErrNoRoute):
 			w.status = 404
-		case errors.Is(err, route.ErrVerb):
+		case errors.Is(err, route.ErrVerbNotAllowed):
 			w.status, w.allow = 405, v.routes.Verbs(&m.Message)
 		}
 		return c.senseless(w, m.keep && m.length == 0)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -87,7 +87,7 @@
 // schema or the checks of the file refuse it as well.
 func TestCheck(t *testing.T) {
 	m := load(t)
-	f, errs := cuefile.Compile([]string{"../../deploy/operator.cue"}, route.Known{})
+	f, errs := cuefile.Compile([]string{"../../deploy/operator.cue"}, route.Catalog{})
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -149,7 +149,7 @@
 			b, _ := json.Marshal(tree) // JSON is CUE
 			file := filepath.Join(t.TempDir(), "f.cue")
 			os.WriteFile(file, b, 0o600)
-			if _, errs := cuefile.Compile([]string{file}, route.Known{}); (len(errs) > 0) != (c.text != "") {
+			if _, errs := cuefile.Compile([]string{file}, route.Catalog{}); (len(errs) > 0) != (c.text != "") {
 				t.Errorf("the file's own checks say %v", errs)
 			}
 		})
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -66,13 +66,13 @@
 }
 
 // expectations holds them against the file and what is known of the settings.
-func (f *File) expectations(known route.Known) []expect.Fault {
+func (f *File) expectations(known route.Catalog) []expect.Fault {
 	all := map[string]expect.Expectation{}
 	for name, x := range f.Expectations {
 		all[name] = expect.Expectation{Host: x.Host, Path: x.Path, Verb: x.Verb, Query: x.Query, Variables: x.Variables, Method: x.Method, Customer: x.Customer, Pool: x.Pool,
 			None: x.None, First: x.First, Then: x.Then, OverQuota: x.OverQuota}
 	}
-	s := expect.Settings{Routes: f.Rules(), Pools: map[string]string{}, Methods: known.Methods, Criticality: known.Criticality, OverShare: known.OverShare}
+	s := expect.Settings{Routes: f.Rules(), Pools: map[string]string{}, Methods: known.Methods, Criticality: known.Criticality, OverShare: known.OverQuotaFactor}
 	if f.Limits.OverShare != nil {
 		s.OverShare = *f.Limits.OverShare
 	}
@@ -184,7 +184,7 @@
 }
 
 // check names what is wrong with the budgets.
-func (b *Budgets) check(f *File, known route.Known, bad func(path, format string, a ...any), within func(path string, v, low, high float64)) {
+func (b *Budgets) check(f *File, known route.Catalog, bad func(path, format string, a ...any), within func(path string, v, low, high float64)) {
 	if f.Fleet == nil {
 		bad("budgets", "there is no fleet that could share them: fleet is not set")
 	}
@@ -405,12 +405,12 @@
 func (f FieldError) String() string { return f.Path + ": " + f.Message }
 
 // KnownOf is what routes may name.
-func KnownNames(o *startup.Opening) route.Known {
-	k := route.Known{Tokened: map[string]bool{}, Criticality: map[string]float64{}, OverShare: o.Fleet.OverShare}
+func KnownNames(o *startup.Opening) route.Catalog {
+	k := route.Catalog{RequireToken: map[string]bool{}, Criticality: map[string]float64{}, OverQuotaFactor: o.Fleet.OverShare}
 	for _, m := range o.Methods {
 		k.Criticality[m.Name] = m.Criticality
 		k.Methods = append(k.Methods, m.Name)
-		k.Tokened[m.Name] = m.Repeat == control.Tokened
+		k.RequireToken[m.Name] = m.Repeat == control.Tokened
 	}
 	for _, c := range o.Customers {
 		k.Customers = append(k.Customers, c.Name)
@@ -419,7 +419,7 @@
 }
 
 // Check names all that is wrong with a file, in the order of its keys.
-func Check(f *File, known route.Known) (faults []FieldError) {
+func Check(f *File, known route.Catalog) (faults []FieldError) {
 	bad := func(path, format string, a ...any) {
 		faults = append(faults, FieldError{path, fmt.Sprintf(format, a...)})
 	}
@@ -632,16 +632,16 @@
 }
 
 // Rules are the pool's for package pool.
-func (p *Pool) Rules() pool.Rules {
-	return pool.Rules{
-		Connections: p.MaxConnections, Waiting: p.MaxQueued, Wait: p.QueueTimeoutMs, Failures: p.MaxFailures, Outlier: p.OutlierFactor,
-		MinShare: p.MinShare, Eject: p.EjectionMs, Return: p.RecoveryMs, Check: p.HealthCheckMs, RoundRobin: p.RoundRobin,
+func (p *Pool) Rules() pool.Config {
+	return pool.Config{
+		MaxConnections: p.MaxConnections, MaxQueued: p.MaxQueued, QueueTimeout: p.QueueTimeoutMs, ConsecutiveFailures: p.MaxFailures, LatencyFactor: p.OutlierFactor,
+		MinHealthyShare: p.MinShare, BaseEjection: p.EjectionMs, SlowStart: p.RecoveryMs, HealthCheckInterval: p.HealthCheckMs, RoundRobin: p.RoundRobin,
 	}
 }
 
 // Tries are the rules of the pool's budget.
-func (p *Pool) RetryRules() retry.Rules {
-	return retry.Rules{Share: p.Retry.Share, Floor: p.Retry.Floor, Most: p.Retry.MaxAttempts}
+func (p *Pool) RetryRules() retry.Config {
+	return retry.Config{RetryRatio: p.Retry.Share, MinPerSecond: p.Retry.Floor, MaxAttempts: p.Retry.MaxAttempts}
 }
 
 // Descriptors is how many the file's parts may take at once, beside the connections of the fronts.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -157,7 +157,7 @@
 		if err != nil {
 			return
 		}
-		for _, x := range Check(&r.File, route.Known{}) {
+		for _, x := range Check(&r.File, route.Catalog{}) {
 			if x.Path == "" {
 				t.Error("a fault without a key")
 			}
--- a/valve/httpvalve/httpvalve.go
+++ b/valve/httpvalve/httpvalve.go
@@ -59,7 +59,7 @@
 	if len(o.Routes) == 0 {
 		return nil, errors.New("httpvalve: Routes or Identify expected")
 	}
-	for _, f := range route.Check(o.Routes, route.Known{}) {
+	for _, f := range route.Check(o.Routes, route.Catalog{}) {
 		return nil, fmt.Errorf("httpvalve: Routes[%d] (%s): %s: %s", f.Rule, o.Routes[f.Rule].Name, f.Key, f.Text)
 	}
 	for i, r := range o.Routes {
@@ -165,13 +165,13 @@
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
-	f, err := m.routes.Find(&route.Message{Host: strings.ToLower(host), Path: q.URL.Path, Verb: q.Method, Query: q.URL.RawQuery, Variables: variables{q}})
+	f, err := m.routes.Resolve(&route.Message{Host: strings.ToLower(host), Path: q.URL.Path, Verb: q.Method, Query: q.URL.RawQuery, Variables: variables{q}})
 	switch {
 	case errors.Is(err, route.ErrNoRoute) && m.o.Unrouted:
 		return rpc, passes, nil
 	case errors.Is(err, route.ErrNoRoute):
 		return rpc, http.StatusNotFound, err
-	case errors.Is(err, route.ErrVerb):
+	case errors.Is(err, route.ErrVerbNotAllowed):
 		return rpc, http.StatusMethodNotAllowed, err
 	case err != nil:
 		return rpc, http.StatusBadRequest, err
