--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -181,18 +181,18 @@
 }
 
 func newQuotaBed(o Options, floor float64) (*quotaBed, error) {
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return nil, err
 	}
 	q := &quotaBed{rules: standin.NewRules("account-view"), seed: o.Seed * 1000}
 	q.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(quotaServers), Seed: o.Seed, Cores: 4, Set: quotaSettings, Rules: q.rules, File: quotaFile(floor),
-		Serve: func() testbed.Command { return serve }})
+		Serve: serve})
 	if err != nil {
 		return nil, err
 	}
 	if err = q.StartAll(); err == nil {
-		err = q.Await(longest, q.Names, testbed.Hears("whole", quotaServers))
+		err = q.Await(awaitLimit, q.Names, testbed.Hears("whole", quotaServers))
 	}
 	if err != nil {
 		q.Close()
@@ -303,7 +303,7 @@
 		if err != nil {
 			return err
 		}
-		if err := q.Await(longest, q.Names, testbed.Hears("whole", quotaServers)); err != nil {
+		if err := q.Await(awaitLimit, q.Names, testbed.Hears("whole", quotaServers)); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Duration(quotaLongest) * time.Millisecond)
@@ -362,14 +362,14 @@
 		return err
 	}
 	defer app.Stop()
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return err
 	}
 	p := Pool(app.Addr())
 	p.MaxFailures, p.OutlierFactor, p.Retry = 0, 0, operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
 	names := fleetsim.Names(quotaServers)
-	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: func() testbed.Command { return serve }, File: operator.File{
+	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: serve, File: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
 		Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift,
 			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, MaxLeaseMs: quotaLongest}},
@@ -382,7 +382,7 @@
 	if err := b.StartAll(); err != nil {
 		return err
 	}
-	if err := b.Await(longest, names, testbed.Hears("whole", quotaServers)); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.Hears("whole", quotaServers)); err != nil {
 		return err
 	}
 	time.Sleep(5 * time.Second) // ramps, and what former lives may have lent
--- a/internal/experiment/hearing.go
+++ b/internal/experiment/hearing.go
@@ -7,7 +7,6 @@
 	"context"
 	"fmt"
 	"io"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -18,7 +17,6 @@
 	"gonum.org/v1/plot/plotter"
 
 	"sorrelvalve/decision/health"
-	"sorrelvalve/internal/daemon"
 	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/operator"
 	"sorrelvalve/internal/standin"
@@ -26,43 +24,21 @@
 	"sorrelvalve/internal/testbed"
 )
 
-// FleetServer serves as valvefleet does; it is the process of the fleet's experiments.
-func FleetServer(record string) error {
-	return daemon.Command{Operator: record}.Run(fleet.Beside)
-}
-
-func fleetServe() (testbed.Command, error) {
-	own, err := os.Executable()
-	return testbed.Command{Path: own, Args: []string{"fleet-server"}}, err
-}
-
-// longest bounds each wait for views; one that takes longer ends the experiment with what each view was.
-const longest = 40 * time.Second
-
-// fleetSettings are the methods as a configuration file has them, before an engine of two cores.
-const fleetSettings = `{"classes":[
-{"name":"account-view","aim":400000000,"give_up":1000000000,"worth":1,"late_worth":0.2},
-{"name":"settings-save","aim":400000000,"give_up":1000000000,"worth":1},
-{"name":"topup-buy","aim":400000000,"give_up":1000000000,"worth":3,"idempotency":"idempotency_key","window":60000000000}],
-"family_info":{"callers":3,"cores":2,"ram_kb":4000000,"run_factor":4,"key_kb":1,"meters":["core_use","on_cores"]},
-"client_habits":{"marks_retry":true},"limits":{"retry_after":true,"max_retry_after":1000000000},"tick":4000000,
-"rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
-
 // settled has RPCs that are held for longer pushed back for nothing else, so that who is pushed back hears at once.
 var settled = operator.File{Queue: operator.Queue{SettledMs: 20}}
 
-// spread of some times, in s.
-func timesOf(all []time.Duration) (p50, most float64) {
-	v := make([]float64, len(all))
-	for i, d := range all {
-		v[i] = d.Seconds()
+// medianAndMax are of some times, in s.
+func medianAndMax(times []time.Duration) (median, longest float64) {
+	seconds := make([]float64, len(times))
+	for i, d := range times {
+		seconds[i] = d.Seconds()
 	}
-	return standin.Quantile(v, 0.5), slices.Max(v)
+	return standin.Quantile(seconds, 0.5), slices.Max(seconds)
 }
 
 // Hearing is the experiment fleet-hearing.
 func Hearing(o Options) (*Report, error) {
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return nil, err
 	}
@@ -76,7 +52,7 @@
 	}
 	b, err := testbed.New(testbed.Options{
 		Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings,
-		Rules: standin.NewRules(), Serve: func() testbed.Command { return serve }, File: settled,
+		Rules: standin.NewRules(), Serve: serve, File: settled,
 	})
 	if err != nil {
 		return nil, err
@@ -85,7 +61,7 @@
 	r := &Report{Name: "fleet-hearing", Header: []string{"what", "rounds", "p50 s", "max s"}}
 	took := func(viewers []string, wanted func(*testbed.Point) bool) (time.Duration, error) {
 		began := time.Now()
-		err := b.Await(longest, viewers, wanted)
+		err := b.Await(awaitLimit, viewers, wanted)
 		return time.Since(began), err
 	}
 	times := map[string][]time.Duration{}
@@ -150,7 +126,7 @@
 	}
 	var cut, heal float64
 	for _, what := range order {
-		p50, most := timesOf(times[what])
+		p50, most := medianAndMax(times[what])
 		r.AddRow(what, len(times[what]), p50, most)
 		if strings.HasSuffix(what, "it is alone") {
 			cut = most
@@ -199,7 +175,7 @@
 	}
 	r.AddRow(fmt.Sprintf("10%% loss for %.0f s: wrong deaths", lossy.Seconds()), 1, float64(wrong), "")
 	r.AddChecks(atMost("wrong deaths under 10% loss", float64(wrong), 0))
-	if err := b.Await(longest, names, testbed.Hears("whole", servers)); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.Hears("whole", servers)); err != nil {
 		return nil, err
 	}
 	ratio, err := admission(o, b, serve, load, r)
@@ -243,9 +219,9 @@
 
 // admission loads one server with a fleet, between which and the others faults are played, and one without, at the same
 // time by the same plan; it returns the ratio of the p99 of pushback.
-func admission(o Options, with *testbed.Bed, serve testbed.Command, load time.Duration, r *Report) (float64, error) {
+func admission(o Options, with *testbed.Bed, serve func() testbed.Command, load time.Duration, r *Report) (float64, error) {
 	rules := standin.NewRules("topup-buy")
-	without, err := testbed.New(testbed.Options{Names: []string{"plain"}, Alone: true, Seed: o.Seed, Cores: 2, Set: fleetSettings, Serve: func() testbed.Command { return serve }, File: settled})
+	without, err := testbed.New(testbed.Options{Names: []string{"plain"}, Alone: true, Seed: o.Seed, Cores: 2, Set: fleetSettings, Serve: serve, File: settled})
 	if err != nil {
 		return 0, err
 	}
@@ -374,8 +350,8 @@
 		if whole == n {
 			break
 		}
-		if time.Since(began) > longest {
-			return 0, fmt.Errorf("%d of %d views whole after %s", whole, n, longest)
+		if time.Since(began) > awaitLimit {
+			return 0, fmt.Errorf("%d of %d views whole after %s", whole, n, awaitLimit)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/experiment/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -35,7 +35,7 @@
 }
 
 func newJudgeBed(o Options, alone bool) (*judgeBed, error) {
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return nil, err
 	}
@@ -54,11 +54,11 @@
 	f := operator.File{Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{
 		"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}, "settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}}}
 	set := strings.Replace(fleetSettings, `"worth":1},`, `"worth":1,"idempotency":"non_idempotent"},`, 1) // settings-save may not run twice
-	if j.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(judgeServers), Seed: o.Seed, Cores: 2, Set: set, File: f, Alone: alone, Serve: func() testbed.Command { return serve }}); err != nil {
+	if j.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(judgeServers), Seed: o.Seed, Cores: 2, Set: set, File: f, Alone: alone, Serve: serve}); err != nil {
 		return nil, err
 	}
 	if err = j.StartAll(); err == nil && !alone {
-		err = j.Await(longest, j.Names, testbed.Hears("whole", judgeServers))
+		err = j.Await(awaitLimit, j.Names, testbed.Hears("whole", judgeServers))
 	}
 	return j, err
 }
--- a/internal/experiment/release.go
+++ b/internal/experiment/release.go
@@ -115,14 +115,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	k, err := newKeepers(dir)
+	k, err := startPermitServers(dir)
 	if k != nil {
 		defer k.close()
 	}
 	if err != nil {
 		return err
 	}
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return err
 	}
@@ -148,9 +148,9 @@
 	beds := make([]*testbed.Bed, 2) // with the keepers, and one that is reloaded at once
 	for i := range beds {
 		opt := testbed.Options{Names: fleetsim.Names(servers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, File: file("one", apps[0]), Zone: func(i int) string { return fmt.Sprint("z", i%2) },
-			Serve: func() testbed.Command { return serve }}
+			Serve: serve}
 		if i == 0 {
-			opt.Keepers, opt.Folder = k.http, dir
+			opt.Keepers, opt.Folder = k.addresses, dir
 		}
 		if beds[i], err = testbed.New(opt); err != nil {
 			return err
@@ -159,13 +159,13 @@
 		if err := beds[i].StartAll(); err != nil {
 			return err
 		}
-		if err := beds[i].Await(longest, beds[i].Names, testbed.Hears("whole", servers)); err != nil {
+		if err := beds[i].Await(awaitLimit, beds[i].Names, testbed.Hears("whole", servers)); err != nil {
 			return err
 		}
 	}
 	ctx, end := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer end()
-	client := permitclient.New(k.http)
+	client := permitclient.New(k.addresses)
 	defer client.Close()
 	var roster []permit.Server
 	for i, name := range fleetsim.Names(servers) {
@@ -182,7 +182,7 @@
 	defer load.Wait()
 	defer endLoad()
 	for i, b := range beds {
-		caller := newSpread(b)
+		caller := newFailoverCaller(b)
 		defer caller.Close()
 		load.Go(func() {
 			kinds := []standin.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -211,7 +211,7 @@
 
 // twin plays the same schedules through real processes and through the simulator.
 func twin(o Options, r *Report) error {
-	serve, err := fleetServe()
+	serve, err := fleetServerProcess()
 	if err != nil {
 		return err
 	}
@@ -275,10 +275,10 @@
 
 // real8 plays a schedule on real processes under load, and tells how long their views took to settle after it and the share
 // of criticality that was served.
-func real8(o Options, serve testbed.Command, names []string, s script.Script, last time.Duration, rate, work float64) (settled, share float64, err error) {
+func real8(o Options, serve func() testbed.Command, names []string, s script.Script, last time.Duration, rate, work float64) (settled, share float64, err error) {
 	rules := standin.NewRules("topup-buy")
 	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings, Rules: rules,
-		Serve: func() testbed.Command { return serve }})
+		Serve: serve})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -286,7 +286,7 @@
 	if err := b.StartAll(); err != nil {
 		return 0, 0, err
 	}
-	if err := b.Await(longest, names, testbed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.Hears("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(3 * time.Second) // ramps
@@ -321,7 +321,7 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	if err := b.Await(longest, names, testbed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.Hears("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	settled = time.Since(began).Seconds()
