--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -30,7 +30,7 @@
 	*testing.T
 	backs *Backs
 	apps  []*standin.App
-	rules *standin.Rules
+	rules *standin.InvariantChecker
 	file  *operator.File
 	run   gate.Runner
 }
@@ -38,12 +38,12 @@
 func start(t *testing.T, members int, change ...func(*operator.Pool)) *rig {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &rig{T: t, rules: standin.NewRules("/buy"), backs: New(1, log.WithField("node", "n0"))}
+	r := &rig{T: t, rules: standin.NewInvariantChecker("/buy"), backs: New(1, log.WithField("node", "n0"))}
 	var addrs []string
 	cores := standin.NewCores(64, 0)
 	t.Cleanup(cores.Close)
 	for range members {
-		a, err := standin.NewApp(cores, standin.ByBody, r.rules)
+		a, err := standin.NewApp(cores, standin.WorkFromBody, r.rules)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,7 +103,7 @@
 
 func (r *rig) taken() (n int) {
 	for _, a := range r.apps {
-		n += a.Taken()
+		n += a.Received()
 	}
 	return n
 }
@@ -118,25 +118,25 @@
 		effect  gate.Outcome
 		arrives int // times that the effect's body may arrive whole
 	}{
-		{"sound", standin.Sound, gate.Succeeded, gate.Succeeded, 1},
-		{"accepts and says nothing", standin.Stall, gate.Succeeded, gate.Failed, 1},
-		{"does not even read", standin.Mute, gate.Succeeded, gate.Failed, 0},
-		{"a 500 at once", standin.Fail, gate.Succeeded, gate.Failed, 1},
-		{"half an answer", standin.Half, gate.Succeeded, gate.Failed, 1},
-		{"no length", standin.NoLength, gate.Succeeded, gate.Succeeded, 1},
-		{"a second answer", standin.Second, gate.Succeeded, gate.Succeeded, 1},
-		{"a reset after the body was read", standin.ResetAfter, gate.Succeeded, gate.Failed, 1},
-		{"garbage", standin.Garbage, gate.Succeeded, gate.Failed, 1},
-		{"a transfer coding", standin.Chunked, gate.Succeeded, gate.Failed, 1},
-		{"a head that never ends", standin.Endless, gate.Succeeded, gate.Failed, 1},
-		{"a length beyond all bounds", standin.TooLong, gate.Succeeded, gate.Failed, 1},
-		{"an interim answer", standin.Interim, gate.Succeeded, gate.Succeeded, 1},
+		{"sound", standin.NoFault, gate.Succeeded, gate.Succeeded, 1},
+		{"accepts and says nothing", standin.HangAfterRead, gate.Succeeded, gate.Failed, 1},
+		{"does not even read", standin.HangOnAccept, gate.Succeeded, gate.Failed, 0},
+		{"a 500 at once", standin.ServerError, gate.Succeeded, gate.Failed, 1},
+		{"half an answer", standin.TruncatedBody, gate.Succeeded, gate.Failed, 1},
+		{"no length", standin.NoContentLength, gate.Succeeded, gate.Succeeded, 1},
+		{"a second answer", standin.ExtraResponse, gate.Succeeded, gate.Succeeded, 1},
+		{"a reset after the body was read", standin.ResetAfterRead, gate.Succeeded, gate.Failed, 1},
+		{"garbage", standin.MalformedResponse, gate.Succeeded, gate.Failed, 1},
+		{"a transfer coding", standin.ChunkedResponse, gate.Succeeded, gate.Failed, 1},
+		{"a head that never ends", standin.EndlessHeader, gate.Succeeded, gate.Failed, 1},
+		{"a length beyond all bounds", standin.OversizedLength, gate.Succeeded, gate.Failed, 1},
+		{"an interim answer", standin.InterimResponse, gate.Succeeded, gate.Succeeded, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 2, func(p *operator.Pool) { p.MaxFailures = 0 })
-			r.apps[0].Set(c.fault)
+			r.apps[0].SetFault(c.fault)
 			// Until the bad member has had one of each, which chance makes certain soon; a bad member has no latency, and
 			// so as good a chance as the sound one.
 			for i := range 12 {
@@ -159,8 +159,8 @@
 			if !failed {
 				t.Error("the bad member was never asked")
 			}
-			if v := r.rules.Verdict(); v.SecondRuns > 0 {
-				t.Errorf("%d second runs", v.SecondRuns)
+			if v := r.rules.Report(); v.DuplicateRuns > 0 {
+				t.Errorf("%d second runs", v.DuplicateRuns)
 			}
 		})
 	}
@@ -175,8 +175,8 @@
 			t.Fatalf("effect %d: %+v", i, e)
 		}
 	}
-	if v := r.rules.Verdict(); v.SecondRuns > 0 {
-		t.Errorf("%d second runs", v.SecondRuns)
+	if v := r.rules.Report(); v.DuplicateRuns > 0 {
+		t.Errorf("%d second runs", v.DuplicateRuns)
 	}
 }
 
@@ -232,7 +232,7 @@
 			t.Errorf("%+v", e)
 		}
 	}
-	if ok != 4 || full != 6 || r.apps[0].Most() != 2 {
+	if ok != 4 || full != 6 || r.apps[0].TakeMaxInFlight() != 2 {
 		t.Errorf("%d ok, %d without room", ok, full)
 	}
 }
@@ -244,7 +244,7 @@
 	for r.taken() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	first := slices.IndexFunc(r.apps, func(a *standin.App) bool { return a.Taken() > 0 })
+	first := slices.IndexFunc(r.apps, func(a *standin.App) bool { return a.Received() > 0 })
 	p := r.file.Pools["p"]
 	p.Members = slices.Delete(slices.Clone(p.Members), first, first+1)
 	next := *r.file
@@ -255,7 +255,7 @@
 			t.Fatalf("%+v", e)
 		}
 	}
-	if n := r.apps[first].Taken(); n != 1 {
+	if n := r.apps[first].Received(); n != 1 {
 		t.Errorf("%d went to the member that has left", n)
 	}
 	if e := r.end(old); e.how != gate.Succeeded || e.result != "300 a" {
@@ -291,13 +291,13 @@
 	out := func() int {
 		return int(r.backs.States()[0].Members[0].Ejection)
 	}
-	r.apps[0].Set(standin.Stall)
+	r.apps[0].SetFault(standin.HangAfterRead)
 	for end := time.Now().Add(soon); out() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never ejected")
 		}
 	}
-	r.apps[0].Set(standin.Sound)
+	r.apps[0].SetFault(standin.NoFault)
 	for end := time.Now().Add(soon); out() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never back")
@@ -402,18 +402,18 @@
 	})
 	l := &limits{retries: 1, calls: 1}
 	r.backs.Share(l, func(string) float64 { return 1 })
-	r.apps[0].Set(standin.Fail)
+	r.apps[0].SetFault(standin.ServerError)
 	for range 3 {
 		if e := r.end(r.begin("view", "1", 2*time.Second)); e.how != gate.Failed {
 			t.Errorf("%+v", e)
 		}
 	}
-	if n := r.apps[0].Taken(); n != 4 {
+	if n := r.apps[0].Received(); n != 4 {
 		t.Errorf("%d tries of three RPCs, one further one allowed", n)
 	}
-	r.apps[0].Set(standin.Stall)
+	r.apps[0].SetFault(standin.HangAfterRead)
 	first := r.begin("buy", "2", time.Second)
-	for end := time.Now().Add(soon); r.apps[0].Taken() < 5 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(soon); r.apps[0].Received() < 5 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 	if e := r.end(r.begin("buy", "3", time.Second)); e.how != gate.Full {
 		t.Errorf("all of the fleet's calls are in hand: %+v", e)
@@ -479,7 +479,7 @@
 	for range 10 {
 		r.end(r.begin("view", "1", time.Second))
 	}
-	if n := r.apps[0].Taken(); n != 0 {
+	if n := r.apps[0].Received(); n != 0 {
 		t.Errorf("%d RPCs at a member that is out", n)
 	}
 	f.mu.Lock()
@@ -487,10 +487,10 @@
 	f.mu.Unlock()
 	r.end(r.begin("buy", "2", time.Second)) // may not run twice: no probe
 	r.end(r.begin("view", "3", time.Second))
-	if n := r.apps[0].Taken(); n != 1 {
+	if n := r.apps[0].Received(); n != 1 {
 		t.Errorf("%d probes, one was due", n)
 	}
-	r.apps[1].Set(standin.Full)
+	r.apps[1].SetFault(standin.ServiceUnavailable)
 	if e := r.end(r.begin("buy", "4", time.Second)); e.how != gate.Failed {
 		t.Errorf("%+v", e)
 	}
@@ -517,7 +517,7 @@
 	for i := range 20 { // so that the usual latency is known
 		r.end(r.begin("view", fmt.Sprint(i), time.Second))
 	}
-	r.apps[0].Set(standin.Stall)
+	r.apps[0].SetFault(standin.HangAfterRead)
 	began := time.Now()
 	ends := r.begin("buy", "x", 3*time.Second) // may not run twice: one try, to the end
 	bad := func() (n int) {
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -342,7 +342,7 @@
 // page is the answer to one RPC by uwsgi.
 func (w *whole) page(body string) standin.Reply {
 	w.Helper()
-	web := standin.NewWeb(w.web, false)
+	web := standin.NewWebTier(w.web, false)
 	defer web.Close()
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
--- a/internal/daemon/standin.go
+++ b/internal/daemon/standin.go
@@ -31,12 +31,12 @@
 // standIn starts the stand-ins and returns where the server gets its configuration from, and what ends them.
 func standIn() (load func() (Told, error), end func(), err error) {
 	cores := standin.NewCores(4, 8)
-	rules := standin.NewRules("topup-buy")
-	engine, err := standin.NewEngine(cores, standin.ByBody, rules)
+	rules := standin.NewInvariantChecker("topup-buy")
+	engine, err := standin.NewEngine(cores, standin.WorkFromBody, rules)
 	if err != nil {
 		return nil, nil, err
 	}
-	members, close, err := standin.Members()
+	members, close, err := standin.StartMembershipService()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -71,22 +71,22 @@
 }
 
 // callers ask for more than the engine can do, and tell each second what came of it.
-func callers(ctx context.Context, addr string, rules *standin.Rules) {
+func callers(ctx context.Context, addr string, rules *standin.InvariantChecker) {
 	time.Sleep(200 * time.Millisecond) // until the server listens
 	router := standin.NewRouter(addr)
 	defer router.Close()
 	fmt.Printf("%8s  %-14s %6s %12s %8s %6s\n", "second", "method", "ok", "pushed back", "aborted", "p99 ms")
 	for n := int64(1); ctx.Err() == nil; n++ {
-		samples := standin.Plan{
-			Rate: demoRate, For: time.Second, Callers: 3, Seed: n, Deadline: 2 * time.Second,
-			Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: demoWork}, {Method: "settings-save", Share: 0.38, Work: demoWork},
-				{Method: "topup-buy", Share: 0.12, Work: demoWork, Tokened: true}},
+		samples := standin.LoadPlan{
+			Rate: demoRate, Duration: time.Second, Callers: 3, Seed: n, Deadline: 2 * time.Second,
+			Kinds: []standin.RequestKind{{Method: "account-view", Share: 0.5, MeanWorkMs: demoWork}, {Method: "settings-save", Share: 0.38, MeanWorkMs: demoWork},
+				{Method: "topup-buy", Share: 0.12, MeanWorkMs: demoWork, WithToken: true}},
 		}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 		if ctx.Err() != nil {
 			return
 		}
-		for _, row := range standin.Summary(samples, false) {
-			fmt.Printf("%8d  %-14s %6d %12d %8d %6.0f\n", n, row.Method, row.OK, row.PushedBack, row.Aborted, row.P99)
+		for _, row := range standin.Summarize(samples, false) {
+			fmt.Printf("%8d  %-14s %6d %12d %8d %6.0f\n", n, row.Method, row.OK, row.Rejected, row.Aborted, row.P99)
 		}
 	}
 }
--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -27,12 +27,12 @@
 
 // budgetsOf is a bound that simulated servers share: 10 RPCs a second for each, and a quarter of a second's burst; callers
 // stick to one server in a hundred, or to two, and move to others every ten seconds.
-func budgetsOf(servers int, way fleetsim.Way) *fleetsim.Budgets {
+func budgetsOf(servers int, way fleetsim.QuotaScheme) *fleetsim.QuotaOptions {
 	n := float64(servers)
-	return &fleetsim.Budgets{
-		Way:   way,
-		Rules: quota.Rules{Kind: quota.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: quota.UsualLongest, Drift: quota.UsualDrift},
-		Hot:   max(2, servers/100), Rate: 12 * n, MoveMs: moveMs,
+	return &fleetsim.QuotaOptions{
+		Scheme:        way,
+		Rules:         quota.Rules{Kind: quota.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: quota.UsualLongest, Drift: quota.UsualDrift},
+		StickyServers: max(2, servers/100), RatePerCustomer: 12 * n, MoveIntervalMs: moveMs,
 	}
 }
 
@@ -78,23 +78,23 @@
 	if o.Quick {
 		n, seeds = 100, 2
 	}
-	s, err := script.Parse(budgetTroubles(n), fleetsim.Names(n))
+	s, err := script.Parse(budgetTroubles(n), fleetsim.ServerNames(n))
 	if err != nil {
 		return err
 	}
 	const length = 90
 	type got struct {
-		w *fleetsim.World
+		w *fleetsim.Simulation
 		r *fleetsim.Result
 	}
-	ways := []fleetsim.Way{fleetsim.Fixed, fleetsim.Estimated, fleetsim.Granted, fleetsim.Lent}
+	ways := []fleetsim.QuotaScheme{fleetsim.StaticSplit, fleetsim.GossipEstimates, fleetsim.CentralLeases, fleetsim.PeerLeases}
 	all := make([][]got, len(ways))
 	for i := range all {
 		all[i] = make([]got, seeds)
 	}
 	inParallel(len(ways)*seeds, func(i int) {
 		k, seed := i/seeds, i%seeds
-		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(seed), Length: length * 1000, Script: s, Budgets: budgetsOf(n, ways[k])})
+		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(seed), DurationMs: length * 1000, Script: s, Quota: budgetsOf(n, ways[k])})
 		all[k][seed] = got{w, w.Run()}
 	})
 	chart := Chart{Name: "ways", XLabel: "s", YLabel: "let through a second, of the bound"}
@@ -103,17 +103,17 @@
 		worst, contact, cut, sent, found := 0.0, 1.0, math.Inf(1), 0.0, 0
 		line := Line{Name: way.String()}
 		for i, x := range all[k] {
-			worst = max(worst, x.w.Worst())
+			worst = max(worst, x.w.PeakQuotaUse())
 			for _, f := range x.r.Findings {
 				if f.Checker == "budgets" {
-					if found++; way == fleetsim.Lent {
+					if found++; way == fleetsim.PeerLeases {
 						fmt.Fprintln(o.Out, f)
 					}
 				}
 			}
 			served := func(from, to int) (sum float64) {
-				for _, s := range x.w.Series[from:to] {
-					sum += float64(s.Taken)
+				for _, s := range x.w.QuotaSeries[from:to] {
+					sum += float64(s.Admitted)
 				}
 				return sum / float64(to-from)
 			}
@@ -121,14 +121,14 @@
 				contact = min(contact, served(move+settleIn, move+moveMs/1000)/b.Rules.Bound)
 			}
 			alone := 0.0
-			for _, s := range x.w.Series[30:39] {
-				alone += float64(s.At[hotAt(n, 3)])
+			for _, s := range x.w.QuotaSeries[30:39] {
+				alone += float64(s.AdmittedByServer[hotAt(n, 3)])
 			}
 			cut = min(cut, alone/9/b.Rules.Floor)
-			sent = max(sent, float64(x.w.Sent())/length)
+			sent = max(sent, float64(x.w.MaxQuotaMessages())/length)
 			if i == 0 {
-				for at, s := range x.w.Series[:length] {
-					line.Points = append(line.Points, plotter.XY{X: float64(at), Y: float64(s.Taken) / b.Rules.Bound})
+				for at, s := range x.w.QuotaSeries[:length] {
+					line.Points = append(line.Points, plotter.XY{X: float64(at), Y: float64(s.Admitted) / b.Rules.Bound})
 				}
 			}
 		}
@@ -137,7 +137,7 @@
 		r.AddRow("  in contact, from 2 s after a move: served of the whole quota, the least", seeds, contact, "")
 		r.AddRow("  cut off with all callers: served of its floor", seeds, cut, "")
 		r.AddRow("  packets a second from a server, the most", seeds, sent, "")
-		if way == fleetsim.Lent {
+		if way == fleetsim.PeerLeases {
 			r.AddChecks(atMost("simulated: most in any second, over bound and burst", worst, 1))
 			r.AddChecks(atMost("simulated: findings on the parts, the floors and the tables", float64(found), 0))
 			r.AddChecks(atLeast("simulated: served of the whole quota from 2 s after a move", contact, 0.95))
@@ -173,7 +173,7 @@
 // quotaBed is processes that share the quota, and what ran on their engines.
 type quotaBed struct {
 	*testbed.Bed
-	rules *standin.Rules
+	rules *standin.InvariantChecker
 	seed  int64
 	began time.Time
 	mu    sync.Mutex
@@ -185,14 +185,14 @@
 	if err != nil {
 		return nil, err
 	}
-	q := &quotaBed{rules: standin.NewRules("account-view"), seed: o.Seed * 1000}
-	q.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(quotaServers), Seed: o.Seed, Cores: 4, Set: quotaSettings, Rules: q.rules, File: quotaFile(floor),
-		Serve: serve})
+	q := &quotaBed{rules: standin.NewInvariantChecker("account-view"), seed: o.Seed * 1000}
+	q.Bed, err = testbed.New(testbed.Options{Names: fleetsim.ServerNames(quotaServers), Seed: o.Seed, Cores: 4, SettingsJSON: quotaSettings, Invariants: q.rules, Operator: quotaFile(floor),
+		ServeCommand: serve})
 	if err != nil {
 		return nil, err
 	}
 	if err = q.StartAll(); err == nil {
-		err = q.Await(awaitLimit, q.Names, testbed.Hears("whole", quotaServers))
+		err = q.Await(awaitLimit, q.Names, testbed.ExpectView("whole", quotaServers))
 	}
 	if err != nil {
 		q.Close()
@@ -208,12 +208,12 @@
 	q.seed++
 	seed := q.seed
 	q.mu.Unlock()
-	router := standin.NewRouter(q.Listen(name))
+	router := standin.NewRouter(q.ListenAddr(name))
 	defer router.Close()
 	n := 0
-	for _, s := range (standin.Plan{Rate: rate, For: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
-		Kinds: []standin.Kind{{Method: "account-view", Share: 1, Work: 2}}}).Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewRules()) {
-		if s.Outcome == standin.OK && s.At >= from {
+	for _, s := range (standin.LoadPlan{Rate: rate, Duration: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
+		Kinds: []standin.RequestKind{{Method: "account-view", Share: 1, MeanWorkMs: 2}}}).Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker()) {
+		if s.Outcome == standin.OK && s.Offset >= from {
 			n++
 		}
 	}
@@ -303,13 +303,13 @@
 		if err != nil {
 			return err
 		}
-		if err := q.Await(awaitLimit, q.Names, testbed.Hears("whole", quotaServers)); err != nil {
+		if err := q.Await(awaitLimit, q.Names, testbed.ExpectView("whole", quotaServers)); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Duration(quotaLongest) * time.Millisecond)
 		after = min(after, q.load(at(4), quotaLoad, phase, settle)/quotaBound)
 	}
-	times := q.rules.Times()
+	times := q.rules.RunTimes()
 	if len(times) == 0 {
 		return fmt.Errorf("nothing ran")
 	}
@@ -357,7 +357,7 @@
 	}
 	cores := standin.NewCores(8, 8)
 	defer cores.Close()
-	app, err := standin.NewApp(cores, standin.ByBody, nil)
+	app, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 	if err != nil {
 		return err
 	}
@@ -368,8 +368,8 @@
 	}
 	p := Pool(app.Addr())
 	p.MaxFailures, p.OutlierFactor, p.Retry = 0, 0, operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
-	names := fleetsim.Names(quotaServers)
-	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, Set: quotaSettings, Serve: serve, File: operator.File{
+	names := fleetsim.ServerNames(quotaServers)
+	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, SettingsJSON: quotaSettings, ServeCommand: serve, Operator: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
 		Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift,
 			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, MaxLeaseMs: quotaLongest}},
@@ -382,7 +382,7 @@
 	if err := b.StartAll(); err != nil {
 		return err
 	}
-	if err := b.Await(awaitLimit, names, testbed.Hears("whole", quotaServers)); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.ExpectView("whole", quotaServers)); err != nil {
 		return err
 	}
 	time.Sleep(5 * time.Second) // ramps, and what former lives may have lent
@@ -391,10 +391,10 @@
 		var all sync.WaitGroup
 		for i, name := range names {
 			all.Go(func() {
-				router := standin.NewRouter(b.Listen(name))
+				router := standin.NewRouter(b.ListenAddr(name))
 				defer router.Close()
-				got := standin.Plan{Rate: rate, For: length, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
-					Kinds: []standin.Kind{{Method: "account-view", Share: 1, Work: work}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+				got := standin.LoadPlan{Rate: rate, Duration: length, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Customers: []string{"kaipara-wireless"},
+					Kinds: []standin.RequestKind{{Method: "account-view", Share: 1, MeanWorkMs: work}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 				mu.Lock()
 				defer mu.Unlock()
 				samples = append(samples, got...)
@@ -403,8 +403,8 @@
 		all.Wait()
 		return samples
 	}
-	app.Set(standin.Fail)
-	taken := app.Taken()
+	app.SetFault(standin.ServerError)
+	taken := app.Received()
 	began := time.Now()
 	samples := load(20, 5)
 	over := time.Since(began).Seconds()
@@ -414,15 +414,15 @@
 			ran++
 		}
 	}
-	further := float64(app.Taken() - taken - ran)
+	further := float64(app.Received() - taken - ran)
 	allowed := poolRetries*over + poolBurst
 	r.AddRow(fmt.Sprintf("8 processes, a failing service: further tries; allowed by the fleet's budget in %.1f s", over), ran, further, allowed)
 	r.AddChecks(atMost("further tries to a failing service, of the fleet's budget", further/allowed, 1))
 	if further == 0 || ran < 100 {
 		return fmt.Errorf("a failing service: %d RPCs ran, %g further tries", ran, further)
 	}
-	app.Set(standin.Sound)
-	app.Most()
+	app.SetFault(standin.NoFault)
+	app.TakeMaxInFlight()
 	samples = load(20, 400)
 	ok := 0
 	for _, s := range samples {
@@ -430,7 +430,7 @@
 			ok++
 		}
 	}
-	mostCalls := float64(app.Most())
+	mostCalls := float64(app.TakeMaxInFlight())
 	r.AddRow("8 processes, a slow service: calls in hand, the most; ok of all", len(samples), mostCalls, ok)
 	r.AddChecks(atMost("calls in hand at a slow service, of the fleet's budget", mostCalls/poolCalls, 1))
 	if mostCalls < poolCalls/2 {
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -57,7 +57,7 @@
 // drainFleet is one of the two fleets, with the pool below it and the load on it.
 type drainFleet struct {
 	*testbed.Bed
-	rules       *standin.Rules
+	rules       *standin.InvariantChecker
 	apps        []*standin.App
 	members     []string // addresses of the apps
 	caller      *failoverCaller
@@ -119,11 +119,11 @@
 
 // newDrainFleet starts the application servers of one fleet.
 func (x *drainExperiment) newDrainFleet() (*drainFleet, error) {
-	f := &drainFleet{rules: standin.NewRules("topup-buy")}
+	f := &drainFleet{rules: standin.NewInvariantChecker("topup-buy")}
 	cores := standin.NewCores(16, 8)
 	x.cleanup.add(cores.Close)
 	for range drainPoolMembers {
-		app, err := standin.NewApp(cores, standin.ByBody, nil)
+		app, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -139,7 +139,7 @@
 	x.ctx = ctx
 	x.cleanup.add(cancel)
 	var servers []permit.Server
-	for _, name := range fleetsim.Names(drainServers) {
+	for _, name := range fleetsim.ServerNames(drainServers) {
 		servers = append(servers, permit.Server{Name: name})
 	}
 	var members []permit.Member
@@ -179,14 +179,14 @@
 	pool.MaxQueued = 0
 	pool.RecoveryMs = 2000
 	f.Bed, err = testbed.New(testbed.Options{
-		Names:   fleetsim.Names(drainServers),
-		Seed:    seed,
-		Cores:   drainCores,
-		Set:     fleetSettings,
-		Rules:   f.rules,
-		Keepers: permitServers,
-		Serve:   x.serverProcess,
-		File: operator.File{
+		Names:         fleetsim.ServerNames(drainServers),
+		Seed:          seed,
+		Cores:         drainCores,
+		SettingsJSON:  fleetSettings,
+		Invariants:    f.rules,
+		PermitServers: permitServers,
+		ServeCommand:  x.serverProcess,
+		Operator: operator.File{
 			Pools:   map[string]operator.Pool{"apps": pool},
 			Methods: map[string]operator.Method{"settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}},
 		},
@@ -200,7 +200,7 @@
 
 func (x *drainExperiment) awaitFleets() error {
 	for _, f := range x.fleets() {
-		if err := f.Await(awaitLimit, f.Names, testbed.Hears("whole", drainServers)); err != nil {
+		if err := f.Await(awaitLimit, f.Names, testbed.ExpectView("whole", drainServers)); err != nil {
 			return err
 		}
 	}
@@ -216,9 +216,9 @@
 	for _, f := range x.fleets() {
 		f.caller = newFailoverCaller(f.Bed)
 		x.cleanup.add(f.caller.Close)
-		plan := standin.Plan{
+		plan := standin.LoadPlan{
 			Rate:     drainLoad * drainServers * drainCores * 1000 / drainWork,
-			For:      time.Hour,
+			Duration: time.Hour,
 			Callers:  3,
 			Seed:     x.options.Seed,
 			Deadline: callDeadline,
@@ -284,7 +284,7 @@
 	r.AddRow("s for a roll, the longest", longestRoll, "")
 	r.AddRow("most out by intent at a time, by the servers' own logs, from begun to back and warm", maxOverlapping(h.drains), "")
 	r.AddRow("criticality served with drains; without", x.drained.criticality.share(), x.undrained.criticality.share())
-	r.AddRow("RPCs whose connection ended without an answer; second effects", x.drained.caller.lost.Load(), x.drained.rules.Verdict().SecondRuns)
+	r.AddRow("RPCs whose connection ended without an answer; second effects", x.drained.caller.lost.Load(), x.drained.rules.Report().DuplicateRuns)
 	r.AddRow("servers killed; RPCs that they had in hand", x.kills.count(), x.drained.caller.killed.Load())
 	if len(x.halts.knownAfter) > 0 {
 		longestHalt := slices.Max(x.halts.knownAfter)
@@ -309,7 +309,7 @@
 		atMost("RPCs to drained members", x.memberDrains.callsAfter, 0),
 		atLeast("drains begun", float64(len(h.drains)), float64(x.rolls*drainServers)),
 		atMost("RPCs lost", float64(x.drained.caller.lost.Load()), 0),
-		atMost("second effects", float64(x.drained.rules.Verdict().SecondRuns), 0),
+		atMost("second effects", float64(x.drained.rules.Report().DuplicateRuns), 0),
 		atLeast("criticality served, of that without drains", x.drained.criticality.share()/x.undrained.criticality.share(), 0.98),
 	)
 	return nil
--- a/internal/experiment/drain_faults.go
+++ b/internal/experiment/drain_faults.go
@@ -86,9 +86,9 @@
 
 // superviseDrained starts a server again that has ended.
 func (x *drainExperiment) superviseDrained(ctx context.Context, name string) {
-	processes := x.drained.Procs
+	processes := x.drained.Processes
 	for ctx.Err() == nil {
-		if !processes.Runs(name) && !processes.Alive(name) {
+		if !processes.Running(name) && !processes.Alive(name) {
 			_ = processes.Start(name) // tried again after the next look
 		}
 		time.Sleep(superviseEvery)
@@ -98,8 +98,8 @@
 // superviseUndrained starts a server again that was killed.
 func (x *drainExperiment) superviseUndrained(ctx context.Context, name string) {
 	for ctx.Err() == nil {
-		if !x.undrained.Procs.Alive(name) {
-			_ = x.undrained.Procs.Start(name) // tried again after the next look
+		if !x.undrained.Processes.Alive(name) {
+			_ = x.undrained.Processes.Start(name) // tried again after the next look
 		}
 		time.Sleep(superviseEvery)
 	}
@@ -116,12 +116,12 @@
 		server := random.Intn(drainServers)
 		for _, f := range x.fleets() {
 			name := f.Names[server]
-			if !f.Procs.Alive(name) {
+			if !f.Processes.Alive(name) {
 				continue
 			}
 			f.caller.noteKill(server)
 			at := time.Now()
-			_ = f.Procs.Kill(name) // fails only for one that has ended by itself meanwhile
+			_ = f.Processes.Kill(name) // fails only for one that has ended by itself meanwhile
 			if f == x.drained {
 				x.kills.add(name, at)
 			}
@@ -138,7 +138,7 @@
 			return
 		}
 		name := f.Names[(5*i+1)%drainServers]
-		if !f.Procs.Runs(name) {
+		if !f.Processes.Running(name) {
 			continue
 		}
 		if fleet.Drain(ctx, f.Socket(name), "what=halt&who=lab&why=look") != nil {
@@ -161,7 +161,7 @@
 // missesHalt tells whether a server that hears the permit servers does not know of the halt. One that does not hear
 // them learns of it before its next drain.
 func (x *drainExperiment) missesHalt(name string) bool {
-	status, err := x.drained.View(name)
+	status, err := x.drained.Status(name)
 	return err == nil && status.Drain != nil && status.Drain.Keepers && status.Drain.Halted != "look"
 }
 
@@ -183,7 +183,7 @@
 // orderForMember gives an order about a member by way of the first server that runs.
 func (x *drainExperiment) orderForMember(ctx context.Context, order, subject string) error {
 	for _, name := range x.drained.Names {
-		if x.drained.Procs.Runs(name) {
+		if x.drained.Processes.Running(name) {
 			return fleet.Drain(ctx, x.drained.Socket(name), "who=lab&why=disk&what="+order+"&subject="+subject)
 		}
 	}
@@ -201,9 +201,9 @@
 		return
 	}
 	killsBefore := x.kills.count()
-	callsBefore := app.Taken()
+	callsBefore := app.Received()
 	time.Sleep(700 * time.Millisecond)
-	calls := app.Taken() - callsBefore
+	calls := app.Received() - callsBefore
 	// A server that has just started learns who is drained with its first report, so that a kill spoils the count.
 	if x.kills.count() != killsBefore || !allRunning(x.drained.Bed) {
 		return
@@ -252,10 +252,10 @@
 	}
 	time.Sleep(faultLength)
 	for _, f := range x.fleets() {
-		f.Net.Heal()
+		f.Network.Heal()
 	}
 }
 
 func allRunning(b *testbed.Bed) bool {
-	return !slices.ContainsFunc(b.Names, func(name string) bool { return !b.Procs.Runs(name) })
+	return !slices.ContainsFunc(b.Names, func(name string) bool { return !b.Processes.Running(name) })
 }
--- a/internal/experiment/drain_log.go
+++ b/internal/experiment/drain_log.go
@@ -36,7 +36,7 @@
 
 func readServerHistory(b *testbed.Bed) (h serverHistory, err error) {
 	for _, name := range b.Names {
-		if err := h.read(name, b.Procs.Log(name)); err != nil {
+		if err := h.read(name, b.Processes.LogPath(name)); err != nil {
 			return h, err
 		}
 	}
--- a/internal/experiment/durable.go
+++ b/internal/experiment/durable.go
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	rules := standin.NewRules("topup-buy")
+	rules := standin.NewInvariantChecker("topup-buy")
 	cores := standin.NewCores(16, 0)
 	defer cores.Close()
 	engine, err := standin.NewEngine(cores, func(_ string, body []byte) (float64, []byte) { return 15, append([]byte("bought "), body...) }, rules)
@@ -150,7 +150,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			callers := []standin.Caller{standin.NewRouter(addrs[0]), standin.NewWeb(addrs[1], false)}
+			callers := []standin.Caller{standin.NewRouter(addrs[0]), standin.NewWebTier(addrs[1], false)}
 			defer callers[0].Close()
 			chance := rand.New(rand.NewSource(o.Seed*1000 + int64(w)))
 			for i := 0; ; i++ {
@@ -208,7 +208,7 @@
 		told++
 		for try := 0; ; try++ { // a fresh server pushes back until its engine has answered
 			r := buy(router, p, true)
-			if r.Outcome == standin.PushedBack || r.Outcome == standin.Lost {
+			if r.Outcome == standin.Rejected || r.Outcome == standin.Lost {
 				if try < 50 {
 					time.Sleep(20 * time.Millisecond)
 					continue
@@ -220,10 +220,10 @@
 			break
 		}
 	}
-	v := rules.Verdict()
+	v := rules.Report()
 	r := &Report{Name: "durable-kill", Header: []string{"kills", "purchases", "told ok", "tries ok", "pushed back", "aborted", "lost with the process", "runs twice", "start ms"}}
-	r.AddRow(kills, len(all), told, counts[standin.OK], counts[standin.PushedBack], counts[standin.Aborted], counts[standin.Lost], v.SecondRuns, float64(down.Milliseconds())/float64(kills))
-	r.AddChecks(atMost("double runs", float64(v.SecondRuns), 0))
+	r.AddRow(kills, len(all), told, counts[standin.OK], counts[standin.Rejected], counts[standin.Aborted], counts[standin.Lost], v.DuplicateRuns, float64(down.Milliseconds())/float64(kills))
+	r.AddChecks(atMost("double runs", float64(v.DuplicateRuns), 0))
 	r.AddChecks(atMost("answers that contradict the first", float64(contradicted), 0))
 	r.AddChecks(atMost("told ok and not found after the restart", float64(missing), 0))
 	r.AddChecks(atLeast("purchases told ok", float64(told), float64(kills)))
@@ -242,7 +242,7 @@
 	case r.Outcome == standin.OK && p.ok == string(r.Body):
 		p.oks++
 	case r.Outcome == standin.OK, r.Outcome == standin.Aborted && p.ok != "":
-		p.bad = r.Why + string(r.Body)
+		p.bad = r.Reason + string(r.Body)
 	}
 	return r
 }
@@ -259,8 +259,8 @@
 	got := map[string]figures{}
 	for _, way := range []string{"off", "on", "slow disk"} {
 		cores := standin.NewCores(64, 0)
-		rules := standin.NewRules("topup-buy")
-		engine, err := standin.NewEngine(cores, standin.ByBody, rules)
+		rules := standin.NewInvariantChecker("topup-buy")
+		engine, err := standin.NewEngine(cores, standin.WorkFromBody, rules)
 		if err != nil {
 			return nil, err
 		}
@@ -293,10 +293,10 @@
 		if err != nil {
 			return nil, err
 		}
-		router, web := standin.NewRouter(srv.RPC), standin.NewWeb(srv.Web, true)
-		samples := standin.Plan{
-			Rate: 1000, For: length, Callers: 3, Seed: o.Seed, Deadline: 1300 * time.Millisecond,
-			Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "topup-buy", Share: 0.5, Work: 10, Tokened: true}},
+		router, web := standin.NewRouter(srv.RPC), standin.NewWebTier(srv.Web, true)
+		samples := standin.LoadPlan{
+			Rate: 1000, Duration: length, Callers: 3, Seed: o.Seed, Deadline: 1300 * time.Millisecond,
+			Kinds: []standin.RequestKind{{Method: "account-view", Share: 0.5, MeanWorkMs: 10}, {Method: "topup-buy", Share: 0.5, MeanWorkMs: 10, WithToken: true}},
 		}.Run(context.Background(), map[string]standin.Caller{"msgpack": router, "uwsgi": web}, rules)
 		router.Close()
 		web.Close()
@@ -309,9 +309,9 @@
 			s.Close()
 		}
 		f := figures{map[string]float64{}, map[string]float64{}}
-		for _, row := range standin.Summary(samples, false) {
+		for _, row := range standin.Summarize(samples, false) {
 			f.perSecond[row.Method], f.p99[row.Method] = float64(row.OK)/length.Seconds(), row.P99
-			r.AddRow(way, row.Method, row.N, row.OK, f.perSecond[row.Method], row.PushedBack, row.Aborted, row.P50, row.P99,
+			r.AddRow(way, row.Method, row.Calls, row.OK, f.perSecond[row.Method], row.Rejected, row.Aborted, row.P50, row.P99,
 				st.Syncs, float64(st.Records)/max(1, float64(st.Syncs)), timed.mean())
 		}
 		got[way] = f
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -162,8 +162,8 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, row := range standin.Summary(samples, false, 250*time.Millisecond) {
-			r.AddRow(way, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, peaks[0], peaks[1])
+		for _, row := range standin.Summarize(samples, false, 250*time.Millisecond) {
+			r.AddRow(way, row.Method, row.Calls, row.OnTimeShare, row.Late, row.Rejected, row.Aborted, row.Lost, row.P50, row.P99, peaks[0], peaks[1])
 		}
 		served[way] = criticality(samples, embeddedMethods)
 	}
@@ -207,9 +207,9 @@
 		if due >= length {
 			break
 		}
-		method, work := "account-view", fmt.Sprintf("%.3f %.3f", embeddedCPU/10, standin.Spread(chance, embeddedWait))
+		method, work := "account-view", fmt.Sprintf("%.3f %.3f", embeddedCPU/10, standin.RandomWork(chance, embeddedWait))
 		if chance.Float64() < embeddedPart {
-			method, work = "report", fmt.Sprintf("%.3f", standin.Spread(chance, embeddedCPU))
+			method, work = "report", fmt.Sprintf("%.3f", standin.RandomWork(chance, embeddedCPU))
 		}
 		if chance.Float64() < 0.15 {
 			method = "topup-buy"
@@ -223,7 +223,7 @@
 			q.Header.Set("Work", work)
 			q.Header.Set("Caller", strconv.Itoa(n%3))
 			q.Header.Set("Idempotency-Key", strconv.Itoa(n))
-			s := standin.Sample{At: due, Protocol: "http", Method: method}
+			s := standin.Sample{Offset: due, Protocol: "http", Method: method}
 			a, err := client.Do(q)
 			if err != nil {
 				s.Outcome = standin.Lost
@@ -232,14 +232,14 @@
 				a.Body.Close()
 				switch {
 				case a.StatusCode == 503:
-					s.Outcome = standin.PushedBack
+					s.Outcome = standin.Rejected
 				case a.StatusCode >= 500:
 					s.Outcome = standin.Aborted
 				case a.StatusCode >= 400:
-					s.Outcome = standin.Senseless
+					s.Outcome = standin.Invalid
 				}
 			}
-			s.Took = time.Since(sent)
+			s.Latency = time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
 			samples = append(samples, s)
--- a/internal/experiment/failover_caller.go
+++ b/internal/experiment/failover_caller.go
@@ -35,7 +35,7 @@
 		avoidUntil: make([]atomic.Int64, len(b.Names)),
 	}
 	for _, name := range b.Names {
-		c.routers = append(c.routers, standin.NewRouter(b.Listen(name)))
+		c.routers = append(c.routers, standin.NewRouter(b.ListenAddr(name)))
 	}
 	return c
 }
@@ -43,17 +43,17 @@
 // Call sends to up to three servers.
 func (c *failoverCaller) Call(ctx context.Context, call standin.Call) (reply standin.Reply) {
 	began := time.Now()
-	call.Door = began
+	call.ArrivedAt = began
 	for attempt := range failoverAttempts {
 		server := c.pick()
 		call.Retry = attempt > 0
 		reply = c.routers[server].Call(ctx, call)
-		reply.Took = time.Since(began)
-		if reply.Outcome == standin.PushedBack {
+		reply.Latency = time.Since(began)
+		if reply.Outcome == standin.Rejected {
 			c.avoid(server, rejectedAvoidance)
 			continue
 		}
-		if reply.Outcome == standin.Lost && strings.Contains(reply.Why, "refused") {
+		if reply.Outcome == standin.Lost && strings.Contains(reply.Reason, "refused") {
 			c.avoid(server, unreachableAvoidance)
 			continue
 		}
--- a/internal/experiment/fleet_load.go
+++ b/internal/experiment/fleet_load.go
@@ -42,11 +42,11 @@
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
 
 // fleetMethods is the mix of RPCs to the methods of fleetSettings, each of some work in ms in the mean.
-func fleetMethods(work float64) []standin.Kind {
-	return []standin.Kind{
-		{Method: "account-view", Share: 0.5, Work: work},
-		{Method: "settings-save", Share: 0.35, Work: work},
-		{Method: "topup-buy", Share: 0.15, Work: work, Tokened: true},
+func fleetMethods(work float64) []standin.RequestKind {
+	return []standin.RequestKind{
+		{Method: "account-view", Share: 0.5, MeanWorkMs: work},
+		{Method: "settings-save", Share: 0.35, MeanWorkMs: work},
+		{Method: "topup-buy", Share: 0.15, MeanWorkMs: work, WithToken: true},
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 		t.asked += weight
 		switch {
-		case sample.Outcome == standin.OK && sample.Took <= fleetTarget:
+		case sample.Outcome == standin.OK && sample.Latency <= fleetTarget:
 			t.served += weight
 		case sample.Outcome == standin.OK:
 			t.served += lateCriticality * weight
@@ -84,7 +84,7 @@
 
 // canceledByLoad tells whether an RPC was ended by the end of the load itself.
 func canceledByLoad(sample standin.Sample) bool {
-	return sample.Outcome == standin.Lost && sample.Why == context.Canceled.Error()
+	return sample.Outcome == standin.Lost && sample.Reason == context.Canceled.Error()
 }
 
 // pause waits for a period or until ctx ends.
--- a/internal/experiment/hearing.go
+++ b/internal/experiment/hearing.go
@@ -51,15 +51,15 @@
 		names = append(names, fmt.Sprint("n", i))
 	}
 	b, err := testbed.New(testbed.Options{
-		Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings,
-		Rules: standin.NewRules(), Serve: serve, File: settled,
+		Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, SettingsJSON: fleetSettings,
+		Invariants: standin.NewInvariantChecker(), ServeCommand: serve, Operator: settled,
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer b.Close()
 	r := &Report{Name: "fleet-hearing", Header: []string{"what", "rounds", "p50 s", "max s"}}
-	took := func(viewers []string, wanted func(*testbed.Point) bool) (time.Duration, error) {
+	took := func(viewers []string, wanted func(*testbed.Observation) bool) (time.Duration, error) {
 		began := time.Now()
 		err := b.Await(awaitLimit, viewers, wanted)
 		return time.Since(began), err
@@ -67,7 +67,7 @@
 	times := map[string][]time.Duration{}
 	var order []string
 	await := func(what string, viewers []string, state string, heard int) error {
-		d, err := took(viewers, testbed.Hears(state, heard))
+		d, err := took(viewers, testbed.ExpectView(state, heard))
 		if err != nil {
 			return fmt.Errorf("%s: %w", what, err)
 		}
@@ -81,7 +81,7 @@
 		s, err := script.Parse(lines, names)
 		for _, x := range s {
 			if err == nil {
-				err = b.Do(x)
+				err = b.Apply(x)
 			}
 		}
 		return err
@@ -169,13 +169,13 @@
 	if err := do("0s heal"); err != nil {
 		return nil, err
 	}
-	c := b.Net.Counts()
-	if c.Lost == 0 {
+	c := b.Network.Counts()
+	if c.Dropped == 0 {
 		return nil, fmt.Errorf("no packet was lost under loss")
 	}
 	r.AddRow(fmt.Sprintf("10%% loss for %.0f s: wrong deaths", lossy.Seconds()), 1, float64(wrong), "")
 	r.AddChecks(atMost("wrong deaths under 10% loss", float64(wrong), 0))
-	if err := b.Await(awaitLimit, names, testbed.Hears("whole", servers)); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.ExpectView("whole", servers)); err != nil {
 		return nil, err
 	}
 	ratio, err := admission(o, b, serve, load, r)
@@ -195,12 +195,12 @@
 func cost(b *testbed.Bed) (map[string]fleet.Status, map[string]time.Duration, error) {
 	views, cpu := map[string]fleet.Status{}, map[string]time.Duration{}
 	for _, name := range b.Names {
-		v, err := b.View(name)
+		v, err := b.Status(name)
 		if err != nil {
 			return nil, nil, err
 		}
 		views[name] = v
-		if cpu[name], err = b.Procs.CPU(name); err != nil {
+		if cpu[name], err = b.Processes.CPUTime(name); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -210,7 +210,7 @@
 // lost is how often anybody was called silent by anybody.
 func lost(b *testbed.Bed) (n uint64) {
 	for _, name := range b.Names {
-		if v, err := b.View(name); err == nil {
+		if v, err := b.Status(name); err == nil {
 			n += v.Lost
 		}
 	}
@@ -220,8 +220,8 @@
 // admission loads one server with a fleet, between which and the others faults are played, and one without, at the same
 // time by the same plan; it returns the ratio of the p99 of pushback.
 func admission(o Options, with *testbed.Bed, serve func() testbed.Command, load time.Duration, r *Report) (float64, error) {
-	rules := standin.NewRules("topup-buy")
-	without, err := testbed.New(testbed.Options{Names: []string{"plain"}, Alone: true, Seed: o.Seed, Cores: 2, Set: fleetSettings, Serve: serve, File: settled})
+	rules := standin.NewInvariantChecker("topup-buy")
+	without, err := testbed.New(testbed.Options{Names: []string{"plain"}, NoFleet: true, Seed: o.Seed, Cores: 2, SettingsJSON: fleetSettings, ServeCommand: serve, Operator: settled})
 	if err != nil {
 		return 0, err
 	}
@@ -230,7 +230,7 @@
 		return 0, err
 	}
 	time.Sleep(time.Second) // its ramp is over
-	cpu0, err := without.Procs.CPU("plain")
+	cpu0, err := without.Processes.CPUTime("plain")
 	if err != nil {
 		return 0, err
 	}
@@ -239,7 +239,7 @@
 		idle = 10 * time.Second
 	}
 	time.Sleep(idle)
-	cpu1, err := without.Procs.CPU("plain")
+	cpu1, err := without.Processes.CPUTime("plain")
 	if err != nil {
 		return 0, err
 	}
@@ -256,12 +256,12 @@
 	samples := map[string][]standin.Sample{}
 	var mu sync.Mutex
 	var runs sync.WaitGroup
-	for way, addr := range map[string]string{"with": with.Listen("n1"), "without": without.Listen("plain")} {
+	for way, addr := range map[string]string{"with": with.ListenAddr("n1"), "without": without.ListenAddr("plain")} {
 		runs.Go(func() {
 			router := standin.NewRouter(addr)
 			defer router.Close()
-			got := standin.Plan{Rate: 300, For: load, Callers: 3, Seed: o.Seed, Deadline: 2 * time.Second, Kinds: []standin.Kind{
-				{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.35, Work: 10}, {Method: "topup-buy", Share: 0.15, Work: 10, Tokened: true},
+			got := standin.LoadPlan{Rate: 300, Duration: load, Callers: 3, Seed: o.Seed, Deadline: 2 * time.Second, Kinds: []standin.RequestKind{
+				{Method: "account-view", Share: 0.5, MeanWorkMs: 10}, {Method: "settings-save", Share: 0.35, MeanWorkMs: 10}, {Method: "topup-buy", Share: 0.15, MeanWorkMs: 10, WithToken: true},
 			}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 			mu.Lock()
 			defer mu.Unlock()
@@ -271,18 +271,18 @@
 	runs.Wait()
 	end()
 	side.Wait()
-	with.Net.Heal()
+	with.Network.Heal()
 	for _, name := range []string{"n5", "n7"} {
-		with.Procs.Signal(name, syscall.SIGCONT)
-		with.Procs.Start(name) // if the last play ended with it killed
+		with.Processes.Signal(name, syscall.SIGCONT)
+		with.Processes.Start(name) // if the last play ended with it killed
 	}
 	p99 := map[string]float64{}
 	for _, way := range []string{"without", "with"} {
 		var pushed []float64
 		ok := 0
 		for _, s := range samples[way] {
-			if s.Outcome == standin.PushedBack {
-				pushed = append(pushed, float64(s.Took)/1e6)
+			if s.Outcome == standin.Rejected {
+				pushed = append(pushed, float64(s.Latency)/1e6)
 			} else if s.Outcome == standin.OK {
 				ok++
 			}
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -21,11 +21,11 @@
 // phase is one trouble of the experiment.
 type phase struct {
 	name  string
-	on    fleetsim.Trouble
-	other *fleetsim.Trouble // beside it
-	bad   bool              // ok in target is to be better together
-	who   int               // the member that is to be out; negative for none
-	sound bool              // no member is bad: none is to be out
+	on    fleetsim.MemberFault
+	other *fleetsim.MemberFault // beside it
+	bad   bool                  // ok in target is to be better together
+	who   int                   // the member that is to be out; negative for none
+	sound bool                  // no member is bad: none is to be out
 }
 
 const (
@@ -46,15 +46,15 @@
 	m := func(k ...int) []int { return k }
 	all := m(0, 1, 2, 3, 4, 5, 6, 7, 8, 9)
 	return []phase{
-		{name: "fails at once", on: fleetsim.Trouble{Members: m(3), Fail: 1}, bad: true, who: 3},
-		{name: "says nothing", on: fleetsim.Trouble{Members: m(5), Silent: true}, bad: true, who: 5},
-		{name: "ten times as slow", on: fleetsim.Trouble{Members: m(7), Slow: 10}, who: 7},
-		{name: "answers every tenth", on: fleetsim.Trouble{Members: m(1), Fail: 0.9}, bad: true, who: 1},
-		{name: "bad from one zone", on: fleetsim.Trouble{Members: m(2), Silent: true, Zone: "z1"}, who: -1},
-		{name: "flaps each 3 s", on: fleetsim.Trouble{Members: m(4), Silent: true, Flap: 3000}, bad: true, who: -1},
-		{name: "one server meets all as bad", on: fleetsim.Trouble{Members: all, Fail: 1, Servers: m(5)}, who: -1, sound: true},
-		{name: "halves, another bad on each side", on: fleetsim.Trouble{Members: m(3), Silent: true, Servers: half}, other: &fleetsim.Trouble{Members: m(6), Silent: true, Servers: other}, who: -1},
-		{name: "all are slow", on: fleetsim.Trouble{Members: all, Slow: 5}, who: -1, sound: true},
+		{name: "fails at once", on: fleetsim.MemberFault{Members: m(3), FailureRate: 1}, bad: true, who: 3},
+		{name: "says nothing", on: fleetsim.MemberFault{Members: m(5), NoResponse: true}, bad: true, who: 5},
+		{name: "ten times as slow", on: fleetsim.MemberFault{Members: m(7), Slowdown: 10}, who: 7},
+		{name: "answers every tenth", on: fleetsim.MemberFault{Members: m(1), FailureRate: 0.9}, bad: true, who: 1},
+		{name: "bad from one zone", on: fleetsim.MemberFault{Members: m(2), NoResponse: true, Zone: "z1"}, who: -1},
+		{name: "flaps each 3 s", on: fleetsim.MemberFault{Members: m(4), NoResponse: true, FlapMs: 3000}, bad: true, who: -1},
+		{name: "one server meets all as bad", on: fleetsim.MemberFault{Members: all, FailureRate: 1, Servers: m(5)}, who: -1, sound: true},
+		{name: "halves, another bad on each side", on: fleetsim.MemberFault{Members: m(3), NoResponse: true, Servers: half}, other: &fleetsim.MemberFault{Members: m(6), NoResponse: true, Servers: other}, who: -1},
+		{name: "all are slow", on: fleetsim.MemberFault{Members: all, Slowdown: 5}, who: -1, sound: true},
 	}
 }
 
@@ -66,16 +66,16 @@
 		n, seeds, rate = 40, 1, 3.5
 	}
 	phases := judgePhases(n)
-	var troubles []fleetsim.Trouble
+	var troubles []fleetsim.MemberFault
 	at := 20e3
 	begins := make([]float64, len(phases))
 	var text string
 	for i, p := range phases {
 		begins[i] = at
-		for _, t := range []*fleetsim.Trouble{&p.on, p.other} {
+		for _, t := range []*fleetsim.MemberFault{&p.on, p.other} {
 			if t != nil {
 				x := *t
-				x.From, x.To = at, at+phaseMs
+				x.FromMs, x.UntilMs = at, at+phaseMs
 				troubles = append(troubles, x)
 			}
 		}
@@ -90,22 +90,22 @@
 		}
 		at += phaseMs + betweenMs
 	}
-	s, err := script.Parse(text, fleetsim.Names(n))
+	s, err := script.Parse(text, fleetsim.ServerNames(n))
 	if err != nil {
 		return nil, err
 	}
 	length := at
-	ways := make([][]*fleetsim.World, 2)
+	ways := make([][]*fleetsim.Simulation, 2)
 	for k := range ways {
-		ways[k] = make([]*fleetsim.World, seeds)
+		ways[k] = make([]*fleetsim.Simulation, seeds)
 	}
 	began := time.Now()
 	found := 0
 	results := make([]*fleetsim.Result, 2*seeds)
 	inParallel(2*seeds, func(i int) {
-		v := &fleetsim.Services{Members: judgeMembers, Rate: rate, Work: 30, Together: i%2 == 1, Rules: judgeRules, Troubles: troubles, Target: 200, Again: 0.4,
-			Capacity: 6, Lying: []int{n - 1}}
-		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(i/2), Length: length, Script: s, Services: v})
+		v := &fleetsim.BackendOptions{Members: judgeMembers, RatePerServer: rate, MeanWorkMs: 30, SharedDetection: i%2 == 1, PoolRules: judgeRules, Faults: troubles, TargetMs: 200, RetryableShare: 0.4,
+			Capacity: 6, LyingServers: []int{n - 1}}
+		w := fleetsim.New(fleetsim.Options{Servers: n, Zones: 3, Seed: uint64(o.Seed*100) + uint64(i/2), DurationMs: length, Script: s, Backends: v})
 		results[i] = w.Run()
 		ways[i%2][i/2] = w
 	})
@@ -120,8 +120,8 @@
 	chart := Chart{Name: "ok", XLabel: "s", YLabel: "ok in target, share"}
 	for k, name := range []string{"each for itself", "together"} {
 		line := Line{Name: name}
-		for i, x := range ways[k][0].Windows[:int(length/1000)] {
-			line.Points = append(line.Points, plotter.XY{X: float64(i), Y: float64(x.OK) / math.Max(1, float64(x.Asked))})
+		for i, x := range ways[k][0].BackendSeries[:int(length/1000)] {
+			line.Points = append(line.Points, plotter.XY{X: float64(i), Y: float64(x.OK) / math.Max(1, float64(x.Requests))})
 		}
 		chart.Lines = append(chart.Lines, line)
 	}
@@ -136,27 +136,27 @@
 			for _, w := range ways[k] {
 				asked, good := 0, 0
 				from, to := int(begins[i]/1000), int((begins[i]+phaseMs)/1000)
-				for _, x := range w.Windows[from : to+5] {
-					asked, good = asked+x.Asked, good+x.OK
+				for _, x := range w.BackendSeries[from : to+5] {
+					asked, good = asked+x.Requests, good+x.OK
 				}
-				if p.who >= 0 && p.on.Slow == 0 {
-					for s, x := range w.Windows[from:to] {
+				if p.who >= 0 && p.on.Slowdown == 0 {
+					for s, x := range w.BackendSeries[from:to] {
 						if s < 3 {
-							early[k] += float64(x.Sick) / float64(seeds)
+							early[k] += float64(x.FaultyAttempts) / float64(seeds)
 						} else {
-							sick[k] += float64(x.Sick) / float64(seeds)
+							sick[k] += float64(x.FaultyAttempts) / float64(seeds)
 						}
 					}
 				}
-				for _, x := range w.Windows[from:to] {
-					wrong[k] = max(wrong[k], x.WrongOut)
+				for _, x := range w.BackendSeries[from:to] {
+					wrong[k] = max(wrong[k], x.FalseEjections)
 				}
 				all += asked
 				ok[k] += float64(good) / float64(asked) / float64(seeds)
 				if p.who >= 0 {
 					took := phaseMs / 1000
-					for s, x := range w.Windows[from:to] {
-						if x.Out[p.who] >= n*9/10 {
+					for s, x := range w.BackendSeries[from:to] {
+						if x.EjectedAt[p.who] >= n*9/10 {
 							took = float64(s) + 1
 							break
 						}
@@ -168,7 +168,7 @@
 		r.AddRow(p.name+": ok in target", ok[0], ok[1], "")
 		if p.who >= 0 {
 			r.AddRow("  s until nine in ten servers have it out", out[0], out[1], "")
-			if p.on.Slow == 0 {
+			if p.on.Slowdown == 0 {
 				slowest = math.Max(slowest, out[1]/out[0])
 			}
 		}
@@ -185,7 +185,7 @@
 	}
 	most := 0.0
 	for _, w := range ways[1] {
-		most = math.Max(most, w.MostOut())
+		most = math.Max(most, w.MaxEjectedShare())
 	}
 	r.AddRow("tries to members bad for all, from 3 s after they turned so", sick[0], sick[1], "")
 	r.AddRow("  in the first 3 s", early[0], early[1], "")
@@ -203,26 +203,26 @@
 }
 
 // ramp is the load on members that return, over the whole fleet, beside a line from nothing to its part.
-func ramp(r *Report, ways []*fleetsim.World, phases []phase, begins []float64, n int) {
+func ramp(r *Report, ways []*fleetsim.Simulation, phases []phase, begins []float64, n int) {
 	got, wanted := 0.0, 0.0
 	for i, p := range phases {
-		if p.who < 0 || p.on.Slow > 0 {
+		if p.who < 0 || p.on.Slowdown > 0 {
 			continue
 		}
 		for _, w := range ways {
-			for s := int((begins[i] + phaseMs) / 1000); s < len(w.Windows)-6; s++ {
-				if w.Windows[s].Out[p.who] > n/10 {
+			for s := int((begins[i] + phaseMs) / 1000); s < len(w.BackendSeries)-6; s++ {
+				if w.BackendSeries[s].EjectedAt[p.who] > n/10 {
 					continue
 				}
 				for k := 1; k <= int(judgeRules.SlowStart/1000); k++ { // the second of the return is left out: it is not known when in it
-					x := w.Windows[s+k]
+					x := w.BackendSeries[s+k]
 					others := 0
-					for m, picked := range x.Picked {
+					for m, picked := range x.Attempts {
 						if m != p.who {
 							others += picked
 						}
 					}
-					got += float64(x.Picked[p.who])
+					got += float64(x.Attempts[p.who])
 					wanted += math.Min(1, float64(k)*1000/judgeRules.SlowStart) * float64(others) / (judgeMembers - 1)
 				}
 				break
@@ -235,7 +235,7 @@
 }
 
 // agree is how long servers held different members out, after a cut was healed.
-func agree(r *Report, ways []*fleetsim.World, phases []phase, begins []float64, n int) {
+func agree(r *Report, ways []*fleetsim.Simulation, phases []phase, begins []float64, n int) {
 	worst := 0.0
 	for i, p := range phases {
 		if p.other == nil {
@@ -245,7 +245,7 @@
 			from := int((begins[i] + phaseMs) / 1000)
 			last := from
 			for s := from; s < from+int(betweenMs/1000); s++ {
-				for _, out := range w.Windows[s].Out {
+				for _, out := range w.BackendSeries[s].EjectedAt {
 					if out > 0 && out < n {
 						last = s + 1
 					}
--- a/internal/experiment/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -43,7 +43,7 @@
 	var addrs []string
 	for range judgeMembers {
 		c := standin.NewCores(4, 8)
-		a, err := standin.NewApp(c, standin.ByBody, nil)
+		a, err := standin.NewApp(c, standin.WorkFromBody, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -54,11 +54,11 @@
 	f := operator.File{Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{
 		"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}, "settings-save": {Pool: "apps", Path: "/settings", Verb: "POST"}}}
 	set := strings.Replace(fleetSettings, `"worth":1},`, `"worth":1,"idempotency":"non_idempotent"},`, 1) // settings-save may not run twice
-	if j.Bed, err = testbed.New(testbed.Options{Names: fleetsim.Names(judgeServers), Seed: o.Seed, Cores: 2, Set: set, File: f, Alone: alone, Serve: serve}); err != nil {
+	if j.Bed, err = testbed.New(testbed.Options{Names: fleetsim.ServerNames(judgeServers), Seed: o.Seed, Cores: 2, SettingsJSON: set, Operator: f, NoFleet: alone, ServeCommand: serve}); err != nil {
 		return nil, err
 	}
 	if err = j.StartAll(); err == nil && !alone {
-		err = j.Await(awaitLimit, j.Names, testbed.Hears("whole", judgeServers))
+		err = j.Await(awaitLimit, j.Names, testbed.ExpectView("whole", judgeServers))
 	}
 	return j, err
 }
@@ -76,15 +76,15 @@
 	var all sync.WaitGroup
 	for i, name := range j.Names {
 		all.Go(func() {
-			router := standin.NewRouter(j.Listen(name))
+			router := standin.NewRouter(j.ListenAddr(name))
 			defer router.Close()
-			samples := standin.Plan{Rate: judgeRate, For: length, Callers: 3, Seed: seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{
-				{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			samples := standin.LoadPlan{Rate: judgeRate, Duration: length, Callers: 3, Seed: seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{
+				{Method: "account-view", Share: 0.5, MeanWorkMs: 10}, {Method: "settings-save", Share: 0.5, MeanWorkMs: 10}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 			j.mu.Lock()
 			defer j.mu.Unlock()
 			for _, s := range samples {
 				j.asked++
-				if s.Outcome == standin.OK && s.Took <= judgeTarget {
+				if s.Outcome == standin.OK && s.Latency <= judgeTarget {
 					j.inTime++
 				}
 			}
@@ -96,7 +96,7 @@
 // outAt counts the servers that hold a member out, and what they hold out beside those that were in trouble.
 func (j *judgeBed) outAt(member string, troubled []string) (out, others int) {
 	for _, name := range j.Names {
-		s, err := j.View(name)
+		s, err := j.Status(name)
 		if err != nil {
 			continue
 		}
@@ -142,7 +142,7 @@
 		name   string
 		fault  standin.Fault
 		faults string // between the servers, meanwhile
-	}{{"fails at once", standin.Fail, ""}, {"says nothing", standin.Stall, "0s loss *>* 0.1"}}
+	}{{"fails at once", standin.ServerError, ""}, {"says nothing", standin.HangAfterRead, "0s loss *>* 0.1"}}
 	length := time.Duration(len(troubles)) * 2 * phase
 	ctx, end := context.WithTimeout(context.Background(), length+10*time.Second)
 	defer end()
@@ -165,8 +165,8 @@
 		}
 		var taken [2]int
 		for i, j := range beds {
-			taken[i] = j.apps[k].Taken()
-			j.apps[k].Set(t.fault)
+			taken[i] = j.apps[k].Received()
+			j.apps[k].SetFault(t.fault)
 		}
 		began := time.Now()
 		took := phase.Seconds()
@@ -180,11 +180,11 @@
 		}
 		var n [2]int
 		for i, j := range beds {
-			n[i] = j.apps[k].Taken() - taken[i]
-			j.apps[k].Set(standin.Sound)
+			n[i] = j.apps[k].Received() - taken[i]
+			j.apps[k].SetFault(standin.NoFault)
 			sick[i] += float64(n[i])
 		}
-		together.Net.Heal()
+		together.Network.Heal()
 		slowest = max(slowest, took)
 		r.AddRow(fmt.Sprintf("8 processes, a member %s: tries to it in %.0f s", t.name, phase.Seconds()), n[0], n[1], fmt.Sprintf("out at all 8 after %.1f s", took))
 		began = time.Now()
--- a/internal/experiment/mixed.go
+++ b/internal/experiment/mixed.go
@@ -27,11 +27,11 @@
 	ownWait     = 300 * time.Millisecond // that a caller waits past the deadline: an answer may be under way
 )
 
-func mixedPlan(o Options, length time.Duration) standin.Plan {
-	return standin.Plan{
-		Rate: mixedLoad * mixedCores * 1000 / mixedWork, For: length, Callers: 3, Seed: o.Seed, Again: 0.2, Deadline: time.Second + ownWait,
-		Kinds: []standin.Kind{{Method: "account-view", Share: 0.5, Work: mixedWork}, {Method: "settings-save", Share: 0.38, Work: mixedWork},
-			{Method: "topup-buy", Share: 0.12, Work: mixedWork, Tokened: true}},
+func mixedPlan(o Options, length time.Duration) standin.LoadPlan {
+	return standin.LoadPlan{
+		Rate: mixedLoad * mixedCores * 1000 / mixedWork, Duration: length, Callers: 3, Seed: o.Seed, DuplicateShare: 0.2, Deadline: time.Second + ownWait,
+		Kinds: []standin.RequestKind{{Method: "account-view", Share: 0.5, MeanWorkMs: mixedWork}, {Method: "settings-save", Share: 0.38, MeanWorkMs: mixedWork},
+			{Method: "topup-buy", Share: 0.12, MeanWorkMs: mixedWork, WithToken: true}},
 	}
 }
 
@@ -45,8 +45,8 @@
 	served := map[string]float64{}
 	for _, way := range []string{"past the valve", "plain queue", "valve"} {
 		cores := standin.NewCores(mixedCores, 8)
-		rules := standin.NewRules("topup-buy")
-		engine, err := standin.NewEngine(cores, standin.ByBody, rules)
+		rules := standin.NewInvariantChecker("topup-buy")
+		engine, err := standin.NewEngine(cores, standin.WorkFromBody, rules)
 		if err != nil {
 			return nil, err
 		}
@@ -59,8 +59,8 @@
 		switch way {
 		case "plain queue":
 			q := NewQueue(func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
-				rules.Ran(w.Method, w.Body)
-				work, result := standin.ByBody(w.Method, w.Body)
+				rules.RecordRun(w.Method, w.Body)
+				work, result := standin.WorkFromBody(w.Method, w.Body)
 				cores.Run(work, func() { done(gate.Succeeded, work, nil, result) })
 			}, mixedCores, 4*mixedCores)
 			callers = map[string]standin.Caller{"msgpack": queueCaller{q}, "uwsgi": queueCaller{q}}
@@ -73,14 +73,14 @@
 			}
 			web := s.Web
 			if way == "past the valve" {
-				app, err := standin.NewApp(cores, standin.ByBody, rules)
+				app, err := standin.NewApp(cores, standin.WorkFromBody, rules)
 				if err != nil {
 					return nil, err
 				}
 				web = app.Addr()
 				ends = append(ends, app.Stop)
 			}
-			callers = map[string]standin.Caller{"msgpack": standin.NewRouter(s.RPC), "uwsgi": standin.NewWeb(web, false)}
+			callers = map[string]standin.Caller{"msgpack": standin.NewRouter(s.RPC), "uwsgi": standin.NewWebTier(web, false)}
 			ends = append(ends, s.Close)
 		}
 		if o.Quick && way == "valve" { // the protocols' shares must be told apart to 0.03: with 11 s chance alone came to that
@@ -95,9 +95,9 @@
 		}
 		engine.Close()
 		cores.Close()
-		rows := standin.Summary(samples, true, 400*time.Millisecond)
+		rows := standin.Summarize(samples, true, 400*time.Millisecond)
 		for _, row := range rows {
-			r.AddRow(way, row.Protocol, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99, row.Pushed99, row.Held)
+			r.AddRow(way, row.Protocol, row.Method, row.Calls, row.OnTimeShare, row.Late, row.Rejected, row.Aborted, row.Lost, row.P50, row.P99, row.RejectedP99, row.RejectedLate)
 		}
 		served[way] = criticality(samples, mixedMethods)
 		r.Charts = append(r.Charts, overTime(way, samples))
@@ -107,20 +107,20 @@
 		apart, pushed := 0.0, 0.0
 		for i, row := range rows {
 			if row.Method == "topup-buy" {
-				r.AddChecks(atLeast("topup-buy in target by "+row.Protocol, row.InTime, 0.97))
+				r.AddChecks(atLeast("topup-buy in target by "+row.Protocol, row.OnTimeShare, 0.97))
 			}
 			if i%2 == 1 {
-				apart = math.Max(apart, math.Abs(row.InTime-rows[i-1].InTime))
+				apart = math.Max(apart, math.Abs(row.OnTimeShare-rows[i-1].OnTimeShare))
 			}
-			pushed = math.Max(pushed, row.Pushed99)
+			pushed = math.Max(pushed, row.RejectedP99)
 		}
-		v := rules.Verdict()
+		v := rules.Report()
 		r.AddChecks(atMost("protocols apart", apart, 0.03))
 		r.AddChecks(atMost("pushed back p99 ms", pushed, 20))
 		r.AddChecks(atMost("RPCs without an answer", float64(v.Unanswered), 0))
-		r.AddChecks(atMost("RPCs with two", float64(v.Twice), 0))
-		r.AddChecks(atMost("second runs", float64(v.SecondRuns), 0))
-		r.AddChecks(atMost("results changed", float64(len(v.Broken)), 0))
+		r.AddChecks(atMost("RPCs with two", float64(v.AnsweredTwice), 0))
+		r.AddChecks(atMost("second runs", float64(v.DuplicateRuns), 0))
+		r.AddChecks(atMost("results changed", float64(len(v.Violations)), 0))
 	}
 	r.AddChecks(above("criticality served", served["valve"], served["plain queue"]))
 	return r, nil
@@ -135,7 +135,7 @@
 				continue
 			}
 			all += m.Criticality
-			if s.Outcome == standin.OK && float64(s.Took)/1e6 <= m.Target {
+			if s.Outcome == standin.OK && float64(s.Latency)/1e6 <= m.Target {
 				got += m.Criticality
 			} else if s.Outcome == standin.OK {
 				got += m.Criticality * m.Late
@@ -155,13 +155,13 @@
 		if at[s.Method] == nil {
 			at[s.Method] = map[int]*cell{}
 		}
-		second := int(s.At / time.Second)
+		second := int(s.Offset / time.Second)
 		if at[s.Method][second] == nil {
 			at[s.Method][second] = &cell{}
 		}
 		last = max(last, second)
 		x := at[s.Method][second]
-		if x.all++; s.Outcome == standin.OK && s.Took <= 400*time.Millisecond {
+		if x.all++; s.Outcome == standin.OK && s.Latency <= 400*time.Millisecond {
 			x.ok++
 		}
 	}
@@ -191,13 +191,13 @@
 		got <- standin.Reply{Body: result}
 	})
 	if !taken {
-		return standin.Reply{Outcome: standin.PushedBack, Took: time.Since(began)}
+		return standin.Reply{Outcome: standin.Rejected, Latency: time.Since(began)}
 	}
 	select {
 	case r := <-got:
-		r.Took = time.Since(began)
+		r.Latency = time.Since(began)
 		return r
 	case <-ctx.Done():
-		return standin.Reply{Outcome: standin.Lost, Took: time.Since(began)}
+		return standin.Reply{Outcome: standin.Lost, Latency: time.Since(began)}
 	}
 }
--- a/internal/experiment/parity.go
+++ b/internal/experiment/parity.go
@@ -90,7 +90,7 @@
 		if at += chance.ExpFloat64() / r; at >= end {
 			return all
 		}
-		a := arrival{at: time.Duration(at) * time.Millisecond, work: standin.Spread(chance, parityWork)}
+		a := arrival{at: time.Duration(at) * time.Millisecond, work: standin.RandomWork(chance, parityWork)}
 		a.call = standin.Call{Method: "account-view", Caller: chance.Intn(3) + 1, Subject: uint64(chance.Intn(3000)) + 1}
 		switch x := chance.Float64(); {
 		case x < 0.12:
@@ -98,7 +98,7 @@
 		case x < 0.5:
 			a.call.Method = "settings-save"
 		}
-		a.call.Hint, _ = strconv.ParseFloat(strconv.FormatFloat(a.work*(0.8+0.4*chance.Float64()), 'f', 2, 64), 64)
+		a.call.HintMs, _ = strconv.ParseFloat(strconv.FormatFloat(a.work*(0.8+0.4*chance.Float64()), 'f', 2, 64), 64)
 		a.call.Body = []byte(strconv.Itoa(n))
 		all = append(all, a)
 	}
@@ -172,7 +172,7 @@
 	router := standin.NewRouter(ln.Addr().String())
 	f.call = func(a *arrival, door time.Time) bool {
 		c := a.call
-		c.Door = door
+		c.ArrivedAt = door
 		ctx, end := context.WithTimeout(context.Background(), time.Minute)
 		defer end()
 		return router.Call(ctx, c).Outcome != standin.OK
@@ -218,7 +218,7 @@
 		a := q.Context().Value(arrivalKey{}).(*told)
 		return valve.RPC{
 			Method: a.call.Method, Caller: uint64(a.call.Caller), Subject: a.call.Subject, Token: a.call.Token, Arrived: a.door,
-			Work: time.Duration(math.Round(a.call.Hint * 1e6)), Memory: 24.5 * 1024,
+			Work: time.Duration(math.Round(a.call.HintMs * 1e6)), Memory: 24.5 * 1024,
 		}, true
 	}})
 	if err != nil {
--- a/internal/experiment/pools.go
+++ b/internal/experiment/pools.go
@@ -36,8 +36,8 @@
 }
 
 var troubles = []trouble{
-	{"stalls", func(a *standin.App, _ *standin.Cores) { a.Set(standin.Stall) }, func(a *standin.App, _ *standin.Cores) { a.Set(standin.Sound) }},
-	{"fails at once", func(a *standin.App, _ *standin.Cores) { a.Set(standin.Fail) }, func(a *standin.App, _ *standin.Cores) { a.Set(standin.Sound) }},
+	{"stalls", func(a *standin.App, _ *standin.Cores) { a.SetFault(standin.HangAfterRead) }, func(a *standin.App, _ *standin.Cores) { a.SetFault(standin.NoFault) }},
+	{"fails at once", func(a *standin.App, _ *standin.Cores) { a.SetFault(standin.ServerError) }, func(a *standin.App, _ *standin.Cores) { a.SetFault(standin.NoFault) }},
 	{"a tenth of the speed", func(_ *standin.App, c *standin.Cores) { c.SetSpeed(0.1) }, func(_ *standin.App, c *standin.Cores) { c.SetSpeed(1) }},
 	{"crashes", func(a *standin.App, _ *standin.Cores) { a.Stop() }, func(a *standin.App, _ *standin.Cores) { a.Start() }},
 }
@@ -46,7 +46,7 @@
 type poolRun struct {
 	way     string
 	samples []standin.Sample
-	verdict standin.Verdict
+	verdict standin.InvariantReport
 	first   float64 // tries
 	further float64
 	allowed float64
@@ -82,7 +82,7 @@
 		}
 		ok := 0
 		for _, s := range w.samples {
-			if s.Outcome == standin.OK && s.Took <= poolTarget {
+			if s.Outcome == standin.OK && s.Latency <= poolTarget {
 				ok++
 			}
 		}
@@ -91,12 +91,12 @@
 			from, to := time.Duration(i)*(bad+sound), time.Duration(i+1)*(bad+sound)
 			var part []standin.Sample
 			for _, s := range w.samples {
-				if s.At >= from && s.At < to {
+				if s.Offset >= from && s.Offset < to {
 					part = append(part, s)
 				}
 			}
-			for _, row := range standin.Summary(part, false, poolTarget) {
-				r.AddRow(w.way, t.name, row.Method, row.N, row.InTime, row.Late, row.PushedBack, row.Aborted, row.Lost, row.P50, row.P99)
+			for _, row := range standin.Summarize(part, false, poolTarget) {
+				r.AddRow(w.way, t.name, row.Method, row.Calls, row.OnTimeShare, row.Late, row.Rejected, row.Aborted, row.Lost, row.P50, row.P99)
 			}
 		}
 		w.share.Name = w.way
@@ -109,17 +109,17 @@
 	r.AddChecks(atMost("further tries", ours.further, math.Floor(ours.allowed)))
 	r.AddChecks(atMost("s until a recovered member has its part", ours.back, 10))
 	r.AddChecks(atMost("in hand there, over the others' most", ours.overrun, 1.5))
-	r.AddChecks(atMost("second runs", float64(ours.verdict.SecondRuns), 0))
+	r.AddChecks(atMost("second runs", float64(ours.verdict.DuplicateRuns), 0))
 	r.AddChecks(atMost("RPCs without an answer", float64(ours.verdict.Unanswered), 0))
-	r.AddChecks(atMost("RPCs with two", float64(ours.verdict.Twice), 0))
+	r.AddChecks(atMost("RPCs with two", float64(ours.verdict.AnsweredTwice), 0))
 	return r, nil
 }
 
 func (w *poolRun) run(o Options, list []trouble, bad, sound time.Duration) error {
-	rules := standin.NewRules("topup-buy", "/topup-buy")
+	rules := standin.NewInvariantChecker("topup-buy", "/topup-buy")
 	idle := standin.NewCores(poolMembers*memberCores, 8) // the engine, which has nothing to do
 	defer idle.Close()
-	engine, err := standin.NewEngine(idle, standin.ByBody, rules)
+	engine, err := standin.NewEngine(idle, standin.WorkFromBody, rules)
 	if err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	var addrs []string
 	for range poolMembers {
 		c := standin.NewCores(memberCores, 8)
-		a, err := standin.NewApp(c, standin.ByBody, rules)
+		a, err := standin.NewApp(c, standin.WorkFromBody, rules)
 		if err != nil {
 			return err
 		}
@@ -157,9 +157,9 @@
 	}
 	defer s.Close()
 	total := time.Duration(len(list)) * (bad + sound)
-	plan := standin.Plan{
-		Rate: poolLoad * poolMembers * memberCores * 1000 / poolWork, For: total, Callers: 3, Seed: o.Seed, Deadline: time.Second + ownWait,
-		Kinds: []standin.Kind{{Method: "account-view", Share: 0.85, Work: poolWork}, {Method: "topup-buy", Share: 0.15, Work: poolWork, Tokened: true}},
+	plan := standin.LoadPlan{
+		Rate: poolLoad * poolMembers * memberCores * 1000 / poolWork, Duration: total, Callers: 3, Seed: o.Seed, Deadline: time.Second + ownWait,
+		Kinds: []standin.RequestKind{{Method: "account-view", Share: 0.85, MeanWorkMs: poolWork}, {Method: "topup-buy", Share: 0.15, MeanWorkMs: poolWork, WithToken: true}},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -183,7 +183,7 @@
 				phase++
 				recovered = time.Now()
 				for _, a := range apps {
-					a.Most()
+					a.TakeMaxInFlight()
 				}
 			}
 			time.Sleep(look)
@@ -209,19 +209,19 @@
 				if mine >= 0.8*others/(poolMembers-1) {
 					var most []float64
 					for _, a := range apps[1:] {
-						most = append(most, float64(a.Most()))
+						most = append(most, float64(a.TakeMaxInFlight()))
 					}
-					w.overrun = math.Max(w.overrun, float64(apps[0].Most())/math.Max(1, slices.Max(most)))
+					w.overrun = math.Max(w.overrun, float64(apps[0].TakeMaxInFlight())/math.Max(1, slices.Max(most)))
 					recovered = time.Time{}
 				}
 			}
 		}
 	}()
-	router, web := standin.NewRouter(s.RPC), standin.NewWeb(s.Web, false)
+	router, web := standin.NewRouter(s.RPC), standin.NewWebTier(s.Web, false)
 	w.samples = plan.Run(ctx, map[string]standin.Caller{"msgpack": router, "uwsgi": web}, rules)
 	router.Close()
 	<-watched
-	w.verdict = rules.Verdict()
+	w.verdict = rules.Report()
 	c := s.Pools.States()[0].Tries
 	w.first, w.further = float64(c.FirstAttempts), float64(c.Retries)
 	// What the rules allow: the share of first tries, the floor a second, and what may be saved up at the start.
--- a/internal/experiment/release.go
+++ b/internal/experiment/release.go
@@ -37,44 +37,44 @@
 		runs = 48
 	}
 	const ways = 3
-	ends := make([][ways]fleetsim.ReleaseEnd, runs)
+	ends := make([][ways]fleetsim.RolloutOutcome, runs)
 	began := time.Now()
 	inParallel(runs, func(i int) {
 		for way := range ways {
-			ends[i][way] = fleetsim.ReleaseRun{Servers: 300, Zones: 3, Rate: 4, Seed: uint64(o.Seed)*100000 + uint64(i), Bad: fleetsim.Bad(i % fleetsim.Bads), Faults: i/fleetsim.Bads%2 == 1,
-				Rules: releaseRules(), Judged: way == 0, AtOnce: way == 2}.Run()
+			ends[i][way] = fleetsim.RolloutRun{Servers: 300, Zones: 3, RatePerServer: 4, Seed: uint64(o.Seed)*100000 + uint64(i), Defect: fleetsim.VersionDefect(i % fleetsim.DefectCount), Faults: i/fleetsim.DefectCount%2 == 1,
+				Rules: releaseRules(), CanaryAnalysis: way == 0, SingleWave: way == 2}.Run()
 		}
 	})
 	beyond, falsely, good, mixed, unrestored := 0, 0, 0, 0, 0
-	served := make([][ways]float64, fleetsim.Bads)
-	count := make([]int, fleetsim.Bads)
-	reached := make([][ways]float64, fleetsim.Bads)
-	took := make([]float64, fleetsim.Bads)
+	served := make([][ways]float64, fleetsim.DefectCount)
+	count := make([]int, fleetsim.DefectCount)
+	reached := make([][ways]float64, fleetsim.DefectCount)
+	took := make([]float64, fleetsim.DefectCount)
 	chart := Chart{Name: "reached", XLabel: "release", YLabel: "servers that ran the bad version"}
 	lines := [ways]Line{{Name: "judged"}, {Name: "fixed waves"}, {Name: "at once"}}
 	for i := range ends {
-		kind := i % fleetsim.Bads
+		kind := i % fleetsim.DefectCount
 		e := ends[i][0]
 		count[kind]++
 		for way := range ways {
-			served[kind][way] += ends[i][way].Served
-			reached[kind][way] += float64(ends[i][way].Reached)
-			if kind != int(fleetsim.Good) {
-				lines[way].Points = append(lines[way].Points, plotter.XY{X: float64(i), Y: float64(ends[i][way].Reached)})
+			served[kind][way] += ends[i][way].ServedShare
+			reached[kind][way] += float64(ends[i][way].ServersReached)
+			if kind != int(fleetsim.NoDefect) {
+				lines[way].Points = append(lines[way].Points, plotter.XY{X: float64(i), Y: float64(ends[i][way].ServersReached)})
 			}
 		}
-		mixed += e.Mixed
+		mixed += e.Diverged
 		switch {
-		case kind == int(fleetsim.Good):
+		case kind == int(fleetsim.NoDefect):
 			if good++; e.Phase != release.Completed {
 				falsely++
-				fmt.Fprintf(o.Out, "seed %d: a good version is %s: %s\n", i, e.Phase, e.Why)
+				fmt.Fprintf(o.Out, "seed %d: a good version is %s: %s\n", i, e.Phase, e.Reason)
 			}
 		default:
-			took[kind] += e.Took / 1000
-			if e.Shown >= 20e3 && e.Reached > e.Second {
+			took[kind] += e.DurationMs / 1000
+			if e.ExposureMs >= 20e3 && e.ServersReached > e.FirstTwoWaves {
 				beyond++
-				fmt.Fprintf(o.Out, "seed %d, %s: reached %d of 300: %s\n", i, fleetsim.Bad(kind), e.Reached, e.Why)
+				fmt.Fprintf(o.Out, "seed %d, %s: reached %d of 300: %s\n", i, fleetsim.VersionDefect(kind), e.ServersReached, e.Reason)
 			}
 			if e.Phase == release.RolledBack && !e.Restored {
 				unrestored++
@@ -84,11 +84,11 @@
 	chart.Lines = lines[:]
 	r.Charts = append(r.Charts, chart)
 	leastBad, leastGood := 1.0, 1.0
-	for kind := range fleetsim.Bads {
+	for kind := range fleetsim.DefectCount {
 		n := float64(max(1, count[kind]))
-		r.AddRow(fmt.Sprintf("%s: ok over without it", fleetsim.Bad(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
+		r.AddRow(fmt.Sprintf("%s: ok over without it", fleetsim.VersionDefect(kind)), served[kind][0]/n, served[kind][1]/n, served[kind][2]/n)
 		r.AddRow("  servers reached, mean", reached[kind][0]/n, reached[kind][1]/n, reached[kind][2]/n)
-		if kind != int(fleetsim.Good) {
+		if kind != int(fleetsim.NoDefect) {
 			r.AddRow("  s from the first assignment to the way back", took[kind]/n, "", "")
 			leastBad = min(leastBad, served[kind][0]/n)
 		} else {
@@ -130,13 +130,13 @@
 	defer cores.Close()
 	var apps []*standin.App
 	for i := range 3 {
-		a, err := standin.NewApp(cores, standin.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			return err
 		}
 		defer a.Stop()
 		if i == 2 {
-			a.Set(standin.Fail)
+			a.SetFault(standin.ServerError)
 		}
 		apps = append(apps, a)
 	}
@@ -147,10 +147,10 @@
 	}
 	beds := make([]*testbed.Bed, 2) // with the keepers, and one that is reloaded at once
 	for i := range beds {
-		opt := testbed.Options{Names: fleetsim.Names(servers), Seed: o.Seed + int64(i), Cores: 2, Set: fleetSettings, File: file("one", apps[0]), Zone: func(i int) string { return fmt.Sprint("z", i%2) },
-			Serve: serve}
+		opt := testbed.Options{Names: fleetsim.ServerNames(servers), Seed: o.Seed + int64(i), Cores: 2, SettingsJSON: fleetSettings, Operator: file("one", apps[0]), Zone: func(i int) string { return fmt.Sprint("z", i%2) },
+			ServeCommand: serve}
 		if i == 0 {
-			opt.Keepers, opt.Folder = k.addresses, dir
+			opt.PermitServers, opt.VersionDir = k.addresses, dir
 		}
 		if beds[i], err = testbed.New(opt); err != nil {
 			return err
@@ -159,7 +159,7 @@
 		if err := beds[i].StartAll(); err != nil {
 			return err
 		}
-		if err := beds[i].Await(awaitLimit, beds[i].Names, testbed.Hears("whole", servers)); err != nil {
+		if err := beds[i].Await(awaitLimit, beds[i].Names, testbed.ExpectView("whole", servers)); err != nil {
 			return err
 		}
 	}
@@ -168,7 +168,7 @@
 	client := permitclient.New(k.addresses)
 	defer client.Close()
 	var roster []permit.Server
-	for i, name := range fleetsim.Names(servers) {
+	for i, name := range fleetsim.ServerNames(servers) {
 		roster = append(roster, permit.Server{Name: name, Zone: fmt.Sprint("z", i%2)})
 	}
 	if a, err := client.Do(ctx, permit.Command{ID: "roster", Kind: permit.Configure, Servers: roster, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: servers}}}); err != nil || !a.OK {
@@ -185,12 +185,12 @@
 		caller := newFailoverCaller(b)
 		defer caller.Close()
 		load.Go(func() {
-			kinds := []standin.Kind{{Method: "account-view", Share: 0.5, Work: 10}, {Method: "settings-save", Share: 0.5, Work: 10}}
+			kinds := []standin.RequestKind{{Method: "account-view", Share: 0.5, MeanWorkMs: 10}, {Method: "settings-save", Share: 0.5, MeanWorkMs: 10}}
 			for loading.Err() == nil { // in short plans, so that shares are known as it goes
-				samples := standin.Plan{Rate: 40 * servers, For: 500 * time.Millisecond, Callers: 3, Seed: time.Now().UnixNano(), Deadline: 1200 * time.Millisecond, Kinds: kinds}.Run(loading, map[string]standin.Caller{"msgpack": caller}, standin.NewRules())
+				samples := standin.LoadPlan{Rate: 40 * servers, Duration: 500 * time.Millisecond, Callers: 3, Seed: time.Now().UnixNano(), Deadline: 1200 * time.Millisecond, Kinds: kinds}.Run(loading, map[string]standin.Caller{"msgpack": caller}, standin.NewInvariantChecker())
 				mu.Lock()
 				for _, s := range samples {
-					if s.Outcome == standin.Lost && s.Why == context.Canceled.Error() {
+					if s.Outcome == standin.Lost && s.Reason == context.Canceled.Error() {
 						continue
 					}
 					if all[i]++; s.Outcome == standin.OK {
@@ -270,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	before := apps[2].Taken()
+	before := apps[2].Received()
 	bad, err := share(func() error {
 		if _, err := begin(file("three", apps[2])); err != nil {
 			return err
@@ -291,14 +291,14 @@
 	}
 	wrong := 0
 	for _, name := range beds[0].Names {
-		if s, err := beds[0].View(name); err != nil || s.Drain == nil || s.Drain.Version == nil || s.Drain.Version.Version != 1 {
+		if s, err := beds[0].Status(name); err != nil || s.Drain == nil || s.Drain.Version == nil || s.Drain.Version.Version != 1 {
 			wrong++
 		}
 	}
 	r.AddRow("8 processes: ok at rest", quiet[0], "", quiet[1])
 	r.AddRow("  through a good release over a leader's loss; s", through[0], "", goodTook.Seconds())
 	r.AddRow("  through a bad one; at once", bad[0], "", bad[1])
-	r.AddRow("  s until it is taken back; RPCs that it failed, both beds", badTook.Seconds(), "", apps[2].Taken()-before)
+	r.AddRow("  s until it is taken back; RPCs that it failed, both beds", badTook.Seconds(), "", apps[2].Received()-before)
 	r.AddChecks(atLeast("processes: ok through a good release, over at rest", through[0]/quiet[0], 0.98))
 	r.AddChecks(atLeast("processes: ok through a bad one, over at rest", bad[0]/quiet[0], 0.95))
 	r.AddChecks(atMost("processes: the same at once, over at rest", bad[1]/quiet[1], bad[0]/quiet[0]))
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -34,8 +34,8 @@
 	for _, x := range s {
 		last = max(last, float64(x.At)/1e6)
 	}
-	return fleetsim.Options{Servers: servers, Zones: 3, Seed: uint64(seed), Length: last + 25e3, Rate: 5, Cores: 2, Work: 20, Cold: 2000, Script: s,
-		Budgets: budgetsOf(servers, fleetsim.Lent)}
+	return fleetsim.Options{Servers: servers, Zones: 3, Seed: uint64(seed), DurationMs: last + 25e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: s,
+		Quota: budgetsOf(servers, fleetsim.PeerLeases)}
 }
 
 // FleetSim is the experiment fleet-sim.
@@ -82,14 +82,14 @@
 	if err != nil {
 		return err
 	}
-	s, err := ReadSchedule(o.Schedule, text, fleetsim.Names(servers))
+	s, err := ReadSchedule(o.Schedule, text, fleetsim.ServerNames(servers))
 	if err != nil {
 		return err
 	}
 	found := 0
 	for seed := from; seed <= to; seed++ {
 		got := fleetsim.New(simOptions(servers, seed, s)).Run()
-		r.AddRow(fmt.Sprintf("seed %d: digest %016x", seed, got.Digest), 1, got.Settled/1000, fmt.Sprintf("%d events", got.Events))
+		r.AddRow(fmt.Sprintf("seed %d: digest %016x", seed, got.Digest), 1, got.SettledMs/1000, fmt.Sprintf("%d events", got.Events))
 		for _, f := range got.Findings {
 			found++
 			fmt.Fprintln(o.Out, f)
@@ -107,7 +107,7 @@
 	done, told := 0, began
 	inParallel(n, func(i int) {
 		seed := from + int64(i)
-		results[i] = fleetsim.New(simOptions(servers, seed, script.Random(seed, fleetsim.Names(servers), simFaults, simTroubles))).Run()
+		results[i] = fleetsim.New(simOptions(servers, seed, script.Random(seed, fleetsim.ServerNames(servers), simFaults, simTroubles))).Run()
 		mu.Lock()
 		defer mu.Unlock()
 		if done++; time.Since(told) > 10*time.Second {
@@ -123,9 +123,9 @@
 		seed := from + int64(i)
 		events += got.Events
 		seconds += (float64(simFaults)/1e6 + 25e3) / 1000 * float64(servers)
-		settled = append(settled, got.Settled/1000)
+		settled = append(settled, got.SettledMs/1000)
 		digest = digest*1099511628211 ^ got.Digest
-		for name, cases := range got.Saw {
+		for name, cases := range got.CasesByChecker {
 			saw[name] += cases
 		}
 		if len(got.Findings) == 0 {
@@ -136,8 +136,8 @@
 			continue
 		}
 		checker := got.Findings[0].Checker
-		less := script.Shrink(script.Random(seed, fleetsim.Names(servers), simFaults, simTroubles), func(s script.Script) bool {
-			for _, f := range fleetsim.New(simOptions(servers, seed, s.Closed(simFaults))).Run().Findings {
+		less := script.Shrink(script.Random(seed, fleetsim.ServerNames(servers), simFaults, simTroubles), func(s script.Script) bool {
+			for _, f := range fleetsim.New(simOptions(servers, seed, s.WithRecovery(simFaults))).Run().Findings {
 				if f.Checker == checker {
 					return true
 				}
@@ -175,21 +175,21 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		opt := fleetsim.Options{Servers: n, Fleet: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), Length: length, Rate: 20, Cores: 2, Work: 20,
-			Rules: health.Usual, Checkers: []fleetsim.Checker{}}
+		opt := fleetsim.Options{Servers: n, FleetSize: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), DurationMs: length, RatePerServer: 20, Cores: 2, MeanWorkMs: 20,
+			HealthRules: health.Usual, Checkers: []fleetsim.Checker{}}
 		if n == 10000 { // for the memory; what an RPC costs is seen before
-			opt.Length, opt.Rate = 60e3, 1
+			opt.DurationMs, opt.RatePerServer = 60e3, 1
 		}
 		began := time.Now()
 		w := fleetsim.New(opt)
 		got := w.Run()
-		took := time.Since(began).Seconds() / (opt.Length / 1000)
+		took := time.Since(began).Seconds() / (opt.DurationMs / 1000)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		kb := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / 1024 / float64(n)
 		runtime.KeepAlive(w)
-		r.AddRow(fmt.Sprintf("%d servers at %g RPC/s, %g s, one core: s a second; KB a server", n, opt.Rate, opt.Length/1000), 1, took,
-			fmt.Sprintf("%.0f KB, %.2g events/s", kb, float64(got.Events)/(took*opt.Length/1000)))
+		r.AddRow(fmt.Sprintf("%d servers at %g RPC/s, %g s, one core: s a second; KB a server", n, opt.RatePerServer, opt.DurationMs/1000), 1, took,
+			fmt.Sprintf("%.0f KB, %.2g events/s", kb, float64(got.Events)/(took*opt.DurationMs/1000)))
 		if got.OK < got.Offered/2 {
 			return fmt.Errorf("%d servers: %d ok of %d", n, got.OK, got.Offered)
 		}
@@ -200,7 +200,7 @@
 		if n == sizes[0] {
 			first = took
 		}
-		if opt.Rate == 20 {
+		if opt.RatePerServer == 20 {
 			last, most = took, n
 		}
 	}
@@ -216,7 +216,7 @@
 		return err
 	}
 	const servers, rate, work = 8, 20.0, 40.0
-	names := fleetsim.Names(servers)
+	names := fleetsim.ServerNames(servers)
 	texts := []string{
 		"2s split n0,n1,n2,n3|n4,n5,n6,n7\n10s heal",
 		"2s kill n1,n5\n9s start n1,n5",
@@ -247,10 +247,10 @@
 				x.At += 10 * time.Second
 				shifted[j] = x
 			}
-			opt := fleetsim.Options{Servers: servers, Zones: 2, Seed: uint64(o.Seed)*1000 + uint64(i), Length: 10e3 + float64(last)/1e6 + 15e3, Rate: rate, Cores: 2, Work: work,
-				Script: shifted, Plain: true, Rules: rules, CheckMs: 50}
+			opt := fleetsim.Options{Servers: servers, Zones: 2, Seed: uint64(o.Seed)*1000 + uint64(i), DurationMs: 10e3 + float64(last)/1e6 + 15e3, RatePerServer: rate, Cores: 2, MeanWorkMs: work,
+				Script: shifted, SingleAttempt: true, HealthRules: rules, CheckIntervalMs: 50}
 			got := fleetsim.New(opt).Run()
-			settled[i], share[i] = got.Settled/1000, got.Worth/got.WorthAll
+			settled[i], share[i] = got.SettledMs/1000, got.ServedWeight/got.OfferedWeight
 		})
 		meanSettled, meanShare := mean(settled[:]), mean(share[:])
 		r.AddRow(fmt.Sprintf("schedule %d: s to settle, processes and simulator", k+1), runs, settledReal, meanSettled)
@@ -276,9 +276,9 @@
 // real8 plays a schedule on real processes under load, and tells how long their views took to settle after it and the share
 // of criticality that was served.
 func real8(o Options, serve func() testbed.Command, names []string, s script.Script, last time.Duration, rate, work float64) (settled, share float64, err error) {
-	rules := standin.NewRules("topup-buy")
-	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: fleetSettings, Rules: rules,
-		Serve: serve})
+	rules := standin.NewInvariantChecker("topup-buy")
+	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, SettingsJSON: fleetSettings, Invariants: rules,
+		ServeCommand: serve})
 	if err != nil {
 		return 0, 0, err
 	}
@@ -286,7 +286,7 @@
 	if err := b.StartAll(); err != nil {
 		return 0, 0, err
 	}
-	if err := b.Await(awaitLimit, names, testbed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.ExpectView("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	time.Sleep(3 * time.Second) // ramps
@@ -297,10 +297,10 @@
 	var worth, all float64
 	for i, name := range names {
 		load.Go(func() {
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
-			samples := standin.Plan{Rate: rate, For: last + 15*time.Second, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{
-				{Method: "account-view", Share: 0.5, Work: work}, {Method: "settings-save", Share: 0.35, Work: work}, {Method: "topup-buy", Share: 0.15, Work: work, Tokened: true},
+			samples := standin.LoadPlan{Rate: rate, Duration: last + 15*time.Second, Callers: 3, Seed: o.Seed*100 + int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{
+				{Method: "account-view", Share: 0.5, MeanWorkMs: work}, {Method: "settings-save", Share: 0.35, MeanWorkMs: work}, {Method: "topup-buy", Share: 0.15, MeanWorkMs: work, WithToken: true},
 			}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)
 			mu.Lock()
 			defer mu.Unlock()
@@ -309,7 +309,7 @@
 				if x.Method == "topup-buy" {
 					w = 3
 				}
-				if all += w; x.Outcome == standin.OK && x.Took <= 400*time.Millisecond {
+				if all += w; x.Outcome == standin.OK && x.Latency <= 400*time.Millisecond {
 					worth += w
 				} else if x.Outcome == standin.OK {
 					worth += 0.2 * w
@@ -321,7 +321,7 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	if err := b.Await(awaitLimit, names, testbed.Hears("whole", len(names))); err != nil {
+	if err := b.Await(awaitLimit, names, testbed.ExpectView("whole", len(names))); err != nil {
 		return 0, 0, err
 	}
 	settled = time.Since(began).Seconds()
--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -20,20 +20,20 @@
 // and a smaller quota while loans are out do not let more run in any second than bound and burst; what is beyond is pushed back with the time to return.
 func TestQuotaOfProcesses(t *testing.T) {
 	const bound, burst = 80.0, 12.0
-	rules := standin.NewRules("view")
+	rules := standin.NewInvariantChecker("view")
 	n := names(4)
 	customerQuota := func(bound float64) *operator.Budgets {
 		return &operator.Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, MaxLeaseMs: 1000}}}
 	}
-	b := started(t, testbed.Options{Names: n, Seed: 9, Cores: 4, Rules: rules, Set: sharedSettings, File: operator.File{Budgets: customerQuota(bound)}})
+	b := started(t, testbed.Options{Names: n, Seed: 9, Cores: 4, Invariants: rules, SettingsJSON: sharedSettings, Operator: operator.File{Budgets: customerQuota(bound)}})
 	pour := func(name string, rate float64, length time.Duration, seed int64) (samples []standin.Sample) {
-		router := standin.NewRouter(b.Listen(name))
+		router := standin.NewRouter(b.ListenAddr(name))
 		defer router.Close()
-		return standin.Plan{Rate: rate, For: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"acme"},
-			Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 1}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+		return standin.LoadPlan{Rate: rate, Duration: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"acme"},
+			Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 1}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 	}
 	pour("n0", 120, 3*time.Second, 1) // the start is over, and loans are made
-	await(t, b, n[:1], func(p *testbed.Point) bool {
+	await(t, b, n[:1], func(p *testbed.Observation) bool {
 		if p.Budgets == nil || len(p.Budgets.Parts) == 0 || p.Budgets.Parts[0].Borrowed < 40 {
 			pour("n0", 120, 500*time.Millisecond, 2)
 			return false
@@ -42,8 +42,8 @@
 	})
 	pushed, advised := 0, 0
 	for _, s := range pour("n0", 160, time.Second, 3) {
-		if s.Outcome == standin.PushedBack {
-			if pushed++; s.Away > 0 {
+		if s.Outcome == standin.Rejected {
+			if pushed++; s.RetryAfterMs > 0 {
 				advised++
 			}
 		}
@@ -61,17 +61,17 @@
 	do(t, b, "0s kill n0\n0s start n0\n0s term n2")
 	both.Wait()
 	do(t, b, "0s heal")
-	for end := time.Now().Add(within); b.Procs.Runs("n2") && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(within); b.Processes.Running("n2") && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 	}
 	do(t, b, "0s start n2")
-	await(t, b, n, testbed.Hears("whole", 4))
+	await(t, b, n, testbed.ExpectView("whole", 4))
 	pour("n0", 120, 2500*time.Millisecond, 12)
 	do(t, b, "0s kill n1,n2\n0s start n1,n2\n0s stop n0")
 	pour("n3", 120, 1800*time.Millisecond, 4)
 	do(t, b, "0s cont n0")
 	pour("n0", 160, time.Second, 5)
 	most := 0
-	times := rules.Times()
+	times := rules.RunTimes()
 	for from, to := 0, 0; to < len(times); to++ {
 		for times[to].Sub(times[from]) >= time.Second {
 			from++
@@ -81,13 +81,13 @@
 	if most > bound+burst || most < bound/2 {
 		t.Errorf("%d ran in a second, of %g and %g", most, bound, burst)
 	}
-	await(t, b, n, testbed.Hears("whole", 4))
+	await(t, b, n, testbed.ExpectView("whole", 4))
 	for _, name := range n {
 		if err := b.Reload(name, func(f *operator.File) { f.Budgets = customerQuota(20) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	await(t, b, n, func(p *testbed.Point) bool { // the loans of the larger quota are over
+	await(t, b, n, func(p *testbed.Observation) bool { // the loans of the larger quota are over
 		if p.Budgets == nil {
 			return false
 		}
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	go k.Serve(ln)
-	b := started(t, testbed.Options{Names: n, Seed: 6, Cores: 2, Keepers: []string{ln.Addr().String()}})
+	b := started(t, testbed.Options{Names: n, Seed: 6, Cores: 2, PermitServers: []string{ln.Addr().String()}})
 	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
 	do := func(c permit.Command) {
@@ -78,7 +78,7 @@
 	}
 	gone := func(name string) {
 		t.Helper()
-		for end := time.Now().Add(within); b.Procs.Runs(name); time.Sleep(20 * time.Millisecond) {
+		for end := time.Now().Add(within); b.Processes.Running(name); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%s goes on", name)
 			}
@@ -94,7 +94,7 @@
 	if err := drain("n1"); err == nil || !strings.Contains(err.Error(), "n0") {
 		t.Errorf("with n0 out: %v", err)
 	}
-	if err := b.Procs.Start("n0"); err != nil {
+	if err := b.Processes.Start("n0"); err != nil {
 		t.Fatal(err)
 	}
 	until("n1") // once n0 is back, warm, and has said so
@@ -106,10 +106,10 @@
 	if held := st.Granted(); len(held) != 1 || held[0].Subject != "n1" || !held[0].Begun {
 		t.Errorf("%+v", held)
 	}
-	if err := b.Procs.Start("n1"); err != nil {
+	if err := b.Processes.Start("n1"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, n, testbed.Hears("whole", 3))
+	await(t, b, n, testbed.ExpectView("whole", 3))
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) { // it returns its permit by itself
 		if st, _, err := k.State(); err == nil && len(st.Granted()) == 0 {
 			break
@@ -122,7 +122,7 @@
 	if err := drain("n2"); err == nil {
 		t.Error("begun without a keeper")
 	}
-	if !b.Procs.Runs("n2") {
+	if !b.Processes.Running("n2") {
 		t.Error("n2 has ended")
 	}
 }
@@ -243,7 +243,7 @@
 	var apps []*standin.App
 	var addrs []string
 	for range 3 {
-		a, err := standin.NewApp(cores, standin.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -253,17 +253,17 @@
 	n := names(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
-	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, Keepers: k.addrs, Set: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
-		File: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
+	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, PermitServers: k.addrs, SettingsJSON: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
+		Operator: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
-			standin.Plan{Rate: 10, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			standin.LoadPlan{Rate: 10, Duration: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 		})
 	}
 	var servers []permit.Server
@@ -292,13 +292,13 @@
 	free := func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 }
 	pids := map[string]int{}
 	for _, name := range n {
-		pids[name] = b.Procs.Pid(name)
+		pids[name] = b.Processes.Pid(name)
 	}
 	stays := func(name string) {
 		t.Helper()
 		k.until("free again", free)
 		time.Sleep(2 * time.Second) // longer than the drain would have lasted
-		if !b.Procs.Runs(name) || b.Procs.Pid(name) != pids[name] {
+		if !b.Processes.Running(name) || b.Processes.Pid(name) != pids[name] {
 			t.Errorf("%s has ended, or is another", name)
 		}
 	}
@@ -328,9 +328,9 @@
 	if err := op("n3", "what=drain&subject=apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
 		t.Errorf("a second member: %v", err)
 	}
-	was := apps[1].Taken()
+	was := apps[1].Received()
 	time.Sleep(2 * time.Second)
-	if now := apps[1].Taken(); now != was {
+	if now := apps[1].Received(); now != was {
 		t.Errorf("%d tries to a drained member", now-was)
 	}
 	do(t, b, "0s cont n5") // it has to hear before it is one of those that leave it alone
@@ -341,20 +341,20 @@
 		t.Error(err)
 	}
 	k.until("no permit", free)
-	for end := time.Now().Add(within); apps[1].Taken() == was; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(within); apps[1].Received() == was; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the member gets nothing after its return")
 		}
 	}
 
 	// A stop that nobody agreed on is obeyed at once, recorded, and uses the allowance up.
-	if err := b.Procs.Signal("n3", syscall.SIGTERM); err != nil {
+	if err := b.Processes.Signal("n3", syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	k.until("recorded", func(st permitclient.Status) bool {
 		return slices.ContainsFunc(st.State.History, func(e permit.HistoryEntry) bool { return e.Kind == permit.ReportStop && e.Subject == "n3" })
 	})
-	for end := time.Now().Add(within); b.Procs.Runs("n3"); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(within); b.Processes.Running("n3"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("n3 goes on")
 		}
@@ -363,7 +363,7 @@
 	if err := op("n4", "what=drain"); err == nil {
 		t.Error("begun though a loss has used the allowance up")
 	}
-	if err := b.Procs.Start("n3"); err != nil {
+	if err := b.Processes.Start("n3"); err != nil {
 		t.Fatal(err)
 	}
 	k.until("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.AutoHaltReason == "" })
@@ -376,18 +376,18 @@
 		t.Error(err)
 	}
 	time.Sleep(2500 * time.Millisecond)
-	if !b.Procs.Runs("n4") {
+	if !b.Processes.Running("n4") {
 		t.Error("n4 has ended while halted")
 	}
 	if err := op("n2", "what=resume"); err != nil {
 		t.Error(err)
 	}
-	for end := time.Now().Add(within); b.Procs.Runs("n4"); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(within); b.Processes.Running("n4"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("n4 does not leave, though it is wanted")
 		}
 	}
-	if err := b.Procs.Start("n4"); err != nil {
+	if err := b.Processes.Start("n4"); err != nil {
 		t.Fatal(err)
 	}
 	k.until("all back", free)
--- a/internal/fleet/judge_process_test.go
+++ b/internal/fleet/judge_process_test.go
@@ -27,7 +27,7 @@
 	var apps []*standin.App
 	var addrs []string
 	for range 4 {
-		a, err := standin.NewApp(cores, standin.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,8 +37,8 @@
 	n := names(4)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
-	b := started(t, testbed.Options{Names: n, Seed: 4, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, Set: judgedSettings,
-		File: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
+	b := started(t, testbed.Options{Names: n, Seed: 4, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, SettingsJSON: judgedSettings,
+		Operator: operator.File{Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
@@ -47,13 +47,13 @@
 		load.Add(1)
 		go func() {
 			defer load.Done()
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
-			standin.Plan{Rate: 8, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			standin.LoadPlan{Rate: 8, Duration: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 		}()
 	}
-	holds := func(out ...int) func(*testbed.Point) bool {
-		return func(p *testbed.Point) bool {
+	holds := func(out ...int) func(*testbed.Observation) bool {
+		return func(p *testbed.Observation) bool {
 			if len(p.Judged) != 1 || len(p.Judged[0].Members) != len(addrs) {
 				return false
 			}
@@ -70,25 +70,25 @@
 		}
 	}
 	await(t, b, n, holds())
-	apps[1].Set(standin.Fail)
+	apps[1].SetFault(standin.ServerError)
 	await(t, b, n, holds(1))
 	do(t, b, "0s kill n2\n0s start n2")
-	await(t, b, n, testbed.Hears("whole", 4)) // before n3 stops: who starts while one is stopped hears that one only after it goes on
+	await(t, b, n, testbed.ExpectView("whole", 4)) // before n3 stops: who starts while one is stopped hears that one only after it goes on
 	await(t, b, n, holds(1))
 	do(t, b, "0s stop n3")
-	await(t, b, n[:3], testbed.Hears("part", 3))
+	await(t, b, n[:3], testbed.ExpectView("part", 3))
 	do(t, b, "0s cont n3")
-	await(t, b, n, testbed.Hears("whole", 4))
+	await(t, b, n, testbed.ExpectView("whole", 4))
 	await(t, b, n, holds(1))
 	do(t, b, "0s split n0,n1|n2,n3")
-	await(t, b, n, testbed.Hears("part", 2))
-	apps[2].Set(standin.Stall)
+	await(t, b, n, testbed.ExpectView("part", 2))
+	apps[2].SetFault(standin.HangAfterRead)
 	time.Sleep(2 * time.Second)
 	do(t, b, "0s heal")
-	await(t, b, n, testbed.Hears("whole", 4))
+	await(t, b, n, testbed.ExpectView("whole", 4))
 	await(t, b, n, holds(1, 2))
-	apps[1].Set(standin.Sound)
-	apps[2].Set(standin.Sound)
+	apps[1].SetFault(standin.NoFault)
+	apps[2].SetFault(standin.NoFault)
 	await(t, b, n, holds())
 }
 
@@ -99,7 +99,7 @@
 	t.Cleanup(cores.Close)
 	laid := func(k int) (apps []*standin.App, addrs []string) {
 		for range k {
-			a, err := standin.NewApp(cores, standin.ByBody, nil)
+			a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,8 +116,8 @@
 	other := pool
 	other.Members = fewAddrs
 	set := strings.Replace(judgedSettings, `"classes":[`, `"classes":[{"name":"save","aim":400000000,"give_up":1000000000},`, 1)
-	b := started(t, testbed.Options{Names: n, Seed: 11, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, Set: set,
-		File: operator.File{Pools: map[string]operator.Pool{"apps": pool, "few": other},
+	b := started(t, testbed.Options{Names: n, Seed: 11, Zone: func(i int) string { return fmt.Sprint("z", i%2) }, Cores: 2, SettingsJSON: set,
+		Operator: operator.File{Pools: map[string]operator.Pool{"apps": pool, "few": other},
 			Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}, "save": {Pool: "few", Path: "/save", Verb: "GET"}}}})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
@@ -125,14 +125,14 @@
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
 			mark := fmt.Sprintf("%s z%d", name, i%2)
-			standin.Plan{Rate: 25, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 0.7, Work: 2, Mark: mark}, {Method: "save", Share: 0.3, Work: 2, Mark: mark}}}.
-				Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			standin.LoadPlan{Rate: 25, Duration: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 0.7, MeanWorkMs: 2, BodySuffix: mark}, {Method: "save", Share: 0.3, MeanWorkMs: 2, BodySuffix: mark}}}.
+				Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 		})
 	}
-	outAt := func(p *testbed.Point, pool string) (out []string) {
+	outAt := func(p *testbed.Observation, pool string) (out []string) {
 		for _, j := range p.Judged {
 			if j.Pool == pool {
 				for _, m := range j.Members {
@@ -144,8 +144,8 @@
 		}
 		return out
 	}
-	holds := func(pool string, out ...string) func(*testbed.Point) bool {
-		return func(p *testbed.Point) bool {
+	holds := func(pool string, out ...string) func(*testbed.Observation) bool {
+		return func(p *testbed.Observation) bool {
 			got := outAt(p, pool)
 			slices.Sort(got)
 			slices.Sort(out)
@@ -160,8 +160,8 @@
 		t.Helper()
 		for until := time.Now().Add(3 * time.Second); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
 			for _, name := range n {
-				if s, err := b.View(name); err == nil {
-					if got := outAt(&testbed.Point{Status: s}, pool); len(got) > most {
+				if s, err := b.Status(name); err == nil {
+					if got := outAt(&testbed.Observation{Status: s}, pool); len(got) > most {
 						t.Fatalf("%s: %v out at %s, %d may be", what, got, name, most)
 					}
 				}
@@ -170,39 +170,39 @@
 	}
 	await(t, b, n, holds("apps"))
 
-	apps[0].SetFor(standin.Fail, marked("n4 "))
+	apps[0].SetFaultFor(standin.ServerError, marked("n4 "))
 	await(t, b, n[4:5], holds("apps", addrs[0]))
 	await(t, b, append(slices.Clone(n[:4]), "n5"), holds("apps"))
-	apps[0].Set(standin.Sound)
+	apps[0].SetFault(standin.NoFault)
 	await(t, b, n, holds("apps"))
 
-	apps[1].SetFor(standin.Fail, marked("z1"))
+	apps[1].SetFaultFor(standin.ServerError, marked("z1"))
 	await(t, b, []string{"n1", "n3", "n5"}, holds("apps", addrs[1]))
 	await(t, b, []string{"n0", "n2", "n4"}, holds("apps"))
-	apps[1].Set(standin.Sound)
+	apps[1].SetFault(standin.NoFault)
 	await(t, b, n, holds("apps"))
 
 	for _, a := range apps {
-		a.SetFor(standin.Fail, marked("n2 "))
+		a.SetFaultFor(standin.ServerError, marked("n2 "))
 	}
 	stays("one server meets all as bad", "apps", 0)
 	for _, a := range apps {
-		a.Set(standin.Sound)
+		a.SetFault(standin.NoFault)
 	}
 	await(t, b, n, holds("apps"))
 
 	for range 2 {
-		apps[3].Set(standin.Stall)
+		apps[3].SetFault(standin.HangAfterRead)
 		time.Sleep(3 * time.Second)
-		apps[3].Set(standin.Sound)
+		apps[3].SetFault(standin.NoFault)
 		time.Sleep(3 * time.Second)
 	}
 	await(t, b, n, holds("apps"))
 
-	few[0].Set(standin.Fail)
-	few[2].Set(standin.Fail)
+	few[0].SetFault(standin.ServerError)
+	few[2].SetFault(standin.ServerError)
 	stays("two of three are bad", "few", 1)
-	few[0].Set(standin.Sound)
-	few[2].Set(standin.Sound)
+	few[0].SetFault(standin.NoFault)
+	few[2].SetFault(standin.NoFault)
 	await(t, b, n, holds("few"))
 }
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -61,18 +61,18 @@
 	t.Parallel()
 	places <- struct{}{}
 	t.Cleanup(func() { <-places })
-	o.Serve = serve
+	o.ServeCommand = serve
 	b, err := testbed.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			for _, a := range b.Net.Acts() {
+			for _, a := range b.Network.Log() {
 				t.Log(a.At, a.Text)
 			}
 			for _, name := range b.Names {
-				log, _ := os.ReadFile(b.Procs.Log(name))
+				log, _ := os.ReadFile(b.Processes.LogPath(name))
 				t.Logf("%s: %s", name, log[max(0, len(log)-1500):])
 			}
 		}
@@ -86,14 +86,14 @@
 	if err := b.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, o.Names, testbed.Hears("whole", len(o.Names)))
+	await(t, b, o.Names, testbed.ExpectView("whole", len(o.Names)))
 	return b
 }
 
 // within is long for a machine that does other things beside; what is measured is measured by valvelab.
 const within = 40 * time.Second
 
-func await(t *testing.T, b *testbed.Bed, viewers []string, wanted func(*testbed.Point) bool) {
+func await(t *testing.T, b *testbed.Bed, viewers []string, wanted func(*testbed.Observation) bool) {
 	t.Helper()
 	if err := b.Await(within, viewers, wanted); err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	for _, x := range s {
-		if err := b.Do(x); err != nil {
+		if err := b.Apply(x); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -117,19 +117,19 @@
 	n := names(6)
 	b := started(t, testbed.Options{Names: n, Seed: 1, Zone: func(i int) string { return fmt.Sprint("z", i%2) }})
 	do(t, b, "0s split n0,n1,n2|n3,n4,n5")
-	await(t, b, n, testbed.Hears("part", 3))
+	await(t, b, n, testbed.ExpectView("part", 3))
 	for _, name := range n {
-		if s, err := b.View(name); err != nil || s.Roster != 6 || s.AtMost != 6 || s.AtLeast != 3 {
+		if s, err := b.Status(name); err != nil || s.Roster != 6 || s.AtMost != 6 || s.AtLeast != 3 {
 			t.Errorf("%s: %+v %v", name, s, err)
 		}
 	}
 	do(t, b, "0s heal")
-	await(t, b, n, testbed.Hears("whole", 6))
+	await(t, b, n, testbed.ExpectView("whole", 6))
 	do(t, b, "0s cut n4>*\n0s cut *>n4")
-	await(t, b, n[4:5], testbed.Hears("alone", 1))
-	await(t, b, append(n[:4:4], "n5"), testbed.Hears("part", 5))
+	await(t, b, n[4:5], testbed.ExpectView("alone", 1))
+	await(t, b, append(n[:4:4], "n5"), testbed.ExpectView("part", 5))
 	do(t, b, "0s heal\n0s relay n0,n3")
-	await(t, b, n, testbed.Hears("whole", 6))
+	await(t, b, n, testbed.ExpectView("whole", 6))
 }
 
 // A bridge: who is reached through another is there, and told from none.
@@ -137,13 +137,13 @@
 	n := names(3)
 	b := started(t, testbed.Options{Names: n, Seed: 2, Seeds: n[1:2]})
 	do(t, b, "0s split n0|n2")
-	await(t, b, n[:1], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "through others" })
+	await(t, b, n[:1], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Peers[1].Contact == "through others" })
 	do(t, b, "0s heal\n0s cut n0>n2")
-	await(t, b, n[:1], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Peers[1].Contact == "one way" })
+	await(t, b, n[:1], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Peers[1].Contact == "one way" })
 	do(t, b, "0s heal\n0s cut n0>*") // it hears, and is heard by nobody
-	await(t, b, n[1:], testbed.Hears("part", 2))
+	await(t, b, n[1:], testbed.ExpectView("part", 2))
 	do(t, b, "0s heal")
-	await(t, b, n, testbed.Hears("whole", 3))
+	await(t, b, n, testbed.ExpectView("whole", 3))
 }
 
 // Loss, delay, doubled, overtaken and spoilt packets wrong nobody for good.
@@ -155,8 +155,8 @@
 	do(t, b, "0s heal\n0s delay *>* 200ms 200ms\n0s mess *>* 0.1\n0s slow *>* 100000")
 	time.Sleep(3 * time.Second)
 	do(t, b, "0s heal")
-	await(t, b, n, testbed.Hears("whole", 5))
-	if c := b.Net.Counts(); c.Lost == 0 || c.Doubled == 0 || c.Corrupted == 0 {
+	await(t, b, n, testbed.ExpectView("whole", 5))
+	if c := b.Network.Counts(); c.Dropped == 0 || c.Duplicated == 0 || c.Corrupted == 0 {
 		t.Errorf("the relay did nothing: %+v", c)
 	}
 }
@@ -169,18 +169,18 @@
 	w := b.Watch(20 * time.Millisecond)
 	defer w.Close()
 	do(t, b, "0s stop n1,n4")
-	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Point) bool { return p.Hears == "part" && len(p.Heard) == 3 && p.Roster == 6 })
-	woke := w.Now()
+	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Observation) bool { return p.Hears == "part" && len(p.AliveNames) == 3 && p.Roster == 6 })
+	woke := w.Elapsed()
 	do(t, b, "0s cont n1,n4")
-	await(t, b, n, testbed.Hears("whole", 6))
+	await(t, b, n, testbed.ExpectView("whole", 6))
 	w.Close()
 	seen, last := 0, map[string]bool{}
-	for _, p := range w.Points() {
+	for _, p := range w.Observations() {
 		if p.At < woke || p.Name != "n1" && p.Name != "n4" {
 			continue
 		}
 		if p.Stalls == 0 && p.Hears != "whole" {
-			t.Errorf("%s hears %s %v by what it knew before", p.Name, p.Hears, p.Heard)
+			t.Errorf("%s hears %s %v by what it knew before", p.Name, p.Hears, p.AliveNames)
 		}
 		if p.Stalls > 0 {
 			seen++
@@ -196,7 +196,7 @@
 		t.Error("nobody was seen after waking")
 	}
 	for _, name := range []string{"n0", "n2", "n3", "n5"} {
-		for _, x := range must(b.View(name)).Peers {
+		for _, x := range must(b.Status(name)).Peers {
 			if sound := x.Name != "n1" && x.Name != "n4"; sound && x.Losses > 0 {
 				t.Errorf("%s lost %s, which ran all the time", name, x.Name)
 			}
@@ -215,24 +215,24 @@
 	n := names(4)
 	b := started(t, testbed.Options{Names: n, Seed: 5})
 	do(t, b, "0s kill n2\n0s start n2")
-	await(t, b, n, func(p *testbed.Point) bool {
+	await(t, b, n, func(p *testbed.Observation) bool {
 		for _, x := range p.Peers {
 			if x.Name == "n2" && x.Start != 2 {
 				return false
 			}
 		}
-		return p.Hears == "whole" && len(p.Heard) == 3 && (p.Name != "n2" || p.Start == 2)
+		return p.Hears == "whole" && len(p.AliveNames) == 3 && (p.Name != "n2" || p.Start == 2)
 	})
 	do(t, b, "0s kill n0,n1,n2,n3\n0s start n0,n1,n2,n3") // all at once
-	await(t, b, n, testbed.Hears("whole", 4))
-	if out, err := b.Procs.Ended("n0", 0); err == nil {
+	await(t, b, n, testbed.ExpectView("whole", 4))
+	if out, err := b.Processes.WaitExit("n0", 0); err == nil {
 		t.Errorf("n0 ended: %s", out)
 	}
 	do(t, b, "0s term n3")
-	if how, err := b.Procs.Ended("n3", within); err != nil || how != "exit 0" {
+	if how, err := b.Processes.WaitExit("n3", within); err != nil || how != "exit 0" {
 		t.Errorf("a server that is asked to stop: %s %v", how, err)
 	}
-	await(t, b, n[:3], func(p *testbed.Point) bool { return p.Hears == "whole" && p.Roster == 3 })
+	await(t, b, n[:3], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Roster == 3 })
 }
 
 // Seeds that are down when all others start, and come later; before that, servers are alone and serve.
@@ -240,29 +240,29 @@
 	n := names(4)
 	b := lay(t, testbed.Options{Names: n, Seed: 6, Seeds: n[:1]})
 	do(t, b, "0s start n1,n2,n3")
-	await(t, b, n[1:], func(p *testbed.Point) bool { return p.Hears == "alone" && !p.Listening })
+	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Hears == "alone" && !p.Listening })
 	do(t, b, "0s start n0")
-	await(t, b, n, testbed.Hears("whole", 4))
+	await(t, b, n, testbed.ExpectView("whole", 4))
 }
 
 // Two processes with one name: the second gives way, says why, and serves on.
 func TestTwinProcess(t *testing.T) {
 	n := names(3)
 	b := started(t, testbed.Options{Names: n, Seed: 7})
-	e := b.Net.End("n1")
-	ln, err := net.Listen("tcp", net.JoinHostPort(e.Own, "0"))
+	e := b.Network.Endpoint("n1")
+	ln, err := net.Listen("tcp", net.JoinHostPort(e.ListenIP, "0"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	own := ln.Addr().String()
 	ln.Close()
-	f := operator.Fleet{Listen: own, Seeds: []string{b.Net.End("n0").Reach(), b.Net.End("n2").Reach()}, Socket: b.Socket("twin")}
-	if err := b.Another("twin", "n1", f); err != nil {
+	f := operator.Fleet{Listen: own, Seeds: []string{b.Network.Endpoint("n0").AdvertiseAddr(), b.Network.Endpoint("n2").AdvertiseAddr()}, Socket: b.Socket("twin")}
+	if err := b.StartDuplicate("twin", "n1", f); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, []string{"twin"}, func(p *testbed.Point) bool { return strings.Contains(p.Refused, "the name n1 is") })
-	await(t, b, n, testbed.Hears("whole", 3))
-	if err := b.Procs.Signal("twin", syscall.Signal(0)); err != nil {
+	await(t, b, []string{"twin"}, func(p *testbed.Observation) bool { return strings.Contains(p.Refused, "the name n1 is") })
+	await(t, b, n, testbed.ExpectView("whole", 3))
+	if err := b.Processes.Signal("twin", syscall.Signal(0)); err != nil {
 		t.Errorf("the second process is gone: %v", err)
 	}
 }
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -29,11 +29,11 @@
 	cores := standin.NewCores(8, 8)
 	t.Cleanup(cores.Close)
 	app := func(f standin.Fault) *standin.App {
-		a, err := standin.NewApp(cores, standin.ByBody, nil)
+		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.Set(f)
+		a.SetFault(f)
 		t.Cleanup(a.Stop)
 		return a
 	}
@@ -45,20 +45,20 @@
 		pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000, Retry: operator.Retry{MaxAttempts: 1}}
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
-	old, next, bad := app(standin.Sound), app(standin.Sound), app(standin.Fail)
+	old, next, bad := app(standin.NoFault), app(standin.NoFault), app(standin.ServerError)
 	n := names(6)
 	folders := t.TempDir()
 	first := file("bed", old)
-	b := started(t, testbed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, Keepers: k.addrs, Set: judgedSettings, File: first, Folder: folders})
+	b := started(t, testbed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, PermitServers: k.addrs, SettingsJSON: judgedSettings, Operator: first, VersionDir: folders})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
-			standin.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			standin.LoadPlan{Rate: 20, Duration: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 		})
 	}
 	var servers []permit.Server
@@ -105,7 +105,7 @@
 		t.Helper()
 		var last fleet.Status
 		for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			if s, err := b.View(name); err == nil {
+			if s, err := b.Status(name); err == nil {
 				if last = s; s.Drain != nil && s.Drain.Version != nil && s.Drain.Version.Version == version {
 					return
 				}
@@ -130,15 +130,15 @@
 	for _, name := range n {
 		runs(name, plan.Version)
 	}
-	was := old.Taken()
+	was := old.Received()
 	time.Sleep(time.Second)
-	if now := old.Taken(); now != was || next.Taken() == 0 {
-		t.Errorf("%d RPCs by the former version, %d by the new", now-was, next.Taken())
+	if now := old.Received(); now != was || next.Received() == 0 {
+		t.Errorf("%d RPCs by the former version, %d by the new", now-was, next.Received())
 	}
 
 	// Killed, it comes back on that version without asking; the file of the platform's is not the released one.
 	playLines(t, b, "0s kill n3\n0s start n3")
-	await(t, b, n, testbed.Hears("whole", 6))
+	await(t, b, n, testbed.ExpectView("whole", 6))
 	runs("n3", plan.Version)
 
 	// One whose pool fails everything: back from the canary, with nobody else reached.
@@ -188,7 +188,7 @@
 
 func logOf(t *testing.T, b *testbed.Bed, name string) string {
 	t.Helper()
-	text, err := os.ReadFile(b.Procs.Log(name))
+	text, err := os.ReadFile(b.Processes.LogPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -205,7 +205,7 @@
 		text, _ := os.ReadFile(filepath.Join(folders, name, "program"))
 		return strings.TrimSpace(string(text))
 	}
-	b := started(t, testbed.Options{Names: n, Seed: 10, Cores: 2, Keepers: k.addrs, Folder: folders, Env: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
+	b := started(t, testbed.Options{Names: n, Seed: 10, Cores: 2, PermitServers: k.addrs, VersionDir: folders, ExtraEnv: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
 	ctx, end := context.WithCancel(context.Background())
 	var beside sync.WaitGroup
 	defer beside.Wait()
@@ -213,16 +213,16 @@
 	for i, name := range n {
 		beside.Go(func() { // supervises
 			for ctx.Err() == nil {
-				if !b.Procs.Alive(name) {
-					b.Procs.Start(name)
+				if !b.Processes.Alive(name) {
+					b.Processes.Start(name)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
 		beside.Go(func() {
 			for ctx.Err() == nil {
-				router := standin.NewRouter(b.Listen(name))
-				standin.Plan{Rate: 20, For: time.Second, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+				router := standin.NewRouter(b.ListenAddr(name))
+				standin.LoadPlan{Rate: 20, Duration: time.Second, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 				router.Close()
 			}
 		})
@@ -281,7 +281,7 @@
 	two := begin("build-2")
 	phase(release.Completed)
 	for _, name := range n {
-		if s, err := b.View(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != two {
+		if s, err := b.Status(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != two {
 			t.Errorf("%s: %v %+v", name, err, s.Drain)
 		}
 	}
@@ -292,7 +292,7 @@
 	for _, name := range n {
 		if program(name) == "crashes" {
 			held++
-		} else if s, err := b.View(name); err == nil && s.Version == "build-2" {
+		} else if s, err := b.Status(name); err == nil && s.Version == "build-2" {
 			stays++
 		}
 	}
@@ -310,16 +310,16 @@
 func TestReleaseFaults(t *testing.T) {
 	k := keep(t)
 	n := names(6)
-	b := started(t, testbed.Options{Names: n, Seed: 12, Cores: 2, Keepers: k.addrs, Folder: t.TempDir()})
+	b := started(t, testbed.Options{Names: n, Seed: 12, Cores: 2, PermitServers: k.addrs, VersionDir: t.TempDir()})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	defer load.Wait()
 	defer end()
 	for i, name := range n {
 		load.Go(func() {
-			router := standin.NewRouter(b.Listen(name))
+			router := standin.NewRouter(b.ListenAddr(name))
 			defer router.Close()
-			standin.Plan{Rate: 20, For: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.Kind{{Method: "view", Share: 1, Work: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewRules())
+			standin.LoadPlan{Rate: 20, Duration: 4 * time.Minute, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 		})
 	}
 	var servers []permit.Server
@@ -383,7 +383,7 @@
 			var last fleet.Status
 			ok := false
 			for end := time.Now().Add(within); !ok && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-				if s, err := b.View(name); err == nil {
+				if s, err := b.Status(name); err == nil {
 					last = s
 					ok = s.Drain.Version.Version == version
 				}
@@ -401,13 +401,13 @@
 	k.lose()
 	time.Sleep(1500 * time.Millisecond) // the last answers have come
 	for _, name := range n {
-		if s, err := b.View(name); err == nil {
+		if s, err := b.Status(name); err == nil {
 			before[name] = s.Drain.Version.Version
 		}
 	}
 	time.Sleep(2 * time.Second)
 	for _, name := range n {
-		if s, err := b.View(name); err != nil || s.Drain.Version.Version != before[name] || s.Drain.Keepers {
+		if s, err := b.Status(name); err != nil || s.Drain.Version.Version != before[name] || s.Drain.Keepers {
 			t.Errorf("%s without keepers: %v %+v, was on %d", name, err, s.Drain, before[name])
 		}
 	}
--- a/internal/fleetsim/budgets.go
+++ b/internal/fleetsim/budgets.go
@@ -11,31 +11,31 @@
 	"sorrelvalve/decision/quota"
 )
 
-// Way is how a bound is divided.
-type Way int
+// QuotaScheme is how a bound is divided.
+type QuotaScheme int
 
 const (
-	Lent      Way = iota // each owns a part and lends it: what the servers run
-	Fixed                // each has its part
-	Estimated            // each says what it uses, and takes what the others leave of the bound
-	Granted              // the first server owns all but the floors, and lends it
+	PeerLeases      QuotaScheme = iota // each owns a part and lends it: what the servers run
+	StaticSplit                        // each has its part
+	GossipEstimates                    // each says what it uses, and takes what the others leave of the bound
+	CentralLeases                      // the first server owns all but the floors, and lends it
 )
 
-func (w Way) String() string {
+func (w QuotaScheme) String() string {
 	return [...]string{"owned and lent", "fixed parts", "counts by gossip", "leased by one"}[w]
 }
 
-// Budgets are bounds that a world's servers share, the same for each of some customers, and who sends.
-type Budgets struct {
-	Way    Way
-	Rules  quota.Rules
-	Keys   int     // customers with a bound each; 0 for one
-	Hot    int     // servers to which a customer's callers stick; 0 for all
-	Rate   float64 // RPCs a second of each customer
-	MoveMs float64 // after which they stick to others; 0 for never
-	Each   float64 // RPCs a second at each server beside that, of the first customer
-	QuietA float64 // ms from which on nobody sends
-	QuietB float64 // and again does
+// QuotaOptions are bounds that a world's servers share, the same for each of some customers, and who sends.
+type QuotaOptions struct {
+	Scheme          QuotaScheme
+	Rules           quota.Rules
+	Customers       int     // customers with a bound each; 0 for one
+	StickyServers   int     // servers to which a customer's callers stick; 0 for all
+	RatePerCustomer float64 // RPCs a second of each customer
+	MoveIntervalMs  float64 // after which they stick to others; 0 for never
+	UniformRate     float64 // RPCs a second at each server beside that, of the first customer
+	QuietFromMs     float64 // ms from which on nobody sends
+	QuietUntilMs    float64 // and again does
 }
 
 // sharing is a server's part.
@@ -57,18 +57,18 @@
 	server int32
 }
 
-type budgets struct {
-	log      [][]taken // by customer: those of the last second
-	worst    float64   // most in a second over what is allowed
-	messages int
-	Series   []Second
+type quotaState struct {
+	admissions    [][]taken // by customer: those of the last second
+	peakUse       float64   // most in a second over what is allowed
+	quotaMessages int
+	QuotaSeries   []QuotaSecond
 }
 
-// Second is what happened to the first customer's RPCs in one second.
-type Second struct {
-	Offered, Taken int
-	At             []int32 // taken, by server
-	Messages       int
+// QuotaSecond is what happened to the first customer's RPCs in one second.
+type QuotaSecond struct {
+	Offered, Admitted int
+	AdmittedByServer  []int32 // taken, by server
+	Messages          int
 }
 
 const (
@@ -78,24 +78,24 @@
 
 func budgetName(k int32) string { return fmt.Sprint("c", k) }
 
-func (w *World) beginLoad() {
-	b := w.o.Budgets
+func (w *Simulation) beginLoad() {
+	b := w.o.Quota
 	if b == nil {
 		return
 	}
-	w.log = make([][]taken, max(1, b.Keys))
-	w.Series = make([]Second, int(w.o.Length/1000)+1)
-	for i := range w.Series {
-		w.Series[i].At = make([]int32, len(w.servers))
+	w.admissions = make([][]taken, max(1, b.Customers))
+	w.QuotaSeries = make([]QuotaSecond, int(w.o.DurationMs/1000)+1)
+	for i := range w.QuotaSeries {
+		w.QuotaSeries[i].AdmittedByServer = make([]int32, len(w.servers))
 	}
 	w.nextLoad()
 }
 
 // rules of a server's part.
-func (w *World) ruleOf(s *server) quota.Rules {
-	b := w.o.Budgets
+func (w *Simulation) ruleOf(s *server) quota.Rules {
+	b := w.o.Quota
 	r := b.Rules
-	if b.Way == Granted {
+	if b.Scheme == CentralLeases {
 		if r.Own = r.Floor; s.i == 0 {
 			r.Own = r.Bound - float64(r.Servers-1)*r.Floor
 		}
@@ -103,45 +103,45 @@
 	return r
 }
 
-func (w *World) beginSharing(s *server) {
-	b := w.o.Budgets
+func (w *Simulation) beginSharing(s *server) {
+	b := w.o.Quota
 	if b == nil {
 		return
 	}
 	r := w.ruleOf(s)
 	now := w.local(s)
 	began := now
-	if w.o.plant == forgetsLoans {
+	if w.o.injected == skipLeaseQuarantine {
 		began -= 10 * r.Longest
 	}
 	s.book = quota.NewBook(uint64(s.life)<<32|uint64(s.i+1), int64(w.o.Seed*1000)+int64(s.i)<<8+int64(s.life), began, func(string) (quota.Rules, bool) { return r, true })
 	s.peers, s.at = s.peers[:0], math.Inf(-1)
-	if b.Way == Estimated {
+	if b.Scheme == GossipEstimates {
 		s.said = make([]float64, len(w.servers))
 		s.tokens, s.filled, s.uses = 0, now, 0
 	}
 	w.after(s, shareMs*s.chance.Float64(), evShare, 0, 0)
 }
 
-func (w *World) voidSharing(s *server) {
+func (w *Simulation) voidSharing(s *server) {
 	if s.book != nil {
 		s.book.Void(w.local(s))
 	}
 }
 
 // shareTick is one of the budgets', as internal/fleet does it.
-func (w *World) shareTick(s *server) {
+func (w *Simulation) shareTick(s *server) {
 	w.after(s, shareMs, evShare, 0, 0)
 	now := w.local(s)
-	switch w.o.Budgets.Way {
-	case Fixed:
-	case Estimated:
+	switch w.o.Quota.Scheme {
+	case StaticSplit:
+	case GossipEstimates:
 		w.estimate(s, now)
-	case Granted, Lent:
+	case CentralLeases, PeerLeases:
 		if now-s.at >= peersMs {
 			s.at = now
 			s.peers = s.hear.Heard(now, s.peers[:0])
-			if w.o.Budgets.Way == Granted {
+			if w.o.Quota.Scheme == CentralLeases {
 				s.peers = append(s.peers[:0], w.servers[0].name)
 			}
 		}
@@ -150,7 +150,7 @@
 }
 
 // says sends messages, those to one server in one packet.
-func (w *World) says(s *server, all []quota.Keyed) {
+func (w *Simulation) says(s *server, all []quota.Keyed) {
 	for len(all) > 0 {
 		to := all[0].To
 		var mine, rest []quota.Keyed
@@ -165,14 +165,14 @@
 		var i int32
 		fmt.Sscanf(to, "n%d", &i)
 		s.sent++
-		w.messages++
+		w.quotaMessages++
 		w.second().Messages++
 		w.send(s, packet{to: i, kind: loans, said: mine})
 	}
 }
 
 // hearLoans takes what another says.
-func (w *World) hearLoans(s *server, p *packet) {
+func (w *Simulation) hearLoans(s *server, p *packet) {
 	if s.book == nil {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // estimate has a server say what it uses, and note what it hears: a model by its end, without packets.
-func (w *World) estimate(s *server, now float64) {
+func (w *Simulation) estimate(s *server, now float64) {
 	s.uses *= math.Exp(-shareMs / 1000)
 	if int(now/shareMs)%10 != int(s.i)%10 { // said once a second
 		return
@@ -197,36 +197,36 @@
 	}
 }
 
-func (w *World) nextLoad() {
-	b := w.o.Budgets
-	all := b.Rate*float64(max(1, b.Keys)) + b.Each*float64(len(w.servers))
+func (w *Simulation) nextLoad() {
+	b := w.o.Quota
+	all := b.RatePerCustomer*float64(max(1, b.Customers)) + b.UniformRate*float64(len(w.servers))
 	w.queue.put(event{at: w.now + w.chance.ExpFloat64()*1000/all, kind: evLoad, who: -1})
 }
 
-func (w *World) second() *Second {
-	return &w.Series[min(int(w.now/1000), len(w.Series)-1)]
+func (w *Simulation) second() *QuotaSecond {
+	return &w.QuotaSeries[min(int(w.now/1000), len(w.QuotaSeries)-1)]
 }
 
 // load is the next RPC, at the server to which its callers stick now.
-func (w *World) load() {
+func (w *Simulation) load() {
 	w.nextLoad()
-	b := w.o.Budgets
-	if b.QuietB > 0 && w.now >= b.QuietA && w.now < b.QuietB {
+	b := w.o.Quota
+	if b.QuietUntilMs > 0 && w.now >= b.QuietFromMs && w.now < b.QuietUntilMs {
 		return
 	}
 	n := len(w.servers)
-	all := b.Rate*float64(max(1, b.Keys)) + b.Each*float64(n)
+	all := b.RatePerCustomer*float64(max(1, b.Customers)) + b.UniformRate*float64(n)
 	key, to := int32(0), int32(0)
-	if w.chance.Float64()*all < b.Each*float64(n) {
+	if w.chance.Float64()*all < b.UniformRate*float64(n) {
 		to = int32(w.chance.IntN(n))
 	} else {
-		key = int32(w.chance.IntN(max(1, b.Keys)))
-		if to = int32(w.chance.IntN(n)); b.Hot > 0 {
+		key = int32(w.chance.IntN(max(1, b.Customers)))
+		if to = int32(w.chance.IntN(n)); b.StickyServers > 0 {
 			turn := 0
-			if b.MoveMs > 0 {
-				turn = int(w.now / b.MoveMs)
+			if b.MoveIntervalMs > 0 {
+				turn = int(w.now / b.MoveIntervalMs)
 			}
-			to = int32((turn*b.Hot*7 + int(key)*13 + w.chance.IntN(b.Hot)*(n/b.Hot)) % n)
+			to = int32((turn*b.StickyServers*7 + int(key)*13 + w.chance.IntN(b.StickyServers)*(n/b.StickyServers)) % n)
 		}
 	}
 	if key == 0 {
@@ -240,9 +240,9 @@
 }
 
 // takes is an RPC that a server has read.
-func (w *World) takes(s *server, key int32) {
+func (w *Simulation) takes(s *server, key int32) {
 	now := w.local(s)
-	if w.o.Budgets.Way == Estimated {
+	if w.o.Quota.Scheme == GossipEstimates {
 		if !w.estimated(s, now) {
 			return
 		}
@@ -252,22 +252,22 @@
 	w.observe(60, s.i, key)
 	if key == 0 {
 		x := w.second()
-		x.Taken++
-		x.At[s.i]++
+		x.Admitted++
+		x.AdmittedByServer[s.i]++
 	}
-	log := w.log[key]
+	log := w.admissions[key]
 	from := 0
 	for from < len(log) && log[from].at <= w.now-1000 {
 		from++
 	}
 	log = append(log[from:], taken{w.now, s.i})
-	w.log[key] = log
-	r := &w.o.Budgets.Rules
-	w.worst = math.Max(w.worst, float64(len(log))/(r.Bound+r.Burst))
+	w.admissions[key] = log
+	r := &w.o.Quota.Rules
+	w.peakUse = math.Max(w.peakUse, float64(len(log))/(r.Bound+r.Burst))
 }
 
-func (w *World) estimated(s *server, now float64) bool {
-	r := &w.o.Budgets.Rules
+func (w *Simulation) estimated(s *server, now float64) bool {
+	r := &w.o.Quota.Rules
 	rate := r.Bound
 	for i := range s.said {
 		if int32(i) != s.i {
@@ -285,11 +285,11 @@
 	return true
 }
 
-// Worst is the most that was taken of one bound in a second, over bound and burst.
-func (w *World) Worst() float64 { return w.worst }
+// PeakQuotaUse is the most that was taken of one bound in a second, over bound and burst.
+func (w *Simulation) PeakQuotaUse() float64 { return w.peakUse }
 
-// Sent is how many packets about budgets each server has sent, the most of any.
-func (w *World) Sent() (most int) {
+// MaxQuotaMessages is how many packets about budgets each server has sent, the most of any.
+func (w *Simulation) MaxQuotaMessages() (most int) {
 	for i := range w.servers {
 		most = max(most, w.servers[i].sent)
 	}
--- a/internal/fleetsim/budgets_test.go
+++ b/internal/fleetsim/budgets_test.go
@@ -7,10 +7,10 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-func bound(servers int) *Budgets {
-	return &Budgets{
-		Rules: quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: usualDrift},
-		Hot:   max(1, servers/8), Rate: 60 * float64(servers), MoveMs: 10e3, Each: 1,
+func bound(servers int) *QuotaOptions {
+	return &QuotaOptions{
+		Rules:         quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: usualDrift},
+		StickyServers: max(1, servers/8), RatePerCustomer: 60 * float64(servers), MoveIntervalMs: 10e3, UniformRate: 1,
 	}
 }
 
@@ -33,14 +33,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := bound(8)
-			w := New(Options{Servers: 8, Zones: 2, Seed: 3, Length: 60e3, Budgets: b, Script: acts(t, text, 8)})
+			w := New(Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 60e3, Quota: b, Script: acts(t, text, 8)})
 			r := w.Run()
 			for _, f := range r.Findings {
 				t.Errorf("%v", f)
 			}
 			taken := 0
-			for _, x := range w.Series[52:60] {
-				taken += x.Taken
+			for _, x := range w.QuotaSeries[52:60] {
+				taken += x.Admitted
 			}
 			if most := 8 * b.Rules.Bound; float64(taken) < 0.9*most {
 				t.Errorf("in the last eight seconds %d of %g", taken, most)
@@ -52,11 +52,11 @@
 // Random schedules keep the bounds; faults planted in the servers' own code do not, and are found and cut down.
 func TestBudgetsAtRandom(t *testing.T) {
 	type fault struct {
-		plant plant
+		plant injectedFault
 		drift float64 // clocks that are worse than was stated
 	}
 	options := func(seed int64, f fault, s script.Script) Options {
-		return Options{Servers: 12, Zones: 3, Seed: uint64(seed), Length: 50e3, Budgets: bound(12), Script: s, plant: f.plant, Drift: f.drift}
+		return Options{Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 50e3, Quota: bound(12), Script: s, injected: f.plant, MaxClockDrift: f.drift}
 	}
 	fails := func(o Options) bool {
 		for _, f := range New(o).Run().Findings {
@@ -66,13 +66,13 @@
 		}
 		return false
 	}
-	draw := func(seed int64) script.Script { return script.Random(seed, Names(12), 30e9, 8) }
+	draw := func(seed int64) script.Script { return script.Random(seed, ServerNames(12), 30e9, 8) }
 	for seed := range int64(6) {
 		if fails(options(seed, fault{}, draw(seed))) {
 			t.Errorf("seed %d: a bound was broken", seed)
 		}
 	}
-	for _, p := range []fault{{forgetsLoans, 0}, {sound, 0.1}} {
+	for _, p := range []fault{{skipLeaseQuarantine, 0}, {noInjectedFault, 0.1}} {
 		found := int64(-1)
 		for seed := int64(0); seed < 40 && found < 0; seed++ {
 			if fails(options(seed, p, draw(seed))) {
@@ -83,7 +83,7 @@
 			t.Errorf("the fault %v was not found in 40 schedules", p)
 			continue
 		}
-		less := script.Shrink(draw(found), func(s script.Script) bool { return fails(options(found, p, s.Closed(30e9))) })
+		less := script.Shrink(draw(found), func(s script.Script) bool { return fails(options(found, p, s.WithRecovery(30e9))) })
 		if len(less) > 5 {
 			t.Errorf("the fault %v: %d acts are left\n%s", p, len(less), less)
 		}
--- a/internal/fleetsim/callers.go
+++ b/internal/fleetsim/callers.go
@@ -79,8 +79,8 @@
 	drained int               // servers that ended by a drain
 }
 
-func (w *World) beginCallers() {
-	if w.o.Rate <= 0 {
+func (w *Simulation) beginCallers() {
+	if w.o.RatePerServer <= 0 {
 		return
 	}
 	w.tokens, w.reads = map[uint64]tokenRuns{}, map[int32][]event{}
@@ -94,11 +94,11 @@
 	w.nextArrival()
 }
 
-func (w *World) nextArrival() {
-	w.queue.put(event{at: w.now + w.chance.ExpFloat64()*1000/(w.o.Rate*float64(len(w.servers))), kind: evArrive, who: -1})
+func (w *Simulation) nextArrival() {
+	w.queue.put(event{at: w.now + w.chance.ExpFloat64()*1000/(w.o.RatePerServer*float64(len(w.servers))), kind: evArrive, who: -1})
 }
 
-func (w *World) callersEvent(e *event) {
+func (w *Simulation) callersEvent(e *event) {
 	switch e.kind {
 	case evArrive:
 		if e.b == 0 {
@@ -115,7 +115,7 @@
 }
 
 // place is room for an RPC.
-func (w *World) place() int32 {
+func (w *Simulation) place() int32 {
 	if n := len(w.spare); n > 0 {
 		at := w.spare[n-1]
 		w.spare = w.spare[:n-1]
@@ -125,7 +125,7 @@
 	return int32(len(w.rpcs) - 1)
 }
 
-func (w *World) release(at int32) {
+func (w *Simulation) release(at int32) {
 	if r := &w.rpcs[at]; !r.open && r.refs == 0 {
 		r.id = 0
 		w.spare = append(w.spare, at)
@@ -133,7 +133,7 @@
 }
 
 // arrive is a new RPC, or the repeat of a purchase: e.a is then its token's number.
-func (w *World) arrive(e *event) {
+func (w *Simulation) arrive(e *event) {
 	at := w.place()
 	r := &w.rpcs[at]
 	w.lastID++
@@ -142,7 +142,7 @@
 	for r.method = 0; r.method < 2 && x >= methodShare[r.method]; r.method++ {
 		x -= methodShare[r.method]
 	}
-	r.work = w.o.Work * (0.1 + 0.9*(w.chance.ExpFloat64()+w.chance.ExpFloat64())/2)
+	r.work = w.o.MeanWorkMs * (0.1 + 0.9*(w.chance.ExpFloat64()+w.chance.ExpFloat64())/2)
 	r.token = r.id
 	if e.b != 0 { // of the same body, by the same router, to the same server
 		r.method, r.token, r.repeat, r.router, r.server = 2, uint64(e.a), true, e.b-1, int32(e.life)
@@ -151,7 +151,7 @@
 		r.body[i] = byte(r.token >> (8 * i))
 	}
 	w.result.Offered++
-	w.result.WorthAll += methodWorth[r.method]
+	w.result.OfferedWeight += methodWorth[r.method]
 	w.queue.put(event{at: w.now + deadlineMs, kind: evGiveUp, who: -1, a: at, b: int32(r.id)})
 	if r.repeat {
 		w.sendRPC(at, r.server)
@@ -161,9 +161,9 @@
 }
 
 // route picks the next server for an RPC.
-func (w *World) route(at int32) {
+func (w *Simulation) route(at int32) {
 	r := &w.rpcs[at]
-	if w.o.Plain {
+	if w.o.SingleAttempt {
 		w.sendRPC(at, int32(w.chance.IntN(len(w.servers))))
 		return
 	}
@@ -199,16 +199,16 @@
 	w.sendRPC(at, int32(w.chance.IntN(len(w.servers))))
 }
 
-func (w *World) sendRPC(at, to int32) {
+func (w *Simulation) sendRPC(at, to int32) {
 	r := &w.rpcs[at]
 	r.tries++
 	r.server = to
-	w.result.Tries++
+	w.result.Attempts++
 	w.queue.put(event{at: w.now + wayMs, kind: evRead, who: -1, a: at, b: r.tries, life: uint32(r.id)})
 }
 
 // reaches is an RPC at its server's door.
-func (w *World) reaches(e *event) {
+func (w *Simulation) reaches(e *event) {
 	r := &w.rpcs[e.a]
 	if uint32(r.id) != e.life || !r.open {
 		return
@@ -229,12 +229,12 @@
 }
 
 // tellCaller puts an answer on its way to its caller.
-func (w *World) tellCaller(at, try int32, code uint32) {
+func (w *Simulation) tellCaller(at, try int32, code uint32) {
 	w.queue.put(event{at: w.now + wayMs, kind: evAnswer, who: -1, a: at, b: try, life: code})
 }
 
 // verdict is a server's final one; the server is done with the RPC.
-func (w *World) verdict(s *server, h *inHand, v *gate.Verdict) {
+func (w *Simulation) verdict(s *server, h *inHand, v *gate.Verdict) {
 	r := &w.rpcs[h.rpc]
 	r.refs--
 	code := codeFailed
@@ -251,38 +251,38 @@
 		return
 	}
 	w.tellCaller(h.rpc, h.try, code)
-	if w.o.plant == answersTwice && r.id%97 == 0 {
+	if w.o.injected == duplicateAnswers && r.id%97 == 0 {
 		w.tellCaller(h.rpc, h.try, code)
 	}
 }
 
 // ran notes a run: a purchase must not run twice in one server's life within its window, nor anything past the grace.
-func (w *World) ran(s *server, at int32) {
+func (w *Simulation) ran(s *server, at int32) {
 	r := &w.rpcs[at]
 	if s.draining && r.first > s.stopAt-stopMs+graceMs+slackMs {
-		w.Found("rules", "%s runs an RPC that came %.0f ms after the notice", s.name, r.first-(s.stopAt-stopMs))
+		w.AddFinding("rules", "%s runs an RPC that came %.0f ms after the notice", s.name, r.first-(s.stopAt-stopMs))
 	}
 	if r.method != 2 {
 		return
 	}
 	t := w.tokens[r.token]
-	if w.o.plant == runsTwice && r.id%31 == 0 {
+	if w.o.injected == duplicateRuns && r.id%31 == 0 {
 		t.runs++
 	}
 	if t.runs > 0 && w.now-t.at < windowMs {
-		w.Found("rules", "token %d ran again at %s, %.0f ms after its first run", r.token, s.name, w.now-t.at)
+		w.AddFinding("rules", "token %d ran again at %s, %.0f ms after its first run", r.token, s.name, w.now-t.at)
 	}
 	w.tokens[r.token] = tokenRuns{t.runs + 1, s.life, w.now}
 }
 
 // answer reaches a router.
-func (w *World) answer(at, try int32, code uint32) {
+func (w *Simulation) answer(at, try int32, code uint32) {
 	r := &w.rpcs[at]
 	if r.id == 0 {
 		return
 	}
 	if bit := uint8(1) << (try & 7); r.answered&bit != 0 {
-		w.Found("rules", "RPC %d was answered twice", r.id)
+		w.AddFinding("rules", "RPC %d was answered twice", r.id)
 	} else {
 		r.answered |= bit
 	}
@@ -306,7 +306,7 @@
 	case codeBroken:
 		again = r.method != 2
 	}
-	if again && r.tries < mostTries && !r.repeat && !w.o.Plain && w.now-r.first < deadlineMs/2 {
+	if again && r.tries < mostTries && !r.repeat && !w.o.SingleAttempt && w.now-r.first < deadlineMs/2 {
 		w.route(at)
 		return
 	}
@@ -318,7 +318,7 @@
 }
 
 // finish ends an RPC: 0 ok, 1 pushed back, 2 failed.
-func (w *World) finish(at int32, how int) {
+func (w *Simulation) finish(at int32, how int) {
 	r := &w.rpcs[at]
 	r.open = false
 	w.ends++
@@ -329,15 +329,15 @@
 		took := w.now - r.first
 		switch {
 		case took <= targetMs:
-			w.result.Worth += methodWorth[r.method]
+			w.result.ServedWeight += methodWorth[r.method]
 		case took <= deadlineMs:
-			w.result.Worth += 0.2 * methodWorth[r.method]
+			w.result.ServedWeight += 0.2 * methodWorth[r.method]
 		}
-		if r.method == 2 && !r.repeat && !w.o.Plain && w.chance.Float64() < repeatPart && r.id < 1<<31 {
+		if r.method == 2 && !r.repeat && !w.o.SingleAttempt && w.chance.Float64() < repeatPart && r.id < 1<<31 {
 			w.queue.put(event{at: w.now + repeatMs, kind: evArrive, who: -1, a: int32(r.id), b: r.router + 1, life: uint32(r.server)})
 		}
 	case 1:
-		w.result.Pushed++
+		w.result.Rejected++
 	default:
 		w.result.Failed++
 	}
@@ -345,7 +345,7 @@
 }
 
 // givesUp is a caller at its deadline.
-func (w *World) givesUp(at, id int32) {
+func (w *Simulation) givesUp(at, id int32) {
 	r := &w.rpcs[at]
 	if int32(r.id) != id {
 		return
@@ -371,16 +371,16 @@
 }
 
 // owed looks whether a try that a server read has had its verdict, if that process has run all the time.
-func (w *World) owed(s *server, at, try int32) {
+func (w *Simulation) owed(s *server, at, try int32) {
 	for _, h := range s.tickets {
 		if h.rpc == at && h.try == try && w.now > h.owed+owedSlack && w.now-s.roused > deadlineMs+slackMs {
-			w.Found("rules", "%s: an RPC is without an answer %.0f ms past its due time", s.name, w.now-h.owed+slackMs)
+			w.AddFinding("rules", "%s: an RPC is without an answer %.0f ms past its due time", s.name, w.now-h.owed+slackMs)
 		}
 	}
 }
 
 // broken is what routers hear of a server whose process has ended.
-func (w *World) broken(s *server) {
+func (w *Simulation) broken(s *server) {
 	for _, h := range s.tickets {
 		w.rpcs[h.rpc].refs--
 		w.tellCaller(h.rpc, h.try, codeBroken)
@@ -394,7 +394,7 @@
 }
 
 // readHeld has a server that woke read what lies in its sockets.
-func (w *World) readHeld(s *server) {
+func (w *Simulation) readHeld(s *server) {
 	all := w.reads[s.i]
 	delete(w.reads, s.i)
 	for i := range all {
@@ -403,7 +403,7 @@
 }
 
 // forgetTokens drops those whose window is over.
-func (w *World) forgetTokens() {
+func (w *Simulation) forgetTokens() {
 	var old []uint64
 	for t, x := range w.tokens {
 		if w.now-x.at > windowMs+deadlineMs {
--- a/internal/fleetsim/check.go
+++ b/internal/fleetsim/check.go
@@ -5,18 +5,18 @@
 // Checker looks at a run and tells what it found wrong by World.Found.
 type Checker interface {
 	Name() string
-	Look(w *World)     // every so often
-	End(w *World)      // at the end
-	Saw() int          // cases: none is a fault of the run
-	Due(w *World) bool // whether this run must have had cases
+	Check(w *Simulation)              // every so often
+	Finish(w *Simulation)             // at the end
+	Cases() int                       // cases: none is a fault of the run
+	MustHaveCases(w *Simulation) bool // whether this run must have had cases
 }
 
-// judging is a checker that hears of each judgement on a peer.
-type judging interface {
-	judged(w *World, s *server, p int32, x *suspicion)
+// deathObserver is a checker that hears of each judgement on a peer.
+type deathObserver interface {
+	declaredDead(w *Simulation, s *server, p int32, x *suspicion)
 }
 
 // AllCheckers returns one of each.
 func AllCheckers() []Checker {
-	return []Checker{&rulesChecker{}, &viewsChecker{}, &judgementChecker{}, &boundsChecker{}, &growthChecker{}, &budgetsChecker{}}
+	return []Checker{&rpcChecker{}, &viewsChecker{}, &deathChecker{}, &boundsChecker{}, &growthChecker{}, &quotaChecker{}}
 }
--- a/internal/fleetsim/check_bounds.go
+++ b/internal/fleetsim/check_bounds.go
@@ -13,12 +13,12 @@
 	roster map[uint64]int // by server and life: names leave it only by leaving
 }
 
-func (*boundsChecker) Name() string      { return "bounds" }
-func (c *boundsChecker) Saw() int        { return c.cases }
-func (*boundsChecker) Due(w *World) bool { return w.o.Length > 2*checkMs }
-func (*boundsChecker) End(*World)        {}
+func (*boundsChecker) Name() string                     { return "bounds" }
+func (c *boundsChecker) Cases() int                     { return c.cases }
+func (*boundsChecker) MustHaveCases(w *Simulation) bool { return w.o.DurationMs > 2*checkMs }
+func (*boundsChecker) Finish(*Simulation)               {}
 
-func (c *boundsChecker) Look(w *World) {
+func (c *boundsChecker) Check(w *Simulation) {
 	runs := map[int32][2]int{} // by fleet: now, and now or of late
 	for i := range w.servers {
 		s := &w.servers[i]
@@ -39,20 +39,20 @@
 		up, late := runs[s.low][0], runs[s.low][1]
 		v := s.hear.Ends(w.local(s))
 		c.cases++
-		if w.o.Rules.Expect > 0 && !v.Blind && v.AtMost < up { // without a number to expect, a fleet started anew while cut can't know
-			w.Found("bounds", "%s says at most %d, and %d run", s.name, v.AtMost, up)
+		if w.o.HealthRules.Expect > 0 && !v.Blind && v.AtMost < up { // without a number to expect, a fleet started anew while cut can't know
+			w.AddFinding("bounds", "%s says at most %d, and %d run", s.name, v.AtMost, up)
 		}
 		if c.roster == nil {
 			c.roster = map[uint64]int{}
 		}
 		life := uint64(s.life)<<32 | uint64(i)
 		if was := c.roster[life]; v.Roster < was-w.drained {
-			w.Found("bounds", "%s has %d on its roster, and had %d; %d left", s.name, v.Roster, was, w.drained)
+			w.AddFinding("bounds", "%s has %d on its roster, and had %d; %d left", s.name, v.Roster, was, w.drained)
 		} else if v.Roster > was {
 			c.roster[life] = v.Roster
 		}
 		if v.AtLeast > late {
-			w.Found("bounds", "%s says at least %d, and %d run or ran of late", s.name, v.AtLeast, late)
+			w.AddFinding("bounds", "%s says at least %d, and %d run or ran of late", s.name, v.AtLeast, late)
 		}
 	}
 }
--- a/internal/fleetsim/check_views.go
+++ b/internal/fleetsim/check_views.go
@@ -9,11 +9,13 @@
 	settled float64 // ms after the last act; negative while not
 }
 
-func (*viewsChecker) Name() string        { return "views" }
-func (c *viewsChecker) Saw() int          { return c.cases }
-func (c *viewsChecker) Due(w *World) bool { return w.o.Length >= w.lastAct+w.o.SettleMs }
+func (*viewsChecker) Name() string { return "views" }
+func (c *viewsChecker) Cases() int { return c.cases }
+func (c *viewsChecker) MustHaveCases(w *Simulation) bool {
+	return w.o.DurationMs >= w.lastAct+w.o.SettleTimeoutMs
+}
 
-func (c *viewsChecker) Look(w *World) {
+func (c *viewsChecker) Check(w *Simulation) {
 	if w.now < w.lastAct {
 		return
 	}
@@ -28,9 +30,9 @@
 			continue
 		}
 		all = false
-		if w.now >= w.lastAct+w.o.SettleMs {
+		if w.now >= w.lastAct+w.o.SettleTimeoutMs {
 			v := s.hear.View(w.local(s))
-			w.Found("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Heard, v.Roster, (w.now-w.lastAct)/1000)
+			w.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Heard, v.Roster, (w.now-w.lastAct)/1000)
 			break
 		}
 	}
@@ -41,4 +43,4 @@
 	}
 }
 
-func (c *viewsChecker) End(w *World) { w.result.Settled = c.settled }
+func (c *viewsChecker) Finish(w *Simulation) { w.result.SettledMs = c.settled }
--- a/internal/fleetsim/detector.go
+++ b/internal/fleetsim/detector.go
@@ -98,7 +98,7 @@
 	said     []quota.Keyed
 }
 
-func (w *World) freshDetector(s *server) {
+func (w *Simulation) freshDetector(s *server) {
 	d := &s.det
 	n := int(s.size)
 	if d.m == nil {
@@ -127,12 +127,12 @@
 }
 
 // tell puts news on its way, in place of older news of the same.
-func (w *World) tell(s *server, u update) {
+func (w *Simulation) tell(s *server, u update) {
 	s.det.news.put(u)
 	w.gossips(s)
 }
 
-func (w *World) gossips(s *server) {
+func (w *Simulation) gossips(s *server) {
 	if !s.det.gossips && s.det.news.live > 0 {
 		s.det.gossips = true
 		w.after(s, gossipMs, evGossip, 0, 0)
@@ -140,7 +140,7 @@
 }
 
 // some draws peers that are not dead.
-func (w *World) some(s *server, n int, but int32) (all [8]int32, found int) {
+func (w *Simulation) some(s *server, n int, but int32) (all [8]int32, found int) {
 	for range 6 * n {
 		p := s.low + int32(s.chance.IntN(int(s.size)))
 		if st := s.det.m[p-s.low].state; p == s.i || p == but || st != alive && st != suspect {
@@ -169,7 +169,7 @@
 	return d.news.take(into, packetNews, int(d.limit()))
 }
 
-func (w *World) gossipRound(s *server) {
+func (w *Simulation) gossipRound(s *server) {
 	s.det.gossips = false
 	if !w.awake(s) {
 		return
@@ -185,7 +185,7 @@
 }
 
 // probe asks the next peer of the round.
-func (w *World) probe(s *server) {
+func (w *Simulation) probe(s *server) {
 	d := &s.det
 	w.after(s, probeMs, evProbe, 0, 0)
 	if !w.awake(s) || d.target >= 0 { // the last one has not ended yet
@@ -210,7 +210,7 @@
 }
 
 // probeLate asks through others, and by a stream.
-func (w *World) probeLate(s *server, p, number int32) {
+func (w *Simulation) probeLate(s *server, p, number int32) {
 	d := &s.det
 	if number != d.number || d.answered || !w.awake(s) {
 		return
@@ -224,7 +224,7 @@
 	}
 }
 
-func (w *World) probeOver(s *server, p, number int32) {
+func (w *Simulation) probeOver(s *server, p, number int32) {
 	d := &s.det
 	if number != d.number {
 		return
@@ -242,7 +242,7 @@
 }
 
 // suspects hears that somebody suspects a peer.
-func (w *World) suspects(s *server, p int32, inc uint32, from int32) {
+func (w *Simulation) suspects(s *server, p int32, inc uint32, from int32) {
 	d := &s.det
 	m := &d.m[p-s.low]
 	if p == s.i {
@@ -280,7 +280,7 @@
 }
 
 // armSuspicion sets when a suspicion becomes a death: the sooner, the more confirm it.
-func (w *World) armSuspicion(s *server, p int32, x *suspicion) {
+func (w *Simulation) armSuspicion(s *server, p int32, x *suspicion) {
 	least := suspectMult * max(1, math.Log10(float64(s.det.there+1))) * probeMs
 	most := suspectMax * least
 	wait := most
@@ -294,17 +294,17 @@
 	w.after(s, max(0, x.deadline-w.local(s)), evSuspect, p, int32(x.inc))
 }
 
-func (w *World) suspicionOver(s *server, p int32, inc uint32) {
+func (w *Simulation) suspicionOver(s *server, p int32, inc uint32) {
 	x := s.det.suspects[p]
 	if x == nil || s.det.m[p-s.low].state != suspect || w.local(s) < x.deadline-1e-6 || !w.awake(s) {
 		return
 	}
-	w.judged(s, p, x)
+	w.declaredDead(s, p, x)
 	w.dies(s, p, x.inc, dead, s.i)
 }
 
 // dies hears that a peer is dead or has left.
-func (w *World) dies(s *server, p int32, inc uint32, how state, from int32) {
+func (w *Simulation) dies(s *server, p int32, inc uint32, how state, from int32) {
 	d := &s.det
 	m := &d.m[p-s.low]
 	if p == s.i { // dead, or left by a former life
@@ -324,7 +324,7 @@
 }
 
 // lives hears that a peer is alive.
-func (w *World) lives(s *server, p int32, inc, life uint32) {
+func (w *Simulation) lives(s *server, p int32, inc, life uint32) {
 	d := &s.det
 	m := &d.m[p-s.low]
 	if p == s.i {
@@ -350,7 +350,7 @@
 }
 
 // refute goes before what is said of this server.
-func (w *World) refute(s *server, inc uint32) {
+func (w *Simulation) refute(s *server, inc uint32) {
 	d := &s.det
 	if inc < d.inc {
 		return
@@ -361,7 +361,7 @@
 }
 
 // takeNews hears one piece of it.
-func (w *World) takeNews(s *server, u *update, from int32) {
+func (w *Simulation) takeNews(s *server, u *update, from int32) {
 	switch u.state {
 	case pulsed:
 		w.takePulse(s, u, from)
@@ -380,7 +380,7 @@
 	pulseRoster = 16
 )
 
-func (w *World) pulse(s *server) {
+func (w *Simulation) pulse(s *server) {
 	w.after(s, pulseMs*max(1, math.Floor(float64(s.det.there)/pulseRoster)), evPulse, 0, 0)
 	if w.awake(s) {
 		s.pulses++
@@ -389,7 +389,7 @@
 }
 
 // takePulse hears another's record, which somebody brings.
-func (w *World) takePulse(s *server, u *update, from int32) {
+func (w *Simulation) takePulse(s *server, u *update, from int32) {
 	if u.about == s.i {
 		return
 	}
@@ -403,7 +403,7 @@
 }
 
 // exchange has two servers hear all that the other knows, and tells whether the way was open both ways.
-func (w *World) exchange(a, b *server) bool {
+func (w *Simulation) exchange(a, b *server) bool {
 	if !a.up || !b.up || a.stopped || b.stopped || !w.wire.open(a.i, b.i) || !w.wire.open(b.i, a.i) || !w.awake(a) || !w.awake(b) {
 		return false
 	}
@@ -415,7 +415,7 @@
 }
 
 // hearAll has one hear another's whole state; what that calls dead is suspected only.
-func (w *World) hearAll(s, from *server) {
+func (w *Simulation) hearAll(s, from *server) {
 	w.lives(s, from.i, from.det.inc, from.life)
 	for i := range from.det.m {
 		m := &from.det.m[i]
@@ -436,7 +436,7 @@
 }
 
 // receive has a server take a packet.
-func (w *World) receive(s *server, p *packet) {
+func (w *Simulation) receive(s *server, p *packet) {
 	if !w.awake(s) {
 		return
 	}
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -17,40 +17,40 @@
 
 // Options are those of one run. Times are ms.
 type Options struct {
-	Servers  int
-	Fleet    int // servers that know one another; 0 for all. Records bound a fleet at 4,096
-	Zones    int // 0 for one
-	Seed     uint64
-	Length   float64
-	Script   script.Script
-	Rate     float64      // RPCs a second for each server; 0 for none, and no gates
-	Cores    int          // of each engine
-	Work     float64      // mean of an RPC's
-	Cold     float64      // length of a ramp
-	Checkers []Checker    // nil: all
-	Rules    health.Rules // zero: the usual ones
-	Drift    float64      // clocks' rates differ by up to so much; 0 for the usual 1e-3, negative for none
-	CheckMs  float64      // between two looks of the checkers; 0 for the usual
-	Plain    bool         // callers try once, at a server drawn for each RPC
-	Budgets  *Budgets     // that the servers share; nil for none
-	Services *Services    // a pool below them; nil for none
-	SettleMs float64      // after the last act, until views are to be whole; 0 for the usual
-
-	plant plant // a fault in a module, for tests of the checkers
+	Servers         int
+	FleetSize       int // servers that know one another; 0 for all. Records bound a fleet at 4,096
+	Zones           int // 0 for one
+	Seed            uint64
+	DurationMs      float64
+	Script          script.Script
+	RatePerServer   float64         // RPCs a second for each server; 0 for none, and no gates
+	Cores           int             // of each engine
+	MeanWorkMs      float64         // mean of an RPC's
+	SlowStartMs     float64         // length of a ramp
+	Checkers        []Checker       // nil: all
+	HealthRules     health.Rules    // zero: the usual ones
+	MaxClockDrift   float64         // clocks' rates differ by up to so much; 0 for the usual 1e-3, negative for none
+	CheckIntervalMs float64         // between two looks of the checkers; 0 for the usual
+	SingleAttempt   bool            // callers try once, at a server drawn for each RPC
+	Quota           *QuotaOptions   // that the servers share; nil for none
+	Backends        *BackendOptions // a pool below them; nil for none
+	SettleTimeoutMs float64         // after the last act, until views are to be whole; 0 for the usual
+
+	injected injectedFault // a fault in a module, for tests of the checkers
 }
 
 // plant is a fault that only tests put in.
-type plant int
+type injectedFault int
 
 const (
-	sound         plant = iota
-	wakeTrusts          // a server that wakes goes by its old knowledge
-	silenceLeaves       // who falls silent is off the roster
-	deafAfterLoss       // who was lost is never heard again
-	answersTwice        // now and then
-	neverAnswers        // now and then
-	runsTwice           // a repeated token now and then
-	forgetsLoans        // who starts takes nothing for lent
+	noInjectedFault     injectedFault = iota
+	staleAfterStall                   // a server that wakes goes by its old knowledge
+	silenceIsDeparture                // who falls silent is off the roster
+	neverAliveAgain                   // who was lost is never heard again
+	duplicateAnswers                  // now and then
+	missingAnswers                    // now and then
+	duplicateRuns                     // a repeated token now and then
+	skipLeaseQuarantine               // who starts takes nothing for lent
 )
 
 // The usual figures: clocks of machines differ by less than 1e-3; views have settled 20 s after the last fault, which is
@@ -100,8 +100,8 @@
 	roused float64        // world's ms when it last woke or started
 }
 
-// World is one run.
-type World struct {
+// Simulation is one run.
+type Simulation struct {
 	o       Options
 	now     float64
 	queue   queue
@@ -111,8 +111,8 @@
 	packets []packet
 	free    []int32
 	callers
-	budgets
-	services
+	quotaState
+	backendState
 	script   script.Script
 	lastAct  float64
 	checkers []Checker
@@ -123,45 +123,45 @@
 
 // Result is what a run came to.
 type Result struct {
-	Digest    uint64 // over all that was observed
-	Events    uint64
-	Findings  []Finding
-	Saw       map[string]int // cases, by checker
-	Settled   float64        // ms after the last act from which all views were whole; negative for never
-	Wire      struct{ Passed, Lost uint64 }
-	Offered   int
-	OK        int
-	Pushed    int
-	Failed    int // aborted, or no answer
-	Tries     int
-	Worth     float64 // criticality served, and offered
-	WorthAll  float64
-	LastState []health.State
+	Digest         uint64 // over all that was observed
+	Events         uint64
+	Findings       []Finding
+	CasesByChecker map[string]int // cases, by checker
+	SettledMs      float64        // ms after the last act from which all views were whole; negative for never
+	Network        struct{ Delivered, Dropped uint64 }
+	Offered        int
+	OK             int
+	Rejected       int
+	Failed         int // aborted, or no answer
+	Attempts       int
+	ServedWeight   float64 // criticality served, and offered
+	OfferedWeight  float64
+	FinalStates    []health.State
 }
 
 // Finding is one thing that a checker found wrong.
 type Finding struct {
-	At      float64 // ms
+	AtMs    float64 // ms
 	Checker string
-	Text    string
+	Message string
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("%s: at %.1f s: %s", f.Checker, f.At/1000, f.Text)
+	return fmt.Sprintf("%s: at %.1f s: %s", f.Checker, f.AtMs/1000, f.Message)
 }
 
-// mostFindings are kept of a run: the first tell the cause.
-const mostFindings = 20
+// maxFindings are kept of a run: the first tell the cause.
+const maxFindings = 20
 
-// Found notes one.
-func (w *World) Found(checker, format string, a ...any) {
-	if len(w.found) < mostFindings {
+// AddFinding notes one.
+func (w *Simulation) AddFinding(checker, format string, a ...any) {
+	if len(w.found) < maxFindings {
 		w.found = append(w.found, Finding{w.now, checker, fmt.Sprintf(format, a...)})
 	}
 }
 
-// Names are those of servers, as scripts have them.
-func Names(n int) (all []string) {
+// ServerNames are those of servers, as scripts have them.
+func ServerNames(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprint("n", i))
 	}
@@ -169,36 +169,36 @@
 }
 
 // New lays out a run.
-func New(o Options) *World {
-	if o.Rules == (health.Rules{}) {
-		o.Rules = health.Usual
-		o.Rules.Expect = o.Servers
-		if o.Fleet > 0 {
-			o.Rules.Expect = 0
+func New(o Options) *Simulation {
+	if o.HealthRules == (health.Rules{}) {
+		o.HealthRules = health.Usual
+		o.HealthRules.Expect = o.Servers
+		if o.FleetSize > 0 {
+			o.HealthRules.Expect = 0
 		}
 	}
-	if o.Drift == 0 {
-		o.Drift = usualDrift
+	if o.MaxClockDrift == 0 {
+		o.MaxClockDrift = usualDrift
 	}
-	if o.SettleMs == 0 {
-		o.SettleMs = usualSettle
+	if o.SettleTimeoutMs == 0 {
+		o.SettleTimeoutMs = usualSettle
 	}
-	w := &World{o: o, digest: xxhash.New(), script: o.Script, checkers: o.Checkers, chance: rand.New(rand.NewPCG(o.Seed, 1))}
+	w := &Simulation{o: o, digest: xxhash.New(), script: o.Script, checkers: o.Checkers, chance: rand.New(rand.NewPCG(o.Seed, 1))}
 	w.wire.chance = rand.New(rand.NewPCG(o.Seed, 2))
 	if w.checkers == nil {
 		w.checkers = AllCheckers()
 	}
 	w.servers = make([]server, o.Servers)
 	zones := max(1, o.Zones)
-	for i, name := range Names(o.Servers) {
+	for i, name := range ServerNames(o.Servers) {
 		s := &w.servers[i]
 		s.i, s.name, s.zone = int32(i), name, fmt.Sprint("z", i%zones)
-		if s.size = int32(o.Servers); o.Fleet > 0 {
-			s.low = int32(i / o.Fleet * o.Fleet)
-			s.size = min(int32(o.Fleet), int32(o.Servers)-s.low)
+		if s.size = int32(o.Servers); o.FleetSize > 0 {
+			s.low = int32(i / o.FleetSize * o.FleetSize)
+			s.size = min(int32(o.FleetSize), int32(o.Servers)-s.low)
 		}
 		s.chance = rand.New(rand.NewPCG(o.Seed, uint64(100+i)))
-		s.rate = 1 + max(0, o.Drift)*(2*s.chance.Float64()-1)
+		s.rate = 1 + max(0, o.MaxClockDrift)*(2*s.chance.Float64()-1)
 		s.det.target = -1
 		w.rise(s)
 	}
@@ -207,10 +207,10 @@
 		w.queue.put(event{at: at, kind: evAct, who: -1, a: int32(k)})
 		w.lastAct = max(w.lastAct, at)
 	}
-	if o.CheckMs == 0 {
-		o.CheckMs = checkMs
+	if o.CheckIntervalMs == 0 {
+		o.CheckIntervalMs = checkMs
 	}
-	for at := o.CheckMs; at <= o.Length; at += o.CheckMs {
+	for at := o.CheckIntervalMs; at <= o.DurationMs; at += o.CheckIntervalMs {
 		w.queue.put(event{at: at, kind: evCheck, who: -1})
 	}
 	w.beginCallers()
@@ -220,18 +220,18 @@
 }
 
 // local is a server's own monotonic clock.
-func (w *World) local(s *server) float64 { return s.base + (w.now-s.at0)*s.rate }
+func (w *Simulation) local(s *server) float64 { return s.base + (w.now-s.at0)*s.rate }
 
 // wallOf is its wall clock.
-func (w *World) wallOf(s *server) float64 { return epoch + w.local(s) + s.wall }
+func (w *Simulation) wallOf(s *server) float64 { return epoch + w.local(s) + s.wall }
 
 // after sets an event of a server's process after a while of its own clock.
-func (w *World) after(s *server, d float64, k kind, a, b int32) {
+func (w *Simulation) after(s *server, d float64, k kind, a, b int32) {
 	w.queue.put(event{at: w.now + d/s.rate, kind: k, who: s.i, a: a, b: b, life: s.life})
 }
 
 // rise starts a server's process, which knows nobody.
-func (w *World) rise(s *server) {
+func (w *Simulation) rise(s *server) {
 	s.base, s.at0 = 1000*s.chance.Float64(), w.now
 	s.up, s.stopped, s.draining, s.muted = true, false, false, false
 	s.life++
@@ -241,7 +241,7 @@
 	w.freshDetector(s)
 	s.det.target = -1
 	now := w.local(s)
-	s.hear = health.New(w.o.Rules, s.name, s.zone, now, w.wallOf(s))
+	s.hear = health.New(w.o.HealthRules, s.name, s.zone, now, w.wallOf(s))
 	s.ticked, s.joinAt = now, now
 	w.after(s, tickMs*s.chance.Float64(), evTick, 0, 0)
 	w.after(s, probeMs*s.chance.Float64(), evProbe, 0, 0)
@@ -253,7 +253,7 @@
 }
 
 // fall ends it.
-func (w *World) fall(s *server) {
+func (w *Simulation) fall(s *server) {
 	if !s.up {
 		return
 	}
@@ -264,22 +264,22 @@
 }
 
 // awake is as internal/fleet has it: false once the server has stalled, until its detector begins anew.
-func (w *World) awake(s *server) bool {
+func (w *Simulation) awake(s *server) bool {
 	if s.muted {
 		return false
 	}
-	if w.local(s)-s.ticked >= w.o.Rules.Stall && w.o.plant != wakeTrusts {
+	if w.local(s)-s.ticked >= w.o.HealthRules.Stall && w.o.injected != staleAfterStall {
 		s.muted = true
 	}
 	return !s.muted
 }
 
 // tick is one of the fleet's part, as internal/fleet's loop does it.
-func (w *World) tick(s *server) {
+func (w *Simulation) tick(s *server) {
 	w.after(s, tickMs, evTick, 0, 0)
 	muted := !w.awake(s)
 	now := w.local(s)
-	if w.o.plant == wakeTrusts {
+	if w.o.injected == staleAfterStall {
 		s.hear.Tick(s.ticked+tickMs, epoch) // as if no time had passed
 		s.hear.Tick(now, epoch+now-s.ticked)
 	} else if s.hear.Tick(now, w.wallOf(s)) || muted {
@@ -308,7 +308,7 @@
 }
 
 // joins tries two of those on the roster that are silent, and of the seeds on which nobody heard is: the first three names.
-func (w *World) joins(s *server) {
+func (w *Simulation) joins(s *server) {
 	n := int(s.size)
 	tried := 0
 	from := s.chance.IntN(n)
@@ -326,18 +326,18 @@
 
 // What the servers' own code hears of the detector, as internal/fleet hands it on.
 
-func (w *World) heardAlive(s *server, p int32, life uint32) {
+func (w *Simulation) heardAlive(s *server, p int32, life uint32) {
 	now := w.local(s)
 	o := &w.servers[p]
 	s.hear.Known(now, o.name, o.zone, 0, 0)
-	if w.o.plant == deafAfterLoss && s.deaf[p] {
+	if w.o.injected == neverAliveAgain && s.deaf[p] {
 		return
 	}
 	s.hear.Alive(now, o.name)
 	w.observe(1, s.i, p)
 }
 
-func (w *World) knows(s *server, p int32, life uint32) {
+func (w *Simulation) knows(s *server, p int32, life uint32) {
 	if p == s.i {
 		return
 	}
@@ -348,14 +348,14 @@
 	}
 }
 
-func (w *World) heardLost(s *server, p int32, how state) {
+func (w *Simulation) heardLost(s *server, p int32, how state) {
 	name, now := w.servers[p].name, w.local(s)
 	w.observe(2, s.i, p)
-	if how == left || w.o.plant == silenceLeaves {
+	if how == left || w.o.injected == silenceIsDeparture {
 		s.hear.Leaves(now, name, 0, health.Left)
 		return
 	}
-	if w.o.plant == deafAfterLoss {
+	if w.o.injected == neverAliveAgain {
 		if s.deaf == nil {
 			s.deaf = map[int32]bool{}
 		}
@@ -364,23 +364,23 @@
 	s.hear.Lost(now, name)
 }
 
-func (w *World) word(s *server, from int32) { s.hear.Word(w.local(s), w.servers[from].name) }
+func (w *Simulation) word(s *server, from int32) { s.hear.Word(w.local(s), w.servers[from].name) }
 
-func (w *World) answeredBy(s *server, from int32) {
+func (w *Simulation) answeredBy(s *server, from int32) {
 	s.hear.Answered(w.local(s), w.servers[from].name)
 }
 
-// judged tells the checkers that a server itself calls another dead.
-func (w *World) judged(s *server, p int32, x *suspicion) {
+// declaredDead tells the checkers that a server itself calls another dead.
+func (w *Simulation) declaredDead(s *server, p int32, x *suspicion) {
 	for _, c := range w.checkers {
-		if j, is := c.(judging); is {
-			j.judged(w, s, p, x)
+		if j, is := c.(deathObserver); is {
+			j.declaredDead(w, s, p, x)
 		}
 	}
 }
 
 // send puts a packet on its way.
-func (w *World) send(s *server, p packet) {
+func (w *Simulation) send(s *server, p packet) {
 	if !w.awake(s) {
 		return
 	}
@@ -414,10 +414,10 @@
 	}
 }
 
-func (w *World) carry(s *server, into []update) []update { return s.det.carried(into) }
+func (w *Simulation) carry(s *server, into []update) []update { return s.det.carried(into) }
 
 // observe adds to the digest: what, who, whom, and when.
-func (w *World) observe(what byte, a, b int32) {
+func (w *Simulation) observe(what byte, a, b int32) {
 	x := math.Float64bits(w.now)
 	var buf [17]byte
 	buf[0] = what
@@ -431,38 +431,38 @@
 }
 
 // Run lets the whole length pass and tells what came of it.
-func (w *World) Run() *Result {
-	for w.queue.len() > 0 && w.queue.heap[0].at <= w.o.Length {
+func (w *Simulation) Run() *Result {
+	for w.queue.len() > 0 && w.queue.heap[0].at <= w.o.DurationMs {
 		e := w.queue.take()
 		w.now = e.at
 		w.result.Events++
 		w.happens(&e)
 	}
-	w.now = w.o.Length
+	w.now = w.o.DurationMs
 	r := &w.result
 	for _, c := range w.checkers {
-		c.End(w)
-		if r.Saw == nil {
-			r.Saw = map[string]int{}
+		c.Finish(w)
+		if r.CasesByChecker == nil {
+			r.CasesByChecker = map[string]int{}
 		}
-		if r.Saw[c.Name()] = c.Saw(); c.Saw() == 0 && c.Due(w) {
-			w.Found(c.Name(), "saw no case")
+		if r.CasesByChecker[c.Name()] = c.Cases(); c.Cases() == 0 && c.MustHaveCases(w) {
+			w.AddFinding(c.Name(), "saw no case")
 		}
 	}
 	for i := range w.servers {
 		s := &w.servers[i]
 		if s.up && !s.stopped {
 			st := s.hear.State(w.local(s))
-			r.LastState = append(r.LastState, st)
+			r.FinalStates = append(r.FinalStates, st)
 			w.observe(20, s.i, int32(st))
 		}
 	}
 	r.Findings, r.Digest = w.found, w.digest.Sum64()
-	r.Wire.Passed, r.Wire.Lost = w.wire.passed, w.wire.lost
+	r.Network.Delivered, r.Network.Dropped = w.wire.passed, w.wire.lost
 	return r
 }
 
-func (w *World) happens(e *event) {
+func (w *Simulation) happens(e *event) {
 	if e.who >= 0 {
 		s := &w.servers[e.who]
 		if e.kind == evPacket {
@@ -545,7 +545,7 @@
 		w.act(&w.script[e.a])
 	case evCheck:
 		for _, c := range w.checkers {
-			c.Look(w)
+			c.Check(w)
 		}
 	default:
 		w.callersEvent(e)
@@ -553,7 +553,7 @@
 }
 
 // wake has all happen that was held while a process was stopped: its timers and what lay in its socket, in their order.
-func (w *World) wake(s *server) {
+func (w *Simulation) wake(s *server) {
 	if !s.up || !s.stopped {
 		return
 	}
@@ -569,8 +569,8 @@
 }
 
 // act carries out a step of the script.
-func (w *World) act(x *script.Step) {
-	w.observe(30, int32(len(x.Act)), 0)
+func (w *Simulation) act(x *script.Step) {
+	w.observe(30, int32(len(x.Action)), 0)
 	numbers := func(names []string) (all []int32) {
 		if names == nil {
 			for i := range w.servers {
@@ -586,7 +586,7 @@
 	}
 	add := func(r rule) { w.wire.rules = append(w.wire.rules, r) }
 	ways := func(r rule) {
-		from, to := script.Ways(x.Args[0])
+		from, to := script.ParseDirection(x.Args[0])
 		if from != nil {
 			r.from = setOf(len(w.servers), numbers(from))
 		}
@@ -596,13 +596,13 @@
 		add(r)
 	}
 	each := func(f func(s *server)) {
-		for _, i := range numbers(script.Names(x.Args[0])) {
+		for _, i := range numbers(script.ParseNames(x.Args[0])) {
 			f(&w.servers[i])
 		}
 	}
-	switch x.Act {
+	switch x.Action {
 	case "split":
-		sets := script.Sets(x.Args[0])
+		sets := script.ParseSets(x.Args[0])
 		for i := range sets {
 			for k := range sets {
 				if i != k {
@@ -613,11 +613,11 @@
 	case "cut":
 		ways(rule{cut: true})
 	case "loss":
-		ways(rule{drop: x.Number(1)})
+		ways(rule{drop: x.NumberArg(1)})
 	case "mess":
-		ways(rule{mess: x.Number(1)})
+		ways(rule{mess: x.NumberArg(1)})
 	case "delay":
-		ways(rule{delay: float64(x.Time(1)) / 1e6, spread: float64(x.Time(2)) / 1e6})
+		ways(rule{delay: float64(x.DurationArg(1)) / 1e6, spread: float64(x.DurationArg(2)) / 1e6})
 	case "heal":
 		w.wire.rules = w.wire.rules[:0]
 	case "stop":
@@ -639,19 +639,19 @@
 	case "rate":
 		each(func(s *server) {
 			s.base, s.at0 = w.local(s), w.now
-			s.rate = x.Number(1)
+			s.rate = x.NumberArg(1)
 		})
 	case "speed":
 		each(func(s *server) {
 			if s.gate != nil {
 				w.work(s)
-				s.speed = x.Number(1)
+				s.speed = x.NumberArg(1)
 				w.arm(s)
 			}
 		})
 	case "fail":
-		each(func(s *server) { s.fails = x.Number(1) })
+		each(func(s *server) { s.fails = x.NumberArg(1) })
 	case "jump":
-		each(func(s *server) { s.wall += float64(x.Time(1)) / 1e6 })
+		each(func(s *server) { s.wall += float64(x.DurationArg(1)) / 1e6 })
 	}
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -15,7 +15,7 @@
 
 func acts(t testing.TB, text string, n int) script.Script {
 	t.Helper()
-	s, err := script.Parse(text, Names(n))
+	s, err := script.Parse(text, ServerNames(n))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,9 +52,9 @@
 
 // Calm: all hear all, every RPC comes to an end, most are served.
 func TestCalm(t *testing.T) {
-	r := run(t, Options{Servers: 8, Zones: 2, Seed: 1, Length: 40e3, Rate: 50, Cores: 2, Work: 20})
-	if r.Settled > 10e3 || r.Settled < 0 {
-		t.Errorf("settled after %g ms", r.Settled)
+	r := run(t, Options{Servers: 8, Zones: 2, Seed: 1, DurationMs: 40e3, RatePerServer: 50, Cores: 2, MeanWorkMs: 20})
+	if r.SettledMs > 10e3 || r.SettledMs < 0 {
+		t.Errorf("settled after %g ms", r.SettledMs)
 	}
 	if r.OK < 9*r.Offered/10 || r.Offered < 10000 {
 		t.Errorf("%+v", r)
@@ -80,8 +80,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, Length: 46e3, Rate: 10, Cores: 2, Work: 20, Cold: 2000, Script: acts(t, text, 8)})
-			for i, s := range r.LastState {
+			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: acts(t, text, 8)})
+			for i, s := range r.FinalStates {
 				if s != health.Whole {
 					t.Errorf("server %d hears %s at the end", i, s)
 				}
@@ -92,7 +92,7 @@
 
 // One seed is one run, whatever else the machine does; another seed is another.
 func TestSameEachTime(t *testing.T) {
-	o := Options{Servers: 12, Zones: 3, Seed: 5, Length: 40e3, Rate: 20, Cores: 2, Work: 30, Cold: 1000, Script: script.Random(5, Names(12), 20*time.Second, 4)}
+	o := Options{Servers: 12, Zones: 3, Seed: 5, DurationMs: 40e3, RatePerServer: 20, Cores: 2, MeanWorkMs: 30, SlowStartMs: 1000, Script: script.Random(5, ServerNames(12), 20*time.Second, 4)}
 	digests := map[uint64]bool{}
 	for _, procs := range []int{1, runtime.NumCPU(), 2} {
 		was := runtime.GOMAXPROCS(procs)
@@ -109,10 +109,10 @@
 }
 
 // random is a run of the random schedules: 20 servers, troubles over half a minute.
-func random(seed int64, p plant) (Options, script.Script) {
+func random(seed int64, p injectedFault) (Options, script.Script) {
 	n := 20
-	s := script.Random(seed, Names(n), 30*time.Second, 4)
-	return Options{Servers: n, Zones: 3, Seed: uint64(seed), Length: 55e3, Rate: 5, Cores: 2, Work: 20, Cold: 1000, Script: s, plant: p}, s
+	s := script.Random(seed, ServerNames(n), 30*time.Second, 4)
+	return Options{Servers: n, Zones: 3, Seed: uint64(seed), DurationMs: 55e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 1000, Script: s, injected: p}, s
 }
 
 func TestRandomSchedules(t *testing.T) {
@@ -120,7 +120,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o, s := random(seed, sound)
+			o, s := random(seed, noInjectedFault)
 			if r := New(o).Run(); len(r.Findings) > 0 {
 				t.Errorf("%v\nvalvelab run fleet-sim --seeds %d..%d\n%s", r.Findings, seed, seed, s)
 			}
@@ -131,16 +131,16 @@
 // Faults planted in the servers are found by random schedules within some seeds, and cut down to a few acts.
 func TestPlantedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		plant   plant
+		plant   injectedFault
 		checker string
 		from    int64 // the seeds from 100 on do not find it before
 	}{
-		"a server that wakes goes by its old knowledge": {wakeTrusts, "judgement", 118},
-		"silence is taken for departure":                {silenceLeaves, "bounds", 100},
-		"who was lost once is never heard again":        {deafAfterLoss, "views", 100},
-		"answers come twice":                            {answersTwice, "rules", 100},
-		"an answer never comes":                         {neverAnswers, "rules", 100},
-		"a purchase runs twice":                         {runsTwice, "rules", 100},
+		"a server that wakes goes by its old knowledge": {staleAfterStall, "judgement", 118},
+		"silence is taken for departure":                {silenceIsDeparture, "bounds", 100},
+		"who was lost once is never heard again":        {neverAliveAgain, "views", 100},
+		"answers come twice":                            {duplicateAnswers, "rules", 100},
+		"an answer never comes":                         {missingAnswers, "rules", 100},
+		"a purchase runs twice":                         {duplicateRuns, "rules", 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -148,7 +148,7 @@
 			for seed := c.from; seed < 100+within; seed++ {
 				o, s := random(seed, c.plant)
 				fails := func(s script.Script) bool {
-					o.Script = s.Closed(30 * time.Second)
+					o.Script = s.WithRecovery(30 * time.Second)
 					for _, f := range New(o).Run().Findings {
 						if f.Checker == c.checker {
 							return true
--- a/internal/fleetsim/release.go
+++ b/internal/fleetsim/release.go
@@ -12,54 +12,54 @@
 	"sorrelvalve/decision/release"
 )
 
-// Bad is what is wrong with a version.
-type Bad int
+// VersionDefect is what is wrong with a version.
+type VersionDefect int
 
 // The kinds of bad versions.
 const (
-	Good      Bad = iota
-	Fails         // a part of all RPCs
-	UnderLoad     // only where a server carries more than usual
-	OneZone       // in one zone only
-	Starves       // the most critical method is pushed back
-	Leaks         // memory
-	Crashes       // starts again and again
-	Refused       // by each server's checks
-	bads
+	NoDefect         VersionDefect = iota
+	DefectErrors                   // a part of all RPCs
+	DefectUnderLoad                // only where a server carries more than usual
+	DefectOneZone                  // in one zone only
+	DefectStarvation               // the most critical method is pushed back
+	DefectMemoryLeak               // memory
+	DefectCrashLoop                // starts again and again
+	DefectRejected                 // by each server's checks
+	defectCount
 )
 
-// Bads is how many kinds there are, the good one among them.
-const Bads = int(bads)
+// DefectCount is how many kinds there are, the good one among them.
+const DefectCount = int(defectCount)
 
-func (b Bad) String() string {
+func (b VersionDefect) String() string {
 	return [...]string{"good", "fails", "under load", "in one zone", "starves the most critical", "leaks", "crashes", "refused"}[b]
 }
 
-// ReleaseRun is one simulated release. Times are ms.
-type ReleaseRun struct {
+// RolloutRun is one simulated release. Times are ms.
+type RolloutRun struct {
 	Servers, Zones int
-	Rate           float64 // RPCs a second at each
+	RatePerServer  float64 // RPCs a second at each
 	Seed           uint64
-	Bad            Bad
+	Defect         VersionDefect
 	Faults         bool
 	Rules          release.Rules
-	Judged         bool // else fixed waves without judgement: no look tells what was carried
-	AtOnce         bool // all servers in one wave
+	CanaryAnalysis bool // else fixed waves without judgement: no look tells what was carried
+	SingleWave     bool // all servers in one wave
 }
 
-// ReleaseEnd is what came of one.
-type ReleaseEnd struct {
-	Phase    release.Phase
-	Why      string
-	Reached  int     // servers that ever ran the version
-	Canary   int     // of the first wave
-	Second   int     // of the first two
-	Took     float64 // ms from the first assignment to the end, or to the halt
-	Served   float64 // RPCs that were ok, over those that would be without the version
-	Shown    float64 // ms for which it was bad before it reached more than the first two waves
-	Wrong    []string
-	Mixed    int // heard servers that do not run what they are assigned, at the end
-	Restored bool
+// RolloutOutcome is what came of one.
+type RolloutOutcome struct {
+	Phase          release.Phase
+	Reason         string
+	ServersReached int     // servers that ever ran the version
+	CanaryServers  int     // of the first wave
+	FirstTwoWaves  int     // of the first two
+	DurationMs     float64 // ms from the first assignment to the end, or to the halt
+	ServedShare    float64 // RPCs that were ok, over those that would be without the version
+	ExposureMs     float64 // ms for which it was bad before it reached more than the first two waves
+	Errors         []string
+	Diverged       int // heard servers that do not run what they are assigned, at the end
+	Restored       bool
 }
 
 type released struct {
@@ -82,7 +82,7 @@
 )
 
 // Run plays it to its end.
-func (x ReleaseRun) Run() (end ReleaseEnd) {
+func (x RolloutRun) Run() (end RolloutOutcome) {
 	chance := rand.New(rand.NewPCG(x.Seed, 11))
 	book := release.New()
 	var roster []release.Server
@@ -99,20 +99,20 @@
 		return book.Apply(c)
 	}
 	rules := x.Rules
-	if x.AtOnce {
+	if x.SingleWave {
 		rules.CanaryServers, rules.MaxWaveShare, rules.MaxGrowth = 64, 1, 16
 	}
 	put := do(release.Command{Kind: release.PutVersion, Body: []byte("new")})
 	plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &rules, Servers: roster})
 	if !plan.OK || !do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number}).OK {
-		end.Wrong = append(end.Wrong, plan.Reason)
+		end.Errors = append(end.Errors, plan.Reason)
 		return end
 	}
 	waves := plan.Release.Waves
-	end.Canary = len(waves[0])
-	end.Second = end.Canary
+	end.CanaryServers = len(waves[0])
+	end.FirstTwoWaves = end.CanaryServers
 	if len(waves) > 1 {
-		end.Second += len(waves[1])
+		end.FirstTwoWaves += len(waves[1])
 	}
 	// Faults: one zone's service for a while, some servers cut off, a leader lost now and then.
 	trouble := struct {
@@ -142,7 +142,7 @@
 				s.away = now + 5e3 + 60e3*chance.Float64()
 			}
 			if target := book.Target(s.name); heard && target != s.version { // told with its word, taken at once
-				if x.Bad == Refused && target == put.Version {
+				if x.Defect == DefectRejected && target == put.Version {
 					s.refused = target
 				} else {
 					s.version, s.counts = target, release.Counts{}
@@ -158,34 +158,34 @@
 			}
 			top, without := bad, bad
 			if s.version == put.Version {
-				switch x.Bad {
-				case Fails:
+				switch x.Defect {
+				case DefectErrors:
 					bad += badShare
 					top = bad
-				case UnderLoad:
+				case DefectUnderLoad:
 					if load > 1.1 {
 						bad += 2 * badShare
 						top = bad
 					}
-				case OneZone:
+				case DefectOneZone:
 					if s.zone == "z1" {
 						bad += 2 * badShare
 						top = bad
 					}
-				case Starves:
+				case DefectStarvation:
 					top += 0.5
-				case Leaks:
+				case DefectMemoryLeak:
 					s.mb += 0.6 * releaseMs / 1000
-				case Crashes:
+				case DefectCrashLoop:
 					if now >= s.warm { // up for three seconds, then again
 						s.start++
 						s.counts, s.warm = release.Counts{}, now+3e3
 					}
 				}
 			}
-			n := poisson(x.Rate * load * releaseMs / 1000)
+			n := poisson(x.RatePerServer * load * releaseMs / 1000)
 			tops := math.Round(0.15 * n)
-			down := x.Bad == Crashes && s.version == put.Version
+			down := x.Defect == DefectCrashLoop && s.version == put.Version
 			if down {
 				bad, top = 1, 1
 			}
@@ -197,8 +197,8 @@
 			s.counts.CriticalFailed += tb
 			ok, usual = ok+n-b-tb, usual+n*(1-without)
 		}
-		if len(reached) > 0 && len(reached) <= end.Second && (x.Bad != UnderLoad || load > 1.1) {
-			end.Shown += releaseMs
+		if len(reached) > 0 && len(reached) <= end.FirstTwoWaves && (x.Defect != DefectUnderLoad || load > 1.1) {
+			end.ExposureMs += releaseMs
 		}
 		look := release.Command{Kind: release.Observe, ElapsedMS: releaseMs}
 		if x.Faults && chance.Float64() < 0.01 {
@@ -209,7 +209,7 @@
 				continue
 			}
 			o := release.Report{Name: s.name, Incarnation: s.start, Version: s.version, RejectedVersion: s.refused, RejectReason: "it is wrong", Warm: now >= s.warm, ResidentMB: s.mb, Counts: s.counts}
-			if !x.Judged { // what it carries is told without its ends
+			if !x.CanaryAnalysis { // what it carries is told without its ends
 				o.Counts, o.ResidentMB = release.Counts{Total: s.counts.Total}, 0
 				o.Incarnation, o.Warm = 1, true
 			}
@@ -219,7 +219,7 @@
 		r := book.Release
 		switch r.Phase {
 		case release.Paused:
-			if resumes++; x.Bad == Good && resumes < 20 || resumes < 20 && x.Faults { // an operator looks, finds nothing, and goes on
+			if resumes++; x.Defect == NoDefect && resumes < 20 || resumes < 20 && x.Faults { // an operator looks, finds nothing, and goes on
 				now += 30e3
 				do(release.Command{Kind: release.Resume, Release: r.Number, Actor: "me"})
 				continue
@@ -228,16 +228,16 @@
 		case release.RolledBack, release.Completed, release.Abandoned:
 			limit = math.Min(limit, now+120e3) // and what comes after: those that were not heard
 		}
-		if (r.Phase == release.RolledBack || r.Phase == release.Completed || r.Phase == release.RollingBack) && end.Took == 0 && !math.IsInf(first, 1) {
-			end.Took = now - first
+		if (r.Phase == release.RolledBack || r.Phase == release.Completed || r.Phase == release.RollingBack) && end.DurationMs == 0 && !math.IsInf(first, 1) {
+			end.DurationMs = now - first
 		}
 	}
 	r := book.Release
-	end.Phase, end.Why, end.Reached, end.Served = r.Phase, r.Reason, len(reached), ok/usual
+	end.Phase, end.Reason, end.ServersReached, end.ServedShare = r.Phase, r.Reason, len(reached), ok/usual
 	end.Restored = r.Phase == release.RolledBack
 	for _, s := range servers {
 		if s.version != book.Target(s.name) && !(s.refused != 0 && book.Target(s.name) == s.refused) {
-			end.Mixed++
+			end.Diverged++
 		}
 		if s.version != 0 {
 			end.Restored = false
--- a/internal/fleetsim/release_test.go
+++ b/internal/fleetsim/release_test.go
@@ -11,22 +11,22 @@
 func TestReleases(t *testing.T) {
 	rules := release.DefaultRules()
 	rules.CanaryServers, rules.BakeMS, rules.MinRPCs = 3, 30e3, 300
-	seen := map[Bad]int{}
+	seen := map[VersionDefect]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
-		x := ReleaseRun{Servers: 300, Zones: 3, Rate: 4, Seed: seed, Bad: Bad(seed) % bads, Faults: seed%2 == 0, Rules: rules, Judged: true}
+		x := RolloutRun{Servers: 300, Zones: 3, RatePerServer: 4, Seed: seed, Defect: VersionDefect(seed) % defectCount, Faults: seed%2 == 0, Rules: rules, CanaryAnalysis: true}
 		e := x.Run()
-		seen[x.Bad]++
-		if len(e.Wrong) > 0 || e.Mixed > 0 {
-			t.Errorf("seed %d, %s: %+v", seed, x.Bad, e)
+		seen[x.Defect]++
+		if len(e.Errors) > 0 || e.Diverged > 0 {
+			t.Errorf("seed %d, %s: %+v", seed, x.Defect, e)
 		}
-		if x.Bad == Good && e.Phase != release.Completed {
-			t.Errorf("seed %d: a good version is %s: %s", seed, e.Phase, e.Why)
+		if x.Defect == NoDefect && e.Phase != release.Completed {
+			t.Errorf("seed %d: a good version is %s: %s", seed, e.Phase, e.Reason)
 		}
-		if x.Bad != Good && e.Shown >= 20e3 && (e.Reached > e.Second || !e.Restored) {
-			t.Errorf("seed %d, %s: reached %d, the first two waves are %d; %s: %s", seed, x.Bad, e.Reached, e.Second, e.Phase, e.Why)
+		if x.Defect != NoDefect && e.ExposureMs >= 20e3 && (e.ServersReached > e.FirstTwoWaves || !e.Restored) {
+			t.Errorf("seed %d, %s: reached %d, the first two waves are %d; %s: %s", seed, x.Defect, e.ServersReached, e.FirstTwoWaves, e.Phase, e.Reason)
 		}
 	}
-	if len(seen) != int(bads) {
+	if len(seen) != int(defectCount) {
 		t.Errorf("kinds seen: %v", seen)
 	}
 }
--- a/internal/fleetsim/serve.go
+++ b/internal/fleetsim/serve.go
@@ -62,7 +62,7 @@
 	s := fmt.Sprintf("classes.count=3\nfamily_info.cores=%d\nfamily_info.ram_kb=4000000\nfamily_info.run_factor=4\nfamily_info.key_kb=1\n"+
 		"family_info.callers=3\nfamily_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=%g\nrules.answer_slack=%g\n"+
 		"limits.max_retry_after=1000000000\nclient_habits.marks_retry=true\ntick=4000000\nrules.cold=%g\nreplicas_of_me=%d\n",
-		max(1, o.Cores), graceMs*1e6, slackMs*1e6, max(1, o.Cold)*1e6, o.Servers)
+		max(1, o.Cores), graceMs*1e6, slackMs*1e6, max(1, o.SlowStartMs)*1e6, o.Servers)
 	for i, name := range methodNames {
 		kind := "read_like"
 		if i == 2 {
@@ -78,8 +78,8 @@
 	return p
 }
 
-func (w *World) beginServing(s *server) {
-	if w.o.Rate <= 0 {
+func (w *Simulation) beginServing(s *server) {
+	if w.o.RatePerServer <= 0 {
 		return
 	}
 	if s.speed == 0 {
@@ -99,16 +99,16 @@
 		}
 	})
 	s.gate.UseClock(func() time.Time { return time.UnixMilli(0).Add(time.Duration(w.wallOf(s) * 1e6)) })
-	s.gate.Start(w.o.Cold > 0 && w.now > 0, 0) // those of the beginning are warm
+	s.gate.Start(w.o.SlowStartMs > 0 && w.now > 0, 0) // those of the beginning are warm
 	w.after(s, 40*s.chance.Float64(), evGateTick, 0, 0)
 }
 
-func (w *World) endServing(s *server) {
+func (w *Simulation) endServing(s *server) {
 	s.jobs, s.tickets, s.version = s.jobs[:0], s.tickets[:0], s.version+1
 	s.gate = nil
 }
 
-func (w *World) wakeServing(s *server) {
+func (w *Simulation) wakeServing(s *server) {
 	if s.gate != nil {
 		w.look(s)
 		w.readHeld(s)
@@ -116,7 +116,7 @@
 }
 
 // drains is SIGTERM: the gate drains, the fleet hears it, and at the stop the process ends.
-func (w *World) drains(s *server) {
+func (w *Simulation) drains(s *server) {
 	if !s.up || s.draining {
 		return
 	}
@@ -129,12 +129,12 @@
 }
 
 // stops is a drained server at its stop: all must have been answered.
-func (w *World) stops(s *server, life uint32) {
+func (w *Simulation) stops(s *server, life uint32) {
 	if s.life != life || !s.up {
 		return
 	}
 	if n := len(s.tickets); n > 0 && !s.stopped {
-		w.Found("rules", "%s stops with %d RPCs unanswered", s.name, n)
+		w.AddFinding("rules", "%s stops with %d RPCs unanswered", s.name, n)
 	}
 	w.drained++
 	for i := range w.servers { // it says good-bye to those that it reaches
@@ -145,7 +145,7 @@
 	w.fall(s)
 }
 
-func (w *World) gateTick(s *server) {
+func (w *Simulation) gateTick(s *server) {
 	if s.gate == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // work brings the jobs up to now: each has an even part of the cores.
-func (w *World) work(s *server) {
+func (w *Simulation) work(s *server) {
 	dt := w.now - s.passed
 	s.passed = w.now
 	if dt <= 0 {
@@ -176,7 +176,7 @@
 }
 
 // arm sets the next end of a job.
-func (w *World) arm(s *server) {
+func (w *Simulation) arm(s *server) {
 	s.version++
 	if len(s.jobs) == 0 {
 		return
@@ -190,7 +190,7 @@
 	w.queue.put(event{at: w.now + math.Max(0, least)/math.Max(each, 1e-9), kind: evEngine, who: s.i, a: s.version, life: s.life})
 }
 
-func (w *World) engineDone(s *server, version int32) {
+func (w *Simulation) engineDone(s *server, version int32) {
 	if version != s.version || s.gate == nil {
 		return
 	}
@@ -215,7 +215,7 @@
 }
 
 // outcome is how a run ends.
-func (w *World) outcome(s *server) gate.Outcome {
+func (w *Simulation) outcome(s *server) gate.Outcome {
 	if s.fails > 0 && s.chance.Float64() < s.fails {
 		return gate.Failed
 	}
@@ -223,7 +223,7 @@
 }
 
 // read has a server take an RPC.
-func (w *World) read(s *server, rpc int32, try int32) {
+func (w *Simulation) read(s *server, rpc int32, try int32) {
 	r := &w.rpcs[rpc]
 	in := gate.RPC{
 		ID: strconv.FormatInt(int64(r.id)<<8|int64(try), 36), Method: methodNames[r.method], Caller: uint16(r.router%3 + 1),
@@ -234,7 +234,7 @@
 	}
 	t, err := s.gate.Enter(in)
 	if err != nil {
-		w.Found("rules", "%s: an RPC that makes sense is senseless: %v", s.name, err)
+		w.AddFinding("rules", "%s: an RPC that makes sense is senseless: %v", s.name, err)
 		return
 	}
 	owed := w.now + (deadlineMs+slackMs)/s.rate
@@ -243,7 +243,7 @@
 }
 
 // look takes all verdicts that are there.
-func (w *World) look(s *server) {
+func (w *Simulation) look(s *server) {
 	for _, d := range s.done { // runs that ended while the process was stopped
 		d.t.Report(w.outcome(s), 0, nil)
 	}
@@ -253,7 +253,7 @@
 		keep := s.tickets[:0]
 		begun := false
 		for _, h := range s.tickets {
-			if w.o.plant == neverAnswers && w.rpcs[h.rpc].id%97 == 0 {
+			if w.o.injected == missingAnswers && w.rpcs[h.rpc].id%97 == 0 {
 				keep = append(keep, h)
 				continue
 			}
