--- a/internal/fleetsim/services.go
+++ b/internal/fleetsim/services.go
@@ -15,29 +15,29 @@
 )
 
 // Services is a pool below all of a world's servers.
-type Services struct {
-	Members  int
-	Rate     float64 // RPCs a second from each server
-	Work     float64 // ms, mean
-	Together bool    // the servers judge together
-	Rules    pool.Config
-	Troubles []Trouble
-	Target   float64 // ms
-	Again    float64 // part of the RPCs that may run twice; 0 for all
-	Capacity float64 // RPCs that a member has in hand without getting slower; 0 for no bound
-	Lying    []int   // servers that spread nonsense: all members are bad
+type BackendOptions struct {
+	Members         int
+	RatePerServer   float64 // RPCs a second from each server
+	MeanWorkMs      float64 // ms, mean
+	SharedDetection bool    // the servers judge together
+	PoolRules       pool.Config
+	Faults          []MemberFault
+	TargetMs        float64 // ms
+	RetryableShare  float64 // part of the RPCs that may run twice; 0 for all
+	Capacity        float64 // RPCs that a member has in hand without getting slower; 0 for no bound
+	LyingServers    []int   // servers that spread nonsense: all members are bad
 }
 
-// Trouble is what is wrong with some members for a while.
-type Trouble struct {
-	From, To float64 // ms
-	Members  []int
-	Fail     float64 // chance that a try fails
-	Slow     float64 // times its work
-	Silent   bool    // no answer comes
-	Servers  []int   // seen by these only; nil: all
-	Zone     string  // seen from this zone only; "": all
-	Flap     float64 // ms: on for as long, off for as long; 0 for on
+// MemberFault is what is wrong with some members for a while.
+type MemberFault struct {
+	FromMs, UntilMs float64 // ms
+	Members         []int
+	FailureRate     float64 // chance that a try fails
+	Slowdown        float64 // times its work
+	NoResponse      bool    // no answer comes
+	Servers         []int   // seen by these only; nil: all
+	Zone            string  // seen from this zone only; "": all
+	FlapMs          float64 // ms: on for as long, off for as long; 0 for on
 }
 
 const (
@@ -83,46 +83,46 @@
 	told    bool  // of as silent
 }
 
-type services struct {
-	tries   []tried
-	freeTry []int32
-	number  int32
-	inHand  []int // by member
-	chance3 *rand.Rand
-	Windows []Window // by second
-	mostOut float64
+type backendState struct {
+	attempts        []tried
+	freeAttempts    []int32
+	lastAttempt     int32
+	memberInFlight  []int // by member
+	backendRand     *rand.Rand
+	BackendSeries   []BackendSecond // by second
+	maxEjectedShare float64
 }
 
-// Window is one second below.
-type Window struct {
-	Asked, OK int
-	Picked    []int // tries, by member
-	Out       []int // servers that hold it out, by member, at its end
-	Sick      int   // tries to members that were failing as their server met them
-	WrongOut  int   // members out at some server that were sound
+// BackendSecond is one second below.
+type BackendSecond struct {
+	Requests, OK   int
+	Attempts       []int // tries, by member
+	EjectedAt      []int // servers that hold it out, by member, at its end
+	FaultyAttempts int   // tries to members that were failing as their server met them
+	FalseEjections int   // members out at some server that were sound
 }
 
 func memberName(i int) string { return fmt.Sprintf("m%02d", i) }
 
-func (w *World) beginServices() {
-	v := w.o.Services
+func (w *Simulation) beginServices() {
+	v := w.o.Backends
 	if v == nil {
 		return
 	}
-	w.inHand = make([]int, v.Members)
-	w.chance3 = rand.New(rand.NewPCG(w.o.Seed, 3))
-	w.Windows = make([]Window, int(w.o.Length/1000)+1)
-	for i := range w.Windows {
-		w.Windows[i].Picked, w.Windows[i].Out = make([]int, v.Members), make([]int, v.Members)
+	w.memberInFlight = make([]int, v.Members)
+	w.backendRand = rand.New(rand.NewPCG(w.o.Seed, 3))
+	w.BackendSeries = make([]BackendSecond, int(w.o.DurationMs/1000)+1)
+	for i := range w.BackendSeries {
+		w.BackendSeries[i].Attempts, w.BackendSeries[i].EjectedAt = make([]int, v.Members), make([]int, v.Members)
 	}
 	w.nextCall()
-	for at := 999.0; at < w.o.Length; at += 1000 {
+	for at := 999.0; at < w.o.DurationMs; at += 1000 {
 		w.queue.put(event{at: at, kind: evCount, who: -1})
 	}
 }
 
-func (w *World) beginBelow(s *server) {
-	v := w.o.Services
+func (w *Simulation) beginBelow(s *server) {
+	v := w.o.Backends
 	if v == nil {
 		return
 	}
@@ -131,36 +131,38 @@
 	for i := range v.Members {
 		names = append(names, memberName(i))
 	}
-	s.pool = pool.New(v.Rules, names, w.o.Seed*1000+uint64(s.i)<<8+uint64(s.life), now)
+	s.pool = pool.New(v.PoolRules, names, w.o.Seed*1000+uint64(s.i)<<8+uint64(s.life), now)
 	s.seen, s.heard = evidence.Own{}, map[int32]*word{}
-	if v.Together {
-		r := v.Rules
+	if v.SharedDetection {
+		r := v.PoolRules
 		s.judge = outlier.New(outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}, s.name, s.zone, names, now)
 		s.pool.UseFleetDecisions(now, nil, outlier.Takes)
 	}
 	w.after(s, lookMs*s.chance.Float64(), evLook, 0, 0)
 }
 
-func (w *World) window() *Window { return &w.Windows[min(int(w.now/1000), len(w.Windows)-1)] }
+func (w *Simulation) window() *BackendSecond {
+	return &w.BackendSeries[min(int(w.now/1000), len(w.BackendSeries)-1)]
+}
 
-func (w *World) nextCall() {
-	w.queue.put(event{at: w.now + w.chance3.ExpFloat64()*1000/(w.o.Services.Rate*float64(len(w.servers))), kind: evCall, who: -1})
+func (w *Simulation) nextCall() {
+	w.queue.put(event{at: w.now + w.backendRand.ExpFloat64()*1000/(w.o.Backends.RatePerServer*float64(len(w.servers))), kind: evCall, who: -1})
 }
 
 // call is a new RPC at some server.
-func (w *World) call() {
+func (w *Simulation) call() {
 	w.nextCall()
-	s := &w.servers[w.chance3.IntN(len(w.servers))]
+	s := &w.servers[w.backendRand.IntN(len(w.servers))]
 	if !s.up || s.stopped {
 		return
 	}
-	w.window().Asked++
-	w.tryNext(s, tried{server: s.i, first: w.now, caller: w.chance3.Uint64(), life: s.life})
+	w.window().Requests++
+	w.tryNext(s, tried{server: s.i, first: w.now, caller: w.backendRand.Uint64(), life: s.life})
 }
 
 // tryNext makes the next try of an RPC.
-func (w *World) tryNext(s *server, t tried) {
-	v := w.o.Services
+func (w *Simulation) tryNext(s *server, t tried) {
+	v := w.o.Backends
 	now := w.local(s)
 	member, got := 0, pool.NoCapacity
 	if s.judge != nil && t.tries == 0 {
@@ -184,17 +186,17 @@
 	t.member, t.began, t.tries = member, w.now, t.tries+1
 	var i int
 	fmt.Sscanf(s.pool.Addr(member), "m%d", &i)
-	w.window().Picked[i]++
-	w.inHand[i]++
+	w.window().Attempts[i]++
+	w.memberInFlight[i]++
 	fail, slow, silent := w.troubled(s, i)
 	if fail > 0 || silent {
-		w.window().Sick++
+		w.window().FaultyAttempts++
 	}
-	work := v.Work * (0.3 + 0.7*w.chance3.ExpFloat64()) * slow
+	work := v.MeanWorkMs * (0.3 + 0.7*w.backendRand.ExpFloat64()) * slow
 	if v.Capacity > 0 {
-		work *= math.Max(1, float64(w.inHand[i])/v.Capacity)
+		work *= math.Max(1, float64(w.memberInFlight[i])/v.Capacity)
 	}
-	t.outcome, t.silent = w.chance3.Float64() >= fail, silent
+	t.outcome, t.silent = w.backendRand.Float64() >= fail, silent
 	if !t.outcome && !silent {
 		work = 2 // fast in errors
 	}
@@ -202,16 +204,16 @@
 		work, t.outcome, t.silent = giveUpMs, false, true
 	}
 	var at int32
-	if n := len(w.freeTry); n > 0 {
-		at = w.freeTry[n-1]
-		w.freeTry = w.freeTry[:n-1]
+	if n := len(w.freeAttempts); n > 0 {
+		at = w.freeAttempts[n-1]
+		w.freeAttempts = w.freeAttempts[:n-1]
 	} else {
-		w.tries = append(w.tries, tried{})
-		at = int32(len(w.tries) - 1)
+		w.attempts = append(w.attempts, tried{})
+		at = int32(len(w.attempts) - 1)
 	}
-	w.number++
-	t.number, t.told = w.number, false
-	w.tries[at] = t
+	w.lastAttempt++
+	t.number, t.told = w.lastAttempt, false
+	w.attempts[at] = t
 	if late := evidence.Late(s.pool.MedianLatency()); s.judge != nil && late > 0 && work > late {
 		w.queue.put(event{at: w.now + late, kind: evQuiet, who: -1, a: at, b: t.number})
 	}
@@ -219,10 +221,10 @@
 }
 
 // troubled is what is wrong with a member as a server sees it.
-func (w *World) troubled(s *server, member int) (fail, slow float64, silent bool) {
+func (w *Simulation) troubled(s *server, member int) (fail, slow float64, silent bool) {
 	slow = 1
-	for _, t := range w.o.Services.Troubles {
-		if w.now < t.From || w.now >= t.To || t.Zone != "" && t.Zone != s.zone || t.Flap > 0 && int((w.now-t.From)/t.Flap)%2 == 1 {
+	for _, t := range w.o.Backends.Faults {
+		if w.now < t.FromMs || w.now >= t.UntilMs || t.Zone != "" && t.Zone != s.zone || t.FlapMs > 0 && int((w.now-t.FromMs)/t.FlapMs)%2 == 1 {
 			continue
 		}
 		mine, seen := false, t.Servers == nil
@@ -233,9 +235,9 @@
 			seen = seen || int32(i) == s.i
 		}
 		if mine && seen {
-			fail, silent = math.Max(fail, t.Fail), silent || t.Silent
-			if t.Slow > 0 {
-				slow *= t.Slow
+			fail, silent = math.Max(fail, t.FailureRate), silent || t.NoResponse
+			if t.Slowdown > 0 {
+				slow *= t.Slowdown
 			}
 		}
 	}
@@ -243,8 +245,8 @@
 }
 
 // quiet is a try that has no answer yet.
-func (w *World) quiet(at, number int32) {
-	t := &w.tries[at]
+func (w *Simulation) quiet(at, number int32) {
+	t := &w.attempts[at]
 	if t.number != number {
 		return
 	}
@@ -261,11 +263,11 @@
 }
 
 // callOver is the end of a try.
-func (w *World) callOver(at, member int32) {
-	t := w.tries[at]
-	w.tries[at].number = 0
-	w.freeTry = append(w.freeTry, at)
-	w.inHand[member]--
+func (w *Simulation) callOver(at, member int32) {
+	t := w.attempts[at]
+	w.attempts[at].number = 0
+	w.freeAttempts = append(w.freeAttempts, at)
+	w.memberInFlight[member]--
 	s := &w.servers[t.server]
 	if s.life != t.life || !s.up || s.stopped {
 		return
@@ -279,15 +281,15 @@
 	name := memberName(int(member))
 	if t.outcome {
 		s.seen.OK(now, name, w.now-t.began)
-		if s.judge != nil && w.now-t.began > w.o.Services.Work*w.o.Services.Rules.LatencyFactor {
+		if s.judge != nil && w.now-t.began > w.o.Backends.MeanWorkMs*w.o.Backends.PoolRules.LatencyFactor {
 			s.alarm = w.now + alarmMs
 		}
-		if w.now-t.first <= w.o.Services.Target {
+		if w.now-t.first <= w.o.Backends.TargetMs {
 			w.window().OK++
 		}
 		return
 	}
-	again := w.o.Services.Again
+	again := w.o.Backends.RetryableShare
 	if !t.told {
 		s.seen.Failed(now, name)
 	}
@@ -302,7 +304,7 @@
 }
 
 // lookTick is internal/fleet's look at the pool, some times a second.
-func (w *World) lookTick(s *server) {
+func (w *Simulation) lookTick(s *server) {
 	w.after(s, lookMs, evLook, 0, 0)
 	now := w.local(s)
 	s.pool.Update(now)
@@ -331,14 +333,14 @@
 
 // saySeen spreads a record: it reaches the others by gossip, which is modelled by its end, some rounds later, over ways that are
 // open.
-func (w *World) saySeen(s *server) {
+func (w *Simulation) saySeen(s *server) {
 	if !w.awake(s) {
 		return
 	}
 	now := w.local(s)
 	out, back := s.judge.Told(now)
 	said := outlier.Said{Origin: s.name, Zone: s.zone, Views: s.seen.Views(now), Out: out, Back: back}
-	for _, i := range w.o.Services.Lying {
+	for _, i := range w.o.Backends.LyingServers {
 		if int32(i) == s.i {
 			for k := range said.Views {
 				said.Views[k].Run, said.Views[k].Age = -evidence.LongestRun, 0
@@ -366,12 +368,12 @@
 		if x.at <= w.now {
 			x.was, x.then = x.said, x.at
 		}
-		x.said, x.at = said, w.now+gossipMs*rounds*w.chance3.Float64()
+		x.said, x.at = said, w.now+gossipMs*rounds*w.backendRand.Float64()
 	}
 }
 
 // lookBelow judges, and tells the pool.
-func (w *World) lookBelow(s *server) {
+func (w *Simulation) lookBelow(s *server) {
 	now := w.local(s)
 	var peers []outlier.Said
 	s.peers2 = s.hear.Heard(now, s.peers2[:0])
@@ -414,7 +416,7 @@
 }
 
 // countBelow notes who is out where.
-func (w *World) countBelow() {
+func (w *Simulation) countBelow() {
 	x := w.window()
 	for i := range w.servers {
 		s := &w.servers[i]
@@ -427,18 +429,18 @@
 				continue
 			}
 			out++
-			x.Out[k]++
+			x.EjectedAt[k]++
 			if fail, slow, silent := w.troubled(s, k); fail == 0 && slow == 1 && !silent {
-				x.WrongOut++
+				x.FalseEjections++
 			}
 		}
-		v := w.o.Services
-		w.mostOut = math.Max(w.mostOut, float64(out)/float64(v.Members))
-		if v.Together && float64(v.Members-out) < v.Rules.MinHealthyShare*float64(v.Members) {
-			w.Found("services", "%s has %d of %d members out", s.name, out, v.Members)
+		v := w.o.Backends
+		w.maxEjectedShare = math.Max(w.maxEjectedShare, float64(out)/float64(v.Members))
+		if v.SharedDetection && float64(v.Members-out) < v.PoolRules.MinHealthyShare*float64(v.Members) {
+			w.AddFinding("services", "%s has %d of %d members out", s.name, out, v.Members)
 		}
 	}
 }
 
-// MostOut is the largest share of the members that any server held out at a time.
-func (w *World) MostOut() float64 { return w.mostOut }
+// MaxEjectedShare is the largest share of the members that any server held out at a time.
+func (w *Simulation) MaxEjectedShare() float64 { return w.maxEjectedShare }
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -561,7 +561,7 @@
 	var caller standin.Caller = standin.NewRouter(r.rpc)
 	method := "buy"
 	if protocol == "uwsgi" {
-		caller, method = standin.NewWeb(r.web, false), "topup-buy"
+		caller, method = standin.NewWebTier(r.web, false), "topup-buy"
 	}
 	got := make(chan standin.Reply, 1)
 	r.Cleanup(caller.Close)
@@ -636,7 +636,7 @@
 			{"the second with another body", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				run := r.run()
-				if got := <-r.topup(second, "k", "z"); got.Outcome != standin.Senseless {
+				if got := <-r.topup(second, "k", "z"); got.Outcome != standin.Invalid {
 					r.Errorf("got %+v", got)
 				}
 				run.end("done")
@@ -765,12 +765,12 @@
 		}
 	}()
 	var wg sync.WaitGroup
-	rules := standin.NewRules()
+	rules := standin.NewInvariantChecker()
 	for w := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			web := standin.NewWeb(r.web, w%2 == 0)
+			web := standin.NewWebTier(r.web, w%2 == 0)
 			defer web.Close()
 			for i := range 50 {
 				id := uint64(w*1000 + i)
@@ -778,18 +778,18 @@
 				if i%5 == 4 {
 					end() // leaves at once
 				} else {
-					rules.Sent(id)
+					rules.RecordRequest(id)
 				}
 				got := web.Call(ctx, standin.Call{Method: "topup-buy", Token: fmt.Sprint(id), Body: []byte("b")})
 				if i%5 != 4 && got.Outcome == standin.OK {
-					rules.Answered(id)
+					rules.RecordResponse(id)
 				}
 				end()
 			}
 		}()
 	}
 	wg.Wait()
-	if v := rules.Verdict(); v.Unanswered > 0 || v.RPCs != 8*40 {
+	if v := rules.Report(); v.Unanswered > 0 || v.RPCs != 8*40 {
 		t.Errorf("verdict %+v", v)
 	}
 	r.quiet()
--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -21,7 +21,7 @@
 // trio is three keepers in this process with relays between them.
 type trio struct {
 	*testing.T
-	net   *testbed.Net
+	net   *testbed.Network
 	peers []Peer
 	all   []*Keeper
 	dirs  []string
@@ -31,13 +31,13 @@
 func newTrio(t *testing.T, slow time.Duration) *trio {
 	t.Helper()
 	names := []string{"k0", "k1", "k2"}
-	n, err := testbed.NewNet(1, names...)
+	n, err := testbed.NewNetwork(1, names...)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := &trio{T: t, net: n, slow: slow}
 	for _, name := range names {
-		x.peers, x.dirs = append(x.peers, Peer{Name: name, Raft: n.End(name).Reach()}), append(x.dirs, t.TempDir())
+		x.peers, x.dirs = append(x.peers, Peer{Name: name, Raft: n.Endpoint(name).AdvertiseAddr()}), append(x.dirs, t.TempDir())
 	}
 	for i := range names {
 		x.all = append(x.all, nil)
@@ -57,7 +57,7 @@
 }
 
 func (x *trio) start(i int, fresh, join bool) (err error) {
-	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.net.End(x.peers[i].Name).Listen(), Dir: x.dirs[i], New: fresh, Join: join, Log: quiet(), snapEvery: 40}
+	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.net.Endpoint(x.peers[i].Name).ListenAddr(), Dir: x.dirs[i], New: fresh, Join: join, Log: quiet(), snapEvery: 40}
 	if i == 0 {
 		o.slow = x.slow
 	}
@@ -119,10 +119,10 @@
 			}
 			for _, i := range rest {
 				if way != "in" {
-					x.net.Change("cut", []string{name}, []string{x.peers[i].Name}, func(r *testbed.Rule) { r.Cut = true })
+					x.net.UpdateRules("cut", []string{name}, []string{x.peers[i].Name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 				if way != "out" {
-					x.net.Change("cut", []string{x.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
+					x.net.UpdateRules("cut", []string{x.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 			}
 			old := make(chan permit.Result, 1)
@@ -218,7 +218,7 @@
 	// A new one in its place, with an empty disk.
 	dir := t.TempDir()
 	peer := Peer{Name: "k3", Raft: x.peers[lost].Raft}
-	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: x.net.End(x.peers[lost].Name).Listen(), Dir: dir, Join: true, Log: quiet(), snapEvery: 40})
+	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: x.net.Endpoint(x.peers[lost].Name).ListenAddr(), Dir: dir, Join: true, Log: quiet(), snapEvery: 40})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -20,29 +20,29 @@
 type Fault int32
 
 const (
-	Sound      Fault = iota
-	Stall            // accepts, reads and says nothing
-	Mute             // accepts and does not even read
-	Fail             // a 500 at once
-	Half             // half an answer, then the end
-	NoLength         // an answer that ends with the connection
-	Second           // a second answer behind the first
-	ResetAfter       // a reset once the body has been read
-	ResetFirst       // a reset before anything is read
-	Garbage          // what is no answer
-	Chunked          // an answer in a transfer coding
-	Endless          // a head that never ends
-	TooLong          // a length beyond all bounds
-	Interim          // a 100 before the answer
-	Full             // a 503 that asks to be left alone for 3 s
-	Early            // answers before it has read the body
+	NoFault            Fault = iota
+	HangAfterRead            // accepts, reads and says nothing
+	HangOnAccept             // accepts and does not even read
+	ServerError              // a 500 at once
+	TruncatedBody            // half an answer, then the end
+	NoContentLength          // an answer that ends with the connection
+	ExtraResponse            // a second answer behind the first
+	ResetAfterRead           // a reset once the body has been read
+	ResetOnAccept            // a reset before anything is read
+	MalformedResponse        // what is no answer
+	ChunkedResponse          // an answer in a transfer coding
+	EndlessHeader            // a head that never ends
+	OversizedLength          // a length beyond all bounds
+	InterimResponse          // a 100 before the answer
+	ServiceUnavailable       // a 503 that asks to be left alone for 3 s
+	EarlyResponse            // answers before it has read the body
 )
 
 // App is a stand-in application server.
 type App struct {
 	cores *Cores
 	work  Worker
-	rules *Rules
+	rules *InvariantChecker
 
 	mu    sync.Mutex
 	ln    net.Listener
@@ -59,7 +59,7 @@
 
 // NewApp starts an application server on a loopback address. Its work is that of the method told in VALVE_METHOD, or
 // by its path.
-func NewApp(cores *Cores, work Worker, rules *Rules) (*App, error) {
+func NewApp(cores *Cores, work Worker, rules *InvariantChecker) (*App, error) {
 	a := &App{cores: cores, work: work, rules: rules, conns: map[net.Conn]bool{}}
 	a.slow.Store(100)
 	return a, a.Start()
@@ -124,26 +124,26 @@
 // Addr is where it listens, or did.
 func (a *App) Addr() string { return a.addr }
 
-// Set makes it fail from the next RPC on.
-func (a *App) Set(f Fault) {
+// SetFault makes it fail from the next RPC on.
+func (a *App) SetFault(f Fault) {
 	a.only.Store(nil)
 	a.fault.Store(int32(f))
 }
 
-// SetFor makes it fail for some RPCs only, by their bodies. It is for faults that show once the body has been read.
-func (a *App) SetFor(f Fault, only func(body []byte) bool) {
+// SetFaultFor makes it fail for some RPCs only, by their bodies. It is for faults that show once the body has been read.
+func (a *App) SetFaultFor(f Fault, only func(body []byte) bool) {
 	a.only.Store(&only)
 	a.fault.Store(int32(f))
 }
 
 // Slow makes each work take so many percent of its time.
-func (a *App) Slow(percent int) { a.slow.Store(int64(percent)) }
+func (a *App) SetWorkPercent(percent int) { a.slow.Store(int64(percent)) }
 
 // Taken is the number of RPCs whose body came whole.
-func (a *App) Taken() int { return int(a.taken.Load()) }
+func (a *App) Received() int { return int(a.taken.Load()) }
 
-// Most is the largest number of RPCs in hand at once since the last call.
-func (a *App) Most() int { return int(a.most.Swap(0)) }
+// TakeMaxInFlight is the largest number of RPCs in hand at once since the last call.
+func (a *App) TakeMaxInFlight() int { return int(a.most.Swap(0)) }
 
 func (a *App) serve(c net.Conn) {
 	defer c.Close()
@@ -155,10 +155,10 @@
 		}
 	}
 	switch fault {
-	case Mute:
+	case HangOnAccept:
 		a.untilStop()
 		return
-	case ResetFirst:
+	case ResetOnAccept:
 		reset()
 		return
 	}
@@ -169,7 +169,7 @@
 	}
 	h := wire.ParseHead(head)
 	if h.Modifier1 == 100 { // a ping
-		if fault != Stall {
+		if fault != HangAfterRead {
 			c.Write(wire.AppendHead(nil, 100, 0, 1))
 		}
 		return
@@ -182,7 +182,7 @@
 	if v.Parse(string(block), 1024) != nil {
 		return
 	}
-	if fault == Early {
+	if fault == EarlyResponse {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly")
 		return
 	}
@@ -193,7 +193,7 @@
 		return
 	}
 	if only := a.only.Load(); only != nil && !(*only)(body) {
-		fault = Sound
+		fault = NoFault
 	}
 	a.taken.Add(1)
 	if now := a.now.Add(1); now > a.most.Load() {
@@ -202,38 +202,38 @@
 	leave := sync.OnceFunc(func() { a.now.Add(-1) })
 	defer leave()
 	switch fault {
-	case Stall:
+	case HangAfterRead:
 		io.Copy(io.Discard, in) // until the peer ends it
 		return
-	case Fail:
+	case ServerError:
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 4\r\n\r\noops")
 		return
-	case Full:
+	case ServiceUnavailable:
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 3\r\nContent-Length: 4\r\n\r\nbusy")
 		return
-	case ResetAfter:
+	case ResetAfterRead:
 		reset()
 		return
-	case Garbage:
+	case MalformedResponse:
 		io.WriteString(c, "\x00\x01\x02 not an answer")
 		return
-	case Half:
+	case TruncatedBody:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
 		return
-	case Endless:
+	case EndlessHeader:
 		for i := 0; i < 10000; i++ {
 			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-%d: y\r\n"[min(i, 1)*17:], i); err != nil {
 				return
 			}
 		}
 		return
-	case TooLong:
+	case OversizedLength:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 4000000000\r\n\r\nx")
 		return
-	case Chunked:
+	case ChunkedResponse:
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 		return
-	case Interim:
+	case InterimResponse:
 		io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	method, has := v.Get("VALVE_METHOD")
@@ -241,7 +241,7 @@
 		method, _ = v.Get("PATH_INFO")
 	}
 	if a.rules != nil {
-		a.rules.Ran(method, body)
+		a.rules.RecordRun(method, body)
 	}
 	work, result := a.work(method, body)
 	if result == nil {
@@ -255,12 +255,12 @@
 		return
 	}
 	leave() // before its caller can send the next
-	if fault == NoLength {
+	if fault == NoContentLength {
 		fmt.Fprintf(c, "HTTP/1.0 200 OK\r\nContent-Type: text/plain\r\n\r\n%s", result)
 		return
 	}
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-App: %s\r\nContent-Length: %d\r\n\r\n%s", a.addr, len(result), result)
-	if fault == Second {
+	if fault == ExtraResponse {
 		io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 6\r\n\r\nsecond")
 	}
 }
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -28,9 +28,9 @@
 	Body             []byte
 	Caller           int
 	Subject          uint64
-	Hint             float64 // ms
+	HintMs           float64 // ms
 	Retry            bool
-	Door             time.Time // when it reached the machine; now if zero
+	ArrivedAt        time.Time // when it reached the machine; now if zero
 }
 
 // Outcome is how a call ended.
@@ -38,9 +38,9 @@
 
 const (
 	OK Outcome = iota
-	PushedBack
+	Rejected
 	Aborted
-	Senseless
+	Invalid
 	Lost // no whole answer came
 )
 
@@ -50,11 +50,11 @@
 
 // Reply is what a caller got.
 type Reply struct {
-	Outcome Outcome
-	Body    []byte
-	Why     string
-	Away    float64 // ms
-	Took    time.Duration
+	Outcome      Outcome
+	Body         []byte
+	Reason       string
+	RetryAfterMs float64 // ms
+	Latency      time.Duration
 }
 
 // Caller makes calls. It may be used by many goroutines.
@@ -142,22 +142,22 @@
 // Call writes one RPC and waits for its answer. Once ctx ends it is withdrawn.
 func (r *Router) Call(ctx context.Context, c Call) (reply Reply) {
 	began := time.Now()
-	defer func() { reply.Took = time.Since(began) }()
+	defer func() { reply.Latency = time.Since(began) }()
 	conn, id, answer, err := r.place()
 	if err != nil {
-		return Reply{Outcome: Lost, Why: err.Error()}
+		return Reply{Outcome: Lost, Reason: err.Error()}
 	}
 	door := began
-	if !c.Door.IsZero() {
-		door = c.Door
+	if !c.ArrivedAt.IsZero() {
+		door = c.ArrivedAt
 	}
 	f := []string{"txn", fmt.Sprintf("%016x", txns.Add(1)), "door", strconv.FormatInt(door.UnixMilli(), 10), "lb", strconv.Itoa(c.Caller), "ram", "24.5"}
 	add := func(key, value string) { f = append(f, key, value) }
 	if c.Customer != "" {
 		add("team", c.Customer)
 	}
-	if c.Hint > 0 {
-		add("cpu", strconv.FormatFloat(c.Hint, 'f', 2, 64))
+	if c.HintMs > 0 {
+		add("cpu", strconv.FormatFloat(c.HintMs, 'f', 2, 64))
 	}
 	if c.Token != "" {
 		add("unique", c.Token)
@@ -176,7 +176,7 @@
 	b = append(msgpack.AppendBinHead(b, len(c.Body)), c.Body...)
 	if _, err := conn.nc.Write(b); err != nil {
 		conn.nc.Close()
-		return Reply{Outcome: Lost, Why: err.Error()}
+		return Reply{Outcome: Lost, Reason: err.Error()}
 	}
 	select {
 	case reply = <-answer:
@@ -184,7 +184,7 @@
 	case <-ctx.Done():
 		b := msgpack.AppendString(msgpack.AppendUint(msgpack.AppendArray(nil, 3), 2), "cancel")
 		conn.nc.Write(msgpack.AppendUint(msgpack.AppendArray(b, 1), id))
-		return Reply{Outcome: Lost, Why: ctx.Err().Error()}
+		return Reply{Outcome: Lost, Reason: ctx.Err().Error()}
 	}
 }
 
@@ -194,7 +194,7 @@
 		c.mu.Lock()
 		c.shut = true
 		for _, answer := range c.open {
-			answer <- Reply{Outcome: Lost, Why: "the connection ended"}
+			answer <- Reply{Outcome: Lost, Reason: "the connection ended"}
 		}
 		clear(c.open)
 		c.mu.Unlock()
@@ -242,18 +242,18 @@
 			what := string(p.Bytes())
 			switch what {
 			case "Overloaded":
-				r.Outcome = PushedBack
+				r.Outcome = Rejected
 			case "Invalid":
-				r.Outcome = Senseless
+				r.Outcome = Invalid
 			default:
 				r.Outcome = Aborted
 			}
 			for n := p.Map(); n > 0 && p.Err() == nil; n-- {
 				key, v := string(p.Bytes()), string(p.Bytes())
 				if key == "later" {
-					r.Away, _ = strconv.ParseFloat(v, 64)
+					r.RetryAfterMs, _ = strconv.ParseFloat(v, 64)
 				} else if key == "why" {
-					r.Why = v
+					r.Reason = v
 				}
 			}
 		}
@@ -267,20 +267,20 @@
 	}
 }
 
-// Web is a web tier that speaks uwsgi: a connection for each RPC, or kept ones.
-type Web struct {
+// WebTier is a web tier that speaks uwsgi: a connection for each RPC, or kept ones.
+type WebTier struct {
 	addr string
 	keep bool
 	free chan net.Conn
 }
 
-// NewWeb returns a web tier before the server at addr.
-func NewWeb(addr string, keep bool) *Web {
-	return &Web{addr: addr, keep: keep, free: make(chan net.Conn, 256)}
+// NewWebTier returns a web tier before the server at addr.
+func NewWebTier(addr string, keep bool) *WebTier {
+	return &WebTier{addr: addr, keep: keep, free: make(chan net.Conn, 256)}
 }
 
 // Close ends the connections that it has kept.
-func (w *Web) Close() {
+func (w *WebTier) Close() {
 	for {
 		select {
 		case c := <-w.free:
@@ -291,16 +291,16 @@
 	}
 }
 
-// Packet is what a web tier writes for a call, without its body.
-func Packet(c Call, more ...string) []byte {
+// RequestPacket is what a web tier writes for a call, without its body.
+func RequestPacket(c Call, more ...string) []byte {
 	f := append([]string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + c.Method, "REQUEST_URI", "/" + c.Method, "QUERY_STRING", "", "SERVER_PROTOCOL", "HTTP/1.1",
 		"HTTP_HOST", "portal.example", "CONTENT_TYPE", "application/octet-stream", "CONTENT_LENGTH", strconv.Itoa(len(c.Body)), "REMOTE_ADDR", fmt.Sprintf("10.0.0.%d", c.Caller),
 		"PROVIDER", c.Customer, "HTTP_USER_AGENT", "Mozilla/5.0 (X11; Linux x86_64) stand-in", "HTTP_ACCEPT", "*/*"}, more...)
 	if c.Token != "" {
 		f = append(f, "HTTP_IDEMPOTENCY_KEY", c.Token)
 	}
-	if c.Hint > 0 {
-		f = append(f, "WORK_MS", strconv.FormatFloat(c.Hint, 'f', 2, 64))
+	if c.HintMs > 0 {
+		f = append(f, "WORK_MS", strconv.FormatFloat(c.HintMs, 'f', 2, 64))
 	}
 	if c.Retry {
 		f = append(f, "SECOND", "1")
@@ -317,9 +317,9 @@
 }
 
 // Call sends one RPC and reads its answer. Once ctx ends its connection is closed.
-func (w *Web) Call(ctx context.Context, c Call) (reply Reply) {
+func (w *WebTier) Call(ctx context.Context, c Call) (reply Reply) {
 	began := time.Now()
-	defer func() { reply.Took = time.Since(began) }()
+	defer func() { reply.Latency = time.Since(began) }()
 	var nc net.Conn
 	var more []string
 	if w.keep {
@@ -332,16 +332,16 @@
 	if nc == nil {
 		var err error
 		if nc, err = net.DialTimeout("tcp", w.addr, time.Second); err != nil {
-			return Reply{Outcome: Lost, Why: err.Error()}
+			return Reply{Outcome: Lost, Reason: err.Error()}
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
-	parts := net.Buffers{Packet(c, more...), c.Body}
+	parts := net.Buffers{RequestPacket(c, more...), c.Body}
 	if _, err := parts.WriteTo(nc); err != nil {
 		nc.Close()
-		return Reply{Outcome: Lost, Why: err.Error()}
+		return Reply{Outcome: Lost, Reason: err.Error()}
 	}
-	reply, keep := ReadAnswer(bufio.NewReader(nc))
+	reply, keep := ReadResponse(bufio.NewReader(nc))
 	if stop() && keep && w.keep && reply.Outcome != Lost {
 		select {
 		case w.free <- nc:
@@ -353,13 +353,13 @@
 	return reply
 }
 
-// ReadAnswer reads one answer, and tells whether the connection goes on.
-func ReadAnswer(in *bufio.Reader) (r Reply, keep bool) {
+// ReadResponse reads one answer, and tells whether the connection goes on.
+func ReadResponse(in *bufio.Reader) (r Reply, keep bool) {
 	var head []byte
 	for {
 		line, err := in.ReadSlice('\n')
 		if head = append(head, line...); err != nil {
-			return Reply{Outcome: Lost, Why: err.Error()}, false
+			return Reply{Outcome: Lost, Reason: err.Error()}, false
 		}
 		if len(line) <= 2 {
 			break
@@ -367,7 +367,7 @@
 	}
 	a, _, err := wire.ParseAnswer(head)
 	if err != nil {
-		return Reply{Outcome: Lost, Why: err.Error()}, false
+		return Reply{Outcome: Lost, Reason: err.Error()}, false
 	}
 	keep = true
 	wire.FieldsOf(a.Head, func(name, value []byte) {
@@ -375,58 +375,58 @@
 		case "Connection":
 			keep = string(value) != "close"
 		case "Valve-Away-Ms":
-			r.Away, _ = strconv.ParseFloat(string(value), 64)
+			r.RetryAfterMs, _ = strconv.ParseFloat(string(value), 64)
 		case "Valve-Why":
-			r.Why = string(value)
+			r.Reason = string(value)
 		}
 	})
 	switch {
 	case a.Status < 400:
 	case a.Status == 503:
-		r.Outcome = PushedBack
+		r.Outcome = Rejected
 	case a.Status >= 500:
 		r.Outcome = Aborted
 	default:
-		r.Outcome = Senseless
+		r.Outcome = Invalid
 	}
 	if a.Length > 0 {
 		r.Body = make([]byte, a.Length)
 		if _, err := io.ReadFull(in, r.Body); err != nil {
-			return Reply{Outcome: Lost, Why: err.Error()}, false
+			return Reply{Outcome: Lost, Reason: err.Error()}, false
 		}
 	} else if a.Length < 0 && !a.NoBody() {
 		if r.Body, err = io.ReadAll(in); err != nil {
-			return Reply{Outcome: Lost, Why: err.Error()}, false
+			return Reply{Outcome: Lost, Reason: err.Error()}, false
 		}
 		keep = false
 	}
 	return r, keep
 }
 
-// Kind is one sort of RPC in a load.
-type Kind struct {
-	Method  string
-	Share   float64
-	Work    float64 // mean, in ms; the hint is the RPC's own work, roughly
-	Tokened bool
-	Mark    string // that stands in the body, behind the work
+// RequestKind is one sort of RPC in a load.
+type RequestKind struct {
+	Method     string
+	Share      float64
+	MeanWorkMs float64 // mean, in ms; the hint is the RPC's own work, roughly
+	WithToken  bool
+	BodySuffix string // that stands in the body, behind the work
 }
 
-// Plan is an open-loop load: calls come by chance at a rate, whatever becomes of those before.
-type Plan struct {
-	Rate      float64 // a second
-	For       time.Duration
-	Kinds     []Kind
-	Customers []string
-	Callers   int
-	Seed      int64
-	Again     float64       // share of tokened RPCs that are sent a second time by the other protocol, at once
-	Deadline  time.Duration // after which a caller withdraws
+// LoadPlan is an open-loop load: calls come by chance at a rate, whatever becomes of those before.
+type LoadPlan struct {
+	Rate           float64 // a second
+	Duration       time.Duration
+	Kinds          []RequestKind
+	Customers      []string
+	Callers        int
+	Seed           int64
+	DuplicateShare float64       // share of tokened RPCs that are sent a second time by the other protocol, at once
+	Deadline       time.Duration // after which a caller withdraws
 }
 
 // Sample is one call of a load.
 type Sample struct {
-	At       time.Duration // since the beginning
+	Offset   time.Duration // since the beginning
 	Protocol string
 	Method   string
 	Reply
@@ -434,7 +434,7 @@
 
 // Run puts a load on callers by their protocol, half to each, and returns a sample for each call. Each call is told
 // to the rules.
-func (p Plan) Run(ctx context.Context, callers map[string]Caller, rules *Rules) []Sample {
+func (p LoadPlan) Run(ctx context.Context, callers map[string]Caller, rules *InvariantChecker) []Sample {
 	names := make([]string, 0, len(callers))
 	for name := range callers {
 		names = append(names, name)
@@ -451,7 +451,7 @@
 	for n := uint64(1); ; n++ {
 		at += chance.ExpFloat64() / p.Rate
 		due := time.Duration(at * float64(time.Second))
-		if due >= p.For || ctx.Err() != nil {
+		if due >= p.Duration || ctx.Err() != nil {
 			break
 		}
 		c := Call{Caller: chance.Intn(max(1, p.Callers)) + 1, Subject: uint64(chance.Intn(5000)) + 1}
@@ -465,26 +465,26 @@
 				break
 			}
 		}
-		work := Spread(chance, kind.Work)
-		c.Method, c.Hint = kind.Method, work*(0.8+0.4*chance.Float64())
+		work := RandomWork(chance, kind.MeanWorkMs)
+		c.Method, c.HintMs = kind.Method, work*(0.8+0.4*chance.Float64())
 		c.Body = strconv.AppendFloat(nil, work, 'f', 3, 64) // which the worker reads
-		if kind.Mark != "" {
-			c.Body = append(append(c.Body, ' '), kind.Mark...)
+		if kind.BodySuffix != "" {
+			c.Body = append(append(c.Body, ' '), kind.BodySuffix...)
 		}
-		if kind.Tokened {
+		if kind.WithToken {
 			c.Token = fmt.Sprintf("t%d-%d", p.Seed, n)
 			c.Subject = 0
 			c.Body = append(append(c.Body, ' '), c.Token...)
 		}
 		first := chance.Intn(len(names))
 		to := []string{names[first]}
-		if kind.Tokened && chance.Float64() < p.Again {
+		if kind.WithToken && chance.Float64() < p.DuplicateShare {
 			to = append(to, names[(first+1)%len(names)])
 		}
 		time.Sleep(time.Until(began.Add(due)))
 		for k, name := range to {
 			id := n<<1 | uint64(k)
-			rules.Sent(id)
+			rules.RecordRequest(id)
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -494,10 +494,10 @@
 				c.Retry = k > 0
 				r := callers[name].Call(ctx, c)
 				if r.Outcome != Lost {
-					rules.Answered(id)
+					rules.RecordResponse(id)
 				}
 				if r.Outcome == OK && !bytes.Equal(r.Body, c.Body) {
-					rules.Broke("%s by %s: the result is not that of its body", c.Method, name)
+					rules.RecordViolation("%s by %s: the result is not that of its body", c.Method, name)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -509,8 +509,8 @@
 	return samples
 }
 
-// ByBody is a Worker that takes the work told in the body, as Plan writes it, and echoes the body.
-func ByBody(_ string, body []byte) (float64, []byte) {
+// WorkFromBody is a Worker that takes the work told in the body, as Plan writes it, and echoes the body.
+func WorkFromBody(_ string, body []byte) (float64, []byte) {
 	text, _, _ := bytes.Cut(body, []byte{' '})
 	work, err := strconv.ParseFloat(string(text), 64)
 	if err != nil {
@@ -519,20 +519,20 @@
 	return work, body
 }
 
-// Row sums up the calls of one method, by one protocol or all.
-type Row struct {
-	Protocol, Method                       string
-	N, OK, Late, PushedBack, Aborted, Lost int
-	P50, P99                               float64 // ms, of ok answers
-	Pushed99                               float64 // ms, of pushed-back answers
-	Held                                   int     // pushed back after more than HeldMs
-	InTime                                 float64 // share of all that was ok within the latency target
-	took, pushed                           []float64
+// SummaryRow sums up the calls of one method, by one protocol or all.
+type SummaryRow struct {
+	Protocol, Method                         string
+	Calls, OK, Late, Rejected, Aborted, Lost int
+	P50, P99                                 float64 // ms, of ok answers
+	RejectedP99                              float64 // ms, of pushed-back answers
+	RejectedLate                             int     // pushed back after more than HeldMs
+	OnTimeShare                              float64 // share of all that was ok within the latency target
+	took, pushed                             []float64
 }
 
-// Summary sums samples up by method, and by protocol if that is asked for. Late are ok answers past a latency target,
+// Summarize sums samples up by method, and by protocol if that is asked for. Late are ok answers past a latency target,
 // which is 0 for none.
-func Summary(samples []Sample, byProtocol bool, target ...time.Duration) (rows []Row) {
+func Summarize(samples []Sample, byProtocol bool, target ...time.Duration) (rows []SummaryRow) {
 	at := map[string]int{}
 	for _, s := range samples {
 		key := s.Method
@@ -543,28 +543,28 @@
 		if !has {
 			i = len(rows)
 			at[key] = i
-			r := Row{Method: s.Method}
+			r := SummaryRow{Method: s.Method}
 			if byProtocol {
 				r.Protocol = s.Protocol
 			}
 			rows = append(rows, r)
 		}
 		r := &rows[i]
-		r.N++
-		ms := float64(s.Took) / 1e6
+		r.Calls++
+		ms := float64(s.Latency) / 1e6
 		switch s.Outcome {
 		case OK:
 			r.took = append(r.took, ms)
-			if len(target) > 0 && s.Took > target[0] {
+			if len(target) > 0 && s.Latency > target[0] {
 				r.Late++
 			} else {
 				r.OK++
 			}
-		case PushedBack:
-			r.PushedBack++
+		case Rejected:
+			r.Rejected++
 			r.pushed = append(r.pushed, ms)
-			if ms > HeldMs {
-				r.Held++
+			if ms > LateRejectionMs {
+				r.RejectedLate++
 			}
 		case Lost:
 			r.Lost++
@@ -574,8 +574,8 @@
 	}
 	for i := range rows {
 		r := &rows[i]
-		r.P50, r.P99, r.Pushed99 = Quantile(r.took, 0.5), Quantile(r.took, 0.99), Quantile(r.pushed, 0.99)
-		r.InTime = float64(r.OK) / float64(max(1, r.N))
+		r.P50, r.P99, r.RejectedP99 = Quantile(r.took, 0.5), Quantile(r.took, 0.99), Quantile(r.pushed, 0.99)
+		r.OnTimeShare = float64(r.OK) / float64(max(1, r.Calls))
 	}
 	sort.Slice(rows, func(i, k int) bool {
 		if rows[i].Method != rows[k].Method {
@@ -586,8 +586,8 @@
 	return rows
 }
 
-// HeldMs is above what an answer that was decided at once takes on a busy machine.
-const HeldMs = 20.0
+// LateRejectionMs is above what an answer that was decided at once takes on a busy machine.
+const LateRejectionMs = 20.0
 
 // Quantile is the exact one of some values, which it sorts; 0 of none.
 func Quantile(v []float64, q float64) float64 {
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -25,18 +25,18 @@
 type Disk struct {
 	mu     sync.Mutex
 	chance *rand.Rand
-	files  map[string]*diskData
+	data   map[string]*diskData
 	names  map[string]bool // that a sync of the folder has confirmed
 	life   int             // of the power: files opened in an earlier one are dead
 
-	Room      int           // bytes that may still be written; below 0 for any
-	FailSyncs int           // so many syncs fail, and lose what they were to keep
-	FailReads bool          //
-	Short     bool          // writes take half of what they are given, and fail
-	Stall     time.Duration // each write and sync takes so long
-	Writes    int
-	Syncs     int
-	Bytes     int
+	FreeBytes    int           // bytes that may still be written; below 0 for any
+	FailSyncs    int           // so many syncs fail, and lose what they were to keep
+	FailReads    bool          //
+	ShortWrites  bool          // writes take half of what they are given, and fail
+	Delay        time.Duration // each write and sync takes so long
+	Writes       int
+	Syncs        int
+	BytesWritten int
 }
 
 type diskData struct {
@@ -46,11 +46,11 @@
 
 // NewDisk returns an empty disk without faults.
 func NewDisk(seed int64) *Disk {
-	return &Disk{chance: rand.New(rand.NewSource(seed)), files: map[string]*diskData{}, names: map[string]bool{}, Room: -1}
+	return &Disk{chance: rand.New(rand.NewSource(seed)), data: map[string]*diskData{}, names: map[string]bool{}, FreeBytes: -1}
 }
 
 // Set changes how it fails.
-func (d *Disk) Set(change func(*Disk)) {
+func (d *Disk) Configure(change func(*Disk)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(d)
@@ -62,9 +62,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.life++
-	for name, f := range d.files {
+	for name, f := range d.data {
 		if !d.names[name] && d.chance.Intn(2) == 0 {
-			delete(d.files, name)
+			delete(d.data, name)
 			continue
 		}
 		f.kept = append(f.kept, f.fresh[:d.chance.Intn(len(f.fresh)+1)]...)
@@ -72,11 +72,11 @@
 	}
 }
 
-// Flip turns one bit of a file, counted from its end if at is below 0.
-func (d *Disk) Flip(name string, at int) {
+// FlipBit turns one bit of a file, counted from its end if at is below 0.
+func (d *Disk) FlipBit(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.files[name]
+	f := d.data[name]
 	f.kept, f.fresh = append(f.kept, f.fresh...), nil
 	if at < 0 {
 		at += len(f.kept)
@@ -88,14 +88,14 @@
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.files[name].kept) + len(d.files[name].fresh)
+	return len(d.data[name].kept) + len(d.data[name].fresh)
 }
 
 // Names are the files there.
-func (d *Disk) Names() (names []string) {
+func (d *Disk) Files() (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for name := range d.files {
+	for name := range d.data {
 		names = append(names, name)
 	}
 	sort.Strings(names)
@@ -120,26 +120,26 @@
 	if f.life != f.d.life {
 		return nil, errPower
 	}
-	if f.d.Room == 0 {
+	if f.d.FreeBytes == 0 {
 		return nil, ErrNoSpace
 	}
-	if f.d.files[name] != nil {
+	if f.d.data[name] != nil {
 		return nil, errors.New("disk: it exists")
 	}
-	f.d.files[name] = &diskData{}
-	return &diskFile{f.d, f.d.files[name], f.life}, nil
+	f.d.data[name] = &diskData{}
+	return &diskFile{f.d, f.d.data[name], f.life}, nil
 }
 
 func (f *folder) Open(name string) (store.File, error) {
 	f.d.mu.Lock()
 	defer f.d.mu.Unlock()
-	if f.d.files[name] == nil {
+	if f.d.data[name] == nil {
 		return nil, errors.New("disk: no such file")
 	}
-	return &diskFile{f.d, f.d.files[name], f.life}, nil
+	return &diskFile{f.d, f.d.data[name], f.life}, nil
 }
 
-func (f *folder) List() ([]string, error) { return f.d.Names(), nil }
+func (f *folder) List() ([]string, error) { return f.d.Files(), nil }
 
 func (f *folder) Remove(name string) error {
 	f.d.mu.Lock()
@@ -147,10 +147,10 @@
 	if f.life != f.d.life {
 		return errPower
 	}
-	if x := f.d.files[name]; x != nil && f.d.Room >= 0 {
-		f.d.Room += len(x.kept) + len(x.fresh)
+	if x := f.d.data[name]; x != nil && f.d.FreeBytes >= 0 {
+		f.d.FreeBytes += len(x.kept) + len(x.fresh)
 	}
-	delete(f.d.files, name)
+	delete(f.d.data, name)
 	return nil
 }
 
@@ -160,7 +160,7 @@
 	if f.life != f.d.life {
 		return errPower
 	}
-	for name := range f.d.files {
+	for name := range f.d.data {
 		f.d.names[name] = true
 	}
 	return nil
@@ -176,7 +176,7 @@
 
 func (f *diskFile) stall() {
 	f.d.mu.Lock()
-	stall := f.d.Stall
+	stall := f.d.Delay
 	f.d.mu.Unlock()
 	if stall > 0 {
 		time.Sleep(stall)
@@ -192,17 +192,17 @@
 	}
 	f.d.Writes++
 	n, err := len(b), error(nil)
-	if f.d.Short {
+	if f.d.ShortWrites {
 		n, err = n/2, ErrIO
 	}
-	if f.d.Room >= 0 && n > f.d.Room {
-		n, err = f.d.Room, ErrNoSpace
+	if f.d.FreeBytes >= 0 && n > f.d.FreeBytes {
+		n, err = f.d.FreeBytes, ErrNoSpace
 	}
-	if f.d.Room >= 0 {
-		f.d.Room -= n
+	if f.d.FreeBytes >= 0 {
+		f.d.FreeBytes -= n
 	}
 	f.data.fresh = append(f.data.fresh, b[:n]...)
-	f.d.Bytes += n
+	f.d.BytesWritten += n
 	return n, err
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -23,7 +23,7 @@
 type Engine struct {
 	cores *Cores
 	work  Worker
-	rules *Rules
+	rules *InvariantChecker
 	ln    net.Listener
 
 	mu     sync.Mutex
@@ -40,7 +40,7 @@
 const keptNotices = 4000
 
 // NewEngine starts an engine on a loopback address; rules, which may be nil, hears of each run.
-func NewEngine(cores *Cores, work Worker, rules *Rules) (*Engine, error) {
+func NewEngine(cores *Cores, work Worker, rules *InvariantChecker) (*Engine, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -56,14 +56,14 @@
 // Close ends it and its links.
 func (e *Engine) Close() {
 	e.ln.Close()
-	e.Break()
+	e.DropLinks()
 	e.mu.Lock()
 	e.closed = true
 	e.mu.Unlock()
 }
 
-// Break ends all links; runs go on.
-func (e *Engine) Break() {
+// DropLinks ends all links; runs go on.
+func (e *Engine) DropLinks() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.links {
@@ -148,7 +148,7 @@
 		return
 	}
 	if e.rules != nil {
-		e.rules.Ran(method, body)
+		e.rules.RecordRun(method, body)
 	}
 	work, result := e.work(method, body)
 	if result == nil {
@@ -179,23 +179,23 @@
 }
 
 // Mixed is a Worker by method: lognormal-like work around a mean, from a seed.
-func Mixed(means map[string]float64, seed int64) Worker {
+func WorkByMethod(means map[string]float64, seed int64) Worker {
 	var mu sync.Mutex
 	chance := rand.New(rand.NewSource(seed))
 	return func(method string, body []byte) (float64, []byte) {
 		mu.Lock()
 		defer mu.Unlock()
-		return Spread(chance, means[method]), nil
+		return RandomWork(chance, means[method]), nil
 	}
 }
 
-// Spread is one draw around a mean, with a variation of 0.7: the sum of two exponential parts and a fixed one.
-func Spread(chance *rand.Rand, mean float64) float64 {
+// RandomWork is one draw around a mean, with a variation of 0.7: the sum of two exponential parts and a fixed one.
+func RandomWork(chance *rand.Rand, mean float64) float64 {
 	return mean * (0.1 + 0.9*(chance.ExpFloat64()+chance.ExpFloat64())/2)
 }
 
-// Members is a membership service that takes every report. It returns its address and what ends it.
-func Members() (addr string, end func(), err error) {
+// StartMembershipService is a membership service that takes every report. It returns its address and what ends it.
+func StartMembershipService() (addr string, end func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -12,7 +12,7 @@
 
 // Rules checks that each RPC gets one answer, and that nothing tokened runs twice. A tokened RPC bears its token as
 // its body, so that a run can be told by it.
-type Rules struct {
+type InvariantChecker struct {
 	tokened map[string]bool
 
 	mu     sync.Mutex
@@ -21,17 +21,17 @@
 	broken []string
 }
 
-// NewRules returns a checker that knows which methods are tokened.
-func NewRules(tokened ...string) *Rules {
-	r := &Rules{tokened: map[string]bool{}, runs: map[string][]time.Time{}, sent: map[uint64]int{}}
+// NewInvariantChecker returns a checker that knows which methods are tokened.
+func NewInvariantChecker(tokened ...string) *InvariantChecker {
+	r := &InvariantChecker{tokened: map[string]bool{}, runs: map[string][]time.Time{}, sent: map[uint64]int{}}
 	for _, m := range tokened {
 		r.tokened[m] = true
 	}
 	return r
 }
 
-// Ran hears of a run.
-func (r *Rules) Ran(method string, body []byte) {
+// RecordRun hears of a run.
+func (r *InvariantChecker) RecordRun(method string, body []byte) {
 	if !r.tokened[method] {
 		return
 	}
@@ -40,15 +40,15 @@
 	r.runs[string(body)] = append(r.runs[string(body)], time.Now())
 }
 
-// Runs is how often a token has run.
-func (r *Rules) Runs(token string) int {
+// RunCount is how often a token has run.
+func (r *InvariantChecker) RunCount(token string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.runs[token])
 }
 
-// Times are those of all runs of tokened methods, in their order.
-func (r *Rules) Times() (all []time.Time) {
+// RunTimes are those of all runs of tokened methods, in their order.
+func (r *InvariantChecker) RunTimes() (all []time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, runs := range r.runs {
@@ -59,35 +59,35 @@
 }
 
 // Sent hears that an RPC has been written.
-func (r *Rules) Sent(rpc uint64) {
+func (r *InvariantChecker) RecordRequest(rpc uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[rpc] += 0
 }
 
-// Answered hears of one whole answer.
-func (r *Rules) Answered(rpc uint64) {
+// RecordResponse hears of one whole answer.
+func (r *InvariantChecker) RecordResponse(rpc uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[rpc]++
 }
 
-// Broke notes a rule that was seen broken elsewhere.
-func (r *Rules) Broke(format string, a ...any) {
+// RecordViolation notes a rule that was seen broken elsewhere.
+func (r *InvariantChecker) RecordViolation(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.broken = append(r.broken, fmt.Sprintf(format, a...))
 }
 
 // Verdict of all that was heard.
-type Verdict struct {
-	RPCs, Unanswered, Twice int
-	SecondRuns              int
-	Broken                  []string
+type InvariantReport struct {
+	RPCs, Unanswered, AnsweredTwice int
+	DuplicateRuns                   int
+	Violations                      []string
 }
 
-// Verdict tells how the rules stand, once all answers must have come.
-func (r *Rules) Verdict() (v Verdict) {
+// Report tells how the rules stand, once all answers must have come.
+func (r *InvariantChecker) Report() (v InvariantReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range r.sent {
@@ -96,13 +96,13 @@
 		case n == 0:
 			v.Unanswered++
 		case n > 1:
-			v.Twice++
+			v.AnsweredTwice++
 		}
 	}
 	for _, at := range r.runs {
-		v.SecondRuns += len(at) - 1
+		v.DuplicateRuns += len(at) - 1
 	}
-	v.Broken = append(v.Broken, r.broken...)
-	sort.Strings(v.Broken)
+	v.Violations = append(v.Violations, r.broken...)
+	sort.Strings(v.Violations)
 	return v
 }
--- a/internal/standin/script/script.go
+++ b/internal/standin/script/script.go
@@ -28,9 +28,9 @@
 //	7s  jump   n1 -5s           its wall clock steps; only in simulation
 //	3s  speed  n1 0.5           its engine's speed; fail n1 0.2: that part of its runs fails; only in simulation
 type Step struct {
-	At   time.Duration
-	Act  string
-	Args []string
+	At     time.Duration
+	Action string
+	Args   []string
 }
 
 // Script is steps in the order of their times.
@@ -40,7 +40,7 @@
 func (s Script) String() string {
 	var b strings.Builder
 	for _, x := range s {
-		fmt.Fprintf(&b, "%s %s %s\n", x.At, x.Act, strings.Join(x.Args, " "))
+		fmt.Fprintf(&b, "%s %s %s\n", x.At, x.Action, strings.Join(x.Args, " "))
 	}
 	return b.String()
 }
@@ -78,27 +78,27 @@
 						return bad("%q is none of the names", name)
 					}
 				}
-				if arrow := x.Act == "cut" || x.Act == "loss" || x.Act == "delay" || x.Act == "mess" || x.Act == "slow"; arrow != strings.Contains(a, ">") {
-					return bad("%s: %q has the form of another act", x.Act, a)
+				if arrow := x.Action == "cut" || x.Action == "loss" || x.Action == "delay" || x.Action == "mess" || x.Action == "slow"; arrow != strings.Contains(a, ">") {
+					return bad("%s: %q has the form of another act", x.Action, a)
 				}
 				continue
 			}
 			v, noNumber := strconv.ParseFloat(a, 64)
 			_, noTime := time.ParseDuration(a)
 			switch {
-			case x.Act == "delay" || x.Act == "jump":
+			case x.Action == "delay" || x.Action == "jump":
 				if noTime != nil {
 					return bad("%v", noTime)
 				}
-			case x.Act == "slow":
+			case x.Action == "slow":
 				if noNumber != nil || v < 1 {
 					return bad("bytes a second expected, %q there", a)
 				}
-			case x.Act == "speed":
+			case x.Action == "speed":
 				if noNumber != nil || v < 0.01 || v > 100 {
 					return bad("a speed from 0.01 to 100 expected, %q there", a)
 				}
-			case x.Act == "rate":
+			case x.Action == "rate":
 				if noNumber != nil || v < 0.5 || v > 2 {
 					return bad("a rate from 0.5 to 2 expected, %q there", a)
 				}
@@ -118,32 +118,32 @@
 }
 
 // Names is the list in an argument; nil for *, everybody.
-func Names(s string) []string {
+func ParseNames(s string) []string {
 	if s == "*" {
 		return nil
 	}
 	return strings.Split(s, ",")
 }
 
-// Ways are the two lists of an argument as n0>n1,n2.
-func Ways(s string) (from, to []string) {
+// ParseDirection are the two lists of an argument as n0>n1,n2.
+func ParseDirection(s string) (from, to []string) {
 	a, b, _ := strings.Cut(s, ">")
-	return Names(a), Names(b)
+	return ParseNames(a), ParseNames(b)
 }
 
-// Sets are the lists of an argument as n0,n1|n2,n3.
-func Sets(s string) (sets [][]string) {
+// ParseSets are the lists of an argument as n0,n1|n2,n3.
+func ParseSets(s string) (sets [][]string) {
 	for _, set := range strings.Split(s, "|") {
-		sets = append(sets, Names(set))
+		sets = append(sets, ParseNames(set))
 	}
 	return sets
 }
 
-// Number is an argument as a number; Parse has seen that it is one.
-func (x Step) Number(i int) float64 { v, _ := strconv.ParseFloat(x.Args[i], 64); return v }
+// NumberArg is an argument as a number; Parse has seen that it is one.
+func (x Step) NumberArg(i int) float64 { v, _ := strconv.ParseFloat(x.Args[i], 64); return v }
 
-// Time is an argument as a time; Parse has seen that it is one.
-func (x Step) Time(i int) time.Duration { d, _ := time.ParseDuration(x.Args[i]); return d }
+// DurationArg is an argument as a time; Parse has seen that it is one.
+func (x Step) DurationArg(i int) time.Duration { d, _ := time.ParseDuration(x.Args[i]); return d }
 
 // Random draws some troubles over a time, which may overlap; at its end all processes run and nothing is cut.
 func Random(seed int64, names []string, over time.Duration, troubles int) (s Script) {
@@ -199,11 +199,11 @@
 			add(at, "relay", join(a))
 		}
 	}
-	return s.Closed(over)
+	return s.WithRecovery(over)
 }
 
-// Closed is the script with an end of all troubles at a time: nothing is cut, and all run.
-func (s Script) Closed(at time.Duration) Script {
+// WithRecovery is the script with an end of all troubles at a time: nothing is cut, and all run.
+func (s Script) WithRecovery(at time.Duration) Script {
 	return append(s.Sorted(), Step{at, "heal", nil}, Step{at, "cont", []string{"*"}}, Step{at, "start", []string{"*"}})
 }
 
--- a/internal/standin/script/script_test.go
+++ b/internal/standin/script/script_test.go
@@ -45,9 +45,9 @@
 			calls++
 			killed := false
 			for _, x := range s {
-				if x.Act == "kill" {
+				if x.Action == "kill" {
 					killed = true
-				} else if killed && x.Act == "heal" {
+				} else if killed && x.Action == "heal" {
 					return true
 				}
 			}
--- a/internal/store/gate_test.go
+++ b/internal/store/gate_test.go
@@ -47,7 +47,7 @@
 func (s *server) crash() {
 	s.disk.PowerOff()
 	s.s.Close()
-	s.disk.Set(func(d *standin.Disk) { d.FailSyncs, d.Stall = 0, 0 })
+	s.disk.Configure(func(d *standin.Disk) { d.FailSyncs, d.Delay = 0, 0 })
 	s.restart()
 }
 
@@ -118,7 +118,7 @@
 		}, "run"},
 		{"a crash between its end and the sync", func(s *server) string {
 			a, _ := s.try("k", "x")
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 20 * time.Millisecond })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 20 * time.Millisecond })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.crash()
 			first := s.verdict(a)
@@ -127,7 +127,7 @@
 		}, "aborted, aborted"},
 		{"a sync that fails at its end: its caller hears what a repeat will", func(s *server) string {
 			a, _ := s.try("k", "x")
-			s.disk.Set(func(d *standin.Disk) { d.FailSyncs = 1 })
+			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			first := s.verdict(a)
 			s.crash()
@@ -135,7 +135,7 @@
 			return first + ", " + again
 		}, "aborted, aborted"},
 		{"a sync that fails at its beginning: pushed back, and it may run later", func(s *server) string {
-			s.disk.Set(func(d *standin.Disk) { d.FailSyncs = 1 })
+			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 			_, first := s.try("k", "x")
 			s.crash()
 			_, again := s.try("k", "x")
@@ -155,7 +155,7 @@
 			return last + ", " + s.verdict(v)
 		}, "pushed back, run"},
 		{"a stalled disk: what is tokened waits, and nothing else", func(s *server) string {
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 200 * time.Millisecond })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 200 * time.Millisecond })
 			a, err := s.enter("k", "x")
 			if err != nil {
 				return err.Error()
@@ -172,7 +172,7 @@
 			return first + ", " + s.verdict(a)
 		}, "run, run"},
 		{"a stalled disk past the due time: answered then, and never run", func(s *server) string {
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 300 * time.Millisecond })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 300 * time.Millisecond })
 			a, err := s.enter("k", "x")
 			if err != nil {
 				return err.Error()
@@ -180,7 +180,7 @@
 			s.pass(2100)
 			s.g.Tick(nil)
 			first := s.verdict(a)
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 0 })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
 			for end := time.Now().Add(10 * time.Second); s.g.InHand() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					return "still in hand"
@@ -192,14 +192,14 @@
 			return first
 		}, "aborted"},
 		{"its caller leaves while it is being begun: it never runs, and a repeat may", func(s *server) string {
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 50 * time.Millisecond })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
 			a, err := s.enter("k", "x")
 			if err != nil {
 				return err.Error()
 			}
 			a.Leave()
 			first := s.verdict(a)
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 0 })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
 			for end := time.Now().Add(10 * time.Second); s.g.InHand() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					return "still in hand"
@@ -229,7 +229,7 @@
 		}, "pushed back, ok done"},
 		{"the gate is closed while an end is on its way to the disk: never pushed back", func(s *server) string {
 			a, _ := s.try("k", "x")
-			s.disk.Set(func(d *standin.Disk) { d.Stall = 50 * time.Millisecond })
+			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.g.Close()
 			return s.verdict(a)
@@ -310,7 +310,7 @@
 			case 4:
 				s.pass(rapid.Float64Range(0, 6000).Draw(t, "by"))
 			case 5:
-				s.disk.Set(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
+				s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
 			}
 		}
 	})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -75,7 +75,7 @@
 func (r *rig) crash() {
 	r.disk.PowerOff()
 	r.s.Close()
-	r.disk.Set(func(d *standin.Disk) { d.FailSyncs = 0 })
+	r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 0 })
 	r.must()
 }
 
@@ -124,7 +124,7 @@
 
 func (r *rig) segment(n int) string {
 	var all []string
-	for _, name := range r.disk.Names() {
+	for _, name := range r.disk.Files() {
 		if strings.HasSuffix(name, ".seg") {
 			all = append(all, name)
 		}
@@ -195,11 +195,11 @@
 		}},
 		{"a torn tail", func(r *rig) {
 			r.begin("a", 7)
-			r.disk.Set(func(d *standin.Disk) { d.Short = true })
+			r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = true })
 			if r.begin("b", 7) == nil {
 				r.t.Fatalf("begun on a disk that takes half")
 			}
-			r.disk.Set(func(d *standin.Disk) { d.Short = false })
+			r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = false })
 			r.crash()
 			r.expect("may have run", "a")
 			if x := r.s.May(); x != nil {
@@ -210,7 +210,7 @@
 			for i := range 10 {
 				r.begin(fmt.Sprint(i), 7)
 			}
-			r.disk.Flip(r.segment(-1), 100)
+			r.disk.FlipBit(r.segment(-1), 100)
 			r.crash()
 			x := r.s.May()
 			if x == nil || x.After < window {
@@ -224,13 +224,13 @@
 		{"a flipped bit in the last record: as a torn tail", func(r *rig) {
 			r.begin("a", 7)
 			r.begin("b", 7)
-			r.disk.Flip(r.segment(-1), -3)
+			r.disk.FlipBit(r.segment(-1), -3)
 			r.crash()
 			r.expect("may have run", "a")
 		}},
 		{"a sync that fails once: what it was to keep has not begun, and a new segment takes over", func(r *rig) {
 			r.begin("a", 7)
-			r.disk.Set(func(d *standin.Disk) { d.FailSyncs = 1 })
+			r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 			if err := r.begin("b", 7); !errors.Is(err, store.ErrNotKept) {
 				r.t.Fatalf("%v", err)
 			}
@@ -277,11 +277,11 @@
 		}},
 		{"a disk that is full before the bounds are", func(r *rig) {
 			r.begin("a", 7)
-			r.disk.Set(func(d *standin.Disk) { d.Room = 10 })
+			r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = 10 })
 			if r.begin("b", 7) == nil {
 				r.t.Fatalf("begun without space")
 			}
-			r.disk.Set(func(d *standin.Disk) { d.Room = -1 })
+			r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = -1 })
 			for end := time.Now().Add(10 * time.Second); r.begin("c", 7) != nil; time.Sleep(time.Millisecond) {
 				r.end("x", recovery.Forgotten, 7, "")
 				if time.Now().After(end) {
@@ -293,18 +293,18 @@
 		}},
 		{"an entry that can't be read: it must not run", func(r *rig) {
 			r.begin("a", 7)
-			r.disk.Set(func(d *standin.Disk) { d.FailReads = true })
+			r.disk.Configure(func(d *standin.Disk) { d.FailReads = true })
 			r.expect("unreadable", "a")
 			r.expect("unknown", "b")
 		}},
 		{"reads that fail during recovery", func(r *rig) {
 			r.begin("a", 7)
 			r.s.Close()
-			r.disk.Set(func(d *standin.Disk) { d.FailReads = true })
+			r.disk.Configure(func(d *standin.Disk) { d.FailReads = true })
 			if err := r.open(); err == nil {
 				r.t.Fatalf("opened")
 			}
-			r.disk.Set(func(d *standin.Disk) { d.FailReads = false })
+			r.disk.Configure(func(d *standin.Disk) { d.FailReads = false })
 			r.must()
 			r.expect("may have run", "a")
 		}},
@@ -315,11 +315,11 @@
 			if _, err := store.Open(r.disk.Folder(), r.b, "n2", r.now, func(string, error) {}); !errors.Is(err, store.ErrOwner) {
 				r.t.Fatalf("%v", err)
 			}
-			r.disk.Flip(name, 7) // the version
+			r.disk.FlipBit(name, 7) // the version
 			if err := r.open(); !errors.Is(err, store.ErrVersion) {
 				r.t.Fatalf("%v", err)
 			}
-			r.disk.Flip(name, 7)
+			r.disk.FlipBit(name, 7)
 			r.must()
 			r.expect("may have run", "a")
 		}},
@@ -394,7 +394,7 @@
 		b.Segment = 600
 		r := start(t, b)
 		defer func() { r.s.Close() }()
-		r.disk.Set(func(d *standin.Disk) {})
+		r.disk.Configure(func(d *standin.Disk) {})
 		type known struct {
 			sure  string          // what it must say; "" if it is not sure
 			maybe map[string]bool // else one of these
@@ -443,7 +443,7 @@
 					k.sure, k.maybe = "", map[string]bool{"unknown": true, "may have run": true}
 				}
 			case 5:
-				r.disk.Set(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
+				r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
 			}
 			for key, k := range model {
 				got := r.says(key, 7)
@@ -485,7 +485,7 @@
 func TestGroupCommit(t *testing.T) {
 	r := start(t, store.Bounds{Bytes: 1 << 24, Segment: 1 << 22, Answer: 1 << 10, Window: window, Tolerance: 500})
 	defer r.s.Close()
-	r.disk.Set(func(d *standin.Disk) { d.Stall = 2 * time.Millisecond })
+	r.disk.Configure(func(d *standin.Disk) { d.Delay = 2 * time.Millisecond })
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Add(1)
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -22,33 +22,33 @@
 
 // Options are those of a bed.
 type Options struct {
-	Names   []string
-	Zone    func(i int) string // nil: none
-	Seeds   []string           // names; nil: the first three
-	Seed    int64
-	Fleet   string                     // the fleet's name
-	Keepers []string                   // of permits; nil for none
-	Env     func(name string) []string // beside the bed's own, at each start; may be nil
-	Folder  string                     // in which each keeps the version that it runs; "" for none
-	Alone   bool                       // no fleet in the operator's records
-	Rules   *standin.Rules             // hears of runs; may be nil
-	Cores   float64                    // of each engine; 0 for no engines
-	Serve   func() Command             // the program up to and with its sub-command, to which --operator RECORD is added
-	File    operator.File              // what stands in the records beside the fleet
-	Set     string                     // settings, as JSON; "" for one method, view
+	Names         []string
+	Zone          func(i int) string // nil: none
+	Seeds         []string           // names; nil: the first three
+	Seed          int64
+	FleetName     string                     // the fleet's name
+	PermitServers []string                   // of permits; nil for none
+	ExtraEnv      func(name string) []string // beside the bed's own, at each start; may be nil
+	VersionDir    string                     // in which each keeps the version that it runs; "" for none
+	NoFleet       bool                       // no fleet in the operator's records
+	Invariants    *standin.InvariantChecker  // hears of runs; may be nil
+	Cores         float64                    // of each engine; 0 for no engines
+	ServeCommand  func() Command             // the program up to and with its sub-command, to which --operator RECORD is added
+	Operator      operator.File              // what stands in the records beside the fleet
+	SettingsJSON  string                     // settings, as JSON; "" for one method, view
 }
 
 // Bed is relays, processes and engines.
 type Bed struct {
-	Net     *Net
-	Procs   *Procs
-	Names   []string
-	Engines map[string]*standin.Engine
-	Machine map[string]*standin.Cores
-	dir     string
-	listen  map[string]string
-	files   map[string]operator.File
-	end     []func()
+	Network   *Network
+	Processes *ProcessSet
+	Names     []string
+	Engines   map[string]*standin.Engine
+	Machines  map[string]*standin.Cores
+	dir       string
+	listen    map[string]string
+	files     map[string]operator.File
+	end       []func()
 }
 
 // plainSettings are enough for servers that are not sent anything.
@@ -60,18 +60,18 @@
 	if err != nil {
 		return nil, err
 	}
-	b = &Bed{Names: o.Names, dir: dir, Engines: map[string]*standin.Engine{}, Machine: map[string]*standin.Cores{}, listen: map[string]string{}, files: map[string]operator.File{}}
+	b = &Bed{Names: o.Names, dir: dir, Engines: map[string]*standin.Engine{}, Machines: map[string]*standin.Cores{}, listen: map[string]string{}, files: map[string]operator.File{}}
 	b.end = append(b.end, func() { os.RemoveAll(dir) })
 	defer func() {
 		if err != nil {
 			b.Close()
 		}
 	}()
-	if b.Net, err = NewNet(o.Seed, o.Names...); err != nil {
+	if b.Network, err = NewNetwork(o.Seed, o.Names...); err != nil {
 		return nil, err
 	}
-	b.end = append(b.end, b.Net.Close)
-	members, endMembers, err := standin.Members()
+	b.end = append(b.end, b.Network.Close)
+	members, endMembers, err := standin.StartMembershipService()
 	if err != nil {
 		return nil, err
 	}
@@ -80,35 +80,35 @@
 	if seeds == nil {
 		seeds = o.Names[:min(3, len(o.Names))]
 	}
-	if o.Set == "" {
-		o.Set = plainSettings
+	if o.SettingsJSON == "" {
+		o.SettingsJSON = plainSettings
 	}
 	for i, name := range o.Names {
-		e := b.Net.End(name)
-		engine := net.JoinHostPort(e.Own, "9") // nobody listens there
+		e := b.Network.Endpoint(name)
+		engine := net.JoinHostPort(e.ListenIP, "9") // nobody listens there
 		if o.Cores > 0 {
-			b.Machine[name] = standin.NewCores(o.Cores, 8)
-			if b.Engines[name], err = standin.NewEngine(b.Machine[name], standin.ByBody, o.Rules); err != nil {
+			b.Machines[name] = standin.NewCores(o.Cores, 8)
+			if b.Engines[name], err = standin.NewEngine(b.Machines[name], standin.WorkFromBody, o.Invariants); err != nil {
 				return nil, err
 			}
 			engine = b.Engines[name].Addr()
 			b.end = append(b.end, b.Engines[name].Close)
 		}
-		b.listen[name] = net.JoinHostPort(e.Own, fmt.Sprint(e.Port+1))
+		b.listen[name] = net.JoinHostPort(e.ListenIP, fmt.Sprint(e.Port+1))
 		told := fmt.Sprintf(`{"name":%q,"listen":%q,"engine":%q,"members":%q,"seed":"%x","stop_ms":2000,"limits":{"memory_mb":192,"sockets":512},"settings":%s}`,
-			name, b.listen[name], engine, members, i+1, o.Set)
-		file := o.File
+			name, b.listen[name], engine, members, i+1, o.SettingsJSON)
+		file := o.Operator
 		file.Version = "bed"
-		if !o.Alone {
-			file.Fleet = &operator.Fleet{Name: o.Fleet, Listen: e.Listen(), Advertise: e.Reach(), Socket: b.Socket(name), PermitServers: o.Keepers}
-			if o.Folder != "" {
-				file.Fleet.DataDir = filepath.Join(o.Folder, name)
+		if !o.NoFleet {
+			file.Fleet = &operator.Fleet{Name: o.FleetName, Listen: e.ListenAddr(), Advertise: e.AdvertiseAddr(), Socket: b.Socket(name), PermitServers: o.PermitServers}
+			if o.VersionDir != "" {
+				file.Fleet.DataDir = filepath.Join(o.VersionDir, name)
 			}
 			if o.Zone != nil {
 				file.Fleet.Zone = o.Zone(i)
 			}
 			for _, s := range seeds {
-				file.Fleet.Seeds = append(file.Fleet.Seeds, b.Net.End(s).Reach())
+				file.Fleet.Seeds = append(file.Fleet.Seeds, b.Network.Endpoint(s).AdvertiseAddr())
 			}
 		}
 		if err := os.WriteFile(b.path(name, "json"), []byte(told), 0o600); err != nil {
@@ -118,16 +118,16 @@
 			return nil, err
 		}
 	}
-	b.Procs = NewProcs(dir, b.Net, func(name string) Command {
-		c := o.Serve()
+	b.Processes = NewProcessSet(dir, b.Network, func(name string) Command {
+		c := o.ServeCommand()
 		c.Args = append(slices.Clone(c.Args), "--operator", b.path(name, "record"))
 		c.Env = append(slices.Clone(c.Env), "EDGE_CONFIG="+b.path(name, "json"))
-		if o.Env != nil {
-			c.Env = append(c.Env, o.Env(name)...)
+		if o.ExtraEnv != nil {
+			c.Env = append(c.Env, o.ExtraEnv(name)...)
 		}
 		return c
 	})
-	b.end = append(b.end, b.Procs.Close)
+	b.end = append(b.end, b.Processes.Close)
 	return b, nil
 }
 
@@ -150,19 +150,19 @@
 	if err := b.record(name, f); err != nil {
 		return err
 	}
-	return b.Procs.Signal(name, syscall.SIGHUP)
+	return b.Processes.Signal(name, syscall.SIGHUP)
 }
 
 // Socket is where a name's operators come.
 func (b *Bed) Socket(name string) string { return b.path(name, "sock") }
 
-// Listen is where a name takes RPCs.
-func (b *Bed) Listen(name string) string { return b.listen[name] }
+// ListenAddr is where a name takes RPCs.
+func (b *Bed) ListenAddr(name string) string { return b.listen[name] }
 
 // StartAll starts all names at once.
 func (b *Bed) StartAll() error {
 	for _, name := range b.Names {
-		if err := b.Procs.Start(name); err != nil {
+		if err := b.Processes.Start(name); err != nil {
 			return err
 		}
 	}
@@ -177,18 +177,18 @@
 	b.end = nil
 }
 
-// View asks one server.
-func (b *Bed) View(name string) (fleet.Status, error) {
+// Status asks one server.
+func (b *Bed) Status(name string) (fleet.Status, error) {
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
 	return fleet.Ask(ctx, b.Socket(name))
 }
 
-// Point is one server's view at one time.
-type Point struct {
-	At    time.Duration
-	Name  string
-	Heard []string // others, sorted
+// Observation is one server's view at one time.
+type Observation struct {
+	At         time.Duration
+	Name       string
+	AliveNames []string // others, sorted
 	fleet.Status
 }
 
@@ -200,7 +200,7 @@
 	wg    sync.WaitGroup
 
 	mu     sync.Mutex
-	points []Point
+	points []Observation
 }
 
 // mostPoints bounds a watch: 100 servers, ten times a second, for two minutes.
@@ -220,7 +220,7 @@
 					return
 				case <-tick.C:
 				}
-				if !b.Procs.Runs(name) {
+				if !b.Processes.Running(name) {
 					continue
 				}
 				asked, endAsk := context.WithTimeout(ctx, time.Second)
@@ -229,10 +229,10 @@
 				if err != nil {
 					continue
 				}
-				p := Point{At: time.Since(w.began), Name: name, Status: s}
+				p := Observation{At: time.Since(w.began), Name: name, Status: s}
 				for _, x := range s.Peers {
 					if x.Heard {
-						p.Heard = append(p.Heard, x.Name)
+						p.AliveNames = append(p.AliveNames, x.Name)
 					}
 				}
 				w.mu.Lock()
@@ -246,11 +246,11 @@
 	return w
 }
 
-// Now is the time of the watch.
-func (w *Watch) Now() time.Duration { return time.Since(w.began) }
+// Elapsed is the time of the watch.
+func (w *Watch) Elapsed() time.Duration { return time.Since(w.began) }
 
-// Points are those so far.
-func (w *Watch) Points() []Point {
+// Observations are those so far.
+func (w *Watch) Observations() []Observation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.points)
@@ -264,9 +264,9 @@
 
 // Settled tells from when on, between two times, each of the viewers' views is as it is wanted, given by the viewer's name
 // and its view. It fails if one of them was not seen at all after that, or never settled.
-func (w *Watch) Settled(from, until time.Duration, viewers []string, wanted func(p *Point) bool) (time.Duration, error) {
+func (w *Watch) SettledAt(from, until time.Duration, viewers []string, wanted func(p *Observation) bool) (time.Duration, error) {
 	last, seen := map[string]time.Duration{}, map[string]int{}
-	for _, p := range w.Points() {
+	for _, p := range w.Observations() {
 		if p.At < from || p.At > until || !slices.Contains(viewers, p.Name) {
 			continue
 		}
@@ -287,27 +287,27 @@
 }
 
 // Await polls until all the viewers' views are as wanted at one time; it returns the last views if that takes too long.
-func (b *Bed) Await(within time.Duration, viewers []string, wanted func(p *Point) bool) error {
+func (b *Bed) Await(within time.Duration, viewers []string, wanted func(p *Observation) bool) error {
 	var last string
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		good := 0
 		last = ""
 		for _, name := range viewers {
-			s, err := b.View(name)
+			s, err := b.Status(name)
 			if err != nil {
 				last += fmt.Sprintf("%s: %v; ", name, err)
 				continue
 			}
-			p := Point{Name: name, Status: s}
+			p := Observation{Name: name, Status: s}
 			for _, x := range s.Peers {
 				if x.Heard {
-					p.Heard = append(p.Heard, x.Name)
+					p.AliveNames = append(p.AliveNames, x.Name)
 				}
 			}
 			if wanted(&p) {
 				good++
 			} else {
-				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Hears, p.Heard, s.Listening, s.Stalls)
+				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Hears, p.AliveNames, s.Listening, s.Stalls)
 			}
 		}
 		if good == len(viewers) && good > 0 {
@@ -317,19 +317,19 @@
 	return fmt.Errorf("not within %s: %s", within, last)
 }
 
-// Hears is a wish for Await and Settled: a state, and so many heard, the server itself included.
-func Hears(state string, heard int) func(p *Point) bool {
-	return func(p *Point) bool { return p.Hears == state && len(p.Heard)+1 == heard }
+// ExpectView is a wish for Await and Settled: a state, and so many heard, the server itself included.
+func ExpectView(state string, heard int) func(p *Observation) bool {
+	return func(p *Observation) bool { return p.Hears == state && len(p.AliveNames)+1 == heard }
 }
 
 // JSON is a point as one line, for logs of a run.
-func (p *Point) JSON() string {
+func (p *Observation) JSON() string {
 	b, _ := json.Marshal(p)
 	return string(b)
 }
 
-// Another writes what a further process under a name that is taken is told, and starts it as id.
-func (b *Bed) Another(id, name string, f operator.Fleet) error {
+// StartDuplicate writes what a further process under a name that is taken is told, and starts it as id.
+func (b *Bed) StartDuplicate(id, name string, f operator.Fleet) error {
 	told, err := os.ReadFile(b.path(name, "json"))
 	if err != nil {
 		return err
@@ -353,5 +353,5 @@
 	if err != nil {
 		return err
 	}
-	return b.Procs.Start(id)
+	return b.Processes.Start(id)
 }
--- a/internal/testbed/bed_test.go
+++ b/internal/testbed/bed_test.go
@@ -9,15 +9,15 @@
 
 // A relay knows who speaks, passes both ways, cuts one way, and lets a stream that stood still go on.
 func TestRelay(t *testing.T) {
-	n, err := NewNet(1, "a", "b")
+	n, err := NewNetwork(1, "a", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	a, b := n.End("a"), n.End("b")
-	ends := map[*End]*net.UDPConn{}
-	for _, e := range []*End{a, b} {
-		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(e.Own), Port: e.Port})
+	a, b := n.Endpoint("a"), n.Endpoint("b")
+	ends := map[*Endpoint]*net.UDPConn{}
+	for _, e := range []*Endpoint{a, b} {
+		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(e.ListenIP), Port: e.Port})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -25,25 +25,25 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		ends[e] = c
 	}
-	to, _ := net.ResolveUDPAddr("udp", b.Reach())
+	to, _ := net.ResolveUDPAddr("udp", b.AdvertiseAddr())
 	buf := make([]byte, 100)
 	ends[a].WriteToUDP([]byte("word"), to)
 	size, from, err := ends[b].ReadFromUDP(buf)
-	if err != nil || string(buf[:size]) != "word" || from.String() != a.Reach() {
+	if err != nil || string(buf[:size]) != "word" || from.String() != a.AdvertiseAddr() {
 		t.Fatalf("%q from %v, %v", buf[:size], from, err)
 	}
-	n.Change("one way", []string{"a"}, []string{"b"}, func(r *Rule) { r.Cut = true })
+	n.UpdateRules("one way", []string{"a"}, []string{"b"}, func(r *Rule) { r.Cut = true })
 	ends[a].WriteToUDP([]byte("lost"), to)
 	ends[b].WriteToUDP([]byte("back"), from)
 	if size, _, err := ends[a].ReadFromUDP(buf); err != nil || string(buf[:size]) != "back" {
 		t.Fatalf("the other way: %q %v", buf[:size], err)
 	}
-	for end := time.Now().Add(20 * time.Second); n.Counts().Lost == 0; time.Sleep(time.Millisecond) { // before the heal lets it through
+	for end := time.Now().Add(20 * time.Second); n.Counts().Dropped == 0; time.Sleep(time.Millisecond) { // before the heal lets it through
 		if time.Now().After(end) {
 			t.Fatalf("%+v", n.Counts())
 		}
 	}
-	ln, err := net.Listen("tcp", b.Listen())
+	ln, err := net.Listen("tcp", b.ListenAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,8 +57,8 @@
 			go io.Copy(c, c)
 		}
 	}()
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(a.Own)}}
-	c, err := d.Dial("tcp", b.Reach())
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(a.ListenIP)}}
+	c, err := d.Dial("tcp", b.AdvertiseAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -77,18 +77,18 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.counts.Lost != 1 {
+	if n.counts.Dropped != 1 {
 		t.Errorf("%+v", n.counts)
 	}
 }
 
 func TestCheckerThatSawNothing(t *testing.T) {
 	w := &Watch{}
-	if _, err := w.Settled(0, time.Second, []string{"a"}, Hears("whole", 2)); err == nil {
+	if _, err := w.SettledAt(0, time.Second, []string{"a"}, ExpectView("whole", 2)); err == nil {
 		t.Error("a watch that saw nothing says that all is well")
 	}
-	w.points = []Point{{At: 1, Name: "a"}, {At: 2, Name: "a"}, {At: 3, Name: "a"}}
-	if _, err := w.Settled(0, time.Second, []string{"a"}, Hears("whole", 2)); err == nil {
+	w.points = []Observation{{At: 1, Name: "a"}, {At: 2, Name: "a"}, {At: 3, Name: "a"}}
+	if _, err := w.SettledAt(0, time.Second, []string{"a"}, ExpectView("whole", 2)); err == nil {
 		t.Error("views that never were as wanted pass")
 	}
 }
--- a/internal/testbed/demo.go
+++ b/internal/testbed/demo.go
@@ -32,7 +32,7 @@
 const demoLoad = 1.1
 
 // Acts tells what may be typed.
-const Acts = `acts, each ended by Enter: split n0,n1|n2,n3   cut n0>*   loss *>* 0.2   delay *>* 200ms 100ms   mess *>* 0.05   heal
+const ActionsHelp = `acts, each ended by Enter: split n0,n1|n2,n3   cut n0>*   loss *>* 0.2   delay *>* 200ms 100ms   mess *>* 0.05   heal
   stop n1   cont n1   kill n1   start n1   term n1   relay n1   (several names with commas, * for all)   quit`
 
 // Demo runs one until ctx ends, quit is typed or, if it has a script, that is over; in may be nil.
@@ -45,9 +45,9 @@
 	if err != nil {
 		return fmt.Errorf("script: %w", err)
 	}
-	rules := standin.NewRules("topup-buy")
-	b, err := New(Options{Names: names, Seed: 1, Zone: func(i int) string { return string(rune('a' + i%3)) }, Cores: 2, Set: demoSettings, Rules: rules,
-		Serve: func() Command { return serve }})
+	rules := standin.NewInvariantChecker("topup-buy")
+	b, err := New(Options{Names: names, Seed: 1, Zone: func(i int) string { return string(rune('a' + i%3)) }, Cores: 2, SettingsJSON: demoSettings, Invariants: rules,
+		ServeCommand: func() Command { return serve }})
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	defer end()
 	typed := make(chan string)
 	if in != nil {
-		fmt.Fprintln(out, Acts)
+		fmt.Fprintln(out, ActionsHelp)
 		go func() { // it ends with the program: nothing wakes a read of a terminal
 			for lines := bufio.NewScanner(in); lines.Scan(); {
 				select {
@@ -99,7 +99,7 @@
 			s, err := script.Parse("0s "+line, names)
 			for _, x := range s {
 				if err == nil {
-					err = b.Do(x)
+					err = b.Apply(x)
 				}
 			}
 			if err != nil {
@@ -140,19 +140,19 @@
 }
 
 // ask loads one server, a quarter of a second at a time.
-func ask(ctx context.Context, b *Bed, name string, seed int64, rules *standin.Rules, counts *tally) {
-	router := standin.NewRouter(b.Listen(name))
+func ask(ctx context.Context, b *Bed, name string, seed int64, rules *standin.InvariantChecker, counts *tally) {
+	router := standin.NewRouter(b.ListenAddr(name))
 	defer router.Close()
 	const work = 20.0 // ms of one of two cores
 	var late sync.WaitGroup
 	defer late.Wait()
 	for n := int64(0); ctx.Err() == nil; n++ {
-		p := standin.Plan{Rate: demoLoad * 2 * 1000 / work, For: time.Second / 4, Callers: 3, Seed: seed + 1000*n, Deadline: 1500 * time.Millisecond, Kinds: []standin.Kind{
-			{Method: "account-view", Share: 0.5, Work: work}, {Method: "settings-save", Share: 0.35, Work: work}, {Method: "topup-buy", Share: 0.15, Work: work, Tokened: true}}}
+		p := standin.LoadPlan{Rate: demoLoad * 2 * 1000 / work, Duration: time.Second / 4, Callers: 3, Seed: seed + 1000*n, Deadline: 1500 * time.Millisecond, Kinds: []standin.RequestKind{
+			{Method: "account-view", Share: 0.5, MeanWorkMs: work}, {Method: "settings-save", Share: 0.35, MeanWorkMs: work}, {Method: "topup-buy", Share: 0.15, MeanWorkMs: work, WithToken: true}}}
 		late.Go(func() { counts.add(p.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)) })
 		select {
 		case <-ctx.Done():
-		case <-time.After(p.For):
+		case <-time.After(p.Duration):
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func (b *Bed) tell(ctx context.Context, out io.Writer, second int, counts *tally) {
 	var sockets []string
 	for _, name := range b.Names {
-		if b.Procs.Runs(name) {
+		if b.Processes.Running(name) {
 			sockets = append(sockets, b.Socket(name))
 		}
 	}
@@ -209,7 +209,7 @@
 	}
 	slices.Sort(methods)
 	for _, m := range methods {
-		fmt.Fprintf(w, "%s\tok %d\tpushed back %d\taborted %d\tno answer %d\n", m, n[m][standin.OK], n[m][standin.PushedBack], n[m][standin.Aborted]+n[m][standin.Senseless], n[m][standin.Lost])
+		fmt.Fprintf(w, "%s\tok %d\tpushed back %d\taborted %d\tno answer %d\n", m, n[m][standin.OK], n[m][standin.Rejected], n[m][standin.Aborted]+n[m][standin.Invalid], n[m][standin.Lost])
 	}
 	w.Flush()
 }
--- a/internal/testbed/play.go
+++ b/internal/testbed/play.go
@@ -15,14 +15,14 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-// Do carries out one step.
-func (b *Bed) Do(x script.Step) error {
+// Apply carries out one step.
+func (b *Bed) Apply(x script.Step) error {
 	ways := func(f func(*Rule)) {
-		from, to := script.Ways(x.Args[0])
-		b.Net.Change(x.Act+" "+strings.Join(x.Args, " "), from, to, f)
+		from, to := script.ParseDirection(x.Args[0])
+		b.Network.UpdateRules(x.Action+" "+strings.Join(x.Args, " "), from, to, f)
 	}
 	each := func(f func(string) error) error {
-		names := script.Names(x.Args[0])
+		names := script.ParseNames(x.Args[0])
 		if names == nil {
 			names = b.Names
 		}
@@ -35,27 +35,29 @@
 	}
 	signal := func(s syscall.Signal) error {
 		return each(func(name string) error {
-			if err := b.Procs.Signal(name, s); !errors.Is(err, os.ErrProcessDone) { // one that has ended can't be stopped or woken
+			if err := b.Processes.Signal(name, s); !errors.Is(err, os.ErrProcessDone) { // one that has ended can't be stopped or woken
 				return err
 			}
 			return nil
 		})
 	}
-	switch x.Act {
+	switch x.Action {
 	case "split":
-		b.Net.Split(script.Sets(x.Args[0])...)
+		b.Network.Split(script.ParseSets(x.Args[0])...)
 	case "cut":
 		ways(func(r *Rule) { r.Cut = true })
 	case "loss":
-		ways(func(r *Rule) { r.Drop = x.Number(1) })
+		ways(func(r *Rule) { r.DropRate = x.NumberArg(1) })
 	case "mess":
-		ways(func(r *Rule) { r.Double, r.Reorder, r.Corrupt = x.Number(1), x.Number(1), x.Number(1) })
+		ways(func(r *Rule) {
+			r.DuplicateRate, r.ReorderRate, r.CorruptRate = x.NumberArg(1), x.NumberArg(1), x.NumberArg(1)
+		})
 	case "delay":
-		ways(func(r *Rule) { r.Delay, r.Spread = x.Time(1), x.Time(2) })
+		ways(func(r *Rule) { r.Delay, r.Jitter = x.DurationArg(1), x.DurationArg(2) })
 	case "slow":
-		ways(func(r *Rule) { r.Rate = x.Number(1) })
+		ways(func(r *Rule) { r.BytesPerSecond = x.NumberArg(1) })
 	case "heal":
-		b.Net.Heal()
+		b.Network.Heal()
 	case "stop":
 		return signal(syscall.SIGSTOP)
 	case "cont":
@@ -63,18 +65,18 @@
 	case "term":
 		return signal(syscall.SIGTERM)
 	case "kill":
-		return each(b.Procs.Kill)
+		return each(b.Processes.Kill)
 	case "start":
 		return each(func(name string) error {
-			if b.Procs.Alive(name) {
+			if b.Processes.Alive(name) {
 				return nil
 			}
-			return b.Procs.Start(name)
+			return b.Processes.Start(name)
 		})
 	case "relay":
-		return each(b.Net.Restart)
+		return each(b.Network.RestartRelay)
 	default:
-		return fmt.Errorf("%s: only in simulation", x.Act)
+		return fmt.Errorf("%s: only in simulation", x.Action)
 	}
 	return nil
 }
@@ -88,8 +90,8 @@
 			return ctx.Err()
 		case <-time.After(time.Until(began.Add(x.At))):
 		}
-		if err := b.Do(x); err != nil {
-			return fmt.Errorf("%s %s: %w", x.At, x.Act, err)
+		if err := b.Apply(x); err != nil {
+			return fmt.Errorf("%s %s: %w", x.At, x.Action, err)
 		}
 	}
 	return nil
--- a/internal/testbed/procs.go
+++ b/internal/testbed/procs.go
@@ -23,10 +23,10 @@
 }
 
 // Procs are some processes, by name.
-type Procs struct {
+type ProcessSet struct {
 	dir string
 	how func(name string) Command
-	net *Net
+	net *Network
 
 	mu  sync.Mutex
 	all map[string]*proc
@@ -40,13 +40,13 @@
 	exit    string
 }
 
-// NewProcs keeps the logs of its processes in dir, one file a name.
-func NewProcs(dir string, n *Net, how func(name string) Command) *Procs {
-	return &Procs{dir: dir, how: how, net: n, all: map[string]*proc{}}
+// NewProcessSet keeps the logs of its processes in dir, one file a name.
+func NewProcessSet(dir string, n *Network, how func(name string) Command) *ProcessSet {
+	return &ProcessSet{dir: dir, how: how, net: n, all: map[string]*proc{}}
 }
 
 // Start starts a name that does not run.
-func (p *Procs) Start(name string) error {
+func (p *ProcessSet) Start(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.all[name]
@@ -58,7 +58,7 @@
 		}
 	}
 	c := p.how(name)
-	log, err := os.OpenFile(p.Log(name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(p.LogPath(name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
@@ -86,11 +86,11 @@
 	return nil
 }
 
-// Log is the file of a name's output over all its starts.
-func (p *Procs) Log(name string) string { return filepath.Join(p.dir, name+".log") }
+// LogPath is the file of a name's output over all its starts.
+func (p *ProcessSet) LogPath(name string) string { return filepath.Join(p.dir, name+".log") }
 
 // Signal sends a signal to a name that runs.
-func (p *Procs) Signal(name string, s syscall.Signal) error {
+func (p *ProcessSet) Signal(name string, s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x := p.all[name]
@@ -108,16 +108,16 @@
 }
 
 // Kill ends a name at once and waits until it is gone.
-func (p *Procs) Kill(name string) error {
+func (p *ProcessSet) Kill(name string) error {
 	if err := p.Signal(name, syscall.SIGKILL); err != nil {
 		return err
 	}
-	_, err := p.Ended(name, 10*time.Second)
+	_, err := p.WaitExit(name, 10*time.Second)
 	return err
 }
 
-// Ended waits for the end of a name's process and tells how it ended.
-func (p *Procs) Ended(name string, within time.Duration) (string, error) {
+// WaitExit waits for the end of a name's process and tells how it ended.
+func (p *ProcessSet) WaitExit(name string, within time.Duration) (string, error) {
 	p.mu.Lock()
 	x := p.all[name]
 	p.mu.Unlock()
@@ -130,7 +130,7 @@
 }
 
 // Runs tells whether a name's process is there and not stopped.
-func (p *Procs) Runs(name string) bool {
+func (p *ProcessSet) Running(name string) bool {
 	p.mu.Lock()
 	x := p.all[name]
 	stopped := x != nil && x.stopped
@@ -139,7 +139,7 @@
 }
 
 // Alive tells whether a name's process is there, stopped or not.
-func (p *Procs) Alive(name string) bool {
+func (p *ProcessSet) Alive(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x := p.all[name]
@@ -155,7 +155,7 @@
 }
 
 // Pid is the id of a name's process; 0 if none was started.
-func (p *Procs) Pid(name string) int {
+func (p *ProcessSet) Pid(name string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if x := p.all[name]; x != nil {
@@ -164,8 +164,8 @@
 	return 0
 }
 
-// CPU is the processor time that a name's process has used.
-func (p *Procs) CPU(name string) (time.Duration, error) {
+// CPUTime is the processor time that a name's process has used.
+func (p *ProcessSet) CPUTime(name string) (time.Duration, error) {
 	p.mu.Lock()
 	x := p.all[name]
 	p.mu.Unlock()
@@ -186,7 +186,7 @@
 const ticksPerSecond = 100
 
 // Close kills what still runs and waits for it.
-func (p *Procs) Close() {
+func (p *ProcessSet) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, x := range p.all {
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -15,13 +15,13 @@
 
 // Rule is what happens on the way from one to another.
 type Rule struct {
-	Cut           bool          // packets are lost, streams stand still
-	Drop          float64       // chance that a packet is lost; a part of a stream comes 200 ms later
-	Double        float64       // chance that a packet comes twice
-	Reorder       float64       // chance that a packet is overtaken: it comes reorderBy later
-	Corrupt       float64       // chance that one byte of a packet is another
-	Delay, Spread time.Duration // of all, and evenly up to so much more
-	Rate          float64       // bytes a second of a stream; 0 for as fast as it goes
+	Cut            bool          // packets are lost, streams stand still
+	DropRate       float64       // chance that a packet is lost; a part of a stream comes 200 ms later
+	DuplicateRate  float64       // chance that a packet comes twice
+	ReorderRate    float64       // chance that a packet is overtaken: it comes reorderBy later
+	CorruptRate    float64       // chance that one byte of a packet is another
+	Delay, Jitter  time.Duration // of all, and evenly up to so much more
+	BytesPerSecond float64       // bytes a second of a stream; 0 for as fast as it goes
 }
 
 const (
@@ -32,61 +32,61 @@
 	chunk      = 16 << 10
 )
 
-// Net is a set of relays.
-type Net struct {
+// Network is a set of relays.
+type Network struct {
 	began time.Time
 
 	mu      sync.Mutex
-	ends    map[string]*End
-	byIP    map[string]*End
+	ends    map[string]*Endpoint
+	byIP    map[string]*Endpoint
 	rules   map[[2]string]Rule
 	chance  *rand.Rand
 	changed chan struct{} // closed and made anew when a rule changes
 	flying  int
-	log     []Act
+	entries []LogEntry
 	closed  bool
 	wg      sync.WaitGroup
 	counts  Counts
 }
 
 // Counts are of packets and streams.
-type Counts struct{ Passed, Lost, Doubled, Corrupted, Streams uint64 }
+type Counts struct{ Delivered, Dropped, Duplicated, Corrupted, Streams uint64 }
 
 // Act is one change, with the time since the net was made.
-type Act struct {
+type LogEntry struct {
 	At   time.Duration
 	Text string
 }
 
 // End is one process's place: it listens at Own, and others reach it at Front.
-type End struct {
-	Name       string
-	Own, Front string // IP addresses
-	Port       int
-	net        *Net
-	udp        *net.UDPConn
-	tcp        *net.TCPListener
-	links      map[net.Conn]struct{}
-	down       bool
+type Endpoint struct {
+	Name              string
+	ListenIP, RelayIP string // IP addresses
+	Port              int
+	net               *Network
+	udp               *net.UDPConn
+	tcp               *net.TCPListener
+	links             map[net.Conn]struct{}
+	down              bool
 }
 
-// Listen is the address that the process listens on, Reach the one by which others come.
-func (e *End) Listen() string { return net.JoinHostPort(e.Own, strconv.Itoa(e.Port)) }
-func (e *End) Reach() string  { return net.JoinHostPort(e.Front, strconv.Itoa(e.Port)) }
+// ListenAddr is the address that the process listens on, Reach the one by which others come.
+func (e *Endpoint) ListenAddr() string    { return net.JoinHostPort(e.ListenIP, strconv.Itoa(e.Port)) }
+func (e *Endpoint) AdvertiseAddr() string { return net.JoinHostPort(e.RelayIP, strconv.Itoa(e.Port)) }
 
-// NewNet opens a relay for each name. All chance is drawn from the seed.
-func NewNet(seed int64, names ...string) (*Net, error) {
+// NewNetwork opens a relay for each name. All chance is drawn from the seed.
+func NewNetwork(seed int64, names ...string) (*Network, error) {
 	if len(names) > 100 {
 		return nil, fmt.Errorf("%d names; a net has room for 100", len(names))
 	}
-	n := &Net{began: time.Now(), ends: map[string]*End{}, byIP: map[string]*End{}, rules: map[[2]string]Rule{}, chance: rand.New(rand.NewSource(seed)), changed: make(chan struct{})}
+	n := &Network{began: time.Now(), ends: map[string]*Endpoint{}, byIP: map[string]*Endpoint{}, rules: map[[2]string]Rule{}, chance: rand.New(rand.NewSource(seed)), changed: make(chan struct{})}
 	place := rand.New(rand.NewSource(time.Now().UnixNano())) // beside other nets of this machine
 	var err error
 	for range 20 {
 		a, b, port := 16+place.Intn(200), place.Intn(256), 20000+place.Intn(10000)
 		for i, name := range names {
-			e := &End{Name: name, Own: fmt.Sprintf("127.%d.%d.%d", a, b, i+1), Front: fmt.Sprintf("127.%d.%d.%d", a, b, i+128), Port: port, net: n, links: map[net.Conn]struct{}{}}
-			n.ends[name], n.byIP[e.Own] = e, e
+			e := &Endpoint{Name: name, ListenIP: fmt.Sprintf("127.%d.%d.%d", a, b, i+1), RelayIP: fmt.Sprintf("127.%d.%d.%d", a, b, i+128), Port: port, net: n, links: map[net.Conn]struct{}{}}
+			n.ends[name], n.byIP[e.ListenIP] = e, e
 		}
 		err = nil
 		for _, e := range n.ends {
@@ -108,10 +108,10 @@
 }
 
 // End is the place of a name.
-func (n *Net) End(name string) *End { return n.ends[name] }
+func (n *Network) Endpoint(name string) *Endpoint { return n.ends[name] }
 
-func (e *End) open() (err error) {
-	ip := net.ParseIP(e.Front)
+func (e *Endpoint) open() (err error) {
+	ip := net.ParseIP(e.RelayIP)
 	udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: ip, Port: e.Port})
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 }
 
 // shut ends a relay and all that passes through it.
-func (e *End) shut() {
+func (e *Endpoint) shut() {
 	e.net.mu.Lock()
 	defer e.net.mu.Unlock()
 	if e.down || e.udp == nil {
@@ -145,8 +145,8 @@
 	}
 }
 
-// Restart ends the relay before a process and opens it again: streams break, packets meanwhile are lost.
-func (n *Net) Restart(name string) error {
+// RestartRelay ends the relay before a process and opens it again: streams break, packets meanwhile are lost.
+func (n *Network) RestartRelay(name string) error {
 	n.note("relay of %s restarts", name)
 	e := n.ends[name]
 	e.shut()
@@ -161,7 +161,7 @@
 }
 
 // Close ends all relays.
-func (n *Net) Close() {
+func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
 	n.turn()
@@ -173,33 +173,33 @@
 }
 
 // turn wakes all that waits for a rule. The lock is held.
-func (n *Net) turn() {
+func (n *Network) turn() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-func (n *Net) note(format string, a ...any) {
+func (n *Network) note(format string, a ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.log = append(n.log, Act{time.Since(n.began), fmt.Sprintf(format, a...)})
+	n.entries = append(n.entries, LogEntry{time.Since(n.began), fmt.Sprintf(format, a...)})
 }
 
-// Acts are all that was done so far.
-func (n *Net) Acts() []Act {
+// Log are all that was done so far.
+func (n *Network) Log() []LogEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]Act(nil), n.log...)
+	return append([]LogEntry(nil), n.entries...)
 }
 
 // Counts are those so far.
-func (n *Net) Counts() Counts {
+func (n *Network) Counts() Counts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// Change applies f to the rules of all ordered pairs of from and to; nil is everybody.
-func (n *Net) Change(text string, from, to []string, f func(*Rule)) {
+// UpdateRules applies f to the rules of all ordered pairs of from and to; nil is everybody.
+func (n *Network) UpdateRules(text string, from, to []string, f func(*Rule)) {
 	n.note("%s", text)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -225,18 +225,18 @@
 }
 
 // Split cuts all ways between the sets; names in no set hear everybody.
-func (n *Net) Split(sets ...[]string) {
+func (n *Network) Split(sets ...[]string) {
 	for i, a := range sets {
 		for k, b := range sets {
 			if i != k {
-				n.Change(fmt.Sprintf("cut %v from %v", a, b), a, b, func(r *Rule) { r.Cut = true })
+				n.UpdateRules(fmt.Sprintf("cut %v from %v", a, b), a, b, func(r *Rule) { r.Cut = true })
 			}
 		}
 	}
 }
 
 // Heal ends all rules.
-func (n *Net) Heal() {
+func (n *Network) Heal() {
 	n.note("heal")
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -245,48 +245,48 @@
 }
 
 // fate is what becomes of one packet: how often it comes, each time after how long, and with which byte spoilt.
-func (n *Net) fate(from, to string, size int) (after []time.Duration, spoilt int) {
+func (n *Network) fate(from, to string, size int) (after []time.Duration, spoilt int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.rules[[2]string{from, to}]
 	spoilt = -1
-	if r.Cut || n.chance.Float64() < r.Drop || n.flying >= mostFlying {
-		n.counts.Lost++
+	if r.Cut || n.chance.Float64() < r.DropRate || n.flying >= mostFlying {
+		n.counts.Dropped++
 		return nil, spoilt
 	}
 	times := 1
-	if n.chance.Float64() < r.Double {
-		n.counts.Doubled++
+	if n.chance.Float64() < r.DuplicateRate {
+		n.counts.Duplicated++
 		times = 2
 	}
-	if size > 0 && n.chance.Float64() < r.Corrupt {
+	if size > 0 && n.chance.Float64() < r.CorruptRate {
 		n.counts.Corrupted++
 		spoilt = n.chance.Intn(size)
 	}
 	for range times {
 		d := r.Delay
-		if r.Spread > 0 {
-			d += time.Duration(n.chance.Int63n(int64(r.Spread)))
+		if r.Jitter > 0 {
+			d += time.Duration(n.chance.Int63n(int64(r.Jitter)))
 		}
-		if n.chance.Float64() < r.Reorder {
+		if n.chance.Float64() < r.ReorderRate {
 			d += reorderBy
 		}
 		after = append(after, d)
-		n.counts.Passed++
+		n.counts.Delivered++
 	}
 	return after, spoilt
 }
 
 // sender is who owns an address.
-func (n *Net) sender(ip net.IP) *End {
+func (n *Network) sender(ip net.IP) *Endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.byIP[ip.String()]
 }
 
-func (e *End) packets(in *net.UDPConn) {
+func (e *Endpoint) packets(in *net.UDPConn) {
 	defer e.net.wg.Done()
-	n, to := e.net, &net.UDPAddr{IP: net.ParseIP(e.Own), Port: e.Port}
+	n, to := e.net, &net.UDPAddr{IP: net.ParseIP(e.ListenIP), Port: e.Port}
 	b := make([]byte, 64<<10)
 	for {
 		size, from, err := in.ReadFromUDP(b)
@@ -326,7 +326,7 @@
 	}
 }
 
-func (e *End) streams(in *net.TCPListener) {
+func (e *Endpoint) streams(in *net.TCPListener) {
 	defer e.net.wg.Done()
 	for {
 		c, err := in.AcceptTCP()
@@ -347,7 +347,7 @@
 }
 
 // keep notes a stream's end, so that it is closed with the relay; false if there is no room.
-func (e *End) keep(c net.Conn) bool {
+func (e *Endpoint) keep(c net.Conn) bool {
 	e.net.mu.Lock()
 	defer e.net.mu.Unlock()
 	if e.down || len(e.links) >= mostLinks {
@@ -357,7 +357,7 @@
 	return true
 }
 
-func (e *End) drop(c net.Conn) {
+func (e *Endpoint) drop(c net.Conn) {
 	c.Close()
 	e.net.mu.Lock()
 	defer e.net.mu.Unlock()
@@ -365,7 +365,7 @@
 }
 
 // open waits until nothing is cut on the ways given, and tells what is to be waited beside; false once the net closes.
-func (n *Net) open(ways ...[2]string) (Rule, bool) {
+func (n *Network) open(ways ...[2]string) (Rule, bool) {
 	for {
 		n.mu.Lock()
 		cut, turn, closed := false, n.changed, n.closed
@@ -385,14 +385,14 @@
 }
 
 // stream carries one stream. A dial through a cut stands still, as one without an answer does.
-func (e *End) stream(s *End, c *net.TCPConn) {
+func (e *Endpoint) stream(s *Endpoint, c *net.TCPConn) {
 	defer e.drop(c)
 	n, there, back := e.net, [2]string{s.Name, e.Name}, [2]string{e.Name, s.Name}
 	if _, ok := n.open(there, back); !ok {
 		return
 	}
-	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(s.Front)}}
-	o, err := d.Dial("tcp", e.Listen())
+	d := net.Dialer{Timeout: time.Second, LocalAddr: &net.TCPAddr{IP: net.ParseIP(s.RelayIP)}}
+	o, err := d.Dial("tcp", e.ListenAddr())
 	if err != nil || !e.keep(o) {
 		if err == nil {
 			o.Close()
@@ -413,7 +413,7 @@
 }
 
 // pump carries one way of a stream until it ends, and ends the other side's writing with it.
-func (n *Net) pump(from, to net.Conn, way [2]string) {
+func (n *Network) pump(from, to net.Conn, way [2]string) {
 	b := make([]byte, chunk)
 	for {
 		size, err := from.Read(b)
@@ -424,15 +424,15 @@
 			}
 			wait := r.Delay
 			n.mu.Lock()
-			if n.chance.Float64() < r.Drop {
+			if n.chance.Float64() < r.DropRate {
 				wait += resend
 			}
-			if r.Spread > 0 {
-				wait += time.Duration(n.chance.Int63n(int64(r.Spread)))
+			if r.Jitter > 0 {
+				wait += time.Duration(n.chance.Int63n(int64(r.Jitter)))
 			}
 			n.mu.Unlock()
-			if r.Rate > 0 {
-				wait += time.Duration(float64(size) / r.Rate * float64(time.Second))
+			if r.BytesPerSecond > 0 {
+				wait += time.Duration(float64(size) / r.BytesPerSecond * float64(time.Second))
 			}
 			time.Sleep(wait)
 			if _, bad := to.Write(b[:size]); bad != nil {
