--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,7 +21,7 @@
 // serve answers each batch of in with one reply on out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
-	live := map[uint16]*control.Control{}
+	live := map[uint16]*control.Controller{}
 	var reply simwire.Reply
 	for {
 		now, err := r.Batch()
@@ -39,19 +39,19 @@
 			if !more {
 				break
 			}
-			switch ev.What {
-			case simwire.Exited:
-				delete(live, ev.Who)
+			switch ev.Record {
+			case simwire.InstanceExited:
+				delete(live, ev.Instance)
 				continue
-			case simwire.Opened:
-				o := ev.Opening
-				live[ev.Who] = control.New(o.Node, o.Fleet, o.Below, o.Rules, o.Methods, o.Customers)
+			case simwire.InstanceOpened:
+				o := ev.Config
+				live[ev.Instance] = control.New(o.Node, o.Fleet, o.Dependency, o.Limits, o.Methods, o.Customers)
 			}
-			c := live[ev.Who]
+			c := live[ev.Instance]
 			if c == nil {
-				return fmt.Errorf("event for instance %d: it was never opened", ev.Who)
+				return fmt.Errorf("event for instance %d: it was never opened", ev.Instance)
 			}
-			reply.Add(ev.Who, c.Handle(now, ev.Event))
+			reply.Add(ev.Instance, c.Handle(now, ev.Event))
 		}
 		if _, err := reply.WriteTo(out); err != nil {
 			return err
--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		known = operator.KnownNames(p.Opening)
+		known = operator.KnownNames(p.Config)
 	}
 	f, faults := cuefile.Compile(s.Files, known)
 	for _, e := range faults {
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -51,7 +51,7 @@
 		return fmt.Errorf("%d events in %d parts: too few to plan by", len(all), c.Parts)
 	}
 	o := &r.Header.Told
-	s := replay.Settings{Node: o.Node, Fleet: o.Fleet, Below: o.Below, Rules: o.Rules, Methods: o.Methods, Customers: o.Customers}
+	s := replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
 	from, span := all[0].Now, (all[len(all)-1].Now-all[0].Now)/float64(c.Parts)
 	parts := make([][]replay.Step, c.Parts)
 	for _, x := range all {
--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -196,7 +196,7 @@
 		kong.UsageOnError(),
 	)
 	err := ctx.Run()
-	var code daemon.Exit
+	var code daemon.ExitCode
 	if errors.As(err, &code) {
 		os.Exit(int(code))
 	}
--- a/control/api.go
+++ b/control/api.go
@@ -1,188 +1,199 @@
 package control
 
-// Repeat says whether an RPC of a method may run again.
-type Repeat int
+// This file owns the types that cross the package's boundary: the start-up facts, the events and the actions. All times
+// and durations are milliseconds and all memory sizes kilobytes. The numeric values of the enumerations are stored in
+// traces and the start-up facts are stored there as JSON under the names in the tags: neither may change.
 
+// Idempotency says whether an RPC of a method may be executed more than once.
+type Idempotency int
+
+// The idempotency classes of methods.
 const (
-	Idempotent    Repeat = iota // may run again
-	Tokened                     // carries a mark by which a repeat is known
-	NonIdempotent               // must never run twice
+	Idempotent       Idempotency = iota // may be executed again
+	IdempotencyKeyed                    // carries an idempotency token by which a duplicate is recognised
+	NonIdempotent                       // must never be executed twice
 )
 
-// Method is one of the methods the server answers. Times are milliseconds.
+// Method describes one of the methods that the server serves.
 type Method struct {
-	Name          string
-	Repeat        Repeat
-	LatencyTarget float64 // the answer is wanted within this, from the client's first try
-	Stretch       float64 // the latency target grows by this multiple of the RPC's own work
-	Deadline      float64 // the client gives up after this, over all its tries
-	Window        float64 // tokened: a repeat may come this long after the arrival here
-	Criticality   float64
-	LateShare     float64 // what an answer between latency target and deadline keeps
-	SkipShare     float64 // what an answer made without its call keeps; 0 forbids the skip
+	Name             string
+	Idempotency      Idempotency `json:"Repeat"`
+	LatencyObjective float64     `json:"LatencyTarget"` // ms from the client's first attempt in which the response is wanted
+	ObjectiveStretch float64     `json:"Stretch"`       // the objective grows by this multiple of the RPC's cost hint
+	Deadline         float64     // ms from the client's first attempt after which the client gives up, over all its attempts
+	DedupWindow      float64     `json:"Window"` // IdempotencyKeyed: ms from the arrival here in which a duplicate may come
+	Criticality      float64     // the weight of a response in time
+	LateFraction     float64     `json:"LateShare"` // fraction of Criticality left to a response between objective and deadline
+	DegradedFraction float64     `json:"SkipShare"` // fraction left to a response made without the dependency call; 0 forbids it
 }
 
-// Customer is one of those on whose behalf RPCs come.
+// Customer is one of the tenants on whose behalf RPCs come.
 type Customer struct {
 	Name  string
-	Quota float64 // RPCs a second within its share, over the whole fleet
+	Quota float64 // RPCs per second within its quota, over the whole fleet
 }
 
-// Stop says what can be done with running work.
-type Stop int
+// Preemption says what the server can do with a running RPC.
+type Preemption int
 
+// The ways of preempting a running RPC.
 const (
-	StopNone  Stop = iota // running work can't be stopped
-	StopAbort             // its progress is lost and the RPC is held again
-	StopPause             // it keeps its progress and its memory
+	PreemptNone    Preemption = iota // a running RPC can't be stopped
+	PreemptAbort                     // its progress is lost and it is queued again
+	PreemptSuspend                   // it keeps its progress and its memory
 )
 
-// Say is the kind of value that callers read from answers.
-type Say int
+// FeedbackKind says how callers interpret the load feedback that is attached to responses.
+type FeedbackKind int
 
+// The kinds of load feedback.
 const (
-	SayNone   Say = iota
-	SayLevel      // callers send nothing ranked below it
-	SayWindow     // the number of RPCs each caller may have out here
-	SayShare      // the chance that a caller does not pass this server by
+	FeedbackNone   FeedbackKind = iota // callers read none
+	FeedbackLevel                      // an admission level: callers send nothing that ranks below it
+	FeedbackWindow                     // a concurrency window: how many RPCs each caller may have in flight here
+	FeedbackShare                      // the probability with which a caller does not skip this server
 )
 
-// Node is the machine and process that the instance decides for.
+// Node describes the machine and the process that the instance decides for.
 type Node struct {
-	Seed       uint64
-	Cold       bool    // just started, not yet at its full speed
-	StartSpeed float64 // a cold one begins at no less than this share of its speed
-	WarmBy     float64 // and is at its full speed this long after its start
-	Cores      int
-	MemKB      float64
-	RunFactor  float64 // memory of a running RPC over that of a held one
-	KeyKB      float64 // memory of a remembered token
-	Tick       float64 // shortest gap between two moments at which events come
-	Stop       Stop
+	Seed            uint64     // of all random draws
+	WarmingUp       bool       `json:"Cold"`       // the process has just started and is not at full speed yet
+	InitialSpeed    float64    `json:"StartSpeed"` // lower bound of the fraction of full speed at which a cold process starts
+	WarmUpTime      float64    `json:"WarmBy"`     // ms after its start by which it is at full speed
+	Cores           int        // CPU cores
+	MemoryKB        float64    `json:"MemKB"`     // memory for RPCs and tokens
+	RunMemoryFactor float64    `json:"RunFactor"` // memory of a running RPC over that of a queued one
+	TokenKB         float64    `json:"KeyKB"`     // memory of one cached idempotency token
+	Tick            float64    // shortest gap in ms between two moments at which events come
+	Preemption      Preemption `json:"Stop"`
 }
 
-// Fleet is what the node is told of its neighbours and of those who call it.
+// Fleet describes the tier that the node belongs to and the callers of that tier.
 type Fleet struct {
-	Peers         int     // servers of this tier, this one included
-	Callers       int     // callers of this tier
-	Marks         bool    // further tries are marked
-	TellsTime     bool    // an RPC says how long its caller still waits
-	Say           Say     // how callers read the value that goes out with answers
-	Heeded        float64 // a caller acts for this long on what it was told
-	Idle          float64 // callers close connections idle for this long
-	MaxRetryAfter float64 // longest advice to stay away that is honoured; 0 when none is passed on
-	OverShare     float64 // what an RPC beyond its customer's share keeps of its criticality
+	Peers              int          // servers of this tier, this one included
+	Callers            int          // callers of this tier
+	MarksRetries       bool         `json:"Marks"`     // callers mark retries
+	PropagatesDeadline bool         `json:"TellsTime"` // an RPC carries the time that its caller still waits
+	Feedback           FeedbackKind `json:"Say"`       // how callers interpret load feedback
+	FeedbackTTL        float64      `json:"Heeded"`    // ms for which a caller acts on the feedback that it received
+	IdleTimeout        float64      `json:"Idle"`      // ms after which callers close idle connections; the upper bound of ours
+	MaxRetryAfter      float64      // longest retry-after in ms that callers honour; 0 if none is passed on
+	OverQuotaFraction  float64      `json:"OverShare"` // fraction of its criticality left to an RPC beyond its customer's quota
 }
 
-// Below is the layer that RPCs call while they run, if the whole fleet shares it; else all is zero.
-type Below struct {
-	Share  float64 // mean number of calls in hand that this node may have
-	Linger float64 // an abandoned call stays in hand this long
-	Over   float64 // the mean is taken over this
+// Dependency describes the shared service that RPCs call while they run. It is zero if nothing is shared.
+type Dependency struct {
+	ConcurrencyShare float64 `json:"Share"` // mean number of concurrent calls that this node may have there
+	Linger           float64 // ms for which an abandoned call still occupies the dependency
+	AveragingWindow  float64 `json:"Over"` // ms over which the mean of ConcurrencyShare is taken
 }
 
-// Rules are the figures of the four rules.
-type Rules struct {
-	DrainGrace float64 // what arrives later than this after the notice is not run
-	Ceiling    float64 // RPCs on the cores, for each core, that a warm node survives
-	Settle     float64 // held for longer than this, an RPC is not pushed back for another; 0 for no such time
+// Limits are the bounds that decisions must never exceed, whatever the load.
+type Limits struct {
+	DrainGrace      float64 // ms after a drain notice; what arrives later is not run
+	MaxRunsPerCore  float64 `json:"Ceiling"` // runnable RPCs per core that a warm node survives
+	DisplaceableFor float64 `json:"Settle"`  // ms in the queue after which an RPC is not rejected in favour of another; 0 for no such bound
 }
 
-// Kind tells what happened.
-type Kind int
+// EventKind tells what happened.
+type EventKind int
 
+// The kinds of events.
 const (
-	Begin  Kind = iota // the instance has just been made
-	Arrive             // an RPC has been read and is held
-	Left               // its caller no longer waits; Outcome is Reset if its connection broke
-	Ended              // a run or a join is over
-	Wait               // a running RPC stands at a call
-	Called             // a call is over
-	Notice             // the node will be stopped after Time
-	Timer              // a timer came due
-	Stay               // the notice is taken back before its time
+	Started        EventKind = iota // the instance has just been made
+	Arrived                         // an RPC has been read and is queued
+	CallerGone                      // its caller no longer waits; Outcome is OutcomeReset if its connection broke
+	Completed                       // a run, or a join to another RPC's run, is over
+	AwaitingCall                    // a running RPC has come to its dependency call
+	CallCompleted                   // a dependency call is over
+	DrainNotice                     // the node will be stopped after Remaining
+	TimerFired                      // a timer came due
+	DrainCancelled                  // the notice is withdrawn before its time
 )
 
-// Outcome tells how a run or a call ended.
+// Outcome tells how a run or a dependency call ended.
 type Outcome int
 
+// The outcomes of runs and calls. The values are those of the simulator's wire.
 const (
-	Error       Outcome = iota // may have had its effect
-	OK                         //
-	Full                       // call turned away unexamined: never ran
-	TimedOut                   // we gave up on the call: may have had its effect
-	Unreachable                // never ran
-	Reset                      // interrupted: may have had its effect
-	Cancelled                  // the run was stopped
-	Moot                       // nothing was started
+	OutcomeError       Outcome = iota // failed; it may have had its effect
+	OutcomeOK                         // succeeded
+	OutcomeRejected                   // the call was rejected unexamined: it never ran
+	OutcomeTimedOut                   // we gave up on the call: it may have had its effect
+	OutcomeUnreachable                // the dependency was not reached: the call never ran
+	OutcomeReset                      // the connection broke: it may have had its effect
+	OutcomeCancelled                  // the run was preempted
+	OutcomeNotStarted                 // there was nothing left to start
 )
 
-// Budget tells how an RPC stands to its server's part of a quota that servers share.
-type Budget int
+// QuotaStatus tells how an RPC stands to this server's lease of a quota that servers share.
+type QuotaStatus int
 
+// The states of an RPC with regard to a shared quota.
 const (
-	Untold Budget = iota // nothing is shared: the instance goes by what it sees of the customer
-	Within
-	Over
+	QuotaUnknown QuotaStatus = iota // no quota is shared: the instance goes by the traffic that it sees of the customer
+	WithinQuota                     // within the leased capacity
+	OverQuota                       // beyond it
 )
 
 // Event is one thing that happened. Only the fields of its kind are set.
 type Event struct {
-	Kind     Kind
-	RPC      uint32
-	Method   int     // Arrive
-	Customer int     // Arrive
-	Caller   uint16  // Arrive
-	Subject  uint64  // Arrive: what it is about; 0 for none
-	Original uint32  // Arrive: the remembered RPC that it repeats; 0 for none
-	Time     float64 // Arrive: how long its caller still waits, 0 for untold; Notice: until the stop
-	Waited   float64 // Arrive: since it reached the machine; Notice: since it came
-	Hint     float64 // Arrive: expected work on a standard core; 0 for none
-	HeldKB   float64 // Arrive: its memory while held
-	Retry    bool    // Arrive: marked as a further try
-	Budget   Budget  // Arrive
-	Again    float64 // Arrive, Over: ms until one of its customer may lie within the quota
-	Outcome  Outcome // Left, Ended, Called
-	Spent    float64 // Ended, Called: since the action that began it
-	Label    uint64  // Timer
-	Gauges   Gauges  // Timer
+	Kind        EventKind
+	RPC         uint32      // identifier of the RPC, never used again
+	Method      int         // Arrived: index into the methods
+	Customer    int         // Arrived: index into the customers
+	Caller      uint16      // Arrived: number of the calling process
+	Subject     uint64      // Arrived: affinity key, such as a user or an object; 0 for none
+	DuplicateOf uint32      // Arrived: the RPC with a cached token that this one repeats; 0 for none
+	Remaining   float64     // Arrived: ms that its caller still waits, 0 if it does not say; DrainNotice: ms until the stop
+	Age         float64     // Arrived: ms since it reached the machine; DrainNotice: ms since the notice came
+	CostHint    float64     // Arrived: expected work, in ms of a standard core; 0 for none
+	QueuedKB    float64     // Arrived: its memory while queued
+	Retry       bool        // Arrived: marked as a retry
+	Quota       QuotaStatus // Arrived
+	RetryAfter  float64     // Arrived, OverQuota: ms until an RPC of its customer may lie within the quota again
+	Outcome     Outcome     // CallerGone, Completed, CallCompleted
+	Elapsed     float64     // Completed, CallCompleted: ms since the action that began it
+	Label       uint64      // TimerFired: that of its SetTimer
+	Gauges      Gauges      // TimerFired
 }
 
-// Gauges are the node's own, as they stand when a timer comes due.
+// Gauges are measurements of the node, taken when a timer comes due.
 type Gauges struct {
-	Stale   bool    // the others are not of now, and tell nothing
-	CoreUse float64 // share of the cores busy over the last half second
-	OnCores float64 // all that wants a core now
+	Stale          bool    // the other gauges are out of date and must not be used
+	CPUUtilization float64 // fraction of the cores busy over the last half second
+	Runnable       float64 // tasks that run or wait for a core now
 }
 
-// Do tells what is to be done.
-type Do int
+// ActionKind tells what is to be done.
+type ActionKind int
 
+// The kinds of actions.
 const (
-	Run       Do = iota // begin a held RPC or go on with a paused one
-	PushBack            // final answer: not run, may go elsewhere unless Last
-	Abort               // final answer: an error, with no word on effects
-	Halt                // stop running work, as Node.Stop says
-	Call                // make the call that the RPC stands at
-	Skip                // go on without it
-	Remember            // remember the RPC's token for Time
-	Forget              // drop that memory
-	Join                // answer with the result of the RPC it repeats
-	Health              // what checks are told from here on, from store
-	Tell                // the value that goes out with answers
-	IdleAfter           // close connections idle for this long
-	Arm                 // ask for a Timer at Time
-	Note                // a line for the log
+	Run            ActionKind = iota // start a queued RPC, or resume a suspended one
+	Reject                           // final answer: never ran, may be retried elsewhere unless NoRetry
+	Abort                            // final answer: an error that promises nothing about effects
+	Preempt                          // stop a running RPC, as Node.Preemption says
+	Call                             // make the dependency call that the RPC awaits
+	SkipCall                         // resume the RPC without its dependency call
+	CacheToken                       // cache the RPC's idempotency token for Time
+	EvictToken                       // evict that token
+	Join                             // answer with the result of the RPC that it duplicates
+	SetHealth                        // the answer to health checks from now on
+	SetFeedback                      // the load feedback that is attached to responses from now on
+	SetIdleTimeout                   // close connections that have been idle for Time
+	SetTimer                         // raise TimerFired at Time
+	LogEvent                         // write a line to the log
 )
 
 // Action is one thing to be done. Only the fields of its kind are set.
 type Action struct {
-	Do    Do
-	RPC   uint32
-	Last  bool    // PushBack: the caller should not go elsewhere
-	Good  bool    // Health
-	Time  float64 // PushBack: stay away for; Call: give up after; Remember, IdleAfter: for; Arm: at
-	Value float64 // Tell
-	Label uint64  // Arm
-	Text  string  // Note
+	Kind     ActionKind
+	RPC      uint32
+	NoRetry  bool    // Reject: the caller should not retry elsewhere
+	Healthy  bool    // SetHealth
+	Time     float64 // ms. Reject: retry-after; Call: timeout; CacheToken, SetIdleTimeout: duration; SetTimer: clock value
+	Feedback float64 // SetFeedback: a value of Fleet.Feedback's kind
+	Label    uint64  // SetTimer: comes back with the event
+	Message  string  // LogEvent: a constant event name, as component.event_name
 }
--- a/control/completion.go
+++ b/control/completion.go
@@ -4,7 +4,7 @@
 
 // left hears that a caller no longer waits. A connection that broke and what is withdrawn at once show no
 // habit: taken for one, they would have all of that caller's RPCs pushed back, with none left to unlearn it.
-func (c *Control) left(i int, broke bool) {
+func (c *Controller) left(i int, broke bool) {
 	r := &c.in.rpc[i]
 	if age := c.now - r.arrived; !broke && age > c.tightest/10 { // no try is given up in less
 		c.habits[r.caller] = c.habits[r.caller].left(age)
@@ -15,19 +15,19 @@
 }
 
 // ended books the end of a run or join.
-func (c *Control) ended(i int, ev *Event) {
+func (c *Controller) ended(i int, ev *Event) {
 	r := &c.in.rpc[i]
 	if r.state == calling {
-		c.calls.done(c.now, c.now-r.stood, TimedOut)
+		c.calls.done(c.now, c.now-r.stood, OutcomeTimedOut)
 	}
 	c.tries.ends++
 	if !r.answered && c.now-r.arrived > 1.3*c.habits[r.caller].mean {
 		delete(c.habits, r.caller) // this one waited longer
 	}
-	if ev.Outcome == OK && r.state == running {
-		spent := ev.Spent - r.below
+	if ev.Outcome == OutcomeOK && r.state == running {
+		spent := ev.Elapsed - r.below
 		c.learn(r, spent)
-		c.pressure.learn(r.method, c.now-r.arrived, c.methods[r.method].LatencyTarget)
+		c.pressure.learn(r.method, c.now-r.arrived, c.methods[r.method].LatencyObjective)
 	}
 	c.drop(i)
 }
--- a/control/control.go
+++ b/control/control.go
@@ -19,8 +19,8 @@
 // answers, and twenty-five looks a second cost a server well under a thousandth of a core.
 const period = 40.0
 
-// Control is one instance.
-type Control struct {
+// Controller is one instance. It is not safe for concurrent use.
+type Controller struct {
 	node             Node
 	methods          []Method
 	grace, overShare float64
@@ -55,36 +55,36 @@
 
 // New makes an instance for a server that is just starting.
 func New(
-	node Node, fleet Fleet, below Below, rules Rules, methods []Method, customers []Customer,
-) *Control {
+	node Node, fleet Fleet, below Dependency, rules Limits, methods []Method, customers []Customer,
+) *Controller {
 	// Figures that are missing or nothing would make a share of callers, of a quota or of a warm-up no
 	// number.
 	fleet.Callers, fleet.Peers = max(1, fleet.Callers), max(1, fleet.Peers)
-	node.WarmBy = math.Max(1, node.WarmBy)
-	c := &Control{
-		node: node, methods: methods, grace: rules.DrainGrace, settle: rules.Settle, retry: fleet.MaxRetryAfter,
+	node.WarmUpTime = math.Max(1, node.WarmUpTime)
+	c := &Controller{
+		node: node, methods: methods, grace: rules.DrainGrace, settle: rules.DisplaceableFor, retry: fleet.MaxRetryAfter,
 		in:        slab{byID: map[uint32]int{}},
-		slowStart: newSlowStart(node.Cold, node.WarmBy, fleet.Callers, node.Seed),
+		slowStart: newSlowStart(node.WarmingUp, node.WarmUpTime, fleet.Callers, node.Seed),
 		pressure:  pressure{share: 1, late: make([]float64, len(methods))},
 		limit: runLimit{
-			cores: float64(node.Cores), cold: node.Cold, start: node.StartSpeed, warmBy: node.WarmBy,
-			ceiling: rules.Ceiling, onCore: 1,
+			cores: float64(node.Cores), cold: node.WarmingUp, start: node.InitialSpeed, warmBy: node.WarmUpTime,
+			ceiling: rules.MaxRunsPerCore, onCore: 1,
 		},
-		keys:  keys{kb: node.KeyKB},
-		calls: calls{share: below.Share, most: below.Share, linger: below.Linger, over: below.Over},
+		keys:  keys{kb: node.TokenKB},
+		calls: calls{share: below.ConcurrencyShare, most: below.ConcurrencyShare, linger: below.Linger, over: below.AveragingWindow},
 		tries: tries{
-			marks: fleet.Marks, notified: fleet.Idle, most: fleet.Idle,
-			reach: fleet.Heeded / 1000 / float64(fleet.Callers),
+			marks: fleet.MarksRetries, notified: fleet.IdleTimeout, most: fleet.IdleTimeout,
+			reach: fleet.FeedbackTTL / 1000 / float64(fleet.Callers),
 		},
 		health: health{good: true, since: math.Inf(-1)},
-		signal: signal{say: fleet.Say, callers: float64(fleet.Callers)},
+		signal: signal{say: fleet.Feedback, callers: float64(fleet.Callers)},
 		habits: map[uint16]habit{},
 		pace:   make([]pace, len(methods)),
 		speed:  1, chance: rand.New(rand.NewSource(int64(node.Seed))),
-		overShare: fleet.OverShare, tells: fleet.TellsTime, tightest: math.Inf(1),
+		overShare: fleet.OverQuotaFraction, tells: fleet.PropagatesDeadline, tightest: math.Inf(1),
 	}
 	for i, m := range methods {
-		target := math.Max(1, m.LatencyTarget)
+		target := math.Max(1, m.LatencyObjective)
 		c.pace[i] = newPace(target)
 		c.tightest = math.Min(c.tightest, target)
 	}
@@ -95,47 +95,47 @@
 }
 
 // Handle takes what happened and returns what is to be done.
-func (c *Control) Handle(now float64, ev Event) []Action {
+func (c *Controller) Handle(now float64, ev Event) []Action {
 	c.out, c.now = c.out[:0], now
 	i, inHand := c.in.byID[ev.RPC]
-	if !inHand && (ev.Kind == Left || ev.Kind == Ended || ev.Kind == Wait || ev.Kind == Called) {
+	if !inHand && (ev.Kind == CallerGone || ev.Kind == Completed || ev.Kind == AwaitingCall || ev.Kind == CallCompleted) {
 		return c.out // it is over here
 	}
 	switch ev.Kind {
-	case Begin:
+	case Started:
 		c.slowStart.begin, c.limit.begin = now, now
 		c.wake = now + period
-		c.do(Action{Do: Health, Good: true}, Action{Do: Arm, Time: c.wake})
-	case Arrive:
+		c.do(Action{Kind: SetHealth, Healthy: true}, Action{Kind: SetTimer, Time: c.wake})
+	case Arrived:
 		c.arrive(&ev)
-	case Left:
-		c.left(i, ev.Outcome == Reset)
-	case Ended:
+	case CallerGone:
+		c.left(i, ev.Outcome == OutcomeReset)
+	case Completed:
 		c.ended(i, &ev)
-	case Wait:
+	case AwaitingCall:
 		if c.in.rpc[i].state == running {
 			c.active--
 			c.in.rpc[i].state, c.in.rpc[i].stood, c.in.rpc[i].tries = standing, now, 0
 			c.call(i)
 		}
-	case Called:
+	case CallCompleted:
 		if c.in.rpc[i].state == calling {
 			c.called(i, &ev)
 		}
-	case Notice:
-		c.drain = drain{on: true, since: now - ev.Waited, stop: now - ev.Waited + ev.Time}
+	case DrainNotice:
+		c.drain = drain{on: true, since: now - ev.Age, stop: now - ev.Age + ev.Remaining}
 		for i := range c.in.rpc {
 			c.drain.bound(&c.in.rpc[i])
 		}
-		c.do(Action{Do: Health}, Action{Do: Note, Text: "drain: notice to leave"})
-	case Stay: // what is in hand keeps the due times that it was given
+		c.do(Action{Kind: SetHealth}, Action{Kind: LogEvent, Message: "drain: notice to leave"})
+	case DrainCancelled: // what is in hand keeps the due times that it was given
 		c.drain = drain{}
-		c.do(Action{Do: Health, Good: c.health.good}, Action{Do: Note, Text: "drain: taken back"})
-	case Timer:
+		c.do(Action{Kind: SetHealth, Healthy: c.health.good}, Action{Kind: LogEvent, Message: "drain: taken back"})
+	case TimerFired:
 		c.tick(&ev.Gauges)
 	}
 	c.pump()
 	return c.out
 }
 
-func (c *Control) do(a ...Action) { c.out = append(c.out, a...) }
+func (c *Controller) do(a ...Action) { c.out = append(c.out, a...) }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -47,15 +47,15 @@
 
 func TestRampPushback(t *testing.T) {
 	s := plain()
-	s.node.Cold = true
+	s.node.WarmingUp = true
 	w := start(t, s)
 	n := 0
 	for id := uint32(1); id <= 50; id++ {
 		w.arrive(id, Event{Caller: uint16(id), Retry: id > 45})
 		for _, a := range w.last {
-			if a.Do == PushBack {
+			if a.Kind == Reject {
 				n++
-				if a.Last || a.Time <= 0 || a.Time > 200 {
+				if a.NoRetry || a.Time <= 0 || a.Time > 200 {
 					t.Errorf("ramp pushes back with %+v", a)
 				}
 			}
@@ -73,11 +73,11 @@
 // A stall runs the clock without traffic; the ramp must not come out of it further on.
 func TestStallHoldsRamp(t *testing.T) {
 	s := plain()
-	s.node.Cold = true
+	s.node.WarmingUp = true
 	w := start(t, s)
 	w.until(2000, Gauges{})
 	w.now = 12000
-	w.ev(Event{Kind: Timer})
+	w.ev(Event{Kind: TimerFired})
 	w.c.slowStart.takes(w.now, 1, 0, 1)
 	if w.c.slowStart.most > 35 {
 		t.Errorf("ramp at %v%% after 2 s of 7 and a stall of 10 s", w.c.slowStart.most)
@@ -100,7 +100,7 @@
 			p := pressure{share: 1, late: make([]float64, 1)}
 			for range 20 {
 				p.learn(0, c.latency, 1000)
-				p.step(&Gauges{CoreUse: c.busy})
+				p.step(&Gauges{CPUUtilization: c.busy})
 			}
 			share := p.share
 			if p.step(&Gauges{Stale: true}); !c.want(share) || p.share != share {
@@ -108,7 +108,7 @@
 			}
 			for range 100 {
 				p.learn(0, 100, 1000)
-				p.step(&Gauges{CoreUse: 1})
+				p.step(&Gauges{CPUUtilization: 1})
 			}
 			if p.share != 1 {
 				t.Errorf("share %v long after", p.share)
@@ -120,24 +120,24 @@
 func TestAnswers(t *testing.T) {
 	cases := []struct {
 		name string
-		stop Stop
+		stop Preemption
 		at   float64
-		want Do
+		want ActionKind
 	}{
-		{"running past its due time is aborted", StopNone, 3000, Abort},
-		{"running past its latency target is given up where it can be stopped", StopPause, 1100, Abort},
+		{"running past its due time is aborted", PreemptNone, 3000, Abort},
+		{"running past its latency target is given up where it can be stopped", PreemptSuspend, 1100, Abort},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.node.Stop = c.stop
+			s.node.Preemption = c.stop
 			w := start(t, s)
 			w.arrive(1, Event{})
 			w.until(c.at, Gauges{})
 			if got, ok := w.final[1]; !ok || got != c.want {
 				t.Errorf("answer %v, %v", got, ok)
 			}
-			w.end(1, OK, c.at)
+			w.end(1, OutcomeOK, c.at)
 			if w.c.used != 0 || w.c.active != 0 {
 				t.Errorf("memory %v, runs %d after the end", w.c.used, w.c.active)
 			}
@@ -152,7 +152,7 @@
 		w.arrive(id, Event{})
 	}
 	w.now = 5000
-	w.ev(Event{Kind: Timer})
+	w.ev(Event{Kind: TimerFired})
 	for id := uint32(1); id <= 20; id++ {
 		if _, ok := w.final[id]; !ok {
 			t.Errorf("RPC %d not answered after its due time", id)
@@ -162,7 +162,7 @@
 
 // While all that arrives is too old when read, the level keeps everything away, and falls back at once after.
 func TestLevelWhileFlooded(t *testing.T) {
-	s := signal{say: SayLevel, callers: 4}
+	s := signal{say: FeedbackLevel, callers: 4}
 	for _, c := range []struct{ unread, want float64 }{{0.1, 0}, {1.5, 1}, {0.1, 0}} {
 		if s.step(10, c.unread); s.notified != c.want {
 			t.Errorf("level %v with a wait of %v unread, want %v", s.notified, c.unread, c.want)
@@ -186,23 +186,23 @@
 func TestToldQuota(t *testing.T) {
 	s := plain()
 	s.customers = []Customer{{"a", 1000}}
-	s.methods[0].Repeat, s.methods[0].Window = Tokened, 10000
-	s.fleet.OverShare = 0
+	s.methods[0].Idempotency, s.methods[0].DedupWindow = IdempotencyKeyed, 10000
+	s.fleet.OverQuotaFraction = 0
 	w := start(t, s)
-	w.arrive(1, Event{Budget: Within})
+	w.arrive(1, Event{Quota: WithinQuota})
 	if !w.did(Run, 1) {
 		t.Errorf("within: %+v", w.last)
 	}
-	w.arrive(2, Event{Budget: Over, Again: 70})
-	if w.final[2] != PushBack || w.last[0].Time != 70 || w.last[0].Last {
+	w.arrive(2, Event{Quota: OverQuota, RetryAfter: 70})
+	if w.final[2] != Reject || w.last[0].Time != 70 || w.last[0].NoRetry {
 		t.Errorf("over: %+v", w.last)
 	}
-	w.arrive(3, Event{Budget: Over, Again: 5000})
-	if w.final[3] != PushBack || w.last[0].Time != 1000 {
+	w.arrive(3, Event{Quota: OverQuota, RetryAfter: 5000})
+	if w.final[3] != Reject || w.last[0].Time != 1000 {
 		t.Errorf("over, for long: %+v", w.last)
 	}
-	w.arrive(4, Event{Original: 1})
-	w.end(1, OK, 10)
+	w.arrive(4, Event{DuplicateOf: 1})
+	w.end(1, OutcomeOK, 10)
 	if w.runs[4] != 1 {
 		t.Errorf("a repeat: %+v", w.last)
 	}
@@ -210,9 +210,9 @@
 	if !w.did(Run, 5) {
 		t.Errorf("untold: %+v", w.last)
 	}
-	s.fleet.OverShare = 0.1 // it keeps a tenth of its criticality: there is room, so it runs
+	s.fleet.OverQuotaFraction = 0.1 // it keeps a tenth of its criticality: there is room, so it runs
 	w = start(t, s)
-	w.arrive(1, Event{Budget: Over, Again: 70})
+	w.arrive(1, Event{Quota: OverQuota, RetryAfter: 70})
 	if !w.did(Run, 1) {
 		t.Errorf("over, and there is room: %+v", w.last)
 	}
@@ -220,7 +220,7 @@
 
 func tokened() site {
 	s := plain()
-	s.methods[0].Repeat, s.methods[0].Window = Tokened, 5000
+	s.methods[0].Idempotency, s.methods[0].DedupWindow = IdempotencyKeyed, 5000
 	return s
 }
 
@@ -229,34 +229,34 @@
 		name string
 		play func(w *world)
 		runs map[uint32]int // of 2, how it is taken
-		want Do
+		want ActionKind
 	}{
 		{"repeat of a running one joins", func(w *world) {
 			w.arrive(1, Event{})
-			w.arrive(2, Event{Original: 1})
+			w.arrive(2, Event{DuplicateOf: 1})
 		}, map[uint32]int{1: 1, 2: 1}, Join},
 		{"repeat of an ended one joins", func(w *world) {
 			w.arrive(1, Event{})
-			w.end(1, OK, 10)
-			w.arrive(2, Event{Original: 1})
+			w.end(1, OutcomeOK, 10)
+			w.arrive(2, Event{DuplicateOf: 1})
 		}, map[uint32]int{1: 1, 2: 1}, Join},
 		{"two of one batch that name each other: one runs", func(w *world) {
-			w.arrive(1, Event{Original: 2})
-			w.arrive(2, Event{Original: 1})
+			w.arrive(1, Event{DuplicateOf: 2})
+			w.arrive(2, Event{DuplicateOf: 1})
 		}, map[uint32]int{1: 1, 2: 1}, Join},
 		{"original aborted while it ran still counts as run", func(w *world) {
 			w.arrive(1, Event{})
 			w.until(3000, Gauges{})
-			w.arrive(2, Event{Original: 1})
+			w.arrive(2, Event{DuplicateOf: 1})
 		}, map[uint32]int{1: 1, 2: 1}, Join},
 		{"original pushed back unrun: the repeat runs", func(w *world) {
 			w.arrive(8, Event{})
 			w.arrive(9, Event{})
 			w.arrive(1, Event{})
-			w.until(1100, Gauges{OnCores: 2, CoreUse: 1})
-			w.end(8, OK, 1100)
-			w.end(9, OK, 1100)
-			w.arrive(2, Event{Original: 1})
+			w.until(1100, Gauges{Runnable: 2, CPUUtilization: 1})
+			w.end(8, OutcomeOK, 1100)
+			w.end(9, OutcomeOK, 1100)
+			w.arrive(2, Event{DuplicateOf: 1})
 		}, map[uint32]int{8: 1, 9: 1, 2: 1}, Run},
 	}
 	for _, c := range cases {
@@ -272,20 +272,20 @@
 
 func TestTokenRememberedBeforeItRuns(t *testing.T) {
 	w := start(t, tokened())
-	w.arrive(1, Event{Waited: 300})
-	if len(w.last) < 2 || w.last[0].Do != Remember || w.last[0].Time != 4700 || w.last[1].Do != Run {
+	w.arrive(1, Event{Age: 300})
+	if len(w.last) < 2 || w.last[0].Kind != CacheToken || w.last[0].Time != 4700 || w.last[1].Kind != Run {
 		t.Errorf("got %+v", w.last)
 	}
 }
 
 func TestMemory(t *testing.T) {
 	s := tokened()
-	s.node.MemKB = 300
+	s.node.MemoryKB = 300
 	w := start(t, s)
 	for id := uint32(1); id <= 40; id++ {
-		w.arrive(id, Event{HeldKB: 20})
-		if need := w.c.used + w.c.keys.used(w.now); need > s.node.MemKB {
-			t.Fatalf("%v kB in use of %v", need, s.node.MemKB)
+		w.arrive(id, Event{QueuedKB: 20})
+		if need := w.c.used + w.c.keys.used(w.now); need > s.node.MemoryKB {
+			t.Fatalf("%v kB in use of %v", need, s.node.MemoryKB)
 		}
 	}
 	if len(w.runs) == 0 || len(w.final) == 0 {
@@ -300,10 +300,10 @@
 		gauge Gauges
 		most  int
 	}{
-		{"work that fills the cores", false, Gauges{OnCores: 2, CoreUse: 1}, 2},
-		{"work that waits for disk half its time", false, Gauges{OnCores: 1, CoreUse: 0.6}, 8},
+		{"work that fills the cores", false, Gauges{Runnable: 2, CPUUtilization: 1}, 2},
+		{"work that waits for disk half its time", false, Gauges{Runnable: 1, CPUUtilization: 0.6}, 8},
 		{"a gauge that is not of now", false, Gauges{Stale: true}, 2},
-		{"cold: all may come back from disk at once", true, Gauges{OnCores: 0.5, CoreUse: 0.6}, 5},
+		{"cold: all may come back from disk at once", true, Gauges{Runnable: 0.5, CPUUtilization: 0.6}, 5},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -359,13 +359,13 @@
 // In overload what counts for more takes the place of what is held and counts for less, and of that only.
 func TestPlaceTaken(t *testing.T) {
 	s := plain()
-	s.methods = append(s.methods, Method{Name: "pay", LatencyTarget: 1000, Deadline: 3000, Criticality: 4})
+	s.methods = append(s.methods, Method{Name: "pay", LatencyObjective: 1000, Deadline: 3000, Criticality: 4})
 	w := start(t, s)
 	for id := uint32(1); id <= 50; id++ {
 		w.arrive(id, Event{})
 	}
 	all := w.c.wait(1e9, 0) // callers told to stay away for so long would leave the cores idle
-	if a := w.last[0]; a.Do != PushBack || a.Time >= all || a.Time < slowStartRetryAfter {
+	if a := w.last[0]; a.Kind != Reject || a.Time >= all || a.Time < slowStartRetryAfter {
 		t.Errorf("pushed back with %+v while the hold takes %v", a, all)
 	}
 	before := len(w.final)
@@ -384,9 +384,9 @@
 	w := start(t, plain())
 	id, off := uint32(0), 0.0
 	for w.now < 30000 {
-		w.until(w.now+40, Gauges{OnCores: 4, CoreUse: 1})
+		w.until(w.now+40, Gauges{Runnable: 4, CPUUtilization: 1})
 		id++
-		w.arrive(id, Event{Waited: 2900, Time: 100})
+		w.arrive(id, Event{Age: 2900, Remaining: 100})
 		if !w.c.health.good {
 			off += 40
 		}
@@ -399,12 +399,12 @@
 // Runs that never end in time must not leave the estimate to those that do, nor keep a method out for good.
 func TestLateAbortsAreLearnt(t *testing.T) {
 	s := plain()
-	s.node.Stop = StopPause
+	s.node.Preemption = PreemptSuspend
 	w := start(t, s)
 	for id := uint32(1); id <= 40; id++ {
 		w.arrive(id, Event{})
-		w.until(w.now+1200, Gauges{OnCores: 2, CoreUse: 1})
-		w.end(id, Cancelled, 1100)
+		w.until(w.now+1200, Gauges{Runnable: 2, CPUUtilization: 1})
+		w.end(id, OutcomeCancelled, 1100)
 	}
 	if e := w.c.expectedRunTime(&rpc{work: w.c.pace[0].prior}); e < 800 {
 		t.Errorf("run time of %v expected after 40 that were given up at 1000", e)
@@ -424,37 +424,37 @@
 		how  Outcome
 		out  bool
 	}{
-		{"three tries left alike", []float64{800, 820, 810, 800}, Error, true},
-		{"left for reasons of their own", []float64{800, 100, 1500, 300}, Error, false},
-		{"connections that broke", []float64{800, 820, 810, 800}, Reset, false},
-		{"withdrawn at once", []float64{1, 1, 1, 1, 1, 1}, Error, false},
-		{"none left", nil, Error, false},
+		{"three tries left alike", []float64{800, 820, 810, 800}, OutcomeError, true},
+		{"left for reasons of their own", []float64{800, 100, 1500, 300}, OutcomeError, false},
+		{"connections that broke", []float64{800, 820, 810, 800}, OutcomeReset, false},
+		{"withdrawn at once", []float64{1, 1, 1, 1, 1, 1}, OutcomeError, false},
+		{"none left", nil, OutcomeError, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.fleet.TellsTime = false
-			s.methods[0].LatencyTarget, s.methods[0].Deadline = 2000, 5000
+			s.fleet.PropagatesDeadline = false
+			s.methods[0].LatencyObjective, s.methods[0].Deadline = 2000, 5000
 			w := start(t, s)
 			id := uint32(1)
 			for range 30 { // a unit of work takes two
-				w.arrive(id, Event{Hint: 100})
+				w.arrive(id, Event{CostHint: 100})
 				w.now += 200
-				w.end(id, OK, 200)
+				w.end(id, OutcomeOK, 200)
 				id++
 			}
 			for _, age := range c.ages {
-				w.arrive(id, Event{Hint: 800})
+				w.arrive(id, Event{CostHint: 800})
 				w.now += age
-				w.ev(Event{Kind: Left, RPC: id, Outcome: c.how})
-				w.end(id, OK, 1600)
+				w.ev(Event{Kind: CallerGone, RPC: id, Outcome: c.how})
+				w.end(id, OutcomeOK, 1600)
 				id++
 			}
-			w.arrive(id, Event{Hint: 800})
+			w.arrive(id, Event{CostHint: 800})
 			if _, out := w.final[id]; out != c.out {
 				t.Errorf("pushed back: %v", out)
 			}
-			w.arrive(id+1, Event{Hint: 100})
+			w.arrive(id+1, Event{CostHint: 100})
 			if _, out := w.final[id+1]; out {
 				t.Error("short work pushed back")
 			}
@@ -469,32 +469,32 @@
 		odd  func(s *site)
 	}{
 		{"no callers and no peers", func(s *site) { s.fleet.Callers, s.fleet.Peers = 0, 0 }},
-		{"a share of calls under one", func(s *site) { s.below = Below{Share: 0.01, Linger: 200} }},
-		{"one core, crowd of one", func(s *site) { s.node.Cores, s.rules.Ceiling = 1, 1 }},
-		{"no memory to spare", func(s *site) { s.node.MemKB = 0 }},
-		{"cold, without a warm-up", func(s *site) { s.node.Cold, s.node.WarmBy = true, 0 }},
+		{"a share of calls under one", func(s *site) { s.below = Dependency{ConcurrencyShare: 0.01, Linger: 200} }},
+		{"one core, crowd of one", func(s *site) { s.node.Cores, s.rules.MaxRunsPerCore = 1, 1 }},
+		{"no memory to spare", func(s *site) { s.node.MemoryKB = 0 }},
+		{"cold, without a warm-up", func(s *site) { s.node.WarmingUp, s.node.WarmUpTime = true, 0 }},
 		{"a customer without a quota", func(s *site) { s.customers = []Customer{{}} }},
 		{"no latency target, nothing counts", func(s *site) { s.methods[0] = Method{Deadline: 3000} }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.fleet.Say = SayWindow
+			s.fleet.Feedback = FeedbackWindow
 			c.odd(&s)
 			w := start(t, s)
 			for id := uint32(1); id <= 60; id++ {
-				w.arrive(id, Event{Hint: 50})
-				w.ev(Event{Kind: Wait, RPC: id})
-				w.until(w.now+200, Gauges{OnCores: 2, CoreUse: 1})
-				w.end(id, OK, 100*float64(id%2))
+				w.arrive(id, Event{CostHint: 50})
+				w.ev(Event{Kind: AwaitingCall, RPC: id})
+				w.until(w.now+200, Gauges{Runnable: 2, CPUUtilization: 1})
+				w.end(id, OutcomeOK, 100*float64(id%2))
 				for _, a := range w.last {
-					if !(a.Time >= 0 && a.Time < 1e9 && a.Value >= 0 && a.Value < 1e9) {
+					if !(a.Time >= 0 && a.Time < 1e9 && a.Feedback >= 0 && a.Feedback < 1e9) {
 						t.Fatalf("did %+v", a)
 					}
 				}
 			}
 			w.until(w.now+4000, Gauges{})
-			if len(w.c.in.byID) != 0 || s.node.Cold && w.runs[60] != 1 {
+			if len(w.c.in.byID) != 0 || s.node.WarmingUp && w.runs[60] != 1 {
 				t.Errorf("%d in hand long after, %d run", len(w.c.in.byID), len(w.runs))
 			}
 		})
@@ -547,31 +547,31 @@
 func TestCalls(t *testing.T) {
 	cases := []struct {
 		name    string
-		repeat  Repeat
+		repeat  Idempotency
 		skip    float64
 		outcome Outcome
 		times   int // the call ends so, this often
-		want    Do
+		want    ActionKind
 	}{
-		{"call of an idempotent RPC is made again", Idempotent, 0, TimedOut, 1, Call},
-		{"call of a tokened one that may have run is not", Tokened, 0, TimedOut, 1, Abort},
-		{"nor that of a non-idempotent one", NonIdempotent, 0, Reset, 1, Abort},
-		{"proven not run it is", NonIdempotent, 0, Full, 1, Call},
-		{"after two it goes without where that counts", Idempotent, 0.3, Full, 2, Skip},
-		{"after three it is aborted", Idempotent, 0, Full, 3, Abort},
+		{"call of an idempotent RPC is made again", Idempotent, 0, OutcomeTimedOut, 1, Call},
+		{"call of a tokened one that may have run is not", IdempotencyKeyed, 0, OutcomeTimedOut, 1, Abort},
+		{"nor that of a non-idempotent one", NonIdempotent, 0, OutcomeReset, 1, Abort},
+		{"proven not run it is", NonIdempotent, 0, OutcomeRejected, 1, Call},
+		{"after two it goes without where that counts", Idempotent, 0.3, OutcomeRejected, 2, SkipCall},
+		{"after three it is aborted", Idempotent, 0, OutcomeRejected, 3, Abort},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.methods[0].Repeat, s.methods[0].SkipShare, s.methods[0].Window = c.repeat, c.skip, 5000
+			s.methods[0].Idempotency, s.methods[0].DegradedFraction, s.methods[0].DedupWindow = c.repeat, c.skip, 5000
 			w := start(t, s)
 			w.arrive(1, Event{})
-			w.ev(Event{Kind: Wait, RPC: 1})
+			w.ev(Event{Kind: AwaitingCall, RPC: 1})
 			if !w.did(Call, 1) {
 				t.Fatalf("no call: %+v", w.last)
 			}
 			for range c.times {
-				w.ev(Event{Kind: Called, RPC: 1, Outcome: c.outcome, Spent: 5})
+				w.ev(Event{Kind: CallCompleted, RPC: 1, Outcome: c.outcome, Elapsed: 5})
 			}
 			if !w.did(c.want, 1) {
 				t.Errorf("got %+v", w.last)
@@ -589,12 +589,12 @@
 	if n != 3 {
 		t.Errorf("%d calls in hand", n)
 	}
-	k.done(100, 100, TimedOut)
+	k.done(100, 100, OutcomeTimedOut)
 	if k.take(299, 1000) > 0 {
 		t.Error("an abandoned call no longer counts while it lingers")
 	}
 	for k.inHand > 0 {
-		k.done(300, 1, OK)
+		k.done(300, 1, OutcomeOK)
 	}
 	if k.take(300, 1000) != 1000 {
 		t.Error("it counts after that")
@@ -611,12 +611,12 @@
 		k := calls{share: share, most: share, linger: linger, over: over}
 		slowFrom, times := 20000*r.Float64(), 2+20*r.Float64()
 		var busy []span
-		until, began, how := 0.0, 0.0, OK
+		until, began, how := 0.0, 0.0, OutcomeOK
 		for now := 0.0; now < 40000; now += 5 {
 			if k.inHand > 0 && now >= until {
 				k.done(now, now-began, how)
 				end := now
-				if how != OK {
+				if how != OutcomeOK {
 					end += linger
 				}
 				busy = append(busy, span{began, end})
@@ -627,9 +627,9 @@
 					if now > slowFrom {
 						took *= times
 					}
-					began, until, how = now, now+5*math.Floor(math.Min(took, left)/5), OK
+					began, until, how = now, now+5*math.Floor(math.Min(took, left)/5), OutcomeOK
 					if took > left {
-						how = TimedOut
+						how = OutcomeTimedOut
 					}
 				}
 			}
@@ -660,7 +660,7 @@
 	play := func(n int, spent float64) float64 {
 		for range n {
 			k.take(0, 1000)
-			k.done(0, spent, OK)
+			k.done(0, spent, OutcomeOK)
 		}
 		return k.most
 	}
@@ -677,31 +677,31 @@
 
 func TestDrain(t *testing.T) {
 	w := start(t, plain())
-	w.ev(Event{Kind: Notice, Time: 6000})
+	w.ev(Event{Kind: DrainNotice, Remaining: 6000})
 	w.now = 1000
 	w.arrive(1, Event{})
 	w.now = 2100
-	w.arrive(2, Event{Waited: 500})
-	w.end(1, OK, 1100)
+	w.arrive(2, Event{Age: 500})
+	w.end(1, OutcomeOK, 1100)
 	w.now = 3000
-	w.arrive(3, Event{Waited: 500})
+	w.arrive(3, Event{Age: 500})
 	w.now = 3100
-	w.arrive(4, Event{Time: 9000})
-	w.end(2, OK, 1000)
-	if w.runs[1] != 1 || w.runs[2] != 1 || w.runs[3] != 0 || w.final[3] != PushBack {
+	w.arrive(4, Event{Remaining: 9000})
+	w.end(2, OutcomeOK, 1000)
+	if w.runs[1] != 1 || w.runs[2] != 1 || w.runs[3] != 0 || w.final[3] != Reject {
 		t.Errorf("runs %v, final %v", w.runs, w.final)
 	}
 	w = start(t, tokened())
-	w.arrive(1, Event{Time: 9000})
-	w.ev(Event{Kind: Notice, Time: 1500})
+	w.arrive(1, Event{Remaining: 9000})
+	w.ev(Event{Kind: DrainNotice, Remaining: 1500})
 	w.now = 1470
-	w.arrive(2, Event{Original: 1, Time: 9000})
+	w.arrive(2, Event{DuplicateOf: 1, Remaining: 9000})
 	if w.final[2] != Abort || w.runs[2] != 0 {
 		t.Error("a repeat read just before the stop was not answered at once")
 	}
 	w = start(t, plain())
-	w.arrive(1, Event{Time: 9000})
-	w.ev(Event{Kind: Notice, Time: 2000})
+	w.arrive(1, Event{Remaining: 9000})
+	w.ev(Event{Kind: DrainNotice, Remaining: 2000})
 	w.until(2000, Gauges{})
 	if w.final[1] != Abort {
 		t.Error("a run at the stop was not answered")
@@ -711,14 +711,14 @@
 // A drain that is taken back: what comes after is taken and run as before, though it comes past the grace.
 func TestDrainTakenBack(t *testing.T) {
 	w := start(t, plain())
-	w.ev(Event{Kind: Notice, Time: 6000})
+	w.ev(Event{Kind: DrainNotice, Remaining: 6000})
 	w.arrive(1, Event{})
-	w.end(1, OK, 100)
+	w.end(1, OutcomeOK, 100)
 	w.now = 500
-	w.ev(Event{Kind: Stay})
+	w.ev(Event{Kind: DrainCancelled})
 	good := false
 	for _, a := range w.last {
-		good = good || a.Do == Health && a.Good
+		good = good || a.Kind == SetHealth && a.Healthy
 	}
 	if !good {
 		t.Errorf("health is not said to be good again: %+v", w.last)
@@ -732,16 +732,16 @@
 
 func TestCallerGone(t *testing.T) {
 	s := plain()
-	s.node.Stop = StopPause
+	s.node.Preemption = PreemptSuspend
 	w := start(t, s)
 	for id := uint32(1); id <= 3; id++ {
 		w.arrive(id, Event{})
 	}
 	for id := uint32(3); id >= 1; id-- {
-		w.ev(Event{Kind: Left, RPC: id})
+		w.ev(Event{Kind: CallerGone, RPC: id})
 	}
-	w.end(1, Cancelled, 5)
-	w.end(2, Cancelled, 5)
+	w.end(1, OutcomeCancelled, 5)
+	w.end(2, OutcomeCancelled, 5)
 	if len(w.final) != 0 || w.c.used != 0 || len(w.c.in.byID) != 0 {
 		t.Errorf("answered %v, memory %v, in hand %d", w.final, w.c.used, len(w.c.in.byID))
 	}
@@ -753,9 +753,9 @@
 	turn := func() {
 		id++
 		now += 50
-		c.Handle(now, Event{Kind: Arrive, RPC: id, Time: 3000, HeldKB: 10})
-		c.Handle(now, Event{Kind: Timer})
-		c.Handle(now+30, Event{Kind: Ended, RPC: id, Outcome: OK, Spent: 30})
+		c.Handle(now, Event{Kind: Arrived, RPC: id, Remaining: 3000, QueuedKB: 10})
+		c.Handle(now, Event{Kind: TimerFired})
+		c.Handle(now+30, Event{Kind: Completed, RPC: id, Outcome: OutcomeOK, Elapsed: 30})
 	}
 	for range 100 {
 		turn()
@@ -768,15 +768,15 @@
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
 		s := tokened()
-		s.node.Cold = true
+		s.node.WarmingUp = true
 		w := start(t, s)
 		for id := uint32(1); id < 300; id++ {
 			w.now += 20
-			w.arrive(id, Event{Caller: uint16(id % 7), Original: id / 3})
+			w.arrive(id, Event{Caller: uint16(id % 7), DuplicateOf: id / 3})
 			all = append(all, w.last...)
-			w.end(id/2, OK, 100)
+			w.end(id/2, OutcomeOK, 100)
 			all = append(all, w.last...)
-			w.until(w.now, Gauges{OnCores: 4, CoreUse: 1})
+			w.until(w.now, Gauges{Runnable: 4, CPUUtilization: 1})
 		}
 		return all
 	}
@@ -794,14 +794,14 @@
 	}{{"just read", 20, 5, true}, {"held for a while", 20, 30, false}, {"for a while, where there is no such time", 0, 30, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.methods = append(s.methods, Method{Name: "buy", LatencyTarget: 1000, Deadline: 3000, Criticality: 3})
-			s.rules.Settle = c.settle
+			s.methods = append(s.methods, Method{Name: "buy", LatencyObjective: 1000, Deadline: 3000, Criticality: 3})
+			s.rules.DisplaceableFor = c.settle
 			w := start(t, s)
 			id := uint32(0)
 			for i := range 200 { // until one is pushed back: the hold is full
 				id++
-				w.arrive(id, Event{Caller: uint16(i), Hint: 200})
-				if w.did(PushBack, id) {
+				w.arrive(id, Event{Caller: uint16(i), CostHint: 200})
+				if w.did(Reject, id) {
 					break
 				}
 			}
@@ -810,9 +810,9 @@
 			pushed := false
 			for range 8 { // more than has room beside
 				id++
-				w.arrive(id, Event{Method: 1, Caller: 1, Hint: 200})
+				w.arrive(id, Event{Method: 1, Caller: 1, CostHint: 200})
 				for _, a := range w.last {
-					pushed = pushed || a.Do == PushBack && a.RPC <= uint32(id-1)
+					pushed = pushed || a.Kind == Reject && a.RPC <= uint32(id-1)
 				}
 			}
 			if before == 0 || pushed != c.gone {
@@ -825,30 +825,30 @@
 // An answer, or a caller that leaves, ends no call: it goes on below until its own end, and counts until then.
 func TestCallOutlivesItsRPC(t *testing.T) {
 	s := plain()
-	s.below = Below{Share: 2.2, Linger: 200, Over: 5000}
+	s.below = Dependency{ConcurrencyShare: 2.2, Linger: 200, AveragingWindow: 5000}
 	s.node.Cores = 8
 	w := start(t, s)
 	for id := uint32(1); id <= 3; id++ {
-		w.arrive(id, Event{Time: 3000})
-		w.ev(Event{Kind: Wait, RPC: id})
+		w.arrive(id, Event{Remaining: 3000})
+		w.ev(Event{Kind: AwaitingCall, RPC: id})
 	}
 	if !w.did(Call, 2) && w.did(Call, 3) {
 		t.Fatalf("calls %+v", w.last)
 	}
-	w.ev(Event{Kind: Left, RPC: 1})
-	w.ev(Event{Kind: Left, RPC: 2})
+	w.ev(Event{Kind: CallerGone, RPC: 1})
+	w.ev(Event{Kind: CallerGone, RPC: 2})
 	w.now += 400 // after what an abandoned call lingers
-	w.ev(Event{Kind: Timer, Label: 0})
+	w.ev(Event{Kind: TimerFired, Label: 0})
 	if w.did(Call, 3) {
 		t.Fatal("a third call while two go on below")
 	}
-	w.ev(Event{Kind: Called, RPC: 1, Outcome: OK, Spent: 400})
+	w.ev(Event{Kind: CallCompleted, RPC: 1, Outcome: OutcomeOK, Elapsed: 400})
 	if !w.did(Call, 3) {
 		t.Errorf("no call though one has ended: %+v", w.last)
 	}
-	w.ev(Event{Kind: Ended, RPC: 1, Outcome: Cancelled, Spent: 400})
-	w.ev(Event{Kind: Called, RPC: 2, Outcome: TimedOut, Spent: 400})
-	w.ev(Event{Kind: Ended, RPC: 2, Outcome: Cancelled, Spent: 400})
+	w.ev(Event{Kind: Completed, RPC: 1, Outcome: OutcomeCancelled, Elapsed: 400})
+	w.ev(Event{Kind: CallCompleted, RPC: 2, Outcome: OutcomeTimedOut, Elapsed: 400})
+	w.ev(Event{Kind: Completed, RPC: 2, Outcome: OutcomeCancelled, Elapsed: 400})
 	if w.c.calls.inHand != 1 || w.c.active != 0 {
 		t.Errorf("%d calls in hand, %d running", w.c.calls.inHand, w.c.active)
 	}
@@ -858,14 +858,14 @@
 func TestNoRoomBelow(t *testing.T) {
 	for _, skip := range []float64{0, 0.6} {
 		s := plain()
-		s.below = Below{Share: 1, Linger: 200, Over: 5000}
-		s.methods[0].SkipShare = skip
+		s.below = Dependency{ConcurrencyShare: 1, Linger: 200, AveragingWindow: 5000}
+		s.methods[0].DegradedFraction = skip
 		w := start(t, s)
-		w.arrive(1, Event{Time: 3000})
-		w.arrive(2, Event{Time: 3000})
-		w.ev(Event{Kind: Wait, RPC: 1})
-		w.ev(Event{Kind: Wait, RPC: 2})
-		if w.did(Skip, 2) != (skip > 0) || w.did(Call, 2) {
+		w.arrive(1, Event{Remaining: 3000})
+		w.arrive(2, Event{Remaining: 3000})
+		w.ev(Event{Kind: AwaitingCall, RPC: 1})
+		w.ev(Event{Kind: AwaitingCall, RPC: 2})
+		if w.did(SkipCall, 2) != (skip > 0) || w.did(Call, 2) {
 			t.Errorf("where %g is kept without the call: %+v", skip, w.last)
 		}
 	}
@@ -879,20 +879,20 @@
 		pushed float64
 		kept   bool
 	}{
-		{"calm", Gauges{CoreUse: 0.3}, 0, true},
-		{"busy", Gauges{CoreUse: 0.7}, 0, false},
-		{"pushing back", Gauges{CoreUse: 0.3}, 0.1, false},
-		{"unknown", Gauges{CoreUse: 0.3, Stale: true}, 0, false},
+		{"calm", Gauges{CPUUtilization: 0.3}, 0, true},
+		{"busy", Gauges{CPUUtilization: 0.7}, 0, false},
+		{"pushing back", Gauges{CPUUtilization: 0.3}, 0.1, false},
+		{"unknown", Gauges{CPUUtilization: 0.3, Stale: true}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := plain()
-			s.fleet.Idle = 30000
+			s.fleet.IdleTimeout = 30000
 			w := start(t, s)
 			for range 2000 {
 				w.c.tries.pushed = c.pushed
 				w.now = w.armed
-				w.ev(Event{Kind: Timer, Gauges: c.gauges})
+				w.ev(Event{Kind: TimerFired, Gauges: c.gauges})
 			}
 			if kept := w.c.tries.idle == 30000; kept != c.kept {
 				t.Errorf("idle limit %v", w.c.tries.idle)
--- a/control/dependency.go
+++ b/control/dependency.go
@@ -6,18 +6,18 @@
 )
 
 // call makes, puts off or goes without the call that an RPC stands at.
-func (c *Control) call(i int) {
+func (c *Controller) call(i int) {
 	r := &c.in.rpc[i]
 	if r.answered || r.state != standing {
 		return
 	}
 	m := &c.methods[r.method]
 	left := r.target - c.now - c.expectedRunTime(r)/3 // what its run still needs after the call is not told
-	if m.LateShare > 0 || c.now > r.target {
+	if m.LateFraction > 0 || c.now > r.target {
 		left += r.due - r.target
 	}
-	if m.SkipShare > 0 && (left < c.calls.usual || r.tries >= 2) {
-		c.do(Action{Do: Skip, RPC: r.id})
+	if m.DegradedFraction > 0 && (left < c.calls.usual || r.tries >= 2) {
+		c.do(Action{Kind: SkipCall, RPC: r.id})
 		c.resume(r)
 		return
 	}
@@ -25,38 +25,38 @@
 		c.abort(i)
 		return
 	}
-	if m.SkipShare > 0 {
+	if m.DegradedFraction > 0 {
 		left *= 0.7 // leaves time to go on without it
 	}
 	if left = c.calls.take(c.now, left); left == 0 {
-		if m.SkipShare > 0 { // the room is for those that can't go without; this one would hold a run while it waits
-			c.do(Action{Do: Skip, RPC: r.id})
+		if m.DegradedFraction > 0 { // the room is for those that can't go without; this one would hold a run while it waits
+			c.do(Action{Kind: SkipCall, RPC: r.id})
 			c.resume(r)
 		}
 		return
 	}
 	r.tries++
 	r.state = calling
-	c.do(Action{Do: Call, RPC: r.id, Time: left})
+	c.do(Action{Kind: Call, RPC: r.id, Time: left})
 }
 
 // resume books that an RPC is back from its call.
-func (c *Control) resume(r *rpc) {
+func (c *Controller) resume(r *rpc) {
 	r.below += c.now - r.stood
 	r.state = running
 	c.active++
 }
 
 // called hears the end of a call.
-func (c *Control) called(i int, ev *Event) {
+func (c *Controller) called(i int, ev *Event) {
 	r := &c.in.rpc[i]
-	c.calls.done(c.now, ev.Spent, ev.Outcome)
+	c.calls.done(c.now, ev.Elapsed, ev.Outcome)
 	r.state = standing
 	switch {
 	case r.answered: // it ends here
-	case ev.Outcome == OK:
+	case ev.Outcome == OutcomeOK:
 		c.resume(r)
-	case c.methods[r.method].Repeat != Idempotent && ev.Outcome != Full && ev.Outcome != Unreachable:
+	case c.methods[r.method].Idempotency != Idempotent && ev.Outcome != OutcomeRejected && ev.Outcome != OutcomeUnreachable:
 		c.abort(i) // an effect below is not asked for again unless the call before is known not to have run
 	}
 	for i := range c.in.rpc {
@@ -107,7 +107,7 @@
 // done books the end of a call. One that we gave up on stays in hand below for a while.
 func (k *calls) done(now, spent float64, how Outcome) {
 	k.inHand--
-	if how == TimedOut || how == Reset {
+	if how == OutcomeTimedOut || how == OutcomeReset {
 		now += k.linger
 		k.ghosts = append(k.ghosts, now)
 	}
@@ -118,14 +118,14 @@
 	// calls in hand let it recover whatever slowed it; where it is slow for another reason this costs what
 	// queues here instead.
 	const slow = 2.5 // times as long as when quick: above the spread of single calls
-	if how == OK {
+	if how == OutcomeOK {
 		if k.quick == 0 {
 			k.usual, k.quick = spent, spent
 		}
 		k.usual += 0.1 * (spent - k.usual) // ten calls of memory
 		k.quick = math.Min(k.usual, 1.001*k.quick)
 	}
-	if k.usual > slow*k.quick || how == TimedOut {
+	if k.usual > slow*k.quick || how == OutcomeTimedOut {
 		k.most = math.Max(math.Min(1, k.share), math.Min(k.most, float64(k.inHand+1))*0.95)
 	} else {
 		k.most = math.Min(k.share, k.most+0.1)
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -6,8 +6,8 @@
 type site struct {
 	node      Node
 	fleet     Fleet
-	below     Below
-	rules     Rules
+	below     Dependency
+	rules     Limits
 	methods   []Method
 	customers []Customer
 }
@@ -15,20 +15,20 @@
 func plain() site {
 	return site{
 		node: Node{
-			Seed: 1, StartSpeed: 0.2, WarmBy: 20000, Cores: 2, MemKB: 10000, RunFactor: 10, KeyKB: 5, Tick: 4,
+			Seed: 1, InitialSpeed: 0.2, WarmUpTime: 20000, Cores: 2, MemoryKB: 10000, RunMemoryFactor: 10, TokenKB: 5, Tick: 4,
 		},
-		fleet:   Fleet{Peers: 1, Callers: 4, TellsTime: true, MaxRetryAfter: 1000, OverShare: 0.1},
-		rules:   Rules{DrainGrace: 2000, Ceiling: 8},
-		methods: []Method{{Name: "get", LatencyTarget: 1000, Deadline: 3000, Criticality: 1}},
+		fleet:   Fleet{Peers: 1, Callers: 4, PropagatesDeadline: true, MaxRetryAfter: 1000, OverQuotaFraction: 0.1},
+		rules:   Limits{DrainGrace: 2000, MaxRunsPerCore: 8},
+		methods: []Method{{Name: "get", LatencyObjective: 1000, Deadline: 3000, Criticality: 1}},
 	}
 }
 
 // world drives one instance and books what it does.
 type world struct {
 	t     *testing.T
-	c     *Control
+	c     *Controller
 	now   float64
-	final map[uint32]Do // final answers: PushBack, Abort; Run and Join stand in runs
+	final map[uint32]ActionKind // final answers: Reject, Abort; Run and Join stand in runs
 	runs  map[uint32]int
 	last  []Action // what the latest event brought
 	armed float64
@@ -38,9 +38,9 @@
 func start(t *testing.T, s site) *world {
 	w := &world{
 		t: t, c: New(s.node, s.fleet, s.below, s.rules, s.methods, s.customers),
-		final: map[uint32]Do{}, runs: map[uint32]int{},
+		final: map[uint32]ActionKind{}, runs: map[uint32]int{},
 	}
-	w.ev(Event{Kind: Begin})
+	w.ev(Event{Kind: Started})
 	return w
 }
 
@@ -48,18 +48,18 @@
 	w.t.Helper()
 	w.last = append([]Action(nil), w.c.Handle(w.now, e)...)
 	for _, a := range w.last {
-		switch a.Do {
+		switch a.Kind {
 		case Run, Join:
 			w.runs[a.RPC]++
-		case PushBack, Abort:
+		case Reject, Abort:
 			if _, twice := w.final[a.RPC]; twice {
 				w.t.Errorf("RPC %d answered twice", a.RPC)
 			}
-			w.final[a.RPC] = a.Do
-		case Arm:
+			w.final[a.RPC] = a.Kind
+		case SetTimer:
 			w.armed = a.Time
-		case Note:
-			w.notes = append(w.notes, a.Text)
+		case LogEvent:
+			w.notes = append(w.notes, a.Message)
 		}
 	}
 	return w.last
@@ -68,19 +68,19 @@
 // arrive reads an RPC whose caller waits the whole deadline of method 0 unless e says else.
 func (w *world) arrive(id uint32, e Event) {
 	w.t.Helper()
-	e.Kind, e.RPC = Arrive, id
-	if e.Time == 0 {
-		e.Time = 3000
+	e.Kind, e.RPC = Arrived, id
+	if e.Remaining == 0 {
+		e.Remaining = 3000
 	}
-	if e.HeldKB == 0 {
-		e.HeldKB = 10
+	if e.QueuedKB == 0 {
+		e.QueuedKB = 10
 	}
 	w.ev(e)
 }
 
 func (w *world) end(id uint32, o Outcome, spent float64) {
 	w.t.Helper()
-	w.ev(Event{Kind: Ended, RPC: id, Outcome: o, Spent: spent})
+	w.ev(Event{Kind: Completed, RPC: id, Outcome: o, Elapsed: spent})
 }
 
 // until lets time pass with its timers, the gauges standing still.
@@ -88,14 +88,14 @@
 	w.t.Helper()
 	for w.armed <= t {
 		w.now = w.armed
-		w.ev(Event{Kind: Timer, Gauges: g})
+		w.ev(Event{Kind: TimerFired, Gauges: g})
 	}
 	w.now = t
 }
 
-func (w *world) did(d Do, id uint32) bool {
+func (w *world) did(d ActionKind, id uint32) bool {
 	for _, a := range w.last {
-		if a.Do == d && a.RPC == id {
+		if a.Kind == d && a.RPC == id {
 			return true
 		}
 	}
--- a/control/pace.go
+++ b/control/pace.go
@@ -3,7 +3,7 @@
 import "math"
 
 // usual is the run time of the usual RPC: the mean over the methods by what has run.
-func (c *Control) usual() float64 {
+func (c *Controller) usual() float64 {
 	t, n := 0.0, 0.0
 	for i := range c.pace {
 		t, n = t+c.pace[i].spent, n+c.pace[i].runs
@@ -12,11 +12,11 @@
 }
 
 // expectedRunTime is the expected run time of an RPC without its calls.
-func (c *Control) expectedRunTime(r *rpc) float64 { return c.pace[r.method].run(r.work, c.speed) }
+func (c *Controller) expectedRunTime(r *rpc) float64 { return c.pace[r.method].run(r.work, c.speed) }
 
 // learn takes in a run. All methods together tell the speed of late: each alone runs too seldom on a small
 // server, and its twenty runs reach back past what has changed, a slow machine or a storm of reads.
-func (c *Control) learn(r *rpc, spent float64) {
+func (c *Controller) learn(r *rpc, spent float64) {
 	const weight = 0.15 // about seven runs, a second or two of traffic
 	p := &c.pace[r.method]
 	f := math.Max(1, spent) / math.Max(1, p.run(r.work, 1))
--- a/control/pressure.go
+++ b/control/pressure.go
@@ -26,7 +26,7 @@
 		cut  = 0.95 // halves the share in under three seconds
 		rise = 0.02 // from a half to all in five
 	)
-	if !g.Stale && slices.Max(p.late) > 1 && g.CoreUse > 0.9 {
+	if !g.Stale && slices.Max(p.late) > 1 && g.CPUUtilization > 0.9 {
 		p.share = math.Max(0.1, p.share*cut)
 	} else if !g.Stale { // without a gauge the share stays
 		p.share = math.Min(1, p.share+rise)
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -44,7 +44,7 @@
 // machine carries out what an instance says and keeps account of the rules.
 type machine struct {
 	s        site
-	c        *Control
+	c        *Controller
 	chance   *rand.Rand
 	now      float64
 	tries    map[uint32]*try
@@ -81,32 +81,32 @@
 func randomSite(r *rand.Rand) site {
 	s := site{
 		node: Node{
-			Seed: r.Uint64(), Cold: r.Intn(3) == 0, StartSpeed: 0.2 + 0.3*r.Float64(), WarmBy: 20000 * r.Float64(), Cores: 1 + r.Intn(16),
-			RunFactor: 1 + 15*r.Float64(), Tick: 4, Stop: Stop(r.Intn(3)),
+			Seed: r.Uint64(), WarmingUp: r.Intn(3) == 0, InitialSpeed: 0.2 + 0.3*r.Float64(), WarmUpTime: 20000 * r.Float64(), Cores: 1 + r.Intn(16),
+			RunMemoryFactor: 1 + 15*r.Float64(), Tick: 4, Preemption: Preemption(r.Intn(3)),
 		},
 		fleet: Fleet{
-			Peers: r.Intn(300), Callers: r.Intn(1000), Marks: r.Intn(2) == 0, TellsTime: r.Intn(2) == 0, Say: Say(r.Intn(4)),
-			Heeded: 1000, Idle: 30000, MaxRetryAfter: float64(r.Intn(2)) * 1000, OverShare: r.Float64(),
+			Peers: r.Intn(300), Callers: r.Intn(1000), MarksRetries: r.Intn(2) == 0, PropagatesDeadline: r.Intn(2) == 0, Feedback: FeedbackKind(r.Intn(4)),
+			FeedbackTTL: 1000, IdleTimeout: 30000, MaxRetryAfter: float64(r.Intn(2)) * 1000, OverQuotaFraction: r.Float64(),
 		},
-		rules: Rules{DrainGrace: float64(r.Intn(4)) * 1000, Ceiling: 2 + 6*r.Float64(), Settle: float64(r.Intn(2)) * 200},
+		rules: Limits{DrainGrace: float64(r.Intn(4)) * 1000, MaxRunsPerCore: 2 + 6*r.Float64(), DisplaceableFor: float64(r.Intn(2)) * 200},
 	}
 	if r.Intn(3) == 0 {
-		s.below = Below{Share: 0.3 + 8*r.Float64()*r.Float64(), Linger: 200, Over: 5000}
+		s.below = Dependency{ConcurrencyShare: 0.3 + 8*r.Float64()*r.Float64(), Linger: 200, AveragingWindow: 5000}
 	}
 	for range 1 + r.Intn(4) {
 		target := 60 * math.Exp(4.5*r.Float64()) // up to some seconds
 		s.methods = append(s.methods, Method{
-			Repeat: Repeat(r.Intn(3)), LatencyTarget: target * float64(min(1, r.Intn(12))), Deadline: math.Max(200, target*(0.8+3*r.Float64())),
-			Window: float64(r.Intn(3)) * 8000 * r.Float64(), Criticality: float64(r.Intn(6)), LateShare: 0.2 * float64(r.Intn(2)),
-			SkipShare: 0.5 * float64(r.Intn(2)),
+			Idempotency: Idempotency(r.Intn(3)), LatencyObjective: target * float64(min(1, r.Intn(12))), Deadline: math.Max(200, target*(0.8+3*r.Float64())),
+			DedupWindow: float64(r.Intn(3)) * 8000 * r.Float64(), Criticality: float64(r.Intn(6)), LateFraction: 0.2 * float64(r.Intn(2)),
+			DegradedFraction: 0.5 * float64(r.Intn(2)),
 		})
 	}
 	for range r.Intn(4) {
 		s.customers = append(s.customers, Customer{Quota: float64(r.Intn(3)) * 50})
 	}
 	const held = 30.0
-	s.node.MemKB = held * s.node.RunFactor * float64(s.node.Cores) * (1.5 + 20*r.Float64()) // the run limit binds first or the memory does
-	s.node.KeyKB = s.node.MemKB / 500 * r.Float64()
+	s.node.MemoryKB = held * s.node.RunMemoryFactor * float64(s.node.Cores) * (1.5 + 20*r.Float64()) // the run limit binds first or the memory does
+	s.node.TokenKB = s.node.MemoryKB / 500 * r.Float64()
 	return s
 }
 
@@ -119,7 +119,7 @@
 	}
 	m.began = m.now
 	m.c = New(s.node, s.fleet, s.below, s.rules, s.methods, s.customers)
-	m.give(Event{Kind: Begin})
+	m.give(Event{Kind: Started})
 	return m
 }
 
@@ -145,46 +145,46 @@
 }
 
 func (m *machine) carryOut(a Action) {
-	switch a.Do {
-	case Arm:
+	switch a.Kind {
+	case SetTimer:
 		m.wake, m.label = a.Time, a.Label
 		return
-	case Health, Tell, IdleAfter, Note:
+	case SetHealth, SetFeedback, SetIdleTimeout, LogEvent:
 		return
 	}
 	t := m.tries[a.RPC]
 	if t == nil {
-		if a.Do != Forget {
-			m.breaks("action %d for RPC %d, which is not here", a.Do, a.RPC)
+		if a.Kind != EvictToken {
+			m.breaks("action %d for RPC %d, which is not here", a.Kind, a.RPC)
 		}
 		return
 	}
 	meth := &m.s.methods[t.method]
-	switch a.Do {
+	switch a.Kind {
 	case Run:
 		if t.state != isHeld && t.state != isPaused || t.over {
 			m.breaks("RPC %d run in state %d", t.id, t.state)
 		}
-		if t.ran && meth.Repeat != Idempotent && t.state == isHeld {
+		if t.ran && meth.Idempotency != Idempotent && t.state == isHeld {
 			m.breaks("duplicate: RPC %d runs again after it was stopped", t.id)
 		}
-		if at, ran := m.ranAt[t.group]; meth.Repeat == Tokened && ran && !t.ran && math.Abs(t.arrived-at) < meth.Window {
+		if at, ran := m.ranAt[t.group]; meth.Idempotency == IdempotencyKeyed && ran && !t.ran && math.Abs(t.arrived-at) < meth.DedupWindow {
 			m.breaks("duplicate: RPC %d runs within the window of its token", t.id)
 		}
 		if m.notice >= 0 && t.arrived > m.notice+m.s.rules.DrainGrace {
 			m.breaks("drain: RPC %d, which arrived past the grace, runs", t.id)
 		}
-		if meth.Repeat == Tokened {
+		if meth.Idempotency == IdempotencyKeyed {
 			m.ranAt[t.group] = t.arrived
 		}
 		t.state, t.ran, t.since = isRunning, true, m.now
 		t.until = m.now + meth.Deadline*0.4*m.chance.ExpFloat64()*m.chance.Float64()
 		t.calls = 0
-		if m.s.below.Share > 0 && m.chance.Intn(2) == 0 {
+		if m.s.below.ConcurrencyShare > 0 && m.chance.Intn(2) == 0 {
 			t.calls = 1 + m.chance.Intn(2)
 		}
-	case PushBack:
-		if t.ran && meth.Repeat != Idempotent {
+	case Reject:
+		if t.ran && meth.Idempotency != Idempotent {
 			m.breaks("duplicate: RPC %d is pushed back after it ran", t.id)
 		}
 		m.answer(t, "is pushed back")
@@ -198,8 +198,8 @@
 		} else if t.state == isStanding { // a call goes on until its own end
 			t.until = m.now
 		}
-	case Halt:
-		if m.s.node.Stop == StopNone {
+	case Preempt:
+		if m.s.node.Preemption == PreemptNone {
 			m.breaks("RPC %d is stopped, which can't be done here", t.id)
 		}
 		if t.state == isRunning {
@@ -211,16 +211,16 @@
 		}
 		t.state, t.since, t.gives = isCalling, m.now, m.now+a.Time
 		t.until = math.Min(t.gives, m.now+m.slow*60*m.chance.ExpFloat64())
-	case Skip:
-		if t.state != isStanding || meth.SkipShare == 0 {
+	case SkipCall:
+		if t.state != isStanding || meth.DegradedFraction == 0 {
 			m.breaks("RPC %d goes on without its call in state %d", t.id, t.state)
 		}
 		t.state, t.until = isRunning, m.now+100*m.chance.Float64()
-	case Remember:
-		if meth.Repeat == Tokened {
+	case CacheToken:
+		if meth.Idempotency == IdempotencyKeyed {
 			m.table[t.group] = entry{t.id, m.now + a.Time}
 		}
-	case Forget:
+	case EvictToken:
 		if e, there := m.table[t.group]; there && e.id == t.id {
 			delete(m.table, t.group)
 		}
@@ -243,7 +243,7 @@
 			running++
 			fallthrough
 		default:
-			kb += t.kb * m.s.node.RunFactor
+			kb += t.kb * m.s.node.RunMemoryFactor
 		}
 		if !t.over && m.now > math.Max(t.due, m.stalled)+answerSlack {
 			m.breaks("lost: RPC %d, due at %.0f, has no answer", t.id, t.due)
@@ -254,11 +254,11 @@
 	}
 	for _, e := range m.table {
 		if e.until > m.now {
-			kb += m.s.node.KeyKB
+			kb += m.s.node.TokenKB
 		}
 	}
-	if kb > m.s.node.MemKB {
-		m.breaks("fall-over: %.0f KB of %.0f", kb, m.s.node.MemKB)
+	if kb > m.s.node.MemoryKB {
+		m.breaks("fall-over: %.0f KB of %.0f", kb, m.s.node.MemoryKB)
 	}
 	m.running = running
 }
@@ -274,7 +274,7 @@
 	if len(m.crowds) > n {
 		m.sum -= m.crowds[len(m.crowds)-1-n]
 	}
-	if over := m.s.below.Over; over > 0 {
+	if over := m.s.below.AveragingWindow; over > 0 {
 		sum := 0.0
 		for _, t := range m.tries {
 			if t.state == isCalling {
@@ -284,15 +284,15 @@
 		for _, s := range m.below {
 			sum += math.Max(0, math.Min(s.to, m.now)-math.Max(s.from, m.now-over))
 		}
-		if most := m.s.below.Share * over; sum > most+1e-6 {
-			m.breaks("fall-over below: %.2f calls in the mean, %.2f is the share", sum/over, m.s.below.Share)
+		if most := m.s.below.ConcurrencyShare * over; sum > most+1e-6 {
+			m.breaks("fall-over below: %.2f calls in the mean, %.2f is the share", sum/over, m.s.below.ConcurrencyShare)
 		}
 	}
 	speed := 1.0
-	if m.s.node.Cold && m.s.node.WarmBy > 0 {
-		speed = math.Min(1, m.s.node.StartSpeed+(1-m.s.node.StartSpeed)*(m.now-m.began)/m.s.node.WarmBy)
+	if m.s.node.WarmingUp && m.s.node.WarmUpTime > 0 {
+		speed = math.Min(1, m.s.node.InitialSpeed+(1-m.s.node.InitialSpeed)*(m.now-m.began)/m.s.node.WarmUpTime)
 	}
-	if mean, most := float64(m.sum)/float64(n), float64(m.s.node.Cores)*(1+(m.s.rules.Ceiling-1)*speed); mean > most {
+	if mean, most := float64(m.sum)/float64(n), float64(m.s.node.Cores)*(1+(m.s.rules.MaxRunsPerCore-1)*speed); mean > most {
 		m.breaks("fall-over: %.1f running in the mean, %.1f survived", mean, most)
 	}
 }
@@ -308,23 +308,23 @@
 	}
 	t.arrived = m.now - waited
 	ev := Event{
-		Kind: Arrive, RPC: t.id, Method: method, Customer: m.chance.Intn(4), Caller: uint16(m.chance.Intn(50)), Waited: waited, HeldKB: t.kb,
-		Retry: m.chance.Intn(8) == 0, Hint: float64(m.chance.Intn(2)) * 100 * m.chance.Float64(),
+		Kind: Arrived, RPC: t.id, Method: method, Customer: m.chance.Intn(4), Caller: uint16(m.chance.Intn(50)), Age: waited, QueuedKB: t.kb,
+		Retry: m.chance.Intn(8) == 0, CostHint: float64(m.chance.Intn(2)) * 100 * m.chance.Float64(),
 	}
 	t.due = math.Max(t.arrived+meth.Deadline, m.now)
-	if m.s.fleet.TellsTime {
-		ev.Time = meth.Deadline * m.chance.Float64()
-		t.due = m.now + ev.Time
+	if m.s.fleet.PropagatesDeadline {
+		ev.Remaining = meth.Deadline * m.chance.Float64()
+		t.due = m.now + ev.Remaining
 	}
-	if meth.Repeat == Tokened && m.chance.Intn(3) == 0 && len(m.ranAt)+len(m.table) > 0 { // a repeat of a late one
+	if meth.Idempotency == IdempotencyKeyed && m.chance.Intn(3) == 0 && len(m.ranAt)+len(m.table) > 0 { // a repeat of a late one
 		t.group = m.lastID - min(m.lastID-1, uint32(1+m.chance.Intn(200)))
 		if o := m.tries[t.group]; o != nil && o.method != method {
 			t.group = t.id
 		}
 	}
 	t.group = t.group*8 + uint32(method)
-	if e, there := m.table[t.group]; meth.Repeat == Tokened && there && t.arrived < e.until {
-		ev.Original, t.joins = e.id, e.id
+	if e, there := m.table[t.group]; meth.Idempotency == IdempotencyKeyed && there && t.arrived < e.until {
+		ev.DuplicateOf, t.joins = e.id, e.id
 	}
 	m.tries[t.id] = t
 	m.give(ev)
@@ -342,23 +342,23 @@
 			if t.calls > 0 && !t.over {
 				t.calls--
 				t.state = isStanding
-				m.give(Event{Kind: Wait, RPC: id})
+				m.give(Event{Kind: AwaitingCall, RPC: id})
 				continue
 			}
-			outcome := OK
+			outcome := OutcomeOK
 			if t.calls < 0 {
-				outcome = Cancelled
+				outcome = OutcomeCancelled
 			} else if t.calls > 0 {
-				outcome = Cancelled // at a call, as it is over
+				outcome = OutcomeCancelled // at a call, as it is over
 			} else if m.chance.Intn(20) == 0 {
-				outcome = Error
+				outcome = OutcomeError
 			}
 			if t.calls < 0 && !t.over { // stopped and still owed
 				t.state = isHeld
-				if m.s.node.Stop == StopPause {
+				if m.s.node.Preemption == PreemptSuspend {
 					t.state = isPaused
 				}
-				m.give(Event{Kind: Ended, RPC: id, Outcome: Cancelled, Spent: m.now - t.since})
+				m.give(Event{Kind: Completed, RPC: id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
 				continue
 			}
 			if !t.over {
@@ -366,39 +366,39 @@
 				m.served++
 			}
 			m.drop(t)
-			m.give(Event{Kind: Ended, RPC: id, Outcome: outcome, Spent: m.now - t.since})
+			m.give(Event{Kind: Completed, RPC: id, Outcome: outcome, Elapsed: m.now - t.since})
 		case isStanding:
 			if t.over {
 				m.drop(t)
-				m.give(Event{Kind: Ended, RPC: id, Outcome: Cancelled, Spent: m.now - t.since})
+				m.give(Event{Kind: Completed, RPC: id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
 			}
 		case isCalling:
 			m.below = append(m.below, span{t.since, t.until}) // told late after a stall
-			outcome := [...]Outcome{OK, OK, OK, OK, OK, Error, Full, TimedOut, Unreachable, Reset}[m.chance.Intn(10)]
+			outcome := [...]Outcome{OutcomeOK, OutcomeOK, OutcomeOK, OutcomeOK, OutcomeOK, OutcomeError, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeReset}[m.chance.Intn(10)]
 			if m.now >= t.gives {
-				outcome = TimedOut
+				outcome = OutcomeTimedOut
 			}
-			if outcome == TimedOut || outcome == Reset {
+			if outcome == OutcomeTimedOut || outcome == OutcomeReset {
 				m.below[len(m.below)-1].to += m.s.below.Linger
 			}
 			spent := t.until - t.since
 			if t.over {
 				t.state, t.until = isStanding, m.now
-				m.give(Event{Kind: Called, RPC: id, Outcome: outcome, Spent: spent})
+				m.give(Event{Kind: CallCompleted, RPC: id, Outcome: outcome, Elapsed: spent})
 				m.drop(t)
-				m.give(Event{Kind: Ended, RPC: id, Outcome: Cancelled, Spent: m.now - t.since})
+				m.give(Event{Kind: Completed, RPC: id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
 				continue
 			}
 			t.state, t.until = isStanding, m.now
-			if outcome == OK {
+			if outcome == OutcomeOK {
 				t.state, t.until = isRunning, m.now+100*m.chance.Float64()
 			}
-			m.give(Event{Kind: Called, RPC: id, Outcome: outcome, Spent: spent})
+			m.give(Event{Kind: CallCompleted, RPC: id, Outcome: outcome, Elapsed: spent})
 		case isJoined:
 			if m.tries[t.joins] == nil {
 				m.answer(t, "ends joined")
 				m.drop(t)
-				m.give(Event{Kind: Ended, RPC: id, Outcome: OK, Spent: 1})
+				m.give(Event{Kind: Completed, RPC: id, Outcome: OutcomeOK, Elapsed: 1})
 			}
 		}
 	}
@@ -419,18 +419,18 @@
 	}
 	switch m.chance.Intn(6) {
 	case 0:
-		m.give(Event{Kind: Ended, RPC: some(), Outcome: OK, Spent: -1})
+		m.give(Event{Kind: Completed, RPC: some(), Outcome: OutcomeOK, Elapsed: -1})
 	case 1:
-		m.give(Event{Kind: Called, RPC: some(), Outcome: Full})
+		m.give(Event{Kind: CallCompleted, RPC: some(), Outcome: OutcomeRejected})
 	case 2:
-		m.give(Event{Kind: Wait, RPC: some()})
+		m.give(Event{Kind: AwaitingCall, RPC: some()})
 	case 3:
-		m.give(Event{Kind: Left, RPC: some()})
+		m.give(Event{Kind: CallerGone, RPC: some()})
 	case 4: // a call that nobody made, of one that is held
 		for id := range m.lastID {
 			if t := m.tries[id]; t != nil && t.state == isHeld {
-				m.give(Event{Kind: Called, RPC: id, Outcome: OK})
-				m.give(Event{Kind: Wait, RPC: id})
+				m.give(Event{Kind: CallCompleted, RPC: id, Outcome: OutcomeOK})
+				m.give(Event{Kind: AwaitingCall, RPC: id})
 				break
 			}
 		}
@@ -446,7 +446,7 @@
 			} else if t.state == isStanding {
 				t.until = m.now
 			}
-			m.give(Event{Kind: Left, RPC: id, Outcome: []Outcome{Error, Reset}[m.chance.Intn(2)]})
+			m.give(Event{Kind: CallerGone, RPC: id, Outcome: []Outcome{OutcomeError, OutcomeReset}[m.chance.Intn(2)]})
 			break
 		}
 	}
@@ -468,7 +468,7 @@
 		}
 		if m.now >= notice && m.notice < 0 {
 			m.notice, m.stop = m.now, m.now+200+4000*m.chance.Float64()
-			m.give(Event{Kind: Notice, Time: m.stop - m.now})
+			m.give(Event{Kind: DrainNotice, Remaining: m.stop - m.now})
 		}
 		if m.notice >= 0 && m.now >= m.stop {
 			m.check()
@@ -478,8 +478,8 @@
 			m.slow = 1 + 10*m.chance.Float64()*float64(m.chance.Intn(2))
 		}
 		if m.now >= m.wake {
-			g := Gauges{Stale: m.chance.Intn(5) == 0, CoreUse: m.chance.Float64(), OnCores: m.onCore * float64(m.running)}
-			m.give(Event{Kind: Timer, Label: m.label, Gauges: g})
+			g := Gauges{Stale: m.chance.Intn(5) == 0, CPUUtilization: m.chance.Float64(), Runnable: m.onCore * float64(m.running)}
+			m.give(Event{Kind: TimerFired, Label: m.label, Gauges: g})
 		}
 		m.ends()
 		m.crowd()
--- a/control/runqueue.go
+++ b/control/runqueue.go
@@ -6,7 +6,7 @@
 )
 
 // pump runs what the run limit and the memory have room for.
-func (c *Control) pump() {
+func (c *Controller) pump() {
 	const share = 0.95 // of the memory; the rest is for reads that nobody can turn away unread
 	for c.hold.n > 0 {
 		runs := c.limit.runs()
@@ -16,8 +16,8 @@
 		}
 		i := c.hold.next(c.in.rpc, longRuns, runs)
 		r := &c.in.rpc[i]
-		more := r.queuedKB * (c.node.RunFactor - 1)
-		if c.used+more+c.keys.used(c.now) > share*c.node.MemKB {
+		more := r.queuedKB * (c.node.RunMemoryFactor - 1)
+		if c.used+more+c.keys.used(c.now) > share*c.node.MemoryKB {
 			c.short = true
 			return
 		}
@@ -27,13 +27,13 @@
 		r.began = c.now
 		r.state = running
 		c.active++
-		c.do(Action{Do: Run, RPC: r.id})
+		c.do(Action{Kind: Run, RPC: r.id})
 	}
 }
 
 // crowd counts long runs, and the RPCs that wait for room below. These take the places of runs: what is
 // started beside them would only come to stand there too, its work on the cores lost.
-func (c *Control) crowd() (longRuns, stuck int) {
+func (c *Controller) crowd() (longRuns, stuck int) {
 	for i := range c.in.rpc {
 		if r := &c.in.rpc[i]; r.state == running && r.line == long {
 			longRuns++
@@ -94,7 +94,7 @@
 	const weight = 0.02 // two seconds of memory at the usual period
 	l.now = now
 	if !g.Stale && active > 0 && float64(active) >= l.cores/2 {
-		l.onCore += weight * (math.Min(1, g.OnCores/float64(active)) - l.onCore)
+		l.onCore += weight * (math.Min(1, g.Runnable/float64(active)) - l.onCore)
 	}
 }
 
--- a/control/signal.go
+++ b/control/signal.go
@@ -4,7 +4,7 @@
 
 // signal is the value that goes out with answers.
 type signal struct {
-	say             Say
+	say             FeedbackKind
 	callers         float64
 	level, notified float64
 	seen, shed      int
@@ -19,11 +19,11 @@
 		most  = 0.9
 		each  = 2.0 // windows for each place: callers are seldom equal and seldom all at their windows
 	)
-	if s.say == SayNone || s.say == SayShare {
+	if s.say == FeedbackNone || s.say == FeedbackShare {
 		return 0, false
 	}
 	v, least := math.Max(1, math.Round(each*inTime/s.callers)), s.notified/5
-	if s.say == SayLevel {
+	if s.say == FeedbackLevel {
 		s.level = math.Min(most, math.Max(0, s.level+gain*(float64(s.shed)/float64(max(1, s.seen))-allow)))
 		v, least = s.level, 0.01
 		s.seen, s.shed = 0, 0
--- a/decision/plan/plan.go
+++ b/decision/plan/plan.go
@@ -24,13 +24,13 @@
 // Apply returns the settings with the knobs turned.
 func (k Knobs) Apply(s replay.Settings) replay.Settings {
 	if k.Settle >= 0 {
-		s.Rules.Settle = k.Settle
+		s.Limits.DisplaceableFor = k.Settle
 	}
 	if k.OverShare >= 0 {
-		s.Fleet.OverShare = k.OverShare
+		s.Fleet.OverQuotaFraction = k.OverShare
 	}
 	if k.RunsACore > 0 {
-		s.Rules.Ceiling = k.RunsACore
+		s.Limits.MaxRunsPerCore = k.RunsACore
 	}
 	s.Customers = slices.Clone(s.Customers)
 	for i := range s.Customers {
@@ -158,7 +158,7 @@
 func score(s replay.Settings, steps []replay.Step) Score {
 	i := 0
 	tallies := make([]replay.Tally, len(s.Methods))
-	s.Node.Cold = false // a part begins in mid service
+	s.Node.WarmingUp = false // a part begins in mid service
 	replay.Model(&s, func() (replay.Step, error) {
 		if i == len(steps) {
 			return replay.Step{}, io.EOF
--- a/decision/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -13,10 +13,10 @@
 // the same each time.
 func TestSearch(t *testing.T) {
 	s := replay.Settings{
-		Node:      control.Node{Seed: 3, Cores: 4, MemKB: 1e6, RunFactor: 4, Tick: 4, WarmBy: 4000},
-		Fleet:     control.Fleet{Peers: 1, Callers: 3, Marks: true, MaxRetryAfter: 1000, OverShare: 0, Heeded: 1000, Idle: 30000},
-		Rules:     control.Rules{DrainGrace: 1000, Ceiling: 1},
-		Methods:   []control.Method{{Name: "view", LatencyTarget: 400, Deadline: 1000, Criticality: 1}, {Name: "buy", LatencyTarget: 400, Deadline: 1000, Criticality: 3}},
+		Node:      control.Node{Seed: 3, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, Tick: 4, WarmUpTime: 4000},
+		Fleet:     control.Fleet{Peers: 1, Callers: 3, MarksRetries: true, MaxRetryAfter: 1000, OverQuotaFraction: 0, FeedbackTTL: 1000, IdleTimeout: 30000},
+		Limits:    control.Limits{DrainGrace: 1000, MaxRunsPerCore: 1},
+		Methods:   []control.Method{{Name: "view", LatencyObjective: 400, Deadline: 1000, Criticality: 1}, {Name: "buy", LatencyObjective: 400, Deadline: 1000, Criticality: 3}},
 		Customers: []control.Customer{{Name: "a", Quota: 1}, {Name: "b", Quota: 100}},
 	}
 	chance := rand.New(rand.NewSource(1))
@@ -26,7 +26,7 @@
 		var steps []replay.Step
 		for at := 0.0; at < 5000; at += chance.ExpFloat64() * 9 {
 			id++
-			ev := control.Event{Kind: control.Arrive, RPC: id, Customer: chance.Intn(2), Hint: 10 + 30*chance.Float64(), HeldKB: 10}
+			ev := control.Event{Kind: control.Arrived, RPC: id, Customer: chance.Intn(2), CostHint: 10 + 30*chance.Float64(), QueuedKB: 10}
 			if chance.Intn(8) == 0 {
 				ev.Method = 1
 			}
--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -24,16 +24,16 @@
 
 // Settings are what the decisions are made from.
 type Settings struct {
-	Node      control.Node
-	Fleet     control.Fleet
-	Below     control.Below
-	Rules     control.Rules
-	Methods   []control.Method
-	Customers []control.Customer
+	Node       control.Node
+	Fleet      control.Fleet
+	Dependency control.Dependency
+	Limits     control.Limits
+	Methods    []control.Method
+	Customers  []control.Customer
 }
 
-func (s *Settings) start() *control.Control {
-	return control.New(s.Node, s.Fleet, s.Below, s.Rules, s.Methods, s.Customers)
+func (s *Settings) start() *control.Controller {
+	return control.New(s.Node, s.Fleet, s.Dependency, s.Limits, s.Methods, s.Customers)
 }
 
 // Verdict is what became of an RPC.
@@ -87,7 +87,7 @@
 // Served is the criticality that the ends of a method came to, and all that there was. Callers that left count for
 // nothing on either side.
 func (t *Tally) Served(m *control.Method) (got, all float64) {
-	return m.Criticality * (float64(t.OK) + m.LateShare*float64(t.Late)), m.Criticality * float64(t.N-t.Gone)
+	return m.Criticality * (float64(t.OK) + m.LateFraction*float64(t.Late)), m.Criticality * float64(t.N-t.Gone)
 }
 
 // Parting is a place at which verdicts part from the recorded ones.
@@ -127,19 +127,19 @@
 		} else if err != nil {
 			return steps, err
 		}
-		if steps == 0 && x.Event.Kind != control.Begin {
+		if steps == 0 && x.Event.Kind != control.Started {
 			return 0, ErrBegin
 		}
 		k := 0
 		for _, a := range c.Handle(x.Now, x.Event) {
-			if !verdict(a.Do) {
+			if !verdict(a.Kind) {
 				continue
 			}
 			var was control.Action
 			if k < len(x.Actions) {
 				was = x.Actions[k]
 			}
-			if k >= len(x.Actions) || was.Do != a.Do || was.RPC != a.RPC || was.Time != a.Time || was.Last != a.Last {
+			if k >= len(x.Actions) || was.Kind != a.Kind || was.RPC != a.RPC || was.Time != a.Time || was.NoRetry != a.NoRetry {
 				part(Parting{steps, k, x.Now, was, a})
 			}
 			k++
@@ -148,7 +148,7 @@
 			part(Parting{steps, k, x.Now, x.Actions[k], control.Action{}})
 		}
 		ev := &x.Event
-		if ev.Kind == control.Arrive {
+		if ev.Kind == control.Arrived {
 			in[ev.RPC] = s.open(nth, x.Now, ev, x.Token)
 			nth++
 		}
@@ -157,8 +157,8 @@
 			if o == nil {
 				continue
 			}
-			switch a.Do {
-			case control.PushBack:
+			switch a.Kind {
+			case control.Reject:
 				o.end(end, a.RPC, x.Now, PushedBack)
 				delete(in, a.RPC)
 			case control.Abort:
@@ -167,32 +167,32 @@
 				o.run = true
 			}
 		}
-		if o := in[ev.RPC]; o != nil && (ev.Kind == control.Left || ev.Kind == control.Ended) {
+		if o := in[ev.RPC]; o != nil && (ev.Kind == control.CallerGone || ev.Kind == control.Completed) {
 			switch {
-			case ev.Kind == control.Left:
+			case ev.Kind == control.CallerGone:
 				o.end(end, ev.RPC, x.Now, Gone)
-			case ev.Outcome == control.OK:
+			case ev.Outcome == control.OutcomeOK:
 				o.end(end, ev.RPC, x.Now, o.ok(x.Now))
-			case ev.Outcome == control.Moot:
+			case ev.Outcome == control.OutcomeNotStarted:
 				o.end(end, ev.RPC, x.Now, PushedBack)
 			default:
 				o.end(end, ev.RPC, x.Now, Aborted)
 			}
-			if ev.Kind == control.Ended || !o.run {
+			if ev.Kind == control.Completed || !o.run {
 				delete(in, ev.RPC)
 			}
 		}
 	}
 }
 
-func verdict(d control.Do) bool {
-	return d == control.Run || d == control.PushBack || d == control.Abort || d == control.Join
+func verdict(d control.ActionKind) bool {
+	return d == control.Run || d == control.Reject || d == control.Abort || d == control.Join
 }
 
 func (s *Settings) open(nth int, now float64, ev *control.Event, token uint64) *open {
 	m := &s.Methods[min(ev.Method, len(s.Methods)-1)]
-	o := &open{nth: nth, method: ev.Method, arrived: now - ev.Waited, token: token}
-	o.target, o.due = o.arrived+m.LatencyTarget+m.Stretch*ev.Hint, o.arrived+m.Deadline
+	o := &open{nth: nth, method: ev.Method, arrived: now - ev.Age, token: token}
+	o.target, o.due = o.arrived+m.LatencyObjective+m.ObjectiveStretch*ev.CostHint, o.arrived+m.Deadline
 	return o
 }
 
@@ -276,7 +276,7 @@
 // model is one instance of Model at work.
 type model struct {
 	s       *Settings
-	c       *control.Control
+	c       *control.Controller
 	m       machine
 	in      map[uint32]*open
 	tokens  map[uint64]*remembered
@@ -323,30 +323,30 @@
 		if !begun {
 			begun = true
 			d.m.now = x.Now
-			d.handle(x.Now, control.Event{Kind: control.Begin})
-			if x.Event.Kind == control.Begin {
+			d.handle(x.Now, control.Event{Kind: control.Started})
+			if x.Event.Kind == control.Started {
 				continue
 			}
 		}
 		ev := x.Event
 		switch ev.Kind {
-		case control.Arrive, control.Left, control.Notice, control.Stay:
+		case control.Arrived, control.CallerGone, control.DrainNotice, control.DrainCancelled:
 			d.until(x.Now)
 		default:
 			continue
 		}
 		switch ev.Kind {
-		case control.Arrive:
+		case control.Arrived:
 			o := s.open(nth, x.Now, &ev, x.Token)
 			nth++
 			o.work = d.work(&ev, spent)
 			d.in[ev.RPC] = o
-			ev.Original = 0
+			ev.DuplicateOf = 0
 			if k := d.tokens[x.Token]; x.Token != 0 && k != nil && o.arrived < k.until {
-				ev.Original = k.rpc
+				ev.DuplicateOf = k.rpc
 			}
 			d.handle(x.Now, ev)
-		case control.Left:
+		case control.CallerGone:
 			if o := d.in[ev.RPC]; o != nil && !o.final {
 				o.end(end, ev.RPC, x.Now, Gone)
 				d.handle(x.Now, ev)
@@ -354,7 +354,7 @@
 					delete(d.in, ev.RPC)
 				}
 			}
-		case control.Notice, control.Stay:
+		case control.DrainNotice, control.DrainCancelled:
 			d.handle(x.Now, ev)
 		}
 	}
@@ -369,12 +369,12 @@
 	case seen:
 		d.means[m].sum += w
 		d.means[m].n++
-	case ev.Hint > 0:
-		w = ev.Hint
+	case ev.CostHint > 0:
+		w = ev.CostHint
 	case d.means[m].n > 0:
 		w = d.means[m].sum / d.means[m].n
 	default:
-		w = d.s.Methods[m].LatencyTarget / 6 // as the decisions begin
+		w = d.s.Methods[m].LatencyObjective / 6 // as the decisions begin
 	}
 	return math.Max(0.001, w)
 }
@@ -388,8 +388,8 @@
 		}
 		if at = math.Max(at, d.m.now); d.wake < d.m.next() {
 			d.m.pass(at)
-			ev := control.Event{Kind: control.Timer, Label: d.label}
-			ev.Gauges.CoreUse, ev.Gauges.OnCores = d.m.use, float64(len(d.m.runs))
+			ev := control.Event{Kind: control.TimerFired, Label: d.label}
+			ev.Gauges.CPUUtilization, ev.Gauges.Runnable = d.m.use, float64(len(d.m.runs))
 			d.wake = math.Inf(1)
 			d.handle(at, ev)
 			for len(d.expires) > 0 && d.expires[0].at < at {
@@ -402,7 +402,7 @@
 		}
 		d.m.pass(at)
 		r := heap.Pop(&d.m.runs).(run)
-		d.ended(r.rpc, at, control.OK)
+		d.ended(r.rpc, at, control.OutcomeOK)
 	}
 	d.m.pass(now)
 }
@@ -414,14 +414,14 @@
 		return
 	}
 	delete(d.in, rpc)
-	if how == control.OK {
+	if how == control.OutcomeOK {
 		o.end(d.end, rpc, now, o.ok(now))
 	} else {
 		o.end(d.end, rpc, now, Aborted)
 	}
-	d.handle(now, control.Event{Kind: control.Ended, RPC: rpc, Outcome: how, Spent: o.work})
+	d.handle(now, control.Event{Kind: control.Completed, RPC: rpc, Outcome: how, Elapsed: o.work})
 	if k := d.tokens[o.token]; o.token != 0 && k != nil && k.rpc == rpc {
-		k.over, k.ok = true, how == control.OK
+		k.over, k.ok = true, how == control.OutcomeOK
 		joins := k.joins
 		k.joins = nil
 		for _, j := range joins {
@@ -445,7 +445,7 @@
 }
 
 func (d *model) carryOut(now float64, a control.Action) {
-	if a.Do == control.Arm {
+	if a.Kind == control.SetTimer {
 		d.wake, d.label = a.Time, a.Label
 		return
 	}
@@ -453,11 +453,11 @@
 	if o == nil {
 		return
 	}
-	switch a.Do {
+	switch a.Kind {
 	case control.Run:
 		o.run = true
 		heap.Push(&d.m.runs, run{d.m.done + o.work, a.RPC})
-	case control.PushBack:
+	case control.Reject:
 		o.end(d.end, a.RPC, now, PushedBack)
 		delete(d.in, a.RPC)
 	case control.Abort:
@@ -465,13 +465,13 @@
 		if !o.run {
 			delete(d.in, a.RPC)
 		}
-	case control.Remember:
+	case control.CacheToken:
 		if o.token != 0 {
-			until := math.Max(now+a.Time, o.arrived+d.s.Methods[o.method].Window)
+			until := math.Max(now+a.Time, o.arrived+d.s.Methods[o.method].DedupWindow)
 			d.tokens[o.token] = &remembered{rpc: a.RPC, until: until}
 			d.expires = append(d.expires, expiry{until, o.token})
 		}
-	case control.Forget:
+	case control.EvictToken:
 		if k := d.tokens[o.token]; k != nil && k.rpc == a.RPC {
 			delete(d.tokens, o.token)
 		}
@@ -480,11 +480,11 @@
 		k := d.tokens[o.token]
 		switch {
 		case k == nil:
-			d.joinOver(now, a.RPC, control.Error)
+			d.joinOver(now, a.RPC, control.OutcomeError)
 		case k.over && k.ok:
-			d.joinOver(now, a.RPC, control.OK)
+			d.joinOver(now, a.RPC, control.OutcomeOK)
 		case k.over:
-			d.joinOver(now, a.RPC, control.Error)
+			d.joinOver(now, a.RPC, control.OutcomeError)
 		default:
 			k.joins = append(k.joins, a.RPC)
 		}
@@ -494,12 +494,12 @@
 func (d *model) joinOver(now float64, rpc uint32, how control.Outcome) {
 	o := d.in[rpc]
 	delete(d.in, rpc)
-	if how == control.OK {
+	if how == control.OutcomeOK {
 		o.end(d.end, rpc, now, o.ok(now))
 	} else {
 		o.end(d.end, rpc, now, Aborted)
 	}
-	d.todo = append(d.todo, control.Event{Kind: control.Ended, RPC: rpc, Outcome: how})
+	d.todo = append(d.todo, control.Event{Kind: control.Completed, RPC: rpc, Outcome: how})
 }
 
 // ahead reads steps so far before they are played that the end of nearly every run is known.
@@ -531,12 +531,12 @@
 		}
 		ev := &x.Event
 		switch ev.Kind {
-		case control.Timer:
-			a.crowd = ev.Gauges.OnCores
+		case control.TimerFired:
+			a.crowd = ev.Gauges.Runnable
 			continue // not played
-		case control.Ended:
-			if ev.Outcome == control.OK && ev.Spent > 0 {
-				a.spent[ev.RPC] = ev.Spent / math.Max(1, a.crowd/a.cores)
+		case control.Completed:
+			if ev.Outcome == control.OutcomeOK && ev.Elapsed > 0 {
+				a.spent[ev.RPC] = ev.Elapsed / math.Max(1, a.crowd/a.cores)
 			}
 			continue
 		}
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -12,12 +12,12 @@
 
 func settings() *Settings {
 	return &Settings{
-		Node:  control.Node{Seed: 3, Cores: 4, MemKB: 1e6, RunFactor: 4, Tick: 4, WarmBy: 4000, StartSpeed: 0.2},
-		Fleet: control.Fleet{Peers: 1, Callers: 3, Marks: true, MaxRetryAfter: 1000, OverShare: 0.3, Heeded: 1000, Idle: 30000},
-		Rules: control.Rules{DrainGrace: 1000, Ceiling: 8},
+		Node:   control.Node{Seed: 3, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, Tick: 4, WarmUpTime: 4000, InitialSpeed: 0.2},
+		Fleet:  control.Fleet{Peers: 1, Callers: 3, MarksRetries: true, MaxRetryAfter: 1000, OverQuotaFraction: 0.3, FeedbackTTL: 1000, IdleTimeout: 30000},
+		Limits: control.Limits{DrainGrace: 1000, MaxRunsPerCore: 8},
 		Methods: []control.Method{
-			{Name: "view", LatencyTarget: 400, Deadline: 1000, Criticality: 1, LateShare: 0.2},
-			{Name: "buy", Repeat: control.Tokened, LatencyTarget: 400, Deadline: 1000, Window: 5000, Criticality: 3},
+			{Name: "view", LatencyObjective: 400, Deadline: 1000, Criticality: 1, LateFraction: 0.2},
+			{Name: "buy", Idempotency: control.IdempotencyKeyed, LatencyObjective: 400, Deadline: 1000, DedupWindow: 5000, Criticality: 3},
 		},
 		Customers: []control.Customer{{Name: "a", Quota: 40}, {Name: "b", Quota: 40}},
 	}
@@ -26,12 +26,12 @@
 // arrivals are some seconds of load at a share of what the machine can do, with the ends that a recorder saw left out.
 func arrivals(load float64, seconds int, seed int64) (steps []Step) {
 	chance := rand.New(rand.NewSource(seed))
-	steps = append(steps, Step{Event: control.Event{Kind: control.Begin}})
+	steps = append(steps, Step{Event: control.Event{Kind: control.Started}})
 	id, token := uint32(0), uint64(0)
 	for at := 0.0; at < float64(seconds)*1000; {
 		at += chance.ExpFloat64() * 40 / 4 / load
 		id++
-		ev := control.Event{Kind: control.Arrive, RPC: id, Caller: uint16(chance.Intn(3)), Customer: chance.Intn(2), Hint: 8 + 32*chance.ExpFloat64(), HeldKB: 10, Waited: 1}
+		ev := control.Event{Kind: control.Arrived, RPC: id, Caller: uint16(chance.Intn(3)), Customer: chance.Intn(2), CostHint: 8 + 32*chance.ExpFloat64(), QueuedKB: 10, Age: 1}
 		s := Step{Now: at, Event: ev}
 		if chance.Intn(8) == 0 {
 			s.Event.Method, s.Token = 1, token+1
@@ -41,7 +41,7 @@
 		}
 		steps = append(steps, s)
 		if chance.Intn(20) == 0 {
-			steps = append(steps, Step{Now: at + 1, Event: control.Event{Kind: control.Left, RPC: id}})
+			steps = append(steps, Step{Now: at + 1, Event: control.Event{Kind: control.CallerGone, RPC: id}})
 		}
 	}
 	return steps
@@ -71,7 +71,7 @@
 		}
 		seen, n := map[int]bool{}, 0
 		for _, s := range steps {
-			if s.Event.Kind == control.Arrive {
+			if s.Event.Kind == control.Arrived {
 				n++
 			}
 		}
@@ -109,26 +109,26 @@
 		x := Step{Now: now, Event: ev}
 		all := append([]control.Action(nil), c.Handle(now, ev)...)
 		for _, a := range all {
-			if verdict(a.Do) {
+			if verdict(a.Kind) {
 				x.Actions = append(x.Actions, a)
 			}
 		}
 		steps = append(steps, x)
 		return all
 	}
-	rec(0, control.Event{Kind: control.Begin})
+	rec(0, control.Event{Kind: control.Started})
 	wake := 40.0
 	for _, x := range arrivals(1.5, 10, 5)[1:] {
 		for wake <= x.Now {
-			for _, a := range rec(wake, control.Event{Kind: control.Timer}) {
-				if a.Do == control.Arm {
+			for _, a := range rec(wake, control.Event{Kind: control.TimerFired}) {
+				if a.Kind == control.SetTimer {
 					wake = a.Time
 				}
 			}
 		}
 		for _, a := range rec(x.Now, x.Event) {
-			if a.Do == control.Run {
-				rec(x.Now+0.1, control.Event{Kind: control.Ended, RPC: a.RPC, Outcome: control.OK, Spent: 30})
+			if a.Kind == control.Run {
+				rec(x.Now+0.1, control.Event{Kind: control.Completed, RPC: a.RPC, Outcome: control.OutcomeOK, Elapsed: 30})
 			}
 		}
 	}
@@ -139,8 +139,8 @@
 	}{
 		{"as it was", func([]Step, *Settings) {}, false},
 		{"another seed", func(_ []Step, s *Settings) { s.Node.Seed++ }, false}, // no chance was drawn: nothing was late
-		{"a verdict changed", func(x []Step, _ *Settings) { x[20].Actions = []control.Action{{Do: control.Abort, RPC: 1}} }, true},
-		{"another setting", func(_ []Step, s *Settings) { s.Methods[0].LatencyTarget = 30 }, true},
+		{"a verdict changed", func(x []Step, _ *Settings) { x[20].Actions = []control.Action{{Kind: control.Abort, RPC: 1}} }, true},
+		{"another setting", func(_ []Step, s *Settings) { s.Methods[0].LatencyObjective = 30 }, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -179,7 +179,7 @@
 		}
 		n++
 		at += chance.ExpFloat64() * 8
-		s := Step{Now: at, Event: control.Event{Kind: control.Arrive, RPC: uint32(n), Customer: n % 2, Caller: uint16(n % 3), Hint: 10 + 30*chance.ExpFloat64(), HeldKB: 10}}
+		s := Step{Now: at, Event: control.Event{Kind: control.Arrived, RPC: uint32(n), Customer: n % 2, Caller: uint16(n % 3), CostHint: 10 + 30*chance.ExpFloat64(), QueuedKB: 10}}
 		if n%9 == 0 {
 			s.Event.Method, s.Token = 1, uint64(n)
 		}
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -23,14 +23,14 @@
 // carried samples what a gate counts since its start.
 type carried struct {
 	of   func() []gate.Ran
-	told *startup.Opening
+	told *startup.Config
 
 	mu  sync.Mutex
 	at  []time.Time
 	all [][]gate.Ran // the oldest first
 }
 
-func newCarried(g *gate.Gate, told *startup.Opening) *carried {
+func newCarried(g *gate.Gate, told *startup.Config) *carried {
 	c := &carried{of: g.Carried, told: told}
 	c.sample(time.Now())
 	return c
@@ -66,7 +66,7 @@
 	for i := range c.told.Methods {
 		m := &c.told.Methods[i]
 		n := float64(is[i].OK - from[i].OK)
-		x := configure.Method{Guarded: m.Repeat == control.Tokened || m.Criticality >= top, Rate: n / s}
+		x := configure.Method{Guarded: m.Idempotency == control.IdempotencyKeyed || m.Criticality >= top, Rate: n / s}
 		if n > 0 {
 			x.Run = (is[i].RunMs - from[i].RunMs) / n
 		}
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -42,15 +42,15 @@
 }
 
 func newExtras(
-	ctx context.Context, t Told, table *front.Table, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
+	ctx context.Context, t Config, table *front.Table, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
 ) (*extras, error) {
-	f := &t.Op.File
+	f := &t.Operator.File
 	tree, err := operator.Tree(f)
 	if err != nil {
 		return nil, err
 	}
-	set, known := f.Descriptors(), operator.KnownNames(t.Opening)
-	x := &extras{log: log, pools: pools.New(t.Opening.Node.Seed, log), file: t.Op.Hash, own: f, carried: newCarried(g, t.Opening)}
+	set, known := f.Descriptors(), operator.KnownNames(t.Config)
+	x := &extras{log: log, pools: pools.New(t.Config.Node.Seed, log), file: t.Operator.Hash, own: f, carried: newCarried(g, t.Config)}
 	x.core, err = configure.New(configure.Version{Number: 1, At: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Fault {
 		return wrong(t, known, set)
 	}, func(was, is configure.Tree) []string {
@@ -59,16 +59,16 @@
 		if errA != nil || errB != nil {
 			return nil // the checks say so
 		}
-		return configure.Guard(limitsOf(a, float64(t.Opening.Node.Cores)), limitsOf(b, float64(t.Opening.Node.Cores)), x.carried.figures(time.Now()))
+		return configure.Guard(limitsOf(a, float64(t.Config.Node.Cores)), limitsOf(b, float64(t.Config.Node.Cores)), x.carried.figures(time.Now()))
 	}, operator.RestartOnly, versionsKept)
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
 	x.pools.Set(f)
-	methods := t.Opening.Methods
+	methods := t.Config.Methods
 	x.run = x.pools.Runner(engine, func(name string) bool {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == name })
-		return i >= 0 && methods[i].Repeat == control.Idempotent
+		return i >= 0 && methods[i].Idempotency == control.Idempotent
 	})
 	if f.UWSGI != nil {
 		ln, err := net.Listen("tcp", f.UWSGI.Listen)
@@ -76,7 +76,7 @@
 			return nil, fmt.Errorf("operator: uwsgi.listen: %w", err)
 		}
 		x.ln = ln.(*net.TCPListener)
-		x.web = uwsgi.New(table, g, x.run, f, t.Opening.Node.Seed, log)
+		x.web = uwsgi.New(table, g, x.run, f, t.Config.Node.Seed, log)
 	}
 	go x.pools.Serve(ctx)
 	return x, nil
@@ -109,18 +109,18 @@
 }
 
 // set takes a new file, whole or not at all, and returns the number of the version that runs.
-func (x *extras) set(next Told) (version int, err error) {
-	if next.Op == nil {
+func (x *extras) set(next Config) (version int, err error) {
+	if next.Operator == nil {
 		return 0, errors.New("operator: the record is gone")
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if next.Op.Hash == x.file && x.released != nil { // the platform's news are not the operator's: a released version stays
+	if next.Operator.Hash == x.file && x.released != nil { // the platform's news are not the operator's: a released version stays
 		return x.core.Running().Number, nil
 	}
-	number, err := x.commit(&next.Op.File, "reload", true)
+	number, err := x.commit(&next.Operator.File, "reload", true)
 	if err == nil {
-		x.file, x.own, x.released = next.Op.Hash, &next.Op.File, nil
+		x.file, x.own, x.released = next.Operator.Hash, &next.Operator.File, nil
 	}
 	return number, err
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -45,20 +45,20 @@
 	StandIn  bool   `help:"Start a stand-in engine, and callers that ask for more than it can do, within this process, to see the main job run."`
 }
 
-// Told is all that a process is told: the platform's configuration and the operator's record, nil if there is none.
-type Told struct {
+// Config is all that a process is configured with: the platform's configuration and the operator's record, nil if there is none.
+type Config struct {
 	*startup.Process
-	Op *operator.Record
+	Operator *operator.Record
 }
 
 // Run serves until a signal to stop comes. extra, which may be nil, adds what the command at hand has beside the rest.
-func (s Command) Run(extra Extra) error {
+func (s Command) Run(extra Extension) error {
 	stop, reread := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reread, syscall.SIGHUP) // before all else: unheeded, it would end the process
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	load := func() (t Told, err error) {
+	load := func() (t Config, err error) {
 		if t.Process, err = startup.Load(os.Getenv); err == nil && s.Operator != "" {
-			t.Op, err = operator.Load(s.Operator, t.Opening)
+			t.Operator, err = operator.Load(s.Operator, t.Config)
 		}
 		return t, err
 	}
@@ -68,22 +68,22 @@
 			return err
 		}
 		defer end()
-		load = func() (t Told, err error) {
+		load = func() (t Config, err error) {
 			if t, err = own(); err == nil && s.Operator != "" {
-				t.Op, err = operator.Load(s.Operator, t.Opening)
+				t.Operator, err = operator.Load(s.Operator, t.Config)
 			}
 			return t, err
 		}
 	}
 	if s.Trace != "" {
 		from := load
-		load = func() (Told, error) {
+		load = func() (Config, error) {
 			t, err := from()
-			if err == nil && t.Op == nil {
-				t.Op = &operator.Record{Hash: strings.Repeat("0", 64), File: operator.File{Version: "none"}}
+			if err == nil && t.Operator == nil {
+				t.Operator = &operator.Record{Hash: strings.Repeat("0", 64), File: operator.File{Version: "none"}}
 			}
 			if err == nil {
-				t.Op.File.Trace = &operator.Trace{Path: s.Trace, MaxFileMB: 64, MaxFiles: 4}
+				t.Operator.File.Trace = &operator.Trace{Path: s.Trace, MaxFileMB: 64, MaxFiles: 4}
 			}
 			return t, err
 		}
@@ -97,11 +97,11 @@
 
 // serve runs one server until a signal to stop comes, and drains it. On each value of reread, the drain
 // included, it takes from load what can change in a running process.
-func serve(t Told, log *logrus.Entry, stop, reread <-chan os.Signal, load func() (Told, error), extra Extra) error {
+func serve(t Config, log *logrus.Entry, stop, reread <-chan os.Signal, load func() (Config, error), extra Extension) error {
 	p := t.Process
 	runtime.GOMAXPROCS(int(math.Ceil(p.Cores)))
 	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
-	if absent := mprpc.Absent(p.Opening); len(absent) > 0 {
+	if absent := mprpc.Absent(p.Config); len(absent) > 0 {
 		log.WithField("absent", strings.Join(absent, ", ")).Warn("server: not carried by this protocol")
 	}
 	ln, err := listen(p.Listen, stop, func() { log.WithField("listen", p.Listen).Warn("serve: waits for the address, which is in use") })
@@ -118,7 +118,7 @@
 		return err
 	}
 	defer x.Close()
-	var latest atomic.Pointer[Told]
+	var latest atomic.Pointer[Config]
 	latest.Store(&t)
 	go func() {
 		for {
@@ -136,22 +136,22 @@
 				log.WithError(err).Error("reload: the configuration is wrong, the old one stays")
 				continue
 			}
-			if stays := p.Stays(next.Process); len(stays) > 0 {
+			if stays := p.RestartOnlyChanges(next.Process); len(stays) > 0 {
 				log.WithField("keys", brief(stays)).Warn("reload: keys that only a new start can change")
 			}
 			latest.Store(&next)
 			x.link.Move(next.Engine)
 			x.report.Move(x.ctx, next.Members)
 			done := log.WithFields(logrus.Fields{"engine": next.Engine, "members": next.Members})
-			if next.Op != nil {
-				done = done.WithFields(logrus.Fields{"version": next.Op.File.Version, "hash": next.Op.Hash[:12], "number": number})
+			if next.Operator != nil {
+				done = done.WithFields(logrus.Fields{"version": next.Operator.File.Version, "hash": next.Operator.Hash[:12], "number": number})
 			}
 			done.Info("reload: done")
 		}
 	}()
 	begins := log.WithField("listen", p.Listen)
-	if t.Op != nil {
-		begins = begins.WithFields(logrus.Fields{"version": t.Op.File.Version, "hash": t.Op.Hash[:12]})
+	if t.Operator != nil {
+		begins = begins.WithFields(logrus.Fields{"version": t.Operator.File.Version, "hash": t.Operator.Hash[:12]})
 	}
 	begins.Info("serve: begins")
 	if kept := x.kept; kept != nil {
@@ -174,7 +174,7 @@
 		case code := <-x.leave:
 			if x.drain(latest.Load().Process, stop) {
 				if code != 0 {
-					return Exit(code)
+					return ExitCode(code)
 				}
 				return nil
 			}
@@ -196,10 +196,10 @@
 func (x *Server) drain(p *startup.Process, stop <-chan os.Signal) (over bool) {
 	began := time.Now()
 	x.phase.draining.Store(true)
-	x.Gate.Drain(p.Stop)
-	x.log.WithField("ms", p.Stop.Milliseconds()).Info("drain: begins")
-	grace := time.Duration(p.Opening.Rules.DrainGrace * float64(time.Millisecond))
-	grace = max(0, min(grace, p.Stop-windup))
+	x.Gate.Drain(p.StopTimeout)
+	x.log.WithField("ms", p.StopTimeout.Milliseconds()).Info("drain: begins")
+	grace := time.Duration(p.Config.Limits.DrainGrace * float64(time.Millisecond))
+	grace = max(0, min(grace, p.StopTimeout-windup))
 	if stop == nil {
 		time.Sleep(grace)
 	} else {
@@ -217,17 +217,17 @@
 		case <-wait.C:
 		}
 	}
-	ctx, end := context.WithDeadline(context.Background(), began.Add(p.Stop-spare))
+	ctx, end := context.WithDeadline(context.Background(), began.Add(p.StopTimeout-spare))
 	defer end()
 	x.table.Shutdown(ctx)
 	x.log.WithField("ms", time.Since(began).Milliseconds()).WithField("in_hand", x.Gate.InHand()).Info("drain: over")
 	return true
 }
 
-// Exit is the code with which a process is to end after its drain: what supervises it goes by that.
-type Exit int
+// ExitCode is the code with which a process is to end after its drain: what supervises it goes by that.
+type ExitCode int
 
-func (e Exit) Error() string { return fmt.Sprintf("ends with code %d", int(e)) }
+func (e ExitCode) Error() string { return fmt.Sprintf("ends with code %d", int(e)) }
 
 // leaves is Parts.Leave.
 func (x *Server) leaves(code int) {
@@ -240,7 +240,7 @@
 // errNotLeaving is what Stay answers if there is nothing to take back, or no longer.
 var errNotLeaving = errors.New("no drain that could be taken back goes on: none has begun by permit, or its grace is over")
 
-// stay is Parts.Stay.
+// stay is Parts.CancelDrain.
 func (x *Server) stay() error {
 	told := make(chan error, 1)
 	select {
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -145,12 +145,12 @@
 	if err := os.WriteFile(w.file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	load := func() (Told, error) {
+	load := func() (Config, error) {
 		defer func() { w.loaded <- struct{}{} }()
 		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.file}[key] })
-		t := Told{Process: p}
+		t := Config{Process: p}
 		if err == nil && w.record != "" {
-			t.Op, err = operator.Load(w.record, p.Opening)
+			t.Operator, err = operator.Load(w.record, p.Config)
 		}
 		return t, err
 	}
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -36,39 +36,39 @@
 	table  *front.Table
 	link   *engine.Link
 	report *members.Reporter
-	more   *extras // nil without an operator's file
-	kept   *opened // nil without a store
-	added  Added   // nil if the command adds nothing
+	more   *extras  // nil without an operator's file
+	kept   *opened  // nil without a store
+	added  Addition // nil if the command adds nothing
 	phase  phase
 
 	leave chan int        // an added part may have the server leave,
 	back  chan chan error // and stay after all
 }
 
-// Extra is what a command adds to the daemon. It is called once the other parts stand, before RPCs are let in.
-type Extra func(p Parts) (Added, error)
+// Extension is what a command adds to the daemon. It is called once the other parts stand, before RPCs are let in.
+type Extension func(p Parts) (Addition, error)
 
-// Parts are what an Extra is given.
+// Parts are what an Extension is given.
 type Parts struct {
-	Told  Told
-	Log   *logrus.Entry
-	Build string
-	Gate  *gate.Gate
-	Pools *pools.Backs                         // those of the operator's file
-	Phase func() (ramp float64, draining bool) // ramp is the share of it that is over, 1 when warm; 0 before an engine answers
+	Config Config
+	Log    *logrus.Entry
+	Build  string
+	Gate   *gate.Gate
+	Pools  *pools.Backs                         // those of the operator's file
+	Phase  func() (ramp float64, draining bool) // ramp is the share of it that is over, 1 when warm; 0 before an engine answers
 	// Leave has the server drain and end, as a signal to stop does, unless Stay takes that back before its grace is over. A signal to
 	// stop is obeyed at once, whatever else goes on.
 	// code is what the process ends with, 0 for as usual.
-	Leave func(code int)
-	Stay  func() error
+	Leave       func(code int)
+	CancelDrain func() error
 	// Release puts a version of the fleet's settings in force, whole or not at all, or the own file again if it is nil. The version is
 	// laid over what only a start can change.
-	Release func(r *operator.Record, origin string) error
-	Carried func() // called again and again: what the last minutes carried is sampled
+	Release    func(r *operator.Record, origin string) error
+	SampleLoad func() // called again and again: what the last minutes carried is sampled
 }
 
-// Added is what an Extra put beside the other parts.
-type Added interface {
+// Addition is what an Extension put beside the other parts.
+type Addition interface {
 	Set(f *operator.File) // a new file has been taken
 	Close()               // in bounded time, once all is answered
 }
@@ -103,28 +103,28 @@
 
 // New puts a server together, which accepts on ln and has its work done by what it is told. Tokens are kept as the
 // operator's file says. ln stays the caller's if there is an error.
-func New(t Told, ln net.Listener, log *logrus.Entry, extra Extra) (x *Server, err error) {
+func New(t Config, ln net.Listener, log *logrus.Entry, extra Extension) (x *Server, err error) {
 	return assemble(t, ln, log, extra, nil)
 }
 
-// NewKept is New with tokens kept by k, which its caller opened, if that is not nil.
-func NewKept(t Told, ln net.Listener, log *logrus.Entry, k gate.Keeper) (*Server, error) {
+// NewWithTokenStore is New with idempotency tokens cached in k, which its caller opened, if that is not nil.
+func NewWithTokenStore(t Config, ln net.Listener, log *logrus.Entry, k gate.Keeper) (*Server, error) {
 	return assemble(t, ln, log, nil, k)
 }
 
-func assemble(t Told, ln net.Listener, log *logrus.Entry, extra Extra, keeper gate.Keeper) (x *Server, err error) {
-	p, settings, sockets := t.Process, *t.Opening, t.Sockets
-	if t.Op != nil {
-		t.Op.File.Apply(&settings)
-		if sockets -= t.Op.File.Descriptors(); sockets < leastSockets {
-			return nil, fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", t.Op.File.Descriptors(), p.Sockets)
+func assemble(t Config, ln net.Listener, log *logrus.Entry, extra Extension, keeper gate.Keeper) (x *Server, err error) {
+	p, settings, sockets := t.Process, *t.Config, t.Sockets
+	if t.Operator != nil {
+		t.Operator.File.Apply(&settings)
+		if sockets -= t.Operator.File.Descriptors(); sockets < leastSockets {
+			return nil, fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", t.Operator.File.Descriptors(), p.Sockets)
 		}
-		if t.Op.File.Fleet != nil && extra == nil {
+		if t.Operator.File.Fleet != nil && extra == nil {
 			return nil, fmt.Errorf("operator: fleet: this command serves without one; valvefleet serve takes the same configuration")
 		}
 	}
 	x = &Server{log: log, leave: make(chan int, 1), back: make(chan chan error)}
-	x.phase.ramp = settings.Node.WarmBy
+	x.phase.ramp = settings.Node.WarmUpTime
 	ctx, end := context.WithCancel(context.Background())
 	x.ctx = ctx
 	defer func() {
@@ -144,16 +144,16 @@
 	if keeper != nil {
 		g.Keep(keeper)
 	}
-	if t.Op != nil && t.Op.File.Trace != nil {
-		rec := trace.NewRecorder(t.Op.File.Trace.Path, TraceBounds(t.Op.File.Trace), BuildVersion(), func(err error) {
+	if t.Operator != nil && t.Operator.File.Trace != nil {
+		rec := trace.NewRecorder(t.Operator.File.Trace.Path, TraceBounds(t.Operator.File.Trace), BuildVersion(), func(err error) {
 			log.WithError(err).Error("trace: not recorded")
 		})
 		x.ends = append(x.ends, func() { rec.Close() })
 		g.Trace(rec)
 	}
 	begun := g.Start
-	if t.Op != nil && t.Op.File.Store != nil { // until it has been read, the server listens and pushes back
-		kept := openStore(t.Op.File.Store, &settings, p.Name, log)
+	if t.Operator != nil && t.Operator.File.Store != nil { // until it has been read, the server listens and pushes back
+		kept := openStore(t.Operator.File.Store, &settings, p.Name, log)
 		x.kept = kept
 		x.ends = append(x.ends, kept.close, func() { kept.tell(log) }) // as it stood at the end
 		go kept.tells(ctx, log)
@@ -174,14 +174,14 @@
 	x.link = link
 	x.table = front.NewTable(sockets, g.Idle, log)
 	run := link.Runner()
-	if t.Op != nil {
+	if t.Operator != nil {
 		if x.more, err = newExtras(ctx, t, x.table, g, run, log); err != nil {
 			return nil, err
 		}
 		run = x.more.run
 	}
 	if extra != nil {
-		parts := Parts{Told: t, Log: log, Build: BuildVersion(), Gate: g, Pools: x.Pools(), Phase: x.phase.now, Leave: x.leaves, Stay: x.stay, Release: x.release, Carried: x.sample}
+		parts := Parts{Config: t, Log: log, Build: BuildVersion(), Gate: g, Pools: x.Pools(), Phase: x.phase.now, Leave: x.leaves, CancelDrain: x.stay, Release: x.release, SampleLoad: x.sample}
 		if x.added, err = extra(parts); err != nil {
 			return nil, err
 		}
@@ -235,7 +235,7 @@
 }
 
 // Web is where the front for uwsgi listens; "" without one.
-func (x *Server) Web() string {
+func (x *Server) WebAddress() string {
 	if x.more == nil || x.more.ln == nil {
 		return ""
 	}
@@ -243,13 +243,13 @@
 }
 
 // set takes a new operator's file, whole or not at all, and returns the number of the version that runs.
-func (x *Server) set(next Told) (int, error) {
+func (x *Server) set(next Config) (int, error) {
 	if x.more == nil {
 		return 0, nil
 	}
 	number, err := x.more.set(next)
 	if err == nil && x.added != nil {
-		x.added.Set(&next.Op.File)
+		x.added.Set(&next.Operator.File)
 	}
 	return number, err
 }
@@ -266,7 +266,7 @@
 	return err
 }
 
-// sample is Parts.Carried.
+// sample is Parts.SampleLoad.
 func (x *Server) sample() {
 	if x.more != nil {
 		x.more.carried.sample(time.Now())
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -28,7 +28,7 @@
 }
 
 // openStore reads what stands in the folder, beside the start of the rest.
-func openStore(o *operator.Store, told *startup.Opening, name string, log *logrus.Entry) *opened {
+func openStore(o *operator.Store, told *startup.Config, name string, log *logrus.Entry) *opened {
 	x := &opened{ready: make(chan struct{})}
 	go func() {
 		defer close(x.ready)
@@ -52,8 +52,8 @@
 func storeBounds(o *operator.Store, methods []control.Method) store.Bounds {
 	b := store.Bounds{Bytes: o.MaxMB * (1 << 20), Segment: o.SegmentMB * (1 << 20), Answer: o.MaxAnswerBytes, Tolerance: o.ToleranceMs}
 	for _, m := range methods {
-		if m.Repeat == control.Tokened {
-			b.Window = max(b.Window, m.Window+m.Deadline)
+		if m.Idempotency == control.IdempotencyKeyed {
+			b.Window = max(b.Window, m.DedupWindow+m.Deadline)
 		}
 	}
 	return b
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -85,9 +85,9 @@
 
 func (s *steps) settings() *replay.Settings { return settingsOf(&s.Header.Told, s.Header.Cold) }
 
-func settingsOf(o *startup.Opening, cold bool) *replay.Settings {
-	s := &replay.Settings{Node: o.Node, Fleet: o.Fleet, Below: o.Below, Rules: o.Rules, Methods: o.Methods, Customers: o.Customers}
-	s.Node.Cold = cold
+func settingsOf(o *startup.Config, cold bool) *replay.Settings {
+	s := &replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
+	s.Node.WarmingUp = cold
 	return s
 }
 
@@ -116,7 +116,7 @@
 	parts := 0
 	n, err := replay.Exact(set, s.next, func(p replay.Parting) {
 		if parts++; parts <= 20 {
-			fmt.Printf("at %.3f ms (event %d): was %s, is %s\n", p.Now, p.Step, verdictName(p.Was.RPC, int(p.Was.Do)), verdictName(p.Is.RPC, int(p.Is.Do)))
+			fmt.Printf("at %.3f ms (event %d): was %s, is %s\n", p.Now, p.Step, verdictName(p.Was.RPC, int(p.Was.Kind)), verdictName(p.Is.RPC, int(p.Is.Kind)))
 		}
 	}, func(f replay.Final) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) })
 	if err != nil {
@@ -155,17 +155,17 @@
 	if err != nil {
 		return err
 	}
-	is, _, err := c.model(func(o *startup.Opening) error {
+	is, _, err := c.model(func(o *startup.Config) error {
 		if c.Settings != "" {
 			p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": c.Settings}[key] })
 			if err != nil {
 				return err
 			}
-			if len(p.Opening.Methods) != len(o.Methods) {
-				return fmt.Errorf("%s: %d methods expected, as in the trace, %d there", c.Settings, len(o.Methods), len(p.Opening.Methods))
+			if len(p.Config.Methods) != len(o.Methods) {
+				return fmt.Errorf("%s: %d methods expected, as in the trace, %d there", c.Settings, len(o.Methods), len(p.Config.Methods))
 			}
 			seed := o.Node.Seed
-			*o = *p.Opening
+			*o = *p.Config
 			o.Node.Seed = seed
 		}
 		if c.Operator != "" {
@@ -195,7 +195,7 @@
 	criticality float64
 }
 
-func (c diffCmd) model(change func(*startup.Opening) error) (*ends, []methodName, error) {
+func (c diffCmd) model(change func(*startup.Config) error) (*ends, []methodName, error) {
 	s, err := openSteps(c.File)
 	if err != nil {
 		return nil, nil, err
--- a/internal/experiment/mixed.go
+++ b/internal/experiment/mixed.go
@@ -66,7 +66,7 @@
 			callers = map[string]standin.Caller{"msgpack": queueCaller{q}, "uwsgi": queueCaller{q}}
 			ends = append(ends, q.Close)
 		default:
-			settings.Rules.Settle = mixedSettle
+			settings.Limits.DisplaceableFor = mixedSettle
 			s, err := NewServer(settings, engine.Addr(), File(mixedMethods))
 			if err != nil {
 				return nil, err
--- a/internal/experiment/parity.go
+++ b/internal/experiment/parity.go
@@ -51,7 +51,7 @@
 		RetryAfter: time.Second, Grace: 500 * time.Millisecond, Seed: 11}
 }
 
-func paritySettings() (*startup.Opening, error) {
+func paritySettings() (*startup.Config, error) {
 	s := fmt.Sprintf("classes.count=%d\nfamily_info.cores=%d\nfamily_info.ram_kb=%d\nfamily_info.callers=3\nfamily_info.meters=core_use,on_cores\n"+
 		"rules.tip_multiple=8\nrules.drain_grace=500000000\nrules.answer_slack=80000000\nrules.cold=%d\nlimits.max_retry_after=1000000000\nclient_habits.marks_retry=true\n",
 		len(parityMethods), parityCores, 4<<20, parityWarm.Nanoseconds())
@@ -127,17 +127,17 @@
 // tracer counts what a gate's decisions do.
 type tracer struct{ *counts }
 
-func (tracer) Begin(*startup.Opening, bool, time.Time) {}
+func (tracer) Begin(*startup.Config, bool, time.Time) {}
 
 func (t tracer) Event(_ float64, ev control.Event, actions []control.Action, _ string) {
 	switch ev.Kind {
-	case control.Arrive:
+	case control.Arrived:
 		t.arrived.Add(1)
-	case control.Ended:
+	case control.Completed:
 		t.ended.Add(1)
 	}
 	for _, a := range actions {
-		if a.Do == control.Run {
+		if a.Kind == control.Run {
 			t.ran.Add(1)
 		}
 	}
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -31,7 +31,7 @@
 }
 
 // Settings are the platform's, as a lab needs them.
-func Settings(methods []Method, cores int) (*startup.Opening, error) {
+func Settings(methods []Method, cores int) (*startup.Config, error) {
 	s := fmt.Sprintf("classes.count=%d\nfamily_info.cores=%d\nfamily_info.ram_kb=4000000\nfamily_info.run_factor=4\nfamily_info.key_kb=1\n"+
 		"family_info.callers=3\nfamily_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=500000000\nrules.answer_slack=80000000\n"+
 		"limits.max_retry_after=1000000000\nclient_habits.marks_retry=true\ntick=4000000\n", len(methods), cores)
@@ -57,12 +57,12 @@
 }
 
 // NewServer puts a server together before an engine, with what an operator's file sets; its listen address is ignored.
-func NewServer(o *startup.Opening, engineAddr string, f *operator.File) (*Server, error) {
+func NewServer(o *startup.Config, engineAddr string, f *operator.File) (*Server, error) {
 	return NewKeptServer(o, engineAddr, f, nil, "127.0.0.1:0", "127.0.0.1:0")
 }
 
 // NewKeptServer is NewServer at given addresses, with tokens kept by k if that is not nil.
-func NewKeptServer(o *startup.Opening, engineAddr string, f *operator.File, k gate.Keeper, rpc, web string) (*Server, error) {
+func NewKeptServer(o *startup.Config, engineAddr string, f *operator.File, k gate.Keeper, rpc, web string) (*Server, error) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	if strings.HasSuffix(web, ":0") { // an operator's file names its port
@@ -77,16 +77,16 @@
 	if err != nil {
 		return nil, err
 	}
-	t := daemon.Told{
-		Process: &startup.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Opening: o},
-		Op:      &operator.Record{File: own},
+	t := daemon.Config{
+		Process:  &startup.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Config: o},
+		Operator: &operator.Record{File: own},
 	}
-	whole, err := daemon.NewKept(t, ln, logger.WithField("node", "lab"), k)
+	whole, err := daemon.NewWithTokenStore(t, ln, logger.WithField("node", "lab"), k)
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	s := &Server{RPC: ln.Addr().String(), Web: whole.Web(), Gate: whole.Gate, Pools: whole.Pools(), whole: whole}
+	s := &Server{RPC: ln.Addr().String(), Web: whole.WebAddress(), Gate: whole.Gate, Pools: whole.Pools(), whole: whole}
 	for began := time.Now(); !s.Gate.Started() && time.Since(began) < 5*time.Second; time.Sleep(time.Millisecond) {
 	}
 	return s, nil
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -125,9 +125,9 @@
 const mostNames = 1 << 16
 
 // Arrives is gate.Budgets: it tells whether an RPC lies within this server's part of its customer's quota.
-func (b *Budgets) Arrives(method, customer string, criticality float64) (control.Budget, float64) {
+func (b *Budgets) Arrives(method, customer string, criticality float64) (control.QuotaStatus, float64) {
 	if len(*b.rules.Load()) == 0 {
-		return control.Untold, 0
+		return control.QuotaUnknown, 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,11 +137,11 @@
 	ok, bound, again := b.book.Take(now, n.budget, criticality, 0)
 	switch {
 	case !bound:
-		return control.Untold, 0
+		return control.QuotaUnknown, 0
 	case ok:
-		return control.Within, 0
+		return control.WithinQuota, 0
 	}
-	return control.Over, again
+	return control.OverQuota, again
 }
 
 // Retry is pools.Budgets: one more further try.
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -39,15 +39,15 @@
 	p.f.Close()
 }
 
-// Beside starts a server's part in the fleet of its operator's file, if that has one. It is a daemon.Extra.
-func Beside(p daemon.Parts) (daemon.Added, error) {
-	if p.Told.Op == nil || p.Told.Op.File.Fleet == nil {
+// Beside starts a server's part in the fleet of its operator's file, if that has one. It is a daemon.Extension.
+func Beside(p daemon.Parts) (daemon.Addition, error) {
+	if p.Config.Operator == nil || p.Config.Operator.File.Fleet == nil {
 		return nil, nil
 	}
-	x := p.Told.Op.File.Fleet
+	x := p.Config.Operator.File.Fleet
 	o := Options{
-		Name: p.Told.Name, Zone: x.Zone, Listen: x.Listen, Advertise: x.Advertise, Fleet: x.Name, Seeds: x.Seeds,
-		Expect: x.ExpectedServers, Version: p.Build, Settings: p.Told.Op.Hash[:min(12, len(p.Told.Op.Hash))], Log: p.Log,
+		Name: p.Config.Name, Zone: x.Zone, Listen: x.Listen, Advertise: x.Advertise, Fleet: x.Name, Seeds: x.Seeds,
+		Expect: x.ExpectedServers, Version: p.Build, Settings: p.Config.Operator.Hash[:min(12, len(p.Config.Operator.Hash))], Log: p.Log,
 		Phase: PhaseOf(p.Phase),
 	}
 	if x.KeyFile != "" {
@@ -66,19 +66,19 @@
 	if err != nil {
 		return nil, err
 	}
-	y := &part{f: f, b: f.Share(p.Told.Op.File.Budgets)}
+	y := &part{f: f, b: f.Share(p.Config.Operator.File.Budgets)}
 	p.Gate.Share(y.b)
 	p.Pools.Judge(f.Judge())
-	methods := p.Told.Opening.Methods
+	methods := p.Config.Config.Methods
 	p.Pools.Share(y.b, func(method string) float64 {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
 		return methods[max(0, i)].Criticality
 	})
 	if len(x.PermitServers) > 0 {
-		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.Stay, Aside: p.Pools.Aside, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
+		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.CancelDrain, Aside: p.Pools.Aside, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
 			n := p.Gate.Flow()
 			return n.All, n.PushedBack
-		}, Settle: Settle{Build: p.Build, Folder: x.DataDir, Take: p.Release, Flow: p.Gate.Flow, Mark: p.Carried}})
+		}, Settle: Settle{Build: p.Build, Folder: x.DataDir, Take: p.Release, Flow: p.Gate.Flow, Mark: p.SampleLoad}})
 	}
 	if x.Socket != "" {
 		if y.s, err = f.ServeSocket(x.Socket); err != nil {
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -24,13 +24,13 @@
 		if os.Getenv("BED_PROGRAM") == "crashes" {
 			os.Exit(3)
 		}
-		if err := (daemon.Command{Operator: os.Args[3]}).Run(func(p daemon.Parts) (daemon.Added, error) {
+		if err := (daemon.Command{Operator: os.Args[3]}).Run(func(p daemon.Parts) (daemon.Addition, error) {
 			if name := os.Getenv("BED_PROGRAM"); name != "" {
 				p.Build = name
 			}
 			return fleet.Beside(p)
 		}); err != nil {
-			var code daemon.Exit
+			var code daemon.ExitCode
 			if errors.As(err, &code) {
 				os.Exit(int(code))
 			}
--- a/internal/fleetsim/callers.go
+++ b/internal/fleetsim/callers.go
@@ -68,7 +68,7 @@
 }
 
 type callers struct {
-	told    *startup.Opening
+	told    *startup.Config
 	routers []router
 	rpcs    []rpc
 	spare   []int32
--- a/internal/fleetsim/serve.go
+++ b/internal/fleetsim/serve.go
@@ -58,7 +58,7 @@
 )
 
 // settings are the platform's, for a world's servers.
-func (o *Options) settings() *startup.Opening {
+func (o *Options) settings() *startup.Config {
 	s := fmt.Sprintf("classes.count=3\nfamily_info.cores=%d\nfamily_info.ram_kb=4000000\nfamily_info.run_factor=4\nfamily_info.key_kb=1\n"+
 		"family_info.callers=3\nfamily_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=%g\nrules.answer_slack=%g\n"+
 		"limits.max_retry_after=1000000000\nclient_habits.marks_retry=true\ntick=4000000\nrules.cold=%g\nreplicas_of_me=%d\n",
--- a/internal/front/mprpc/server.go
+++ b/internal/front/mprpc/server.go
@@ -40,18 +40,18 @@
 
 // Absent takes out of o what the protocol of the routers and of the engine can't carry, so that no decision is
 // built on it, and names it.
-func Absent(o *startup.Opening) (names []string) {
-	if o.Below.Share > 0 {
-		o.Below, names = control.Below{}, append(names, "calls below")
+func Absent(o *startup.Config) (names []string) {
+	if o.Dependency.ConcurrencyShare > 0 {
+		o.Dependency, names = control.Dependency{}, append(names, "calls below")
 	}
-	if o.Node.Stop != control.StopNone {
-		o.Node.Stop, names = control.StopNone, append(names, "stopping of runs")
+	if o.Node.Preemption != control.PreemptNone {
+		o.Node.Preemption, names = control.PreemptNone, append(names, "stopping of runs")
 	}
-	if o.Fleet.Say != control.SayNone {
-		o.Fleet.Say, names = control.SayNone, append(names, "a value for callers")
+	if o.Fleet.Feedback != control.FeedbackNone {
+		o.Fleet.Feedback, names = control.FeedbackNone, append(names, "a value for callers")
 	}
-	if o.Fleet.TellsTime {
-		o.Fleet.TellsTime, names = false, append(names, "the time that a caller waits")
+	if o.Fleet.PropagatesDeadline {
+		o.Fleet.PropagatesDeadline, names = false, append(names, "the time that a caller waits")
 	}
 	return names
 }
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -666,13 +666,13 @@
 }
 
 func TestAbsent(t *testing.T) {
-	o := &startup.Opening{}
+	o := &startup.Config{}
 	if names := Absent(o); names != nil {
 		t.Errorf("absent %q of nothing", names)
 	}
-	o.Below.Share, o.Node.Stop, o.Fleet.Say, o.Fleet.TellsTime = 2, control.StopAbort, control.SayLevel, true
-	if names := Absent(o); len(names) != 4 || o.Below.Share != 0 || o.Node.Stop != control.StopNone ||
-		o.Fleet.Say != control.SayNone || o.Fleet.TellsTime {
+	o.Dependency.ConcurrencyShare, o.Node.Preemption, o.Fleet.Feedback, o.Fleet.PropagatesDeadline = 2, control.PreemptAbort, control.FeedbackLevel, true
+	if names := Absent(o); len(names) != 4 || o.Dependency.ConcurrencyShare != 0 || o.Node.Preemption != control.PreemptNone ||
+		o.Fleet.Feedback != control.FeedbackNone || o.Fleet.PropagatesDeadline {
 		t.Errorf("absent %q, told %+v", names, o)
 	}
 }
--- a/internal/gate/clock.go
+++ b/internal/gate/clock.go
@@ -25,14 +25,14 @@
 	at := g.now()
 	now := g.clock(at)
 	if now >= g.wake {
-		ev := control.Event{Kind: control.Timer, Label: g.label}
+		ev := control.Event{Kind: control.TimerFired, Label: g.label}
 		ev.Gauges.Stale = len(gauges) == 0 && len(g.told.Gauges) > 0
 		for i := range min(len(gauges), len(g.told.Gauges)) {
 			switch g.told.Gauges[i] {
 			case "core_use":
-				ev.Gauges.CoreUse = gauges[i]
+				ev.Gauges.CPUUtilization = gauges[i]
 			case "on_cores":
-				ev.Gauges.OnCores = gauges[i]
+				ev.Gauges.Runnable = gauges[i]
 			}
 		}
 		g.handle(now, ev)
@@ -45,9 +45,9 @@
 // gets one here: no error in them may lose it.
 func (g *Gate) sweep(now float64) {
 	for _, t := range g.tickets {
-		if !t.final && now > t.due+g.told.Slack/2 {
+		if !t.final && now > t.due+g.told.AnswerSlack/2 {
 			g.log("gate: an RPC was overdue", "")
-			g.end(t, control.Reset, Verdict{Answer: Aborted, Why: "overdue", Late: true})
+			g.end(t, control.OutcomeReset, Verdict{Answer: Aborted, Why: "overdue", Late: true})
 		}
 	}
 	if g.expiries == nil {
--- a/internal/gate/decide.go
+++ b/internal/gate/decide.go
@@ -29,7 +29,7 @@
 		actions := g.decide.Handle(now, g.todo[i])
 		if g.trace != nil {
 			token := ""
-			if t := g.tickets[g.todo[i].RPC]; t != nil && g.todo[i].Kind == control.Arrive {
+			if t := g.tickets[g.todo[i].RPC]; t != nil && g.todo[i].Kind == control.Arrived {
 				token = t.key
 			}
 			g.trace.Event(now, g.todo[i], actions, token)
@@ -47,41 +47,41 @@
 const dueSoon = 80.0
 
 func (g *Gate) carryOut(a control.Action) {
-	switch a.Do {
-	case control.Arm:
+	switch a.Kind {
+	case control.SetTimer:
 		g.wake, g.label = a.Time, a.Label
 		return
-	case control.Health:
-		if g.good != a.Good {
-			g.good = a.Good
+	case control.SetHealth:
+		if g.good != a.Healthy {
+			g.good = a.Healthy
 			select {
 			case g.changed <- struct{}{}:
 			default:
 			}
 		}
 		return
-	case control.IdleAfter:
+	case control.SetIdleTimeout:
 		g.idle = ms(a.Time)
 		if a.Time == 0 {
-			g.idle = ms(g.told.Fleet.Idle)
+			g.idle = ms(g.told.Fleet.IdleTimeout)
 		}
 		return
-	case control.Note:
-		g.log(a.Text, "")
+	case control.LogEvent:
+		g.log(a.Message, "")
 		return
 	}
 	t := g.tickets[a.RPC]
 	if t == nil { // it is over; a run of it must still end for the module
-		if a.Do == control.Run {
-			g.later(control.Event{Kind: control.Ended, RPC: a.RPC, Outcome: control.Moot})
+		if a.Kind == control.Run {
+			g.later(control.Event{Kind: control.Completed, RPC: a.RPC, Outcome: control.OutcomeNotStarted})
 		}
 		return
 	}
-	switch a.Do {
+	switch a.Kind {
 	case control.Run:
 		g.run(t)
-	case control.PushBack:
-		v := Verdict{Answer: PushedBack, Last: a.Last, Away: math.Min(a.Time, g.told.Fleet.MaxRetryAfter)}
+	case control.Reject:
+		v := Verdict{Answer: PushedBack, Last: a.NoRetry, Away: math.Min(a.Time, g.told.Fleet.MaxRetryAfter)}
 		if k := t.joins; t.running || k != nil && k.ran && g.tokens[t.key] == k {
 			v = Verdict{Answer: Aborted, Why: "it may have run"} // what ran is never pushed back
 		}
@@ -89,9 +89,9 @@
 	case control.Abort:
 		late := unixMs(g.now())+dueSoon > t.due
 		t.finish(Verdict{Answer: Aborted, Why: "given up", Late: late})
-	case control.Remember:
+	case control.CacheToken:
 		g.remember(t, a.Time)
-	case control.Forget:
+	case control.EvictToken:
 		if k := g.tokens[t.key]; k != nil && k.id == t.id && !k.ran {
 			g.forget(k)
 		}
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -17,7 +17,7 @@
 // notice tells the decisions of a drain, if they have begun: it may be older than they are.
 func (g *Gate) notice(now time.Time) {
 	if g.decide != nil && g.draining {
-		g.handle(g.clock(now), control.Event{Kind: control.Notice, Time: float64(g.stop) / 1e6, Waited: float64(now.Sub(g.leaves)) / 1e6})
+		g.handle(g.clock(now), control.Event{Kind: control.DrainNotice, Remaining: float64(g.stop) / 1e6, Age: float64(now.Sub(g.leaves)) / 1e6})
 	}
 }
 
@@ -31,7 +31,7 @@
 	}
 	g.draining = false
 	if g.decide != nil {
-		g.handle(g.clock(g.now()), control.Event{Kind: control.Stay})
+		g.handle(g.clock(g.now()), control.Event{Kind: control.DrainCancelled})
 	}
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -20,7 +20,7 @@
 type Gate struct {
 	log   Log
 	now   func() time.Time
-	told  *startup.Opening
+	told  *startup.Config
 	trace Tracer  // nil for none
 	store Keeper  // nil for none
 	parts Budgets // nil for none
@@ -29,8 +29,8 @@
 	customers map[string]int
 
 	mu       sync.Mutex
-	decide   *control.Control // nil until Start
-	origin   time.Time        // zero of the module's clock
+	decide   *control.Controller // nil until Start
+	origin   time.Time           // zero of the module's clock
 	wake     float64
 	label    uint64
 	lastID   uint32
@@ -54,14 +54,14 @@
 }
 
 // New returns a gate for a server told o. Its table of tokens stays under a quarter of memoryMB.
-func New(o *startup.Opening, memoryMB int, log Log) *Gate {
+func New(o *startup.Config, memoryMB int, log Log) *Gate {
 	g := &Gate{
 		log: log, now: time.Now, told: o,
 		methods: map[string]int{}, customers: map[string]int{},
 		tickets: map[uint32]*Ticket{}, ids: map[string]struct{}{}, tokens: map[string]*token{},
 		hash:    maphash.MakeSeed(),
 		keptKB:  float64(memoryMB) * 1024 / 4,
-		idle:    ms(o.Fleet.Idle),
+		idle:    ms(o.Fleet.IdleTimeout),
 		changed: make(chan struct{}, 1),
 	}
 	for i, m := range o.Methods {
@@ -108,9 +108,9 @@
 	for _, t := range g.tickets {
 		k := t.joins
 		if t.running || t.keeping || k != nil && k.ran { // what ran is never pushed back
-			g.end(t, control.Reset, Verdict{Answer: Aborted, Why: "the server is closed"})
+			g.end(t, control.OutcomeReset, Verdict{Answer: Aborted, Why: "the server is closed"})
 		} else {
-			g.end(t, control.Reset, Verdict{Answer: PushedBack})
+			g.end(t, control.OutcomeReset, Verdict{Answer: PushedBack})
 		}
 	}
 }
@@ -127,14 +127,14 @@
 	g.origin = now.Add(-ago)
 	o := g.told
 	node := o.Node
-	node.Cold = cold
+	node.WarmingUp = cold
 	if g.trace != nil {
 		g.trace.Begin(o, cold, g.origin)
 	}
-	g.decide = control.New(node, o.Fleet, o.Below, o.Rules, o.Methods, o.Customers)
-	g.handle(0, control.Event{Kind: control.Begin})
-	for at := g.wake; cold && at <= math.Min(g.clock(now), node.WarmBy); at = g.wake {
-		g.handle(at, control.Event{Kind: control.Timer, Label: g.label})
+	g.decide = control.New(node, o.Fleet, o.Dependency, o.Limits, o.Methods, o.Customers)
+	g.handle(0, control.Event{Kind: control.Started})
+	for at := g.wake; cold && at <= math.Min(g.clock(now), node.WarmUpTime); at = g.wake {
+		g.handle(at, control.Event{Kind: control.TimerFired, Label: g.label})
 	}
 	g.notice(now)
 }
@@ -152,7 +152,7 @@
 	for i := range g.told.Methods {
 		longest = math.Max(longest, g.told.Methods[i].Deadline)
 	}
-	return ms(longest + g.told.Slack)
+	return ms(longest + g.told.AnswerSlack)
 }
 
 // Advice is the time to stay away that goes with what the protocol itself pushes back, within what is honoured.
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -154,7 +154,7 @@
 		{"overdue, as the module never looked", func(w *world) {
 			a := w.enter("view", "")
 			w.expect(a, Run)
-			w.decide.Handle(w.clock(w.at), control.Event{Kind: control.Left, RPC: a.id}) // it has lost it
+			w.decide.Handle(w.clock(w.at), control.Event{Kind: control.CallerGone, RPC: a.id}) // it has lost it
 			w.pass(2100 * time.Millisecond)
 			w.expect(a, Aborted)
 		}},
@@ -321,11 +321,11 @@
 			a := w.enter("buy", "other")
 			w.expect(a, Run)
 			a.running, a.key, a.door = false, first.key, first.door
-			w.carryOut(control.Action{Do: control.Run, RPC: a.id})
+			w.carryOut(control.Action{Kind: control.Run, RPC: a.id})
 			w.expect(a, Aborted)
 		}},
 		{"the module pushes back what has run", func(w *world, first *Ticket) {
-			w.carryOut(control.Action{Do: control.PushBack, RPC: first.id})
+			w.carryOut(control.Action{Kind: control.Reject, RPC: first.id})
 			w.expect(first, Aborted)
 		}},
 	}
@@ -406,7 +406,7 @@
 	a := w.enter("view", "")
 	w.expect(a, Run)
 	good := w.decide
-	w.decide = &control.Control{} // any event makes it panic
+	w.decide = &control.Controller{} // any event makes it panic
 	b := w.enter("view", "")
 	w.expect(b, Aborted)
 	w.decide = good
--- a/internal/gate/hooks.go
+++ b/internal/gate/hooks.go
@@ -15,7 +15,7 @@
 // Tracer hears of all that the decisions are told and say, under the gate's lock: it must not block. The actions are
 // valid until it returns. The token is the key of a tokened arrival, else "".
 type Tracer interface {
-	Begin(told *startup.Opening, cold bool, origin time.Time)
+	Begin(told *startup.Config, cold bool, origin time.Time)
 	Event(now float64, ev control.Event, actions []control.Action, token string)
 }
 
@@ -32,5 +32,5 @@
 // Budgets tells how an arrival stands to its server's part of its customer's quota, where servers share quotas, and in how
 // many ms one that is over may be within. It is called under the gate's lock: it must neither block nor call the gate.
 type Budgets interface {
-	Arrives(method, customer string, criticality float64) (stands control.Budget, again float64)
+	Arrives(method, customer string, criticality float64) (stands control.QuotaStatus, again float64)
 }
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -40,8 +40,8 @@
 		t.over(how, head, result)
 	}
 	g.ran[t.method].RunMs += spent
-	outcome := [...]control.Outcome{control.Error, control.OK, control.Moot, control.Moot, control.OK}[how]
-	g.handle(g.clock(g.now()), control.Event{Kind: control.Ended, RPC: t.id, Outcome: outcome, Spent: spent})
+	outcome := [...]control.Outcome{control.OutcomeError, control.OutcomeOK, control.OutcomeNotStarted, control.OutcomeNotStarted, control.OutcomeOK}[how]
+	g.handle(g.clock(g.now()), control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome, Elapsed: spent})
 	return own
 }
 
@@ -51,7 +51,7 @@
 	g := t.g
 	k := g.tokens[t.key]
 	if k == nil || k.id != t.id { // its token has been dropped meanwhile: its window is over
-		k = &token{until: t.door + g.told.Methods[t.method].Window}
+		k = &token{until: t.door + g.told.Methods[t.method].DedupWindow}
 	}
 	state := [...]recovery.State{recovery.Failed, recovery.Done, recovery.Forgotten, recovery.Forgotten, recovery.Unkept}[how]
 	t.keeping = true
@@ -137,7 +137,7 @@
 func (t *Ticket) notRun() {
 	t.running = false
 	t.over(Full, nil, nil)
-	t.g.later(control.Event{Kind: control.Ended, RPC: t.id, Outcome: control.Moot})
+	t.g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
 }
 
 // ended gives a held or joined RPC its verdict and tells the module that it is over.
@@ -145,9 +145,9 @@
 	if !t.finish(v) {
 		return
 	}
-	outcome := control.Error
+	outcome := control.OutcomeError
 	if v.Answer == OK {
-		outcome = control.OK
+		outcome = control.OutcomeOK
 	}
-	g.later(control.Event{Kind: control.Ended, RPC: t.id, Outcome: outcome})
+	g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome})
 }
--- a/internal/gate/stats.go
+++ b/internal/gate/stats.go
@@ -55,7 +55,7 @@
 	case Aborted:
 		f.Aborted++
 	case OK:
-		if unixMs(g.now())-t.door > g.told.Methods[t.method].LatencyTarget {
+		if unixMs(g.now())-t.door > g.told.Methods[t.method].LatencyObjective {
 			f.Late++
 		}
 		r := &g.ran[t.method]
--- a/internal/gate/ticket.go
+++ b/internal/gate/ticket.go
@@ -46,7 +46,7 @@
 	if !known && len(g.customers) > 0 {
 		return nil, fmt.Errorf("customer %.40q is not known here", r.Customer)
 	}
-	tokened := g.told.Methods[m].Repeat == control.Tokened
+	tokened := g.told.Methods[m].Idempotency == control.IdempotencyKeyed
 	if tokened && r.Token == "" {
 		return nil, fmt.Errorf("method %s: a token expected, none there", r.Method)
 	}
@@ -106,13 +106,13 @@
 	g.lastID++
 	t.id = g.lastID
 	ev := control.Event{
-		Kind: control.Arrive, RPC: t.id, Method: m, Customer: customer, Caller: r.Caller, Subject: r.Subject,
-		Waited: now - door, Hint: r.Hint, HeldKB: r.HeldKB, Retry: r.Retry,
+		Kind: control.Arrived, RPC: t.id, Method: m, Customer: customer, Caller: r.Caller, Subject: r.Subject,
+		Age: now - door, CostHint: r.Hint, QueuedKB: r.HeldKB, Retry: r.Retry,
 	}
 	if k := g.tokens[t.key]; k != nil && t.door < k.until {
-		ev.Original, t.joins = k.id, k // its customer's quota was asked for the first try
+		ev.DuplicateOf, t.joins = k.id, k // its customer's quota was asked for the first try
 	} else if g.parts != nil && len(g.customers) > 0 {
-		ev.Budget, ev.Again = g.parts.Arrives(r.Method, r.Customer, g.told.Methods[m].Criticality)
+		ev.Quota, ev.RetryAfter = g.parts.Arrives(r.Method, r.Customer, g.told.Methods[m].Criticality)
 	}
 	g.tickets[t.id] = t
 	if t.name != "" {
@@ -141,7 +141,7 @@
 		return s
 	}
 	if s.body = store.Hash(r.Body); !known {
-		s.says, s.head, s.result = store.Find(key, s.body, math.Min(r.Door, now), g.told.Methods[g.methods[r.Method]].Window)
+		s.says, s.head, s.result = store.Find(key, s.body, math.Min(r.Door, now), g.told.Methods[g.methods[r.Method]].DedupWindow)
 	}
 	return s
 }
@@ -190,10 +190,10 @@
 }
 
 // Leave tells that the caller no longer waits. It does nothing once there is a final verdict.
-func (t *Ticket) Leave() { t.leave(control.Error) }
+func (t *Ticket) Leave() { t.leave(control.OutcomeError) }
 
 // Lost tells that the caller's connection broke, which says nothing of how long it would have waited.
-func (t *Ticket) Lost() { t.leave(control.Reset) }
+func (t *Ticket) Lost() { t.leave(control.OutcomeReset) }
 
 func (t *Ticket) leave(how control.Outcome) {
 	t.g.mu.Lock()
@@ -205,7 +205,7 @@
 // drop the token of what never ran.
 func (g *Gate) end(t *Ticket, how control.Outcome, v Verdict) {
 	if !t.final {
-		g.handle(g.clock(g.now()), control.Event{Kind: control.Left, RPC: t.id, Outcome: how})
+		g.handle(g.clock(g.now()), control.Event{Kind: control.CallerGone, RPC: t.id, Outcome: how})
 		t.finish(v)
 	}
 }
--- a/internal/gate/tokens.go
+++ b/internal/gate/tokens.go
@@ -41,7 +41,7 @@
 		}
 		g.forget(k)
 	}
-	until := math.Max(unixMs(g.now())+life, t.door+g.told.Methods[t.method].Window+1) // a door has whole ms
+	until := math.Max(unixMs(g.now())+life, t.door+g.told.Methods[t.method].DedupWindow+1) // a door has whole ms
 	k := &token{id: t.id, key: t.key, body: t.body, until: until}
 	k.at, k.token = until+g.told.Methods[t.method].Deadline, k
 	g.tokens[t.key] = k
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -95,13 +95,13 @@
 }
 
 // Apply puts the limits and the hold into settings.
-func (f *File) Apply(o *startup.Opening) {
-	o.Rules.Settle = f.Queue.SettledMs
+func (f *File) Apply(o *startup.Config) {
+	o.Limits.DisplaceableFor = f.Queue.SettledMs
 	if f.Limits.OverShare != nil {
-		o.Fleet.OverShare = *f.Limits.OverShare
+		o.Fleet.OverQuotaFraction = *f.Limits.OverShare
 	}
 	if f.Limits.RunsPerCore > 0 {
-		o.Rules.Ceiling = f.Limits.RunsPerCore
+		o.Limits.MaxRunsPerCore = f.Limits.RunsPerCore
 	}
 	o.Customers = slices.Clone(o.Customers)
 	for i := range o.Customers {
@@ -338,7 +338,7 @@
 }
 
 // Load reads a record and checks it against the settings; errors name the record and the key.
-func Load(path string, o *startup.Opening) (*Record, error) {
+func Load(path string, o *startup.Config) (*Record, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -405,12 +405,12 @@
 func (f FieldError) String() string { return f.Path + ": " + f.Message }
 
 // KnownOf is what routes may name.
-func KnownNames(o *startup.Opening) route.Catalog {
-	k := route.Catalog{RequireToken: map[string]bool{}, Criticality: map[string]float64{}, OverQuotaFactor: o.Fleet.OverShare}
+func KnownNames(o *startup.Config) route.Catalog {
+	k := route.Catalog{RequireToken: map[string]bool{}, Criticality: map[string]float64{}, OverQuotaFactor: o.Fleet.OverQuotaFraction}
 	for _, m := range o.Methods {
 		k.Criticality[m.Name] = m.Criticality
 		k.Methods = append(k.Methods, m.Name)
-		k.RequireToken[m.Name] = m.Repeat == control.Tokened
+		k.RequireToken[m.Name] = m.Idempotency == control.IdempotencyKeyed
 	}
 	for _, c := range o.Customers {
 		k.Customers = append(k.Customers, c.Name)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -44,20 +44,21 @@
 
 const nsPerMs = 1e6
 
-// What says which of the adapter's duties an event brings.
-type What int
+// RecordKind says what the adapter has to do for a record.
+type RecordKind int
 
+// The kinds of records.
 const (
-	Happened What = iota // Event is for the instance Who
-	Opened               // a fresh instance Who begins, told Opening
-	Exited               // instance Who is gone
+	ControlEvent   RecordKind = iota // the event is for the controller of the instance
+	InstanceOpened                   // a fresh instance starts with Config
+	InstanceExited                   // the instance's process has died
 )
 
 // Event is one record of a batch.
 type Event struct {
-	What    What
-	Who     uint16
-	Opening *startup.Opening
+	Record   RecordKind
+	Instance uint16
+	Config   *startup.Config // of InstanceOpened
 	control.Event
 }
 
@@ -126,10 +127,10 @@
 }
 
 func (r *Reader) decode(code byte, f *fields, ev *Event) error {
-	ev.Who = f.u16()
+	ev.Instance = f.u16()
 	switch code {
 	case evOpen:
-		ev.What, ev.Kind = Opened, control.Begin
+		ev.Record, ev.Kind = InstanceOpened, control.Started
 		seed, text := f.u64(), f.bytes()
 		if f.bad == "" {
 			o, err := startup.Parse(string(text))
@@ -137,48 +138,48 @@
 				return r.fail("%v", err)
 			}
 			o.Node.Seed = seed
-			ev.Opening = o
-			r.gauges[ev.Who] = o.Gauges
+			ev.Config = o
+			r.gauges[ev.Instance] = o.Gauges
 		}
 	case evExit:
-		ev.What = Exited
+		ev.Record = InstanceExited
 	case evWakeup:
-		ev.Kind = control.Timer
+		ev.Kind = control.TimerFired
 		ev.Label = f.u64()
 		n := int(f.u8())
 		for i := 0; i < n && f.bad == ""; i++ {
 			v := f.f32()
-			names := r.gauges[ev.Who]
+			names := r.gauges[ev.Instance]
 			if i >= len(names) {
 				continue
 			}
 			switch names[i] {
 			case "core_use":
-				ev.Gauges.CoreUse = v
+				ev.Gauges.CPUUtilization = v
 			case "on_cores":
-				ev.Gauges.OnCores = v
+				ev.Gauges.Runnable = v
 			}
 		}
 	case evAsk:
-		ev.Kind = control.Arrive
+		ev.Kind = control.Arrived
 		ev.RPC = f.u32()
 		ev.Method, ev.Customer = int(f.u16()), int(f.u16())
 		ev.Subject = f.u64()
-		ev.Time, ev.Hint = f.ms(), f.ms()
-		ev.HeldKB = f.f32()
+		ev.Remaining, ev.CostHint = f.ms(), f.ms()
+		ev.QueuedKB = f.f32()
 		f.f32() // the rank: decisions go by criticality and share
 		flags := f.u8()
 		if flags&1 == 0 {
-			ev.Hint = 0
+			ev.CostHint = 0
 		}
 		ev.Retry = flags&2 != 0
 		ev.Caller = f.u16()
-		ev.Waited = f.ms()
-		ev.Original = f.u32()
+		ev.Age = f.ms()
+		ev.DuplicateOf = f.u32()
 	case evSettled, evCalled:
-		ev.Kind = control.Ended
+		ev.Kind = control.Completed
 		if code == evCalled {
-			ev.Kind = control.Called
+			ev.Kind = control.CallCompleted
 		}
 		ev.RPC = f.u32()
 		verdict := f.u8()
@@ -186,15 +187,15 @@
 			return r.fail("verdict 0 to 7 expected, %d there", verdict)
 		}
 		ev.Outcome = control.Outcome(verdict) // the numbers of control.Outcome are those of the wire
-		ev.Spent = f.ms()
+		ev.Elapsed = f.ms()
 	case evNotice:
-		ev.Kind = control.Notice
-		ev.Time = f.ms()
+		ev.Kind = control.DrainNotice
+		ev.Remaining = f.ms()
 	case evAwaiting:
-		ev.Kind = control.Wait
+		ev.Kind = control.AwaitingCall
 		ev.RPC = f.u32()
 	case evClientLeft:
-		ev.Kind = control.Left
+		ev.Kind = control.CallerGone
 		ev.RPC = f.u32()
 	default:
 		return r.fail("an event code expected, %d there", code)
@@ -289,61 +290,61 @@
 
 func (p *Reply) add(who uint16, a *control.Action) {
 	var code byte
-	switch a.Do {
+	switch a.Kind {
 	case control.Run:
 		code = acProcess
-	case control.PushBack:
+	case control.Reject:
 		code = acReject
 	case control.Abort:
 		code = acEndFailed
-	case control.Halt:
+	case control.Preempt:
 		code = acAbortWork
 	case control.Call:
 		code = acReachOut
-	case control.Skip:
+	case control.SkipCall:
 		code = acSkip
-	case control.Remember:
+	case control.CacheToken:
 		code = acRemember
-	case control.Forget:
+	case control.EvictToken:
 		code = acForget
 	case control.Join:
 		code = acJoin
-	case control.Health:
+	case control.SetHealth:
 		code = acReportHealth
-	case control.Tell:
+	case control.SetFeedback:
 		code = acStamp
-	case control.IdleAfter:
+	case control.SetIdleTimeout:
 		code = acIdleLimit
-	case control.Arm:
+	case control.SetTimer:
 		code = acArm
-	case control.Note:
+	case control.LogEvent:
 		code = acTrace
 	}
 	be := binary.BigEndian
 	start := len(p.buf)
 	b := append(p.buf, code, 0, 0, 0, 0)
 	b = be.AppendUint16(b, who)
-	switch a.Do {
-	case control.Health:
-		b = append(b, 1, bit(a.Good))
-	case control.Tell:
-		b = be.AppendUint32(b, math.Float32bits(float32(a.Value)))
-	case control.IdleAfter:
+	switch a.Kind {
+	case control.SetHealth:
+		b = append(b, 1, bit(a.Healthy))
+	case control.SetFeedback:
+		b = be.AppendUint32(b, math.Float32bits(float32(a.Feedback)))
+	case control.SetIdleTimeout:
 		b = be.AppendUint64(b, ns(a.Time))
-	case control.Arm:
+	case control.SetTimer:
 		b = be.AppendUint64(b, ns(a.Time))
 		b = be.AppendUint64(b, a.Label)
-	case control.Note:
-		text := a.Text[:min(len(a.Text), 200)]
+	case control.LogEvent:
+		text := a.Message[:min(len(a.Message), 200)]
 		b = be.AppendUint16(b, uint16(len(text)))
 		b = append(b, text...)
 	default:
 		b = be.AppendUint32(b, a.RPC)
-		switch a.Do {
-		case control.PushBack:
-			b = append(b, bit(a.Last))
+		switch a.Kind {
+		case control.Reject:
+			b = append(b, bit(a.NoRetry))
 			b = be.AppendUint64(b, ns(a.Time))
-		case control.Call, control.Remember:
+		case control.Call, control.CacheToken:
 			b = be.AppendUint64(b, ns(a.Time))
 		}
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -56,34 +56,34 @@
 				"5a 00000006 0005 0e6f2b19",
 			want: []control.Event{
 				{
-					Kind: control.Arrive, RPC: 0x5d3a91c4, Subject: 0x91f03b7c55d20a64, Time: 240, Hint: 12,
-					HeldKB: 24.5, Caller: 17, Waited: 1.85, Original: 0x0e6f2b19,
+					Kind: control.Arrived, RPC: 0x5d3a91c4, Subject: 0x91f03b7c55d20a64, Remaining: 240, CostHint: 12,
+					QueuedKB: 24.5, Caller: 17, Age: 1.85, DuplicateOf: 0x0e6f2b19,
 				},
-				{Kind: control.Timer, Label: 77},
-				{Kind: control.Left, RPC: 0x0e6f2b19},
+				{Kind: control.TimerFired, Label: 77},
+				{Kind: control.CallerGone, RPC: 0x0e6f2b19},
 			},
 		},
 		{
 			name: "no customers, no word on the time that is left, an unmarked retry, no hint",
 			frame: "0000003e 0000000000000000 00000001 1e 00000039 0003 5d3a91c4 0001 0000 0000000000000000 0000000000000000 0000000000000000" +
 				"41c40000 3f200000 00 0011 0000000000000000 00000000",
-			want: []control.Event{{Kind: control.Arrive, RPC: 0x5d3a91c4, Method: 1, HeldKB: 24.5, Caller: 17}},
+			want: []control.Event{{Kind: control.Arrived, RPC: 0x5d3a91c4, Method: 1, QueuedKB: 24.5, Caller: 17}},
 		},
 		{
 			name: "a hint that is not valid does not count",
 			frame: "0000003e 0000000000000000 00000001 1e 00000039 0003 5d3a91c4 0001 0000 0000000000000000 0000000000000000 0000000000b71b00" +
 				"41c40000 3f200000 06 0011 0000000000000000 00000000",
-			want: []control.Event{{Kind: control.Arrive, RPC: 0x5d3a91c4, Method: 1, HeldKB: 24.5, Caller: 17, Retry: true}},
+			want: []control.Event{{Kind: control.Arrived, RPC: 0x5d3a91c4, Method: 1, QueuedKB: 24.5, Caller: 17, Retry: true}},
 		},
 		{
 			name:  "a run that was stopped",
 			frame: "00000014 0000000000000000 00000001 32 0000000f 0003 5d3a91c4 06 00000000011a49a0",
-			want:  []control.Event{{Kind: control.Ended, RPC: 0x5d3a91c4, Outcome: control.Cancelled, Spent: 18.5}},
+			want:  []control.Event{{Kind: control.Completed, RPC: 0x5d3a91c4, Outcome: control.OutcomeCancelled, Elapsed: 18.5}},
 		},
 		{
 			name:  "a call below whose run has ended, and one that was interrupted",
 			frame: "00000028 0000000000000000 00000002 46 0000000f 0003 5d3a91c4 04 0000000000000000 46 0000000f 0003 5d3a91c4 05 0000000000000000",
-			want:  []control.Event{{Kind: control.Called, RPC: 0x5d3a91c4, Outcome: control.Unreachable}, {Kind: control.Called, RPC: 0x5d3a91c4, Outcome: control.Reset}},
+			want:  []control.Event{{Kind: control.CallCompleted, RPC: 0x5d3a91c4, Outcome: control.OutcomeUnreachable}, {Kind: control.CallCompleted, RPC: 0x5d3a91c4, Outcome: control.OutcomeReset}},
 		},
 		{
 			name:  "fields left out are zero",
@@ -93,7 +93,7 @@
 		{
 			name:  "absent at the end",
 			frame: "0000000b 0000000000000000 00000001 32 00000006 0003 5d3a91c4",
-			want:  []control.Event{{Kind: control.Ended, RPC: 0x5d3a91c4, Outcome: control.Error}},
+			want:  []control.Event{{Kind: control.Completed, RPC: 0x5d3a91c4, Outcome: control.OutcomeError}},
 		},
 		{name: "header cut off", frame: "00000000 00", bad: "frame 1: header of 16 bytes cut off after 5"},
 		{name: "body cut off", frame: "ffffffff 0000000000000000 00000001 32", bad: "4294967295 bytes announced, 1 there"},
@@ -128,9 +128,9 @@
 		t.Fatalf("empty reply is % x, error %v", out.Bytes(), err)
 	}
 	out.Reset()
-	p.Add(3, []control.Action{{Do: control.Run, RPC: 0x5d3a91c4}, {Do: control.Arm, Time: 0x213362490 / 1e6, Label: 77}})
-	p.Add(5, []control.Action{{Do: control.Note, Text: "two servers known"}})
-	p.Add(3, []control.Action{{Do: control.PushBack, RPC: 0x0e6f2b19, Last: true, Time: 250}, {Do: control.Tell, Value: 0.25}})
+	p.Add(3, []control.Action{{Kind: control.Run, RPC: 0x5d3a91c4}, {Kind: control.SetTimer, Time: 0x213362490 / 1e6, Label: 77}})
+	p.Add(5, []control.Action{{Kind: control.LogEvent, Message: "two servers known"}})
+	p.Add(3, []control.Action{{Kind: control.Reject, RPC: 0x0e6f2b19, NoRetry: true, Time: 250}, {Kind: control.SetFeedback, Feedback: 0.25}})
 	if _, err := p.WriteTo(&out); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/startup/opening.go
+++ b/internal/startup/config.go
@@ -1,4 +1,4 @@
-// Package opening reads what a server is told at its start: the variables of its environment, the
+// Package startup reads what a server is told at its start: the variables of its environment, the
 // configuration file and the settings in it, which the simulator sends as lines of text. It is the one place
 // where all that is read, checked and given defaults, and each error names the key at fault. It must never
 // decide anything, nor know what the values are used for.
@@ -18,33 +18,33 @@
 
 const nsPerMs = 1e6
 
-// Opening is what an instance of the decisions is told when it begins.
-type Opening struct {
-	Node      control.Node
-	Fleet     control.Fleet
-	Below     control.Below
-	Rules     control.Rules
-	Methods   []control.Method
-	Customers []control.Customer
-	Gauges    []string // the names of the gauges, in their order
-	Slack     float64  // ms that an answer may come after its RPC is due
+// Config is what an instance of the decisions is made from. Traces store it as JSON under the names in the tags.
+type Config struct {
+	Node        control.Node
+	Fleet       control.Fleet
+	Dependency  control.Dependency `json:"Below"`
+	Limits      control.Limits     `json:"Rules"`
+	Methods     []control.Method
+	Customers   []control.Customer
+	Gauges      []string // the names of the gauges, in their order
+	AnswerSlack float64  `json:"Slack"` // ms after its deadline that the answer to an RPC may come
 }
 
 // Process is what one real server is told.
 type Process struct {
 	Name, Listen    string
 	Engine, Members string // addresses
-	Stop            time.Duration
+	StopTimeout     time.Duration
 	Cores           float64
 	MemoryMB        int
 	Sockets         int
-	Opening         *Opening
+	Config          *Config
 
 	read map[string]value // all that it was made of
 }
 
 // Parse reads the lines that the simulator sends. Unknown paths are ignored, missing ones have plain defaults.
-func Parse(s string) (*Opening, error) {
+func Parse(s string) (*Config, error) {
 	l, err := parseLines(s)
 	if err != nil {
 		return nil, err
@@ -82,15 +82,15 @@
 		}
 	}
 	p := &Process{
-		read:     l.value,
-		Name:     l.must("name"),
-		Listen:   l.address("listen"),
-		Engine:   l.address("engine"),
-		Members:  l.address("members"),
-		Stop:     time.Duration(l.within("stop_ms", 3000, 1, 3.6e6) * float64(time.Millisecond)),
-		Cores:    l.within("limits.cores", 1, 0.01, 1024),
-		MemoryMB: int(l.within("limits.memory_mb", 192, 16, 1<<20)),
-		Sockets:  int(l.within("limits.sockets", 1024, 48, 1<<20)),
+		read:        l.value,
+		Name:        l.must("name"),
+		Listen:      l.address("listen"),
+		Engine:      l.address("engine"),
+		Members:     l.address("members"),
+		StopTimeout: time.Duration(l.within("stop_ms", 3000, 1, 3.6e6) * float64(time.Millisecond)),
+		Cores:       l.within("limits.cores", 1, 0.01, 1024),
+		MemoryMB:    int(l.within("limits.memory_mb", 192, 16, 1<<20)),
+		Sockets:     int(l.within("limits.sockets", 1024, 48, 1<<20)),
 	}
 	if strings.ContainsAny(p.Name, "/ ?#%\r\n") {
 		l.fail("name", "a name that can stand in a path", p.Name)
@@ -103,24 +103,24 @@
 		l.fail("settings", "an object", v.text)
 	}
 	l.prefix = "settings."
-	p.Opening = l.opening()
-	p.Opening.Node.Seed = seed
+	p.Config = l.opening()
+	p.Config.Node.Seed = seed
 	return p, l.bad
 }
 
-// Moves are the keys that a running process takes anew: the addresses of its partners, and how long it has to
+// ReloadableKeys are the keys that a running process takes anew: the addresses of its partners, and how long it has to
 // leave. All others stay as they were when it started.
-var Moves = []string{"engine", "members", "stop_ms"}
+var ReloadableKeys = []string{"engine", "members", "stop_ms"}
 
-// Stays names the keys in which next differs though they stay, in their order.
-func (p *Process) Stays(next *Process) (keys []string) {
+// RestartOnlyChanges names the keys in which next differs though they stay, in their order.
+func (p *Process) RestartOnlyChanges(next *Process) (keys []string) {
 	for key, v := range next.read {
-		if old, had := p.read[key]; (!had || old != v) && !slices.Contains(Moves, key) {
+		if old, had := p.read[key]; (!had || old != v) && !slices.Contains(ReloadableKeys, key) {
 			keys = append(keys, key)
 		}
 	}
 	for key := range p.read {
-		if _, has := next.read[key]; !has && !slices.Contains(Moves, key) {
+		if _, has := next.read[key]; !has && !slices.Contains(ReloadableKeys, key) {
 			keys = append(keys, key)
 		}
 	}
@@ -138,58 +138,58 @@
 	return s
 }
 
-func (l *lines) opening() *Opening {
-	o := &Opening{
+func (l *lines) opening() *Config {
+	o := &Config{
 		Node: control.Node{
-			Cold:       l.yes("family_info.cold", false),
-			StartSpeed: l.num("rules.start_capacity", 0.2),
-			WarmBy:     l.ms("rules.cold", 20e9),
-			Cores:      max(1, int(l.num("family_info.cores", 1))),
-			MemKB:      l.num("family_info.ram_kb", 0),
-			RunFactor:  l.num("family_info.run_factor", 1),
-			KeyKB:      l.num("family_info.key_kb", 0),
-			Tick:       l.ms("tick", 1e6),
+			WarmingUp:       l.yes("family_info.cold", false),
+			InitialSpeed:    l.num("rules.start_capacity", 0.2),
+			WarmUpTime:      l.ms("rules.cold", 20e9),
+			Cores:           max(1, int(l.num("family_info.cores", 1))),
+			MemoryKB:        l.num("family_info.ram_kb", 0),
+			RunMemoryFactor: l.num("family_info.run_factor", 1),
+			TokenKB:         l.num("family_info.key_kb", 0),
+			Tick:            l.ms("tick", 1e6),
 		},
 		Fleet: control.Fleet{
-			Peers:         max(1, int(l.num("replicas_of_me", 1))),
-			Callers:       max(1, int(l.num("family_info.callers", 1))),
-			Marks:         l.yes("client_habits.marks_retry", false),
-			TellsTime:     l.yes("family_info.passes_deadline", false),
-			Heeded:        l.ms("family_info.heeded", 1e9),
-			Idle:          l.ms("family_info.idle", 30e9),
-			MaxRetryAfter: l.ms("limits.max_retry_after", 0),
-			OverShare:     l.num("over_share_worth", 1),
+			Peers:              max(1, int(l.num("replicas_of_me", 1))),
+			Callers:            max(1, int(l.num("family_info.callers", 1))),
+			MarksRetries:       l.yes("client_habits.marks_retry", false),
+			PropagatesDeadline: l.yes("family_info.passes_deadline", false),
+			FeedbackTTL:        l.ms("family_info.heeded", 1e9),
+			IdleTimeout:        l.ms("family_info.idle", 30e9),
+			MaxRetryAfter:      l.ms("limits.max_retry_after", 0),
+			OverQuotaFraction:  l.num("over_share_worth", 1),
 		},
-		Below: control.Below{
-			Share:  l.num("family_info.call_share", 0),
-			Linger: l.ms("family_info.linger", 0),
-			Over:   l.ms("family_info.calls_over", 5e9),
+		Dependency: control.Dependency{
+			ConcurrencyShare: l.num("family_info.call_share", 0),
+			Linger:           l.ms("family_info.linger", 0),
+			AveragingWindow:  l.ms("family_info.calls_over", 5e9),
 		},
-		Rules: control.Rules{
-			DrainGrace: l.ms("rules.drain_grace", 0),
-			Ceiling:    l.num("rules.tip_multiple", 2),
+		Limits: control.Limits{
+			DrainGrace:     l.ms("rules.drain_grace", 0),
+			MaxRunsPerCore: l.num("rules.tip_multiple", 2),
 		},
-		Slack: l.ms("rules.answer_slack", 60e6),
+		AnswerSlack: l.ms("rules.answer_slack", 60e6),
 	}
 	switch l.str("family_info.halt") {
 	case "abort":
-		o.Node.Stop = control.StopAbort
+		o.Node.Preemption = control.PreemptAbort
 	case "suspend":
-		o.Node.Stop = control.StopPause
+		o.Node.Preemption = control.PreemptSuspend
 	}
 	switch l.str("family_info.say") {
 	case "threshold":
-		o.Fleet.Say = control.SayLevel
+		o.Fleet.Feedback = control.FeedbackLevel
 	case "window":
-		o.Fleet.Say = control.SayWindow
+		o.Fleet.Feedback = control.FeedbackWindow
 	case "share_of":
-		o.Fleet.Say = control.SayShare
+		o.Fleet.Feedback = control.FeedbackShare
 	}
 	if !l.yes("limits.retry_after", true) {
 		o.Fleet.MaxRetryAfter = 0
 	}
 	if l.str("family_info.below") != "shared" {
-		o.Below.Share = 0
+		o.Dependency.ConcurrencyShare = 0
 	}
 	for i := range l.count("classes") {
 		o.Methods = append(o.Methods, l.method(i))
@@ -212,20 +212,20 @@
 func (l *lines) method(i int) control.Method {
 	p := fmt.Sprintf("classes.%d.", i)
 	m := control.Method{
-		Name:          l.str(p + "name"),
-		LatencyTarget: l.ms(p+"aim", 1e9),
-		Stretch:       l.num(p+"aim_stretch", 0),
-		Window:        l.ms(p+"window", 0),
-		Criticality:   l.num(p+"worth", 1),
-		LateShare:     l.num(p+"late_worth", 0),
-		SkipShare:     l.item("family_info.worth_without", i),
-	}
-	m.Deadline = l.ms(p+"give_up", 2*m.LatencyTarget*nsPerMs)
+		Name:             l.str(p + "name"),
+		LatencyObjective: l.ms(p+"aim", 1e9),
+		ObjectiveStretch: l.num(p+"aim_stretch", 0),
+		DedupWindow:      l.ms(p+"window", 0),
+		Criticality:      l.num(p+"worth", 1),
+		LateFraction:     l.num(p+"late_worth", 0),
+		DegradedFraction: l.item("family_info.worth_without", i),
+	}
+	m.Deadline = l.ms(p+"give_up", 2*m.LatencyObjective*nsPerMs)
 	switch kind := l.str(p + "idempotency"); kind {
 	case "idempotency_key":
-		m.Repeat = control.Tokened
+		m.Idempotency = control.IdempotencyKeyed
 	case "non_idempotent":
-		m.Repeat = control.NonIdempotent
+		m.Idempotency = control.NonIdempotent
 	case "read_like", "":
 	default:
 		l.fail(p+"idempotency", "read_like, idempotency_key or non_idempotent", kind)
--- a/internal/startup/opening_test.go
+++ b/internal/startup/config_test.go
@@ -33,8 +33,8 @@
 				t.Fatal(err)
 			}
 			m := o.Methods[0]
-			if m.LatencyTarget != 1800 || m.Deadline != 4500 || m.Repeat != control.Tokened || m.Window != 5000 ||
-				o.Node.Cores != 6 || o.Node.Stop != control.StopPause || o.Fleet.Peers != 1 {
+			if m.LatencyObjective != 1800 || m.Deadline != 4500 || m.Idempotency != control.IdempotencyKeyed || m.DedupWindow != 5000 ||
+				o.Node.Cores != 6 || o.Node.Preemption != control.PreemptSuspend || o.Fleet.Peers != 1 {
 				t.Errorf("got %+v", o)
 			}
 		})
@@ -45,26 +45,26 @@
 func TestLaterSettings(t *testing.T) {
 	cases := []struct {
 		name, text string
-		holds      func(o *Opening) bool
+		holds      func(o *Config) bool
 	}{
-		{"work that can be stopped and is lost", "family_info.halt=abort", func(o *Opening) bool { return o.Node.Stop == control.StopAbort }},
-		{"a share of the usual traffic for callers", "family_info.say=share_of", func(o *Opening) bool { return o.Fleet.Say == control.SayShare }},
-		{"a level for callers", "family_info.say=threshold", func(o *Opening) bool { return o.Fleet.Say == control.SayLevel }},
-		{"reports with checks only", "report.how=probe\nreport.columns=waiting,avg_ms", func(o *Opening) bool { return o.Fleet.Say == control.SayNone }},
-		{"checks that do real work", "family_info.real_checks=true", func(o *Opening) bool { return len(o.Methods) == 1 }},
-		{"no customers", "", func(o *Opening) bool { return len(o.Customers) == 0 }},
-		{"an empty list of customers", "customers.count=0", func(o *Opening) bool { return len(o.Customers) == 0 }},
-		{"callers that do not say how long they wait", "family_info.passes_deadline=false", func(o *Opening) bool { return !o.Fleet.TellsTime }},
-		{"nor whether they do", "", func(o *Opening) bool { return !o.Fleet.TellsTime }},
-		{"callers that say so", "family_info.passes_deadline=true", func(o *Opening) bool { return o.Fleet.TellsTime }},
-		{"retries without a mark", "client_habits.marks_retry=false", func(o *Opening) bool { return !o.Fleet.Marks }},
-		{"a shared dependency", "family_info.below=shared\nfamily_info.call_share=0.4\nfamily_info.linger=200000000", func(o *Opening) bool {
-			return o.Below.Share == 0.4 && o.Below.Linger == 200
+		{"work that can be stopped and is lost", "family_info.halt=abort", func(o *Config) bool { return o.Node.Preemption == control.PreemptAbort }},
+		{"a share of the usual traffic for callers", "family_info.say=share_of", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackShare }},
+		{"a level for callers", "family_info.say=threshold", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackLevel }},
+		{"reports with checks only", "report.how=probe\nreport.columns=waiting,avg_ms", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackNone }},
+		{"checks that do real work", "family_info.real_checks=true", func(o *Config) bool { return len(o.Methods) == 1 }},
+		{"no customers", "", func(o *Config) bool { return len(o.Customers) == 0 }},
+		{"an empty list of customers", "customers.count=0", func(o *Config) bool { return len(o.Customers) == 0 }},
+		{"callers that do not say how long they wait", "family_info.passes_deadline=false", func(o *Config) bool { return !o.Fleet.PropagatesDeadline }},
+		{"nor whether they do", "", func(o *Config) bool { return !o.Fleet.PropagatesDeadline }},
+		{"callers that say so", "family_info.passes_deadline=true", func(o *Config) bool { return o.Fleet.PropagatesDeadline }},
+		{"retries without a mark", "client_habits.marks_retry=false", func(o *Config) bool { return !o.Fleet.MarksRetries }},
+		{"a shared dependency", "family_info.below=shared\nfamily_info.call_share=0.4\nfamily_info.linger=200000000", func(o *Config) bool {
+			return o.Dependency.ConcurrencyShare == 0.4 && o.Dependency.Linger == 200
 		}},
-		{"a tier below, of which no share is told", "family_info.below=tier\nfamily_info.call_share=0.4", func(o *Opening) bool { return o.Below.Share == 0 }},
-		{"answers without the call", "family_info.worth_without=0.6", func(o *Opening) bool { return o.Methods[0].SkipShare == 0.6 }},
-		{"worth by request", "value_by=request", func(o *Opening) bool { return o.Methods[0].Criticality == 1 }},
-		{"no reading of what is not known", "tier.new=1\nfam.shared_thrash=0.4", func(o *Opening) bool { return o.Node.Cores == 6 }},
+		{"a tier below, of which no share is told", "family_info.below=tier\nfamily_info.call_share=0.4", func(o *Config) bool { return o.Dependency.ConcurrencyShare == 0 }},
+		{"answers without the call", "family_info.worth_without=0.6", func(o *Config) bool { return o.Methods[0].DegradedFraction == 0.6 }},
+		{"worth by request", "value_by=request", func(o *Config) bool { return o.Methods[0].Criticality == 1 }},
+		{"no reading of what is not known", "tier.new=1\nfam.shared_thrash=0.4", func(o *Config) bool { return o.Node.Cores == 6 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,12 +128,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o := p.Opening
-			if p.Name != "n3" || p.Listen != "127.0.0.9:1" || p.Stop.Milliseconds() != 3200 || p.Cores != 0.5 ||
+			o := p.Config
+			if p.Name != "n3" || p.Listen != "127.0.0.9:1" || p.StopTimeout.Milliseconds() != 3200 || p.Cores != 0.5 ||
 				p.MemoryMB != 128 || p.Sockets != 512 || o.Node.Seed != 0x8c1f30d27a5be964 || o.Node.Cores != 6 ||
-				o.Node.Stop != control.StopPause || !o.Fleet.Marks || o.Fleet.MaxRetryAfter != 1000 ||
-				len(o.Methods) != 2 || o.Methods[0].LateShare != 0.2 || o.Methods[1].SkipShare != 0.3 ||
-				o.Methods[1].Window != 5000 || o.Customers[0].Name != "acme" || len(o.Gauges) != 2 {
+				o.Node.Preemption != control.PreemptSuspend || !o.Fleet.MarksRetries || o.Fleet.MaxRetryAfter != 1000 ||
+				len(o.Methods) != 2 || o.Methods[0].LateFraction != 0.2 || o.Methods[1].DegradedFraction != 0.3 ||
+				o.Methods[1].DedupWindow != 5000 || o.Customers[0].Name != "acme" || len(o.Gauges) != 2 {
 				t.Errorf("got %+v with %+v", p, o)
 			}
 		})
@@ -175,10 +175,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := fmt.Sprint(was.Stays(next)); got != c.want {
+			if got := fmt.Sprint(was.RestartOnlyChanges(next)); got != c.want {
 				t.Errorf("stay %s, want %s", got, c.want)
 			}
-			if back := fmt.Sprint(next.Stays(was)); back != c.want {
+			if back := fmt.Sprint(next.RestartOnlyChanges(was)); back != c.want {
 				t.Errorf("the other way %s, want %s", back, c.want)
 			}
 		})
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -29,7 +29,7 @@
 }
 
 // Begin opens the file.
-func (r *Recorder) Begin(told *startup.Opening, cold bool, origin time.Time) {
+func (r *Recorder) Begin(told *startup.Config, cold bool, origin time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, err := Create(r.path, &Header{Told: *told, Cold: cold, Origin: float64(origin.UnixNano()) / 1e6, Build: r.build}, r.bounds)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -30,10 +30,10 @@
 
 // Header is what a trace begins with: all that the decisions were made from.
 type Header struct {
-	Told   startup.Opening `json:"told"`
-	Cold   bool            `json:"cold"`
-	Origin float64         `json:"origin"` // Unix ms of the module's zero
-	Build  string          `json:"build"`
+	Told   startup.Config `json:"told"`
+	Cold   bool           `json:"cold"`
+	Origin float64        `json:"origin"` // Unix ms of the module's zero
+	Build  string         `json:"build"`
 }
 
 // Entry is one thing that happened, and what the decisions said to it.
@@ -47,7 +47,7 @@
 
 // Keeps tells whether an action is one that traces bear: verdicts and joins; the rest follows from the events.
 func Keeps(a control.Action) bool {
-	return a.Do == control.Run || a.Do == control.PushBack || a.Do == control.Abort || a.Do == control.Join
+	return a.Kind == control.Run || a.Kind == control.Reject || a.Kind == control.Abort || a.Kind == control.Join
 }
 
 // The fields of the messages, as in trace.proto.
@@ -95,31 +95,31 @@
 	m = appendUint(m, fCustomer, uint64(ev.Customer))
 	m = appendUint(m, fCaller, uint64(ev.Caller))
 	m = appendUint(m, fSubject, ev.Subject)
-	m = appendUint(m, fOriginal, uint64(ev.Original))
-	m = appendNumber(m, fTime, ev.Time)
-	m = appendNumber(m, fWaited, ev.Waited)
-	m = appendNumber(m, fHint, ev.Hint)
-	m = appendNumber(m, fHeldKB, ev.HeldKB)
+	m = appendUint(m, fOriginal, uint64(ev.DuplicateOf))
+	m = appendNumber(m, fTime, ev.Remaining)
+	m = appendNumber(m, fWaited, ev.Age)
+	m = appendNumber(m, fHint, ev.CostHint)
+	m = appendNumber(m, fHeldKB, ev.QueuedKB)
 	m = appendBool(m, fRetry, ev.Retry)
 	m = appendUint(m, fOutcome, uint64(ev.Outcome))
-	m = appendNumber(m, fSpent, ev.Spent)
+	m = appendNumber(m, fSpent, ev.Elapsed)
 	m = appendUint(m, fLabel, ev.Label)
-	m = appendNumber(m, fCoreUse, ev.Gauges.CoreUse)
-	m = appendNumber(m, fOnCores, ev.Gauges.OnCores)
+	m = appendNumber(m, fCoreUse, ev.Gauges.CPUUtilization)
+	m = appendNumber(m, fOnCores, ev.Gauges.Runnable)
 	m = appendBool(m, fStale, ev.Gauges.Stale)
 	m = appendUint(m, fToken, e.Token)
 	m = appendUint(m, fDropped, uint64(e.Dropped))
-	m = appendUint(m, fBudget, uint64(ev.Budget))
-	m = appendNumber(m, fAgain, ev.Again)
+	m = appendUint(m, fBudget, uint64(ev.Quota))
+	m = appendNumber(m, fAgain, ev.RetryAfter)
 	for _, a := range e.Actions {
 		if !Keeps(a) {
 			continue
 		}
 		var own [32]byte
-		x := appendUint(own[:0], fDo, uint64(a.Do)+1)
+		x := appendUint(own[:0], fDo, uint64(a.Kind)+1)
 		x = appendUint(x, fActionRPC, uint64(a.RPC))
 		x = appendNumber(x, fActionTime, a.Time)
-		x = appendBool(x, fLast, a.Last)
+		x = appendBool(x, fLast, a.NoRetry)
 		m = protowire.AppendBytes(protowire.AppendTag(m, fAction, protowire.BytesType), x)
 	}
 	*scratch = m
@@ -172,10 +172,10 @@
 		case fNow:
 			e.Now = x
 		case fKind:
-			if v == 0 || v > uint64(control.Stay)+1 {
+			if v == 0 || v > uint64(control.DrainCancelled)+1 {
 				return ErrDamaged
 			}
-			ev.Kind = control.Kind(v - 1)
+			ev.Kind = control.EventKind(v - 1)
 		case fRPC:
 			ev.RPC = uint32(v)
 		case fMethod:
@@ -187,39 +187,39 @@
 		case fSubject:
 			ev.Subject = v
 		case fOriginal:
-			ev.Original = uint32(v)
+			ev.DuplicateOf = uint32(v)
 		case fTime:
-			ev.Time = x
+			ev.Remaining = x
 		case fWaited:
-			ev.Waited = x
+			ev.Age = x
 		case fHint:
-			ev.Hint = x
+			ev.CostHint = x
 		case fHeldKB:
-			ev.HeldKB = x
+			ev.QueuedKB = x
 		case fRetry:
 			ev.Retry = v != 0
 		case fOutcome:
-			if v > uint64(control.Moot) {
+			if v > uint64(control.OutcomeNotStarted) {
 				return ErrDamaged
 			}
 			ev.Outcome = control.Outcome(v)
 		case fSpent:
-			ev.Spent = x
+			ev.Elapsed = x
 		case fLabel:
 			ev.Label = v
 		case fCoreUse:
-			ev.Gauges.CoreUse = x
+			ev.Gauges.CPUUtilization = x
 		case fOnCores:
-			ev.Gauges.OnCores = x
+			ev.Gauges.Runnable = x
 		case fStale:
 			ev.Gauges.Stale = v != 0
 		case fBudget:
-			if v > uint64(control.Over) {
+			if v > uint64(control.OverQuota) {
 				return ErrDamaged
 			}
-			ev.Budget = control.Budget(v)
+			ev.Quota = control.QuotaStatus(v)
 		case fAgain:
-			ev.Again = x
+			ev.RetryAfter = x
 		case fToken:
 			e.Token = v
 		case fDropped:
@@ -229,13 +229,13 @@
 			err := fields(b, func(f protowire.Number, v uint64, _ []byte) error {
 				switch f {
 				case fDo:
-					a.Do = control.Do(v - 1)
+					a.Kind = control.ActionKind(v - 1)
 				case fActionRPC:
 					a.RPC = uint32(v)
 				case fActionTime:
 					a.Time = math.Float64frombits(v)
 				case fLast:
-					a.Last = v != 0
+					a.NoRetry = v != 0
 				}
 				return nil
 			})
@@ -246,7 +246,7 @@
 		}
 		return nil
 	})
-	for _, x := range [...]float64{e.Now, ev.Time, ev.Waited, ev.Hint, ev.HeldKB, ev.Spent} {
+	for _, x := range [...]float64{e.Now, ev.Remaining, ev.Age, ev.CostHint, ev.QueuedKB, ev.Elapsed} {
 		if math.IsNaN(x) || math.IsInf(x, 0) {
 			err = ErrDamaged
 		}
@@ -288,29 +288,29 @@
 	s := fmt.Sprintf("%12.3f %-6s", e.Now, kinds[e.Event.Kind])
 	ev := &e.Event
 	switch ev.Kind {
-	case control.Arrive:
-		s += fmt.Sprintf(" rpc %d method %d customer %d caller %d waited %.1f hint %.1f", ev.RPC, ev.Method, ev.Customer, ev.Caller, ev.Waited, ev.Hint)
+	case control.Arrived:
+		s += fmt.Sprintf(" rpc %d method %d customer %d caller %d waited %.1f hint %.1f", ev.RPC, ev.Method, ev.Customer, ev.Caller, ev.Age, ev.CostHint)
 		if ev.Retry {
 			s += " again"
 		}
-		if ev.Budget == control.Over {
+		if ev.Quota == control.OverQuota {
 			s += " over its quota"
 		}
-		if ev.Original != 0 {
-			s += fmt.Sprintf(" repeats %d", ev.Original)
+		if ev.DuplicateOf != 0 {
+			s += fmt.Sprintf(" repeats %d", ev.DuplicateOf)
 		}
-	case control.Ended, control.Left:
-		s += fmt.Sprintf(" rpc %d outcome %d spent %.1f", ev.RPC, ev.Outcome, ev.Spent)
-	case control.Timer:
-		s += fmt.Sprintf(" cores %.2f on them %.0f", ev.Gauges.CoreUse, ev.Gauges.OnCores)
-	case control.Notice:
-		s += fmt.Sprintf(" stop in %.0f", ev.Time)
+	case control.Completed, control.CallerGone:
+		s += fmt.Sprintf(" rpc %d outcome %d spent %.1f", ev.RPC, ev.Outcome, ev.Elapsed)
+	case control.TimerFired:
+		s += fmt.Sprintf(" cores %.2f on them %.0f", ev.Gauges.CPUUtilization, ev.Gauges.Runnable)
+	case control.DrainNotice:
+		s += fmt.Sprintf(" stop in %.0f", ev.Remaining)
 	}
 	for _, a := range e.Actions {
-		switch a.Do {
+		switch a.Kind {
 		case control.Run:
 			s += fmt.Sprintf("; run %d", a.RPC)
-		case control.PushBack:
+		case control.Reject:
 			s += fmt.Sprintf("; push back %d for %.0f", a.RPC, a.Time)
 		case control.Abort:
 			s += fmt.Sprintf("; abort %d", a.RPC)
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -17,20 +17,20 @@
 )
 
 func header() *Header {
-	return &Header{Told: startup.Opening{Methods: []control.Method{{Name: "view", LatencyTarget: 100}}, Gauges: []string{"core_use"}}, Cold: true, Origin: 5, Build: "b"}
+	return &Header{Told: startup.Config{Methods: []control.Method{{Name: "view", LatencyObjective: 100}}, Gauges: []string{"core_use"}}, Cold: true, Origin: 5, Build: "b"}
 }
 
 func entry(i int) Entry {
 	chance := rand.New(rand.NewSource(int64(i)))
 	e := Entry{Now: chance.Float64() * 1e6, Token: chance.Uint64()}
 	e.Event = control.Event{
-		Kind: control.Kind(i % int(control.Timer+1)), RPC: uint32(i), Method: i % 3, Customer: i % 5, Caller: uint16(i), Subject: chance.Uint64(),
-		Original: uint32(i / 2), Time: chance.Float64(), Waited: -chance.Float64(), Hint: chance.ExpFloat64(), HeldKB: 1, Retry: i%2 == 0,
-		Outcome: control.Outcome(i % int(control.Moot+1)), Spent: float64(i), Label: uint64(i),
-		Gauges: control.Gauges{Stale: i%7 == 0, CoreUse: 0.5, OnCores: 3},
+		Kind: control.EventKind(i % int(control.TimerFired+1)), RPC: uint32(i), Method: i % 3, Customer: i % 5, Caller: uint16(i), Subject: chance.Uint64(),
+		DuplicateOf: uint32(i / 2), Remaining: chance.Float64(), Age: -chance.Float64(), CostHint: chance.ExpFloat64(), QueuedKB: 1, Retry: i%2 == 0,
+		Outcome: control.Outcome(i % int(control.OutcomeNotStarted+1)), Elapsed: float64(i), Label: uint64(i),
+		Gauges: control.Gauges{Stale: i%7 == 0, CPUUtilization: 0.5, Runnable: 3},
 	}
 	for k := range i % 4 {
-		e.Actions = append(e.Actions, control.Action{Do: []control.Do{control.Run, control.PushBack, control.Abort, control.Join}[k], RPC: uint32(k), Time: float64(k), Last: k%2 == 0})
+		e.Actions = append(e.Actions, control.Action{Kind: []control.ActionKind{control.Run, control.Reject, control.Abort, control.Join}[k], RPC: uint32(k), Time: float64(k), NoRetry: k%2 == 0})
 	}
 	return e
 }
@@ -43,7 +43,7 @@
 	}
 	for i := range n {
 		e := entry(i)
-		w.Event(e.Now, e.Event, append(e.Actions, control.Action{Do: control.Arm}), e.Token)
+		w.Event(e.Now, e.Event, append(e.Actions, control.Action{Kind: control.SetTimer}), e.Token)
 		for len(w.full) > waiting/2 { // the disk keeps up in this test
 			time.Sleep(time.Millisecond)
 		}
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -49,7 +49,7 @@
 	methods []string
 }
 
-func (w *watch) Begin(told *startup.Opening, cold bool, origin time.Time) {
+func (w *watch) Begin(told *startup.Config, cold bool, origin time.Time) {
 	for _, m := range told.Methods {
 		w.methods = append(w.methods, m.Name)
 	}
@@ -67,20 +67,20 @@
 	}
 	at := time.Duration(now * float64(time.Millisecond))
 	switch ev.Kind {
-	case control.Arrive:
+	case control.Arrived:
 		w.see(Observed{at, Arrived, ev.RPC, w.methods[ev.Method]})
-	case control.Left:
+	case control.CallerGone:
 		w.see(Observed{At: at, What: Withdrew, RPC: ev.RPC})
-	case control.Ended:
+	case control.Completed:
 		w.see(Observed{At: at, What: Ended, RPC: ev.RPC})
 	}
 	for _, a := range actions {
-		switch a.Do {
+		switch a.Kind {
 		case control.Run:
 			w.see(Observed{At: at, What: Began, RPC: a.RPC})
 		case control.Join:
 			w.see(Observed{At: at, What: Joined, RPC: a.RPC})
-		case control.PushBack:
+		case control.Reject:
 			w.see(Observed{At: at, What: Pushed, RPC: a.RPC})
 		case control.Abort:
 			w.see(Observed{At: at, What: GivenUp, RPC: a.RPC})
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -99,8 +99,8 @@
 	b := store.Bounds{Bytes: float64(positive(t.Bytes, 256<<20)), Answer: positive(t.Answer, 16<<10), Tolerance: millis(positive(t.Tolerance, 2*time.Second))}
 	b.Segment = b.Bytes / 32
 	for _, m := range methods {
-		if m.Repeat == control.Tokened {
-			b.Window = max(b.Window, m.Window+m.Deadline)
+		if m.Idempotency == control.IdempotencyKeyed {
+			b.Window = max(b.Window, m.DedupWindow+m.Deadline)
 		}
 	}
 	log := t.Log
@@ -253,7 +253,7 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // opening turns options into what the gate is told.
-func (o *Options) opening() (*startup.Opening, error) {
+func (o *Options) opening() (*startup.Config, error) {
 	if len(o.Methods) == 0 {
 		return nil, errors.New("valve: Methods: at least one expected")
 	}
@@ -266,18 +266,18 @@
 			return nil, fmt.Errorf("valve: %s: a number from 0 up expected, %g there", name, v)
 		}
 	}
-	t := &startup.Opening{
+	t := &startup.Config{
 		Node: control.Node{
-			Seed: o.Seed, StartSpeed: 0.2, WarmBy: millis(positive(o.WarmBy, 20*time.Second)), Cores: positive(o.Cores, cores()),
-			MemKB: float64(positive(o.Memory, 1<<30)) / 1024, RunFactor: 1, KeyKB: 0, Tick: 1,
+			Seed: o.Seed, InitialSpeed: 0.2, WarmUpTime: millis(positive(o.WarmBy, 20*time.Second)), Cores: positive(o.Cores, cores()),
+			MemoryKB: float64(positive(o.Memory, 1<<30)) / 1024, RunMemoryFactor: 1, TokenKB: 0, Tick: 1,
 		},
 		Fleet: control.Fleet{
-			Peers: positive(o.Servers, 1), Callers: positive(o.Callers, 4), Marks: true, Heeded: 1000, Idle: 30e3,
-			MaxRetryAfter: millis(o.RetryAfter), OverShare: positive(o.OverShare, 1),
+			Peers: positive(o.Servers, 1), Callers: positive(o.Callers, 4), MarksRetries: true, FeedbackTTL: 1000, IdleTimeout: 30e3,
+			MaxRetryAfter: millis(o.RetryAfter), OverQuotaFraction: positive(o.OverShare, 1),
 		},
-		Rules:  control.Rules{DrainGrace: millis(positive(o.Grace, 2*time.Second)), Ceiling: positive(o.RunsACore, 8), Settle: millis(o.Settle)},
-		Gauges: []string{"core_use", "on_cores"},
-		Slack:  80, // ms: two ticks, in which what is due is answered
+		Limits:      control.Limits{DrainGrace: millis(positive(o.Grace, 2*time.Second)), MaxRunsPerCore: positive(o.RunsACore, 8), DisplaceableFor: millis(o.Settle)},
+		Gauges:      []string{"core_use", "on_cores"},
+		AnswerSlack: 80, // ms: two ticks, in which what is due is answered
 	}
 	seen := map[string]bool{}
 	for i, m := range o.Methods {
@@ -301,9 +301,9 @@
 		seen[m.Name] = true
 		target := positive(m.LatencyTarget, time.Second)
 		t.Methods = append(t.Methods, control.Method{
-			Name: m.Name, Repeat: control.Repeat(m.Repeat), LatencyTarget: millis(target),
-			Deadline: millis(positive(m.Deadline, 2*target)), Window: millis(m.Window), Criticality: positive(m.Criticality, 1),
-			LateShare: m.LateShare,
+			Name: m.Name, Idempotency: control.Idempotency(m.Repeat), LatencyObjective: millis(target),
+			Deadline: millis(positive(m.Deadline, 2*target)), DedupWindow: millis(m.Window), Criticality: positive(m.Criticality, 1),
+			LateFraction: m.LateShare,
 		})
 	}
 	for i, c := range o.Customers {
