--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -155,8 +155,11 @@
 	roster.ID = "roster"
 	roster.Kind = permit.Configure
 	answer, err := client.Do(ctx, roster)
-	if err != nil || !answer.OK {
-		return fmt.Errorf("roster: %+v %w", answer, err)
+	if err != nil {
+		return fmt.Errorf("roster: %w", err)
+	}
+	if !answer.OK {
+		return fmt.Errorf("roster: rejected: %+v", answer)
 	}
 	return nil
 }
