--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -23,71 +23,71 @@
 )
 
 var (
-	errCrowded     = &retry.Error{Progress: retry.NotSent, Reason: "too many runs at once"}
+	errTooManyRuns = &retry.Error{Progress: retry.NotSent, Reason: "too many runs at once"}
 	errUnknown     = &retry.Error{Progress: retry.Sent, Reason: "not known to the engine"}
-	errNothing     = &retry.Error{Progress: retry.Sent, Reason: "nothing was started"}
+	errNotStarted  = &retry.Error{Progress: retry.Sent, Reason: "nothing was started"}
 	errInterrupted = &retry.Error{Progress: retry.MayHaveRun, Reason: "the run was stopped"}
 	errFailed      = &retry.Error{Progress: retry.MayHaveRun, Reason: "the run failed"}
 	errResult      = &retry.Error{Progress: retry.MayHaveRun, Reason: "the result can't be read"}
 )
 
 // End is the end of a run: a result, or an error that is a *retry.Error.
-type End struct {
-	Spent  float64 // ms
-	Result []byte
-	Err    error
+type Completion struct {
+	ServiceTime float64 // ms
+	Result      []byte
+	Err         error
 }
 
 const (
-	maxRuns  = 8192                    // far above what any site's cores survive; 2 KiB each as base64
-	maxLine  = 64 << 10                // a result of 4 KiB takes 6 KB as base64; anything near this is no notice
-	dialTime = time.Second             // the engine is on the same machine
-	sendTime = 2 * time.Second         // for one write; an engine that reads nothing for so long is gone
-	maxQueue = maxRuns + 256           // lines not written yet: all that runs, after a break, and some ticks' STATs
-	minWait  = 5 * time.Millisecond    // before the first new link: RPCs wait for it
-	maxWait  = 500 * time.Millisecond  // and at most, while there is no engine
-	maxAgo   = 1e12                    // ms: thirty years
-	quiet    = time.Second             // an engine that answers none of 25 STATs has lost this link, whatever the socket says
-	renewed  = 5 * time.Second         // a link without a HELLO: the engine may start late, or our ATTACH was lost with a break
-	stale    = 500 * time.Millisecond  // older gauges tell nothing of now: the longest time that one of them covers
-	longPast = 1000 * time.Millisecond // a link that has lived so long was a good one: begin with minWait again
+	maxRuns               = 8192                    // far above what any site's cores survive; 2 KiB each as base64
+	maxLineBytes          = 64 << 10                // a result of 4 KiB takes 6 KB as base64; anything near this is no notice
+	dialTimeout           = time.Second             // the engine is on the same machine
+	writeTimeout          = 2 * time.Second         // for one write; an engine that reads nothing for so long is gone
+	maxQueuedLines        = maxRuns + 256           // lines not written yet: all that runs, after a break, and some ticks' STATs
+	minBackoff            = 5 * time.Millisecond    // before the first new link: RPCs wait for it
+	maxBackoff            = 500 * time.Millisecond  // and at most, while there is no engine
+	maxStartAgeMs         = 1e12                    // ms: thirty years
+	defaultSilenceTimeout = time.Second             // an engine that answers none of 25 STATs has lost this link, whatever the socket says
+	defaultHelloTimeout   = 5 * time.Second         // a link without a HELLO: the engine may start late, or our ATTACH was lost with a break
+	maxGaugeAge           = 500 * time.Millisecond  // older gauges tell nothing of now: the longest time that one of them covers
+	stableAge             = 1000 * time.Millisecond // a link that has lived so long was a good one: begin with minWait again
 )
 
 // Link is the link to one engine.
 type Link struct {
-	log   *logrus.Entry
-	begun func(cold bool, ago time.Duration)
-	quiet time.Duration // a link on which the engine says nothing for so long is lost
-	renew time.Duration // and one that brings no first HELLO for so long is made anew, which replaces it
+	log            *logrus.Entry
+	onStart        func(cold bool, ago time.Duration)
+	silenceTimeout time.Duration // a link on which the engine says nothing for so long is lost
+	helloTimeout   time.Duration // and one that brings no first HELLO for so long is made anew, which replaces it
 
-	mu     sync.Mutex
-	addr   string
-	leave  context.CancelFunc // ends what goes on with the address as it was
-	conn   net.Conn           // nil without a link
-	out    chan []byte        // lines to be written on it
-	hello  bool               // the engine has started: it has said so on some link
-	synced bool               // all missed notices of this link have been read: runs may be sent
-	last   uint64
-	runs   map[string]*run
-	gauges []float64
-	told   time.Time // when these came
-	mark   uint64
-	marks  map[string]chan struct{}
+	mu            sync.Mutex
+	addr          string
+	cancelAddr    context.CancelFunc // ends what goes on with the address as it was
+	conn          net.Conn           // nil without a link
+	out           chan []byte        // lines to be written on it
+	helloReceived bool               // the engine has started: it has said so on some link
+	synced        bool               // all missed notices of this link have been read: runs may be sent
+	lastNotice    uint64
+	runs          map[string]*run
+	gauges        []float64
+	gaugesAt      time.Time // when these came
+	lastMark      uint64
+	pendingStats  map[string]chan struct{}
 }
 
 // run is one run that has not ended.
 type run struct {
-	line  []byte
-	done  []func(End)
-	sent  bool // on some link
-	again bool // on more than one: that it is not known now does not prove that it never ran
+	command   []byte
+	callbacks []func(Completion)
+	sent      bool // on some link
+	resent    bool // on more than one: that it is not known now does not prove that it never ran
 }
 
 // New returns a link to the engine at addr. begun is called each time that a link hears when the engine started.
 func New(addr string, log *logrus.Entry, begun func(cold bool, ago time.Duration)) *Link {
 	return &Link{
-		addr: addr, log: log, begun: begun, quiet: quiet, renew: renewed, leave: func() {},
-		runs: map[string]*run{}, marks: map[string]chan struct{}{},
+		addr: addr, log: log, onStart: begun, silenceTimeout: defaultSilenceTimeout, helloTimeout: defaultHelloTimeout, cancelAddr: func() {},
+		runs: map[string]*run{}, pendingStats: map[string]chan struct{}{},
 	}
 }
 
@@ -111,7 +111,7 @@
 	V      []float64 `json:"v"`
 }
 
-func line(c command) []byte {
+func encodeLine(c command) []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic(err) // plain strings and numbers always marshal
@@ -120,24 +120,24 @@
 }
 
 // Run starts the run of an RPC and calls done once with its end. Without a link it waits for the next one.
-func (l *Link) Run(id, method string, body []byte, done func(End)) {
+func (l *Link) Run(id, method string, body []byte, done func(Completion)) {
 	text := base64.StdEncoding.EncodeToString(body)
 	l.mu.Lock()
 	if len(l.runs) >= maxRuns {
 		l.mu.Unlock()
-		done(End{Err: errCrowded})
+		done(Completion{Err: errTooManyRuns})
 		return
 	}
 	defer l.mu.Unlock()
 	if r := l.runs[id]; r != nil { // the same try, sent to us twice: it runs once
-		r.done = append(r.done, done)
+		r.callbacks = append(r.callbacks, done)
 		return
 	}
-	r := &run{line: line(command{T: "RUN", Rid: id, Route: method, B64: &text}), done: []func(End){done}}
+	r := &run{command: encodeLine(command{T: "RUN", Rid: id, Route: method, B64: &text}), callbacks: []func(Completion){done}}
 	l.runs[id] = r
 	if l.synced {
 		r.sent = true
-		l.send(r.line)
+		l.send(r.command)
 	}
 }
 
@@ -147,9 +147,9 @@
 	l.mu.Lock()
 	if !l.synced {
 		defer l.mu.Unlock()
-		return l.fresh()
+		return l.freshGauges()
 	}
-	mark, heard := l.stat()
+	mark, heard := l.sendStat()
 	l.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -159,23 +159,23 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.marks, mark)
-	return l.fresh()
+	delete(l.pendingStats, mark)
+	return l.freshGauges()
 }
 
-func (l *Link) fresh() []float64 {
-	if time.Since(l.told) > stale {
+func (l *Link) freshGauges() []float64 {
+	if time.Since(l.gaugesAt) > maxGaugeAge {
 		return nil
 	}
 	return l.gauges
 }
 
 // stat sends a STAT and returns its mark and what its answer closes.
-func (l *Link) stat() (string, chan struct{}) {
-	l.mark++
-	mark, heard := strconv.FormatUint(l.mark, 36), make(chan struct{})
-	l.marks[mark] = heard
-	l.send(line(command{T: "STAT", Mark: mark}))
+func (l *Link) sendStat() (string, chan struct{}) {
+	l.lastMark++
+	mark, heard := strconv.FormatUint(l.lastMark, 36), make(chan struct{})
+	l.pendingStats[mark] = heard
+	l.send(encodeLine(command{T: "STAT", Mark: mark}))
 	return mark, heard
 }
 
@@ -193,11 +193,11 @@
 }
 
 // write writes what is queued until the queue ends. An error ends the link; the next one starts over.
-func write(conn net.Conn, out <-chan []byte) {
+func writeQueued(conn net.Conn, out <-chan []byte) {
 	var err error
 	for b := range out {
 		if err == nil {
-			conn.SetWriteDeadline(time.Now().Add(sendTime))
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err = conn.Write(b); err != nil {
 				conn.Close()
 			}
@@ -207,26 +207,26 @@
 
 // Serve keeps the link until ctx ends.
 func (l *Link) Serve(ctx context.Context) {
-	wait := minWait
+	wait := minBackoff
 	for ctx.Err() == nil {
 		here, leave := context.WithCancel(ctx)
 		l.mu.Lock()
 		addr := l.addr
-		l.leave = leave
+		l.cancelAddr = leave
 		l.mu.Unlock()
 		since := time.Now()
-		err := l.serve(here, addr)
+		err := l.serveConn(here, addr)
 		switch {
 		case ctx.Err() != nil:
 		case here.Err() != nil: // moved: RPCs wait for the new link, so there is no pause before it
-			wait = minWait
+			wait = minBackoff
 		default:
-			if time.Since(since) > longPast {
-				wait = minWait
+			if time.Since(since) > stableAge {
+				wait = minBackoff
 			}
 			l.log.WithError(err).Warn("engine: link lost")
-			pause(here, wait+time.Duration(rand.Int63n(int64(wait))))
-			wait = min(maxWait, 2*wait)
+			sleepContext(here, wait+time.Duration(rand.Int63n(int64(wait))))
+			wait = min(maxBackoff, 2*wait)
 		}
 		leave()
 	}
@@ -234,16 +234,16 @@
 
 // Move makes the link anew at another address of the same engine: what runs goes on there, and no notice is read
 // twice. The link as it was ends at once, as are a dial and a pause that were for the old address.
-func (l *Link) Move(addr string) {
+func (l *Link) SetAddr(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if addr != l.addr {
 		l.addr = addr
-		l.leave()
+		l.cancelAddr()
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -252,8 +252,8 @@
 	}
 }
 
-func (l *Link) serve(ctx context.Context, addr string) error {
-	d := net.Dialer{Timeout: dialTime}
+func (l *Link) serveConn(ctx context.Context, addr string) error {
+	d := net.Dialer{Timeout: dialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
@@ -265,27 +265,27 @@
 		l.mu.Lock()
 		close(l.out)
 		l.conn, l.synced = nil, false
-		for mark := range l.marks {
-			l.heard(mark)
+		for mark := range l.pendingStats {
+			l.releaseStat(mark)
 		}
 		l.mu.Unlock()
 		conn.Close()
 	}()
 	l.mu.Lock()
-	l.conn, l.out = conn, make(chan []byte, maxQueue)
+	l.conn, l.out = conn, make(chan []byte, maxQueuedLines)
 	go func(out <-chan []byte) {
-		write(conn, out)
+		writeQueued(conn, out)
 		close(written)
 	}(l.out)
-	last := l.last
-	l.send(line(command{T: "ATTACH", No: &last}))
+	last := l.lastNotice
+	l.send(encodeLine(command{T: "ATTACH", No: &last}))
 	l.mu.Unlock()
-	in := bufio.NewReaderSize(conn, maxLine)
+	in := bufio.NewReaderSize(conn, maxLineBytes)
 	for {
 		l.mu.Lock()
-		wait := l.quiet
-		if !l.hello { // the engine may have yet to start
-			wait = l.renew
+		wait := l.silenceTimeout
+		if !l.helloReceived { // the engine may have yet to start
+			wait = l.helloTimeout
 		}
 		conn.SetReadDeadline(time.Now().Add(wait))
 		l.mu.Unlock()
@@ -293,12 +293,12 @@
 		if err != nil {
 			return err
 		}
-		l.read(b)
+		l.handleLine(b)
 	}
 }
 
 // read handles one line of the engine's. What can't be read is logged and passed over.
-func (l *Link) read(b []byte) {
+func (l *Link) handleLine(b []byte) {
 	var n notice
 	if err := json.Unmarshal(b, &n); err != nil {
 		l.log.WithError(err).Warn("engine: unreadable line")
@@ -306,40 +306,40 @@
 	}
 	l.mu.Lock()
 	if n.No > 0 {
-		if n.No <= l.last {
+		if n.No <= l.lastNotice {
 			l.mu.Unlock()
 			return // read before the break
 		}
-		l.last = n.No
+		l.lastNotice = n.No
 	}
 	switch n.T {
 	case "HELLO":
-		l.hello = true
-		l.stat() // its answer comes behind the notices that were missed
+		l.helloReceived = true
+		l.sendStat() // its answer comes behind the notices that were missed
 		l.mu.Unlock()
 		l.log.WithFields(logrus.Fields{"status": n.Status, "ms": n.TimeMs}).Info("engine: attached")
-		ago := math.Min(math.Max(n.TimeMs, 0), maxAgo)
-		l.begun(n.Status == "booting", time.Duration(ago*float64(time.Millisecond)))
+		ago := math.Min(math.Max(n.TimeMs, 0), maxStartAgeMs)
+		l.onStart(n.Status == "booting", time.Duration(ago*float64(time.Millisecond)))
 		return
 	case "STATS":
-		l.gauges, l.told = n.V, time.Now()
-		l.answered(n.Mark)
+		l.gauges, l.gaugesAt = n.V, time.Now()
+		l.statAnswered(n.Mark)
 	case "NO":
 		if n.Rid == "" {
-			l.answered(n.Mark) // no gauges here
+			l.statAnswered(n.Mark) // no gauges here
 			l.mu.Unlock()
 			l.log.WithField("command", n.Status).Warn("engine: command not carried out")
 			return
 		}
 		l.log.WithFields(logrus.Fields{"command": n.Status, "rid": n.Rid}).Warn("engine: run not carried out")
-		e := End{Err: errUnknown}
-		if r := l.runs[n.Rid]; r != nil && r.again {
+		e := Completion{Err: errUnknown}
+		if r := l.runs[n.Rid]; r != nil && r.resent {
 			e.Err = errInterrupted
 		}
-		l.end(n.Rid, e)
+		l.complete(n.Rid, e)
 		return
 	case "DONE":
-		e := End{Spent: n.TimeMs}
+		e := Completion{ServiceTime: n.TimeMs}
 		switch n.Status {
 		case "success":
 			var err error
@@ -350,14 +350,14 @@
 		case "interrupted":
 			e.Err = errInterrupted
 		case "nothing":
-			e.Err = errNothing
-			if r := l.runs[n.Rid]; r != nil && r.again { // the first command may have had its end told beyond what is kept
+			e.Err = errNotStarted
+			if r := l.runs[n.Rid]; r != nil && r.resent { // the first command may have had its end told beyond what is kept
 				e.Err = errInterrupted
 			}
 		default:
 			e.Err = errFailed
 		}
-		l.end(n.Rid, e)
+		l.complete(n.Rid, e)
 		return
 	case "NOTE":
 	default:
@@ -367,8 +367,8 @@
 }
 
 // answered books the answer to a STAT. After the first on a link, all that runs is sent on it.
-func (l *Link) answered(mark string) {
-	l.heard(mark)
+func (l *Link) statAnswered(mark string) {
+	l.releaseStat(mark)
 	if l.synced {
 		return
 	}
@@ -380,28 +380,28 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		r := l.runs[id]
-		r.again, r.sent = r.sent, true
-		l.send(r.line)
+		r.resent, r.sent = r.sent, true
+		l.send(r.command)
 	}
 }
 
 // heard ends the wait for the answer to a STAT.
-func (l *Link) heard(mark string) {
-	if c := l.marks[mark]; c != nil {
+func (l *Link) releaseStat(mark string) {
+	if c := l.pendingStats[mark]; c != nil {
 		close(c)
-		delete(l.marks, mark)
+		delete(l.pendingStats, mark)
 	}
 }
 
 // end takes a run out and tells those that wait for it. It is called with the lock held and gives it back.
-func (l *Link) end(id string, e End) {
+func (l *Link) complete(id string, e Completion) {
 	r := l.runs[id]
 	delete(l.runs, id)
 	l.mu.Unlock()
 	if r == nil {
 		return
 	}
-	for _, done := range r.done {
+	for _, done := range r.callbacks {
 		done(e)
 	}
 }
--- a/internal/back/engine/engine_test.go
+++ b/internal/back/engine/engine_test.go
@@ -41,7 +41,7 @@
 	log.SetOutput(io.Discard)
 	s := &stand{T: t, ln: ln, ends: make(chan string, 20), cold: make(chan bool, 20)}
 	s.link = New(ln.Addr().String(), log.WithField("node", "n0"), func(cold bool, ago time.Duration) { s.cold <- cold })
-	s.link.quiet, s.link.renew = quiet, renew
+	s.link.silenceTimeout, s.link.helloTimeout = quiet, renew
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { s.link.Serve(ctx); close(over) }()
@@ -86,8 +86,8 @@
 }
 
 func (s *stand) run(id, body string) {
-	s.link.Run(id, "m", []byte(body), func(e End) {
-		end := fmt.Sprintf("%s ok %g %s", id, e.Spent, e.Result)
+	s.link.Run(id, "m", []byte(body), func(e Completion) {
+		end := fmt.Sprintf("%s ok %g %s", id, e.ServiceTime, e.Result)
 		if failed, ok := e.Err.(*retry.Error); ok {
 			end = fmt.Sprintf("%s error %d", id, failed.Progress)
 		}
@@ -127,7 +127,7 @@
 	}
 	defer s.ln.Close()
 	for range 3 {
-		s.link.Move(s.ln.Addr().String())
+		s.link.SetAddr(s.ln.Addr().String())
 	}
 	s.accept(0)
 	s.hello("1")
@@ -139,7 +139,7 @@
 	s := start(t, 50*time.Millisecond)
 	s.accept(0)
 	s.run("z", "x") // an engine that has yet to start may take its time
-	time.Sleep(2 * s.link.quiet)
+	time.Sleep(2 * s.link.silenceTimeout)
 	s.hello("1")
 	s.reads(s.runs("z", "x"))
 	s.says(`{"t":"NO","status":"RUN","rid":"z"}`)
@@ -199,13 +199,13 @@
 			}
 			defer s.ln.Close()
 			s.link.mu.Lock()
-			for s.link.last == 0 { // until that notice has been read
+			for s.link.lastNotice == 0 { // until that notice has been read
 				s.link.mu.Unlock()
 				time.Sleep(time.Millisecond)
 				s.link.mu.Lock()
 			}
 			s.link.mu.Unlock()
-			s.link.Move(s.ln.Addr().String())
+			s.link.SetAddr(s.ln.Addr().String())
 			s.accept(1)
 			s.run("b", "y")
 			s.hello("2", done(2, "a", "success", "r"))
@@ -281,7 +281,7 @@
 		{"a line without end", func(s *stand) {
 			s.accept(0)
 			s.hello("1")
-			go s.conn.Write(make([]byte, 2*maxLine))
+			go s.conn.Write(make([]byte, 2*maxLineBytes))
 			s.accept(0)
 		}},
 		{"nothing started, and too many runs", func(s *stand) {
@@ -332,7 +332,7 @@
 				s.Errorf("gauges %v", v)
 			}
 			s.link.mu.Lock()
-			s.link.told = time.Now().Add(-2 * stale)
+			s.link.gaugesAt = time.Now().Add(-2 * maxGaugeAge)
 			s.link.mu.Unlock()
 			if v := s.link.Gauges(time.Millisecond); v != nil {
 				s.Errorf("gauges %v, which are old", v)
@@ -359,9 +359,9 @@
 		log.SetOutput(io.Discard)
 		l := New("", log.WithField("node", "n0"), func(bool, time.Duration) {})
 		ends := 0
-		l.Run("a", "m", nil, func(End) { ends++ })
+		l.Run("a", "m", nil, func(Completion) { ends++ })
 		for range 2 {
-			l.read([]byte(s))
+			l.handleLine([]byte(s))
 		}
 		if ends > 1 {
 			t.Errorf("%d ends of one run", ends)
--- a/internal/back/engine/runner.go
+++ b/internal/back/engine/runner.go
@@ -13,15 +13,15 @@
 // effect.
 func (l *Link) Runner() gate.Runner {
 	return func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
-		l.Run(w.ID, w.Method, w.Body, func(e End) {
+		l.Run(w.ID, w.Method, w.Body, func(e Completion) {
 			var failed *retry.Error
 			switch {
 			case e.Err == nil:
-				done(gate.Succeeded, e.Spent, nil, e.Result)
+				done(gate.Succeeded, e.ServiceTime, nil, e.Result)
 			case errors.As(e.Err, &failed) && failed.Progress < retry.MayHaveRun:
-				done(gate.NotStarted, e.Spent, nil, nil)
+				done(gate.NotStarted, e.ServiceTime, nil, nil)
 			default:
-				done(gate.Failed, e.Spent, nil, nil)
+				done(gate.Failed, e.ServiceTime, nil, nil)
 			}
 		})
 	}
--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -23,17 +23,17 @@
 
 const (
 	// maxHead bytes bound the head of an answer: what web tiers take by default is 4 to 8 KB.
-	maxHead = 16 << 10
+	maxHeadBytes = 16 << 10
 	// firstAnswer is set aside at once for a body of a length told; the rest as it comes, as lengths may lie.
-	firstAnswer = 16 << 10
+	initialBodySize = 16 << 10
 	// interim answers of the 100s before the final one; an application server sends one at the most.
-	maxInterim = 4
+	maxInterimResponses = 4
 )
 
 // packet is the head and the block of variables for a run, and whether its answer has no body. An RPC that came by
 // uwsgi goes on with the variables that it came with; another gets those of the method's record.
 func (t *target) packet(w gate.Work) (b []byte, noBody bool) {
-	b = make([]byte, wire.HeadSize, wire.HeadSize+len(w.Variables)+256)
+	b = make([]byte, wire.HeaderSize, wire.HeaderSize+len(w.Variables)+256)
 	verb := t.method.Verb
 	if w.Variables != "" {
 		b = append(b, w.Variables...)
@@ -47,37 +47,37 @@
 			b = wire.AppendVariable(b, name, v)
 		}
 	}
-	if own := wire.AppendVariable(b, "VALVE_ID", w.ID); len(own)-wire.HeadSize <= wire.MaxBlock {
+	if own := wire.AppendVariable(b, "VALVE_ID", w.ID); len(own)-wire.HeaderSize <= wire.MaxBlockSize {
 		b = own
 	}
-	size := len(b) - wire.HeadSize
-	wire.AppendHead(b[:0], 0, size, 0)
+	size := len(b) - wire.HeaderSize
+	wire.AppendHeader(b[:0], 0, size, 0)
 	return b, verb == "HEAD"
 }
 
 // attempt is what is known before it is made.
 type attempt struct {
-	addr    string
-	connect time.Duration
-	until   time.Time // the answer must be whole by then
-	most    int       // bytes of the body
-	noBody  bool
+	addr           string
+	connectTimeout time.Duration
+	deadline       time.Time // the answer must be whole by then
+	maxBodyBytes   int       // bytes of the body
+	noBody         bool
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHead) }}
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeadBytes) }}
 
 // do makes the attempt. The head ends with its empty line; both it and the body are the caller's.
-func (a *attempt) do(packet, body []byte) (head, result []byte, failed *retry.Error) {
-	limit := min(a.connect, time.Until(a.until))
+func (a *attempt) send(packet, body []byte) (head, result []byte, failed *retry.Error) {
+	limit := min(a.connectTimeout, time.Until(a.deadline))
 	if limit <= 0 {
 		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "no time is left"}
 	}
 	nc, err := net.DialTimeout("tcp", a.addr, limit)
 	if err != nil {
-		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "connect: " + reason(err)}
+		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "connect: " + errorText(err)}
 	}
 	defer nc.Close()
-	nc.SetDeadline(a.until)
+	nc.SetDeadline(a.deadline)
 	parts := net.Buffers{packet, body}
 	n, err := parts.WriteTo(nc)
 	reached := retry.MayHaveRun
@@ -87,19 +87,19 @@
 		reached = retry.Sent
 	}
 	if err != nil && reached < retry.MayHaveRun {
-		return nil, nil, &retry.Error{Progress: reached, Reason: "write: " + reason(err)}
+		return nil, nil, &retry.Error{Progress: reached, Reason: "write: " + errorText(err)}
 	}
 	// One that answers before it has read the body may have closed; its answer counts if it is whole.
-	in := readers.Get().(*bufio.Reader)
+	in := readerPool.Get().(*bufio.Reader)
 	in.Reset(nc)
 	defer func() {
 		in.Reset(nil)
-		readers.Put(in)
+		readerPool.Put(in)
 	}()
-	head, result, err = a.answer(in)
+	head, result, err = a.readResponse(in)
 	if err != nil {
-		e := &retry.Error{Progress: retry.MayHaveRun, Reason: "answer: " + reason(err), TimedOut: errors.Is(err, os.ErrDeadlineExceeded)}
-		var busy errBusy
+		e := &retry.Error{Progress: retry.MayHaveRun, Reason: "answer: " + errorText(err), TimedOut: errors.Is(err, os.ErrDeadlineExceeded)}
+		var busy busyError
 		if errors.As(err, &busy) {
 			e.RetryAfter = float64(busy)
 		}
@@ -109,21 +109,21 @@
 }
 
 var (
-	errLongHead = fmt.Errorf("a head of more than %d bytes", maxHead)
-	errCut      = errors.New("the connection ended within it")
-	errChunked  = errors.New("in a transfer coding, which uwsgi does not have")
+	errHeadTooLong = fmt.Errorf("a head of more than %d bytes", maxHeadBytes)
+	errTruncated   = errors.New("the connection ended within it")
+	errChunked     = errors.New("in a transfer coding, which uwsgi does not have")
 )
 
 // errBusy is a 503 that tells for how many ms its sender is to be left alone.
-type errBusy float64
+type busyError float64
 
-func (e errBusy) Error() string {
+func (e busyError) Error() string {
 	return fmt.Sprintf("status 503, to be left alone for %g ms", float64(e))
 }
 
 // awayOf is the Retry-After of a head in ms, as seconds; 0 without one. A date is not read: clocks differ.
-func awayOf(head []byte) (ms float64) {
-	wire.FieldsOf(head, func(name, value []byte) {
+func retryAfter(head []byte) (ms float64) {
+	wire.EachField(head, func(name, value []byte) {
 		if s, err := strconv.ParseUint(string(value), 10, 16); err == nil && strings.EqualFold(string(name), "Retry-After") {
 			ms = float64(s) * 1000
 		}
@@ -132,47 +132,47 @@
 }
 
 // answer reads one answer. What comes behind it is another's, and the connection is not used again.
-func (a *attempt) answer(in *bufio.Reader) (head, result []byte, err error) {
+func (a *attempt) readResponse(in *bufio.Reader) (head, result []byte, err error) {
 	for interim := 0; ; interim++ {
-		h, err := readHead(in)
+		h, err := readResponseHead(in)
 		switch {
 		case err != nil:
 			return nil, nil, err
-		case h.Status == 101 || h.Status < 200 && interim == maxInterim:
+		case h.Status == 101 || h.Status < 200 && interim == maxInterimResponses:
 			return nil, nil, fmt.Errorf("status %d is no answer", h.Status)
 		case h.Status < 200:
 			continue
 		case h.Chunked:
 			return nil, nil, errChunked
-		case h.Status == 503 && awayOf(h.Head) > 0:
-			return nil, nil, errBusy(awayOf(h.Head))
+		case h.Status == 503 && retryAfter(h.Head) > 0:
+			return nil, nil, busyError(retryAfter(h.Head))
 		case h.Status >= 500:
 			return nil, nil, fmt.Errorf("status %d", h.Status)
-		case h.Length > int64(a.most):
-			return nil, nil, fmt.Errorf("a body of %d bytes, at most %d are taken", h.Length, a.most)
-		case a.noBody || h.NoBody():
+		case h.Length > int64(a.maxBodyBytes):
+			return nil, nil, fmt.Errorf("a body of %d bytes, at most %d are taken", h.Length, a.maxBodyBytes)
+		case a.noBody || h.HasNoBody():
 			return h.Head, nil, nil
 		}
-		result, err = a.body(in, h.Length)
+		result, err = a.readBody(in, h.Length)
 		return h.Head, result, err
 	}
 }
 
 // readHead reads the head of an answer and takes it out of the reader; it is a copy.
-func readHead(in *bufio.Reader) (h wire.Answer, err error) {
+func readResponseHead(in *bufio.Reader) (h wire.Response, err error) {
 	for need := 1; ; need = in.Buffered() + 1 {
-		if need > maxHead {
-			return h, errLongHead
+		if need > maxHeadBytes {
+			return h, errHeadTooLong
 		}
 		if _, err := in.Peek(need); err != nil {
 			if err == io.EOF && in.Buffered() > 0 {
-				err = errCut
+				err = errTruncated
 			}
 			return h, err
 		}
 		b, _ := in.Peek(in.Buffered())
-		h, size, err := wire.ParseAnswer(b)
-		if err == wire.ErrShort {
+		h, size, err := wire.ParseResponse(b)
+		if err == wire.ErrTruncated {
 			continue
 		}
 		if err == nil {
@@ -184,21 +184,21 @@
 }
 
 // body reads as many bytes as were told, or to the end of the connection.
-func (a *attempt) body(in *bufio.Reader, length int64) ([]byte, error) {
+func (a *attempt) readBody(in *bufio.Reader, length int64) ([]byte, error) {
 	if length < 0 {
-		b, err := io.ReadAll(io.LimitReader(in, int64(a.most)+1))
-		if err == nil && len(b) > a.most {
-			err = fmt.Errorf("a body of more than %d bytes", a.most)
+		b, err := io.ReadAll(io.LimitReader(in, int64(a.maxBodyBytes)+1))
+		if err == nil && len(b) > a.maxBodyBytes {
+			err = fmt.Errorf("a body of more than %d bytes", a.maxBodyBytes)
 		}
 		return b, err
 	}
-	b := make([]byte, min(length, firstAnswer))
+	b := make([]byte, min(length, initialBodySize))
 	for at := 0; ; {
 		n, err := io.ReadFull(in, b[at:])
 		at += n
 		switch {
 		case err == io.EOF || err == io.ErrUnexpectedEOF:
-			return nil, errCut
+			return nil, errTruncated
 		case err != nil:
 			return nil, err
 		case int64(at) == length:
@@ -209,7 +209,7 @@
 }
 
 // reason is an error without the addresses in it, which the log has already.
-func reason(err error) string {
+func errorText(err error) string {
 	var op *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -231,12 +231,12 @@
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(limit))
 	const modifier = 100
-	if _, err := nc.Write(wire.AppendHead(nil, modifier, 0, 0)); err != nil {
+	if _, err := nc.Write(wire.AppendHeader(nil, modifier, 0, 0)); err != nil {
 		return false
 	}
-	b := make([]byte, wire.HeadSize)
+	b := make([]byte, wire.HeaderSize)
 	if _, err := io.ReadFull(nc, b); err != nil {
 		return false
 	}
-	return wire.ParseHead(b).Modifier1 == modifier
+	return wire.ParseHeader(b).Modifier1 == modifier
 }
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -23,67 +23,67 @@
 
 // Budgets are what the servers of a fleet share of their pools: further tries, and calls in hand. Its methods must not block.
 type Budgets interface {
-	Retry(pool string, worth float64) bool                   // one more further try
-	Call(pool string, worth, longest float64) (allowed bool) // one more in hand, for at most so many ms
-	CallEnds(pool string, failed, silent bool)               // one that was allowed; silent: the pool may go on with it
+	AllowRetry(pool string, worth float64) bool                   // one more further try
+	AllowCall(pool string, worth, longest float64) (allowed bool) // one more in hand, for at most so many ms
+	CompleteCall(pool string, failed, silent bool)                // one that was allowed; silent: the pool may go on with it
 }
 
 // Judges say which members are out of use, where the servers of a fleet judge together. Its methods must not block.
-type Judges interface {
-	Saw(pool, member string, how pool.Outcome, latency float64) // the end of a try; or none so far, long after the usual
-	Busy(pool, member string, away float64)                     // a member's word that it is to be left alone, in ms
-	Verdicts(pool string) (all []pool.FleetDecision, judged bool)
-	Takes(member string, caller uint64, share float64) bool
-	Probe(pool string) (member string) // that an RPC may be sent to though it is out; "" for none
-	Members(pools map[string][]string, rules func(pool string) pool.Config)
+type OutlierDetection interface {
+	RecordOutcome(pool, member string, how pool.Outcome, latency float64) // the end of a try; or none so far, long after the usual
+	RecordRetryAfter(pool, member string, away float64)                   // a member's word that it is to be left alone, in ms
+	Decisions(pool string) (all []pool.FleetDecision, judged bool)
+	Admits(member string, caller uint64, share float64) bool
+	TrialMember(pool string) (member string) // that an RPC may be sent to though it is out; "" for none
+	SetMembers(pools map[string][]string, rules func(pool string) pool.Config)
 }
 
 // Backs are the pools of a file, and the methods that they serve.
-type Backs struct {
-	log   *logrus.Entry
-	seed  uint64
-	parts atomic.Pointer[sharing]
-	judge atomic.Pointer[judging]
+type Backends struct {
+	log       *logrus.Entry
+	seed      uint64
+	budgets   atomic.Pointer[sharedBudgets]
+	detection atomic.Pointer[detector]
 
 	mu      sync.Mutex // of Set
-	pools   map[string]*backs
+	pools   map[string]*backend
 	methods atomic.Pointer[map[string]*target]
 }
 
-type judging struct{ Judges }
+type detector struct{ OutlierDetection }
 
-type sharing struct {
+type sharedBudgets struct {
 	budgets Budgets
-	worth   func(method string) float64
+	weight  func(method string) float64
 }
 
 // target is where the work of a method goes.
 type target struct {
-	pool   *backs
+	pool   *backend
 	method operator.Method
 }
 
 // backs is one pool. Its choices are guarded by mu.
-type backs struct {
+type backend struct {
 	name string
 	log  *logrus.Entry
 
-	mu      sync.Mutex
-	set     operator.Pool
-	choose  *pool.Pool
-	tries   *retry.Policy
-	waiting map[uint64]chan int // for a member, by id in the line
-	nextID  uint64
-	gone    bool // no longer in the file: what it has in hand ends there
-	aside   []string
+	mu       sync.Mutex
+	config   operator.Pool
+	balancer *pool.Pool
+	retries  *retry.Policy
+	queued   map[uint64]chan int // for a member, by id in the line
+	nextID   uint64
+	removed  bool // no longer in the file: what it has in hand ends there
+	draining []string
 }
 
 // lookEvery is how often members are looked at beside each RPC's own look: a tenth of the shortest wait in use.
-const lookEvery = 20 * time.Millisecond
+const updateInterval = 20 * time.Millisecond
 
 // New returns pools that serve nothing yet.
-func New(seed uint64, log *logrus.Entry) *Backs {
-	b := &Backs{log: log, seed: seed, pools: map[string]*backs{}}
+func New(seed uint64, log *logrus.Entry) *Backends {
+	b := &Backends{log: log, seed: seed, pools: map[string]*backend{}}
 	b.methods.Store(&map[string]*target{})
 	return b
 }
@@ -92,14 +92,14 @@
 
 // Set takes a file that has been checked, as a whole. Pools and members that stay keep their state and what they have
 // in hand; what goes takes nothing new.
-func (b *Backs) Set(f *operator.File) {
+func (b *Backends) Set(f *operator.File) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	at := now()
 	for name, p := range b.pools {
 		if _, stays := f.Pools[name]; !stays {
 			p.mu.Lock()
-			p.gone = true
+			p.removed = true
 			p.mu.Unlock()
 			delete(b.pools, name)
 		}
@@ -108,17 +108,17 @@
 		set := f.Pools[name]
 		if p := b.pools[name]; p != nil {
 			p.mu.Lock()
-			p.set = set
-			p.choose.Set(at, set.Rules(), set.Members)
-			p.choose.SetDraining(at, p.aside)
-			p.tries.Set(set.RetryRules())
-			p.hand(p.choose.Update(at))
+			p.config = set
+			p.balancer.Set(at, set.Rules(), set.Members)
+			p.balancer.SetDraining(at, p.draining)
+			p.retries.Set(set.RetryRules())
+			p.deliver(p.balancer.Update(at))
 			p.mu.Unlock()
 			continue
 		}
-		b.pools[name] = &backs{
-			name: name, log: b.log.WithField("pool", name), set: set, waiting: map[uint64]chan int{},
-			choose: pool.New(set.Rules(), set.Members, b.seed, at), tries: retry.New(set.RetryRules(), b.seed, at),
+		b.pools[name] = &backend{
+			name: name, log: b.log.WithField("pool", name), config: set, queued: map[uint64]chan int{},
+			balancer: pool.New(set.Rules(), set.Members, b.seed, at), retries: retry.New(set.RetryRules(), b.seed, at),
 		}
 	}
 	methods := map[string]*target{}
@@ -126,54 +126,54 @@
 		methods[name] = &target{b.pools[m.Pool], m}
 	}
 	b.methods.Store(&methods)
-	b.tellMembers()
+	b.announceMembers()
 }
 
 // Share has further tries and calls in hand asked for at b, with the criticality of their method.
-func (b *Backs) Share(budgets Budgets, worth func(method string) float64) {
-	b.parts.Store(&sharing{budgets, worth})
+func (b *Backends) UseBudgets(budgets Budgets, worth func(method string) float64) {
+	b.budgets.Store(&sharedBudgets{budgets, worth})
 }
 
 // Judge has members go out of use and come back as j says, in pools that it judges.
-func (b *Backs) Judge(j Judges) {
+func (b *Backends) UseOutlierDetection(j OutlierDetection) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.judge.Store(&judging{j})
-	b.tellMembers()
+	b.detection.Store(&detector{j})
+	b.announceMembers()
 }
 
 // tellMembers tells the judges whom there is to judge. It is called with the lock held.
-func (b *Backs) tellMembers() {
-	j := b.judge.Load()
+func (b *Backends) announceMembers() {
+	j := b.detection.Load()
 	if j == nil {
 		return
 	}
 	members, rules := map[string][]string{}, map[string]pool.Config{}
 	for name, p := range b.pools {
-		members[name], rules[name] = p.set.Members, p.set.Rules()
+		members[name], rules[name] = p.config.Members, p.config.Rules()
 	}
-	j.Members(members, func(name string) pool.Config { return rules[name] })
+	j.SetMembers(members, func(name string) pool.Config { return rules[name] })
 }
 
 // Serves tells whether the work of a method is done here.
-func (b *Backs) Serves(method string) bool { return (*b.methods.Load())[method] != nil }
+func (b *Backends) Serves(method string) bool { return (*b.methods.Load())[method] != nil }
 
 // Runner has the work of the methods of the file done by their pools, and that of all others by engine. tokened and
 // the like tell which methods may run twice.
-func (b *Backs) Runner(engine gate.Runner, idempotent func(method string) bool) gate.Runner {
+func (b *Backends) Runner(engine gate.Runner, idempotent func(method string) bool) gate.Runner {
 	return func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
 		t := (*b.methods.Load())[w.Method]
 		if t == nil {
 			engine(w, done)
 			return
 		}
-		go t.run(w, idempotent(w.Method), b.parts.Load(), b.judge.Load(), done)
+		go t.run(w, idempotent(w.Method), b.budgets.Load(), b.detection.Load(), done)
 	}
 }
 
 // Serve looks after the members until ctx ends.
-func (b *Backs) Serve(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+func (b *Backends) Serve(ctx context.Context) {
+	tick := time.NewTicker(updateInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -184,7 +184,7 @@
 		b.mu.Lock()
 		all := slices.Collect(maps.Values(b.pools))
 		b.mu.Unlock()
-		j := b.judge.Load()
+		j := b.detection.Load()
 		for _, p := range all {
 			p.tick(j)
 		}
@@ -193,49 +193,49 @@
 
 // Aside has every pool leave the members alone that are drained, by pool, and no others. It returns those that it could not, as
 // pool/member, and why.
-func (b *Backs) Aside(drained map[string][]string) (cannot map[string]string) {
+func (b *Backends) SetDraining(drained map[string][]string) (cannot map[string]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	cannot = map[string]string{}
 	for name, p := range b.pools {
 		p.mu.Lock()
-		p.aside = drained[name]
-		for _, m := range p.choose.SetDraining(now(), p.aside) {
+		p.draining = drained[name]
+		for _, m := range p.balancer.SetDraining(now(), p.draining) {
 			cannot[name+"/"+m] = "all members of the pool are drained"
 		}
-		p.tell()
+		p.logEvents()
 		p.mu.Unlock()
 	}
 	return cannot
 }
 
-func (p *backs) tick(j *judging) {
+func (p *backend) tick(j *detector) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := now()
 	if j != nil {
-		if all, judged := j.Verdicts(p.name); judged {
-			p.choose.UseFleetDecisions(at, all, j.Takes)
+		if all, judged := j.Decisions(p.name); judged {
+			p.balancer.UseFleetDecisions(at, all, j.Admits)
 		} else {
-			p.choose.UseLocalDetection(at)
+			p.balancer.UseLocalDetection(at)
 		}
 	}
-	p.hand(p.choose.Update(at))
-	for _, id := range p.choose.DueHealthChecks(at) {
-		addr, limit := p.choose.Addr(id), operator.Milliseconds(p.set.ConnectTimeoutMs)
+	p.deliver(p.balancer.Update(at))
+	for _, id := range p.balancer.DueHealthChecks(at) {
+		addr, limit := p.balancer.Addr(id), operator.Milliseconds(p.config.ConnectTimeoutMs)
 		go func() {
 			good := ping(addr, limit)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.choose.RecordHealthCheck(now(), id, good)
+			p.balancer.RecordHealthCheck(now(), id, good)
 		}()
 	}
-	p.tell()
+	p.logEvents()
 }
 
 // tell logs what happened to members. It is called with the lock held.
-func (p *backs) tell() {
-	for _, e := range p.choose.Events() {
+func (p *backend) logEvents() {
+	for _, e := range p.balancer.Events() {
 		if e.Reason == pool.NotEjected {
 			p.log.WithField("member", e.Addr).Info("pool: member returned")
 		} else {
@@ -245,81 +245,81 @@
 }
 
 // hand gives members to those that wait. It is called with the lock held.
-func (p *backs) hand(grants []pool.Grant) {
+func (p *backend) deliver(grants []pool.Grant) {
 	for _, g := range grants {
-		p.waiting[g.ID] <- g.Member
-		delete(p.waiting, g.ID)
+		p.queued[g.ID] <- g.Member
+		delete(p.queued, g.ID)
 	}
 }
 
 // State of a pool, for status and metrics.
 type State struct {
-	Name    string
-	Members []pool.MemberState
-	Waiting int
-	Tries   retry.Counts
+	Name     string
+	Members  []pool.MemberState
+	Queued   int
+	Attempts retry.Counts
 }
 
 // States returns how all pools stand, by name.
-func (b *Backs) States() (all []State) {
+func (b *Backends) States() (all []State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(b.pools)) {
 		p := b.pools[name]
 		p.mu.Lock()
-		all = append(all, State{name, p.choose.MemberStates(now()), p.choose.Queued(), p.tries.Counts()})
+		all = append(all, State{name, p.balancer.MemberStates(now()), p.balancer.Queued(), p.retries.Counts()})
 		p.mu.Unlock()
 	}
 	return all
 }
 
 // call takes one of the fleet's calls in hand at the pool, if these are shared, until it is ended.
-func (x *sharing) call(pool string, w *gate.Work) (end func(*retry.Error), err *retry.Error) {
+func (x *sharedBudgets) acquireCall(pool string, w *gate.Work) (end func(*retry.Error), err *retry.Error) {
 	if x == nil {
 		return func(*retry.Error) {}, nil
 	}
-	if !x.budgets.Call(pool, x.worth(w.Method), w.Due-now()) {
-		return nil, errShared
+	if !x.budgets.AllowCall(pool, x.weight(w.Method), w.Due-now()) {
+		return nil, errFleetQuota
 	}
 	return func(err *retry.Error) {
-		x.budgets.CallEnds(pool, err != nil && err.Progress > retry.NotSent, err != nil && err.TimedOut)
+		x.budgets.CompleteCall(pool, err != nil && err.Progress > retry.NotSent, err != nil && err.TimedOut)
 	}, nil
 }
 
 // run makes attempts until one has a result, or no further one is allowed.
-func (t *target) run(w gate.Work, idempotent bool, parts *sharing, judge *judging, done func(gate.Outcome, float64, []byte, []byte)) {
+func (t *target) run(w gate.Work, idempotent bool, parts *sharedBudgets, judge *detector, done func(gate.Outcome, float64, []byte, []byte)) {
 	began := now()
 	p := t.pool
 	packet, noBody := t.packet(w)
 	f := retry.FailedAttempt{Idempotent: idempotent}
 	ran := false // some try may have run
 	p.mu.Lock()
-	p.tries.RecordFirstAttempt(began)
+	p.retries.RecordFirstAttempt(began)
 	p.mu.Unlock()
 	var failed []int
 	for {
 		var member int
 		var head, body []byte
-		ends, err := parts.call(p.name, &w)
+		ends, err := parts.acquireCall(p.name, &w)
 		if err == nil {
-			if member, err = p.place(&w, failed, idempotent && f.Attempts == 0, judge); err != nil {
+			if member, err = p.acquire(&w, failed, idempotent && f.Attempts == 0, judge); err != nil {
 				ends(err)
 			}
 		}
 		if err == nil {
 			p.mu.Lock()
 			at := now()
-			f.TimeLeft, f.ExpectedLatency = w.Due-at, p.choose.MedianLatency()
+			f.TimeLeft, f.ExpectedLatency = w.Due-at, p.balancer.MedianLatency()
 			a := attempt{
-				addr: p.choose.Addr(member), connect: operator.Milliseconds(min(p.set.ConnectTimeoutMs, f.TimeLeft)),
-				until: time.Now().Add(operator.Milliseconds(p.tries.AttemptTimeout(f))), most: p.set.MaxAnswerBytes, noBody: noBody,
+				addr: p.balancer.Addr(member), connectTimeout: operator.Milliseconds(min(p.config.ConnectTimeoutMs, f.TimeLeft)),
+				deadline: time.Now().Add(operator.Milliseconds(p.retries.AttemptTimeout(f))), maxBodyBytes: p.config.MaxAnswerBytes, noBody: noBody,
 			}
 			p.mu.Unlock()
 			over := func() bool { return false }
 			if judge != nil {
-				over = judge.quiet(p.name, a.addr, f.ExpectedLatency)
+				over = judge.watchSilence(p.name, a.addr, f.ExpectedLatency)
 			}
-			head, body, err = a.do(packet, w.Body)
+			head, body, err = a.send(packet, w.Body)
 			told := over()
 			how := pool.Succeeded
 			if err != nil {
@@ -327,12 +327,12 @@
 			}
 			p.mu.Lock()
 			end := now()
-			p.hand(p.choose.Complete(end, member, how, end-at))
-			p.tell()
+			p.deliver(p.balancer.Complete(end, member, how, end-at))
+			p.logEvents()
 			p.mu.Unlock()
 			ends(err)
 			if judge != nil && !(told && how == pool.Failed && err.RetryAfter == 0) { // it was told that it says nothing
-				judge.saw(p.name, a.addr, err, end-at)
+				judge.record(p.name, a.addr, err, end-at)
 			}
 		}
 		if err == nil {
@@ -345,10 +345,10 @@
 		if !err.NoCapacity {
 			failed = append(failed, member)
 			p.mu.Lock()
-			f.ExpectedLatency = p.choose.MedianLatency()
-			after, again := p.tries.Retry(now(), f)
+			f.ExpectedLatency = p.balancer.MedianLatency()
+			after, again := p.retries.Retry(now(), f)
 			p.mu.Unlock()
-			if again && parts != nil && !parts.budgets.Retry(p.name, parts.worth(w.Method)) {
+			if again && parts != nil && !parts.budgets.AllowRetry(p.name, parts.weight(w.Method)) {
 				again = false
 			}
 			if again {
@@ -367,29 +367,29 @@
 }
 
 var (
-	errFull   = &retry.Error{Progress: retry.NotSent, Reason: "no member has room", NoCapacity: true}
-	errShared = &retry.Error{Progress: retry.NotSent, Reason: "the fleet's calls to the pool are all in hand", NoCapacity: true}
-	errGone   = &retry.Error{Progress: retry.NotSent, Reason: "the pool is no longer in use", NoCapacity: true}
+	errNoCapacity  = &retry.Error{Progress: retry.NotSent, Reason: "no member has room", NoCapacity: true}
+	errFleetQuota  = &retry.Error{Progress: retry.NotSent, Reason: "the fleet's calls to the pool are all in hand", NoCapacity: true}
+	errPoolRemoved = &retry.Error{Progress: retry.NotSent, Reason: "the pool is no longer in use", NoCapacity: true}
 )
 
 // saw tells the judges how a try ended.
-func (j *judging) saw(name, addr string, err *retry.Error, latency float64) {
+func (j *detector) record(name, addr string, err *retry.Error, latency float64) {
 	switch {
 	case err == nil:
-		j.Saw(name, addr, pool.Succeeded, latency)
+		j.RecordOutcome(name, addr, pool.Succeeded, latency)
 	case err.RetryAfter > 0:
-		j.Busy(name, addr, err.RetryAfter)
+		j.RecordRetryAfter(name, addr, err.RetryAfter)
 	default:
-		j.Saw(name, addr, pool.Failed, latency)
+		j.RecordOutcome(name, addr, pool.Failed, latency)
 	}
 }
 
 // stallSlack is by how many ms a timer may be late before its process is taken to have stalled meanwhile.
-const stallSlack = 50.0
+const maxTimerLateness = 50.0
 
 // quiet tells the judges of a try that has no answer long after the pool's usual time. Its end calls over, which says whether it
 // was told. A process that has not run meanwhile judges nobody by that: it waits once more.
-func (j *judging) quiet(name, addr string, usual float64) (over func() (told bool)) {
+func (j *detector) watchSilence(name, addr string, usual float64) (over func() (told bool)) {
 	late := evidence.Late(usual)
 	if late == 0 {
 		return func() bool { return false }
@@ -405,12 +405,12 @@
 		at := now()
 		switch {
 		case ended:
-		case at-began > late+stallSlack:
+		case at-began > late+maxTimerLateness:
 			began = at
 			timer.Reset(operator.Milliseconds(late))
 		default:
 			told = true
-			j.Saw(name, addr, pool.Failed, at-began)
+			j.RecordOutcome(name, addr, pool.Failed, at-began)
 		}
 	})
 	return func() bool {
@@ -424,36 +424,36 @@
 
 // place waits for a member with room, as long as the pool's line and the due time allow. One that may probe goes to a member
 // that is out, if this server is to ask after it.
-func (p *backs) place(w *gate.Work, avoid []int, mayProbe bool, judge *judging) (member int, err *retry.Error) {
+func (p *backend) acquire(w *gate.Work, avoid []int, mayProbe bool, judge *detector) (member int, err *retry.Error) {
 	due := w.Due
 	probe := ""
 	if mayProbe && judge != nil {
-		probe = judge.Probe(p.name)
+		probe = judge.TrialMember(p.name)
 	}
 	p.mu.Lock()
-	if p.gone {
+	if p.removed {
 		p.mu.Unlock()
-		return 0, errGone
+		return 0, errPoolRemoved
 	}
 	if probe != "" {
-		if member, got := p.choose.AcquireEjected(now(), probe); got {
+		if member, got := p.balancer.AcquireEjected(now(), probe); got {
 			p.mu.Unlock()
 			return member, nil
 		}
 	}
 	p.nextID++
 	id := p.nextID
-	member, got := p.choose.Acquire(now(), id, avoid, w.Caller)
+	member, got := p.balancer.Acquire(now(), id, avoid, w.Caller)
 	if got != pool.Queued {
 		p.mu.Unlock()
 		if got == pool.NoCapacity {
-			return 0, errFull
+			return 0, errNoCapacity
 		}
 		return member, nil
 	}
 	mine := make(chan int, 1)
-	p.waiting[id] = mine
-	wait := operator.Milliseconds(max(0, min(p.set.QueueTimeoutMs, due-now())))
+	p.queued[id] = mine
+	wait := operator.Milliseconds(max(0, min(p.config.QueueTimeoutMs, due-now())))
 	p.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -464,9 +464,9 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.choose.CancelQueued(id) {
-		delete(p.waiting, id)
-		return 0, errFull
+	if p.balancer.CancelQueued(id) {
+		delete(p.queued, id)
+		return 0, errNoCapacity
 	}
 	return <-mine, nil // it was granted meanwhile
 }
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -28,7 +28,7 @@
 // rig is a pool of application servers whose work is quick.
 type rig struct {
 	*testing.T
-	backs *Backs
+	backs *Backends
 	apps  []*standin.App
 	rules *standin.InvariantChecker
 	file  *operator.File
@@ -271,7 +271,7 @@
 func TestSetWhileWaiting(t *testing.T) {
 	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.RecoveryMs, p.QueueTimeoutMs = 1, 0, 5000 })
 	var a, b <-chan end
-	for late := time.Now().Add(soon); r.backs.States()[0].Waiting == 0; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(soon); r.backs.States()[0].Queued == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("nobody waits")
 		}
@@ -308,7 +308,7 @@
 // What an application server is sent.
 func TestPacket(t *testing.T) {
 	own := wire.AppendVariable(wire.AppendVariable(nil, "REQUEST_METHOD", "HEAD"), "PATH_INFO", "/x")
-	long := wire.AppendVariable(own, "PAD", strings.Repeat("x", wire.MaxBlock-len(own)-7))
+	long := wire.AppendVariable(own, "PAD", strings.Repeat("x", wire.MaxBlockSize-len(own)-7))
 	cases := []struct {
 		name   string
 		w      gate.Work
@@ -323,9 +323,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			target := &target{method: operator.Method{Path: "/buy", Verb: "POST", Variables: map[string]string{"X": "y"}}}
 			b, noBody := target.packet(c.w)
-			h := wire.ParseHead(b)
+			h := wire.ParseHeader(b)
 			var v wire.Variables
-			if err := v.Parse(string(b[wire.HeadSize:]), 100); err != nil || h.Size != len(b)-wire.HeadSize || noBody != c.noBody {
+			if err := v.Parse(string(b[wire.HeaderSize:]), 100); err != nil || h.BlockSize != len(b)-wire.HeaderSize || noBody != c.noBody {
 				t.Fatalf("head %+v of %d bytes, no body %v, error %v", h, len(b), noBody, err)
 			}
 			for i := 0; i < len(c.want); i += 2 {
@@ -353,8 +353,8 @@
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}()
-	a := attempt{addr: ln.Addr().String(), connect: time.Second, until: time.Now().Add(soon), most: 100}
-	_, _, failed := a.do(make([]byte, 100), make([]byte, 32<<20))
+	a := attempt{addr: ln.Addr().String(), connectTimeout: time.Second, deadline: time.Now().Add(soon), maxBodyBytes: 100}
+	_, _, failed := a.send(make([]byte, 100), make([]byte, 32<<20))
 	if failed == nil || failed.Progress != 2 {
 		t.Errorf("failed %v", failed)
 	}
@@ -367,14 +367,14 @@
 	silent                int
 }
 
-func (l *limits) Retry(string, float64) bool {
+func (l *limits) AllowRetry(string, float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retries--
 	return l.retries >= 0
 }
 
-func (l *limits) Call(_ string, _, longest float64) bool {
+func (l *limits) AllowCall(_ string, _, longest float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.calls == 0 || longest <= 0 {
@@ -384,7 +384,7 @@
 	return true
 }
 
-func (l *limits) CallEnds(_ string, _, silent bool) {
+func (l *limits) CompleteCall(_ string, _, silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
@@ -401,7 +401,7 @@
 		p.MaxFailures = 0
 	})
 	l := &limits{retries: 1, calls: 1}
-	r.backs.Share(l, func(string) float64 { return 1 })
+	r.backs.UseBudgets(l, func(string) float64 { return 1 })
 	r.apps[0].SetFault(standin.ServerError)
 	for range 3 {
 		if e := r.end(r.begin("view", "1", 2*time.Second)); e.how != gate.Failed {
@@ -427,7 +427,7 @@
 }
 
 // fleetSays is a judge that notes what it is told, and says what it is set to.
-type fleetSays struct {
+type fakeDetection struct {
 	mu    sync.Mutex
 	saw   []pool.Outcome
 	busy  float64
@@ -435,19 +435,19 @@
 	probe string
 }
 
-func (f *fleetSays) Saw(_, _ string, how pool.Outcome, _ float64) {
+func (f *fakeDetection) RecordOutcome(_, _ string, how pool.Outcome, _ float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.saw = append(f.saw, how)
 }
 
-func (f *fleetSays) Busy(_, _ string, away float64) {
+func (f *fakeDetection) RecordRetryAfter(_, _ string, away float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.busy = away
 }
 
-func (f *fleetSays) Verdicts(string) ([]pool.FleetDecision, bool) {
+func (f *fakeDetection) Decisions(string) ([]pool.FleetDecision, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.out == "" {
@@ -456,9 +456,9 @@
 	return []pool.FleetDecision{{Addr: f.out, Ejected: true}}, true
 }
 
-func (f *fleetSays) Takes(string, uint64, float64) bool { return true }
+func (f *fakeDetection) Admits(string, uint64, float64) bool { return true }
 
-func (f *fleetSays) Probe(string) string {
+func (f *fakeDetection) TrialMember(string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.probe
@@ -466,14 +466,14 @@
 	return p
 }
 
-func (f *fleetSays) Members(map[string][]string, func(string) pool.Config) {}
+func (f *fakeDetection) SetMembers(map[string][]string, func(string) pool.Config) {}
 
 // A pool that the fleet judges: who is out gets one RPC where a probe is due, and nothing else; a 503 with the time to return is
 // told as such, not as a failure.
 func TestJudgedPool(t *testing.T) {
 	r := start(t, 2)
-	f := &fleetSays{out: r.apps[0].Addr()}
-	r.backs.Judge(f)
+	f := &fakeDetection{out: r.apps[0].Addr()}
+	r.backs.UseOutlierDetection(f)
 	for end := time.Now().Add(soon); r.backs.States()[0].Members[0].Ejection != pool.EjectedByFleet && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 	}
 	for range 10 {
@@ -512,8 +512,8 @@
 // A member that says nothing is told of long before the RPC's deadline, and once.
 func TestQuietMemberIsToldSoon(t *testing.T) {
 	r := start(t, 1)
-	f := &fleetSays{}
-	r.backs.Judge(f)
+	f := &fakeDetection{}
+	r.backs.UseOutlierDetection(f)
 	for i := range 20 { // so that the usual latency is known
 		r.end(r.begin("view", fmt.Sprint(i), time.Second))
 	}
--- a/internal/ci/main.go
+++ b/internal/ci/main.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	listed = "KNOWN-RED.txt"
-	most   = 3 // what the users allow
+	listFile  = "KNOWN-RED.txt"
+	maxListed = 3 // what the users allow
 )
 
 // red is one line of the list.
-type red struct{ pkg, test, cause, issue string }
+type knownFailure struct{ pkg, test, cause, issue string }
 
 var (
 	testName = regexp.MustCompile(`^Test[A-Z0-9_]\w*$`)
@@ -30,7 +30,7 @@
 )
 
 // parse reads the list: "./package TestName | cause | issue N" a line; empty lines and lines that begin with # are passed over.
-func parse(text string) (all []red, err error) {
+func parseList(text string) (all []knownFailure, err error) {
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || line[0] == '#' {
@@ -42,21 +42,21 @@
 		}
 		pkg, test, _ := strings.Cut(part[0], " ")
 		if len(part) != 3 || !pkgName.MatchString(pkg) || strings.Contains(pkg, "..") || "./"+path.Clean(pkg) != pkg || !testName.MatchString(test) || part[1] == "" || !issueNo.MatchString(part[2]) {
-			return nil, fmt.Errorf("%s:%d: ./package TestName | cause | issue N expected, %.80q there", listed, i+1, line)
+			return nil, fmt.Errorf("%s:%d: ./package TestName | cause | issue N expected, %.80q there", listFile, i+1, line)
 		}
-		r := red{pkg, test, part[1], part[2]}
-		if slices.ContainsFunc(all, func(o red) bool { return o.pkg == pkg && o.test == test }) {
-			return nil, fmt.Errorf("%s:%d: %s is listed twice", listed, i+1, test)
+		r := knownFailure{pkg, test, part[1], part[2]}
+		if slices.ContainsFunc(all, func(o knownFailure) bool { return o.pkg == pkg && o.test == test }) {
+			return nil, fmt.Errorf("%s:%d: %s is listed twice", listFile, i+1, test)
 		}
-		if all = append(all, r); len(all) > most {
-			return nil, fmt.Errorf("%s: %d tests at most", listed, most)
+		if all = append(all, r); len(all) > maxListed {
+			return nil, fmt.Errorf("%s: %d tests at most", listFile, maxListed)
 		}
 	}
 	return all, nil
 }
 
 // tests runs go test in this folder and returns what it printed; it is written to out as well if that is not nil.
-func tests(out io.Writer, args ...string) (string, error) {
+func goTest(out io.Writer, args ...string) (string, error) {
 	var text strings.Builder
 	c := exec.Command("go", append([]string{"test"}, args...)...)
 	c.Stdout, c.Stderr = &text, &text
@@ -69,19 +69,19 @@
 
 // run runs all tests with the flags given. The error says what has failed beyond the list.
 func run(out io.Writer, flags []string) error {
-	b, err := os.ReadFile(listed)
+	b, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
-	reds, err := parse(string(b))
+	reds, err := parseList(string(b))
 	if err != nil {
 		return err
 	}
 	skip := map[string][]string{}
 	for _, r := range reds {
-		there, err := tests(nil, "-list", "^"+r.test+"$", r.pkg)
+		there, err := goTest(nil, "-list", "^"+r.test+"$", r.pkg)
 		if err != nil || !slices.Contains(strings.Split(there, "\n"), r.test) {
-			return fmt.Errorf("%s: no %s in %s", listed, r.test, r.pkg)
+			return fmt.Errorf("%s: no %s in %s", listFile, r.test, r.pkg)
 		}
 		skip[r.pkg] = append(skip[r.pkg], r.test)
 	}
@@ -101,17 +101,17 @@
 	}
 	var failed error
 	if len(strict) > 0 {
-		if _, err := tests(out, append(slices.Clone(flags), strict...)...); err != nil {
+		if _, err := goTest(out, append(slices.Clone(flags), strict...)...); err != nil {
 			failed = errors.New("tests failed")
 		}
 	}
 	for pkg, names := range skip {
-		if _, err := tests(out, append(slices.Clone(flags), "-skip", "^("+strings.Join(names, "|")+")$", pkg)...); err != nil {
+		if _, err := goTest(out, append(slices.Clone(flags), "-skip", "^("+strings.Join(names, "|")+")$", pkg)...); err != nil {
 			failed = errors.New("tests failed")
 		}
 	}
 	for _, r := range reds {
-		text, err := tests(nil, append(slices.Clone(flags), "-run", "^"+r.test+"$", r.pkg)...)
+		text, err := goTest(nil, append(slices.Clone(flags), "-run", "^"+r.test+"$", r.pkg)...)
 		result := "fails"
 		if err == nil {
 			result = "passes now: take it off the list"
--- a/internal/ci/main_test.go
+++ b/internal/ci/main_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			all, err := parse(c.text)
+			all, err := parseList(c.text)
 			if len(all) != c.n || (err == nil) != (c.bad == "") || err != nil && !strings.Contains(err.Error(), c.bad) {
 				t.Errorf("got %v, error %v", all, err)
 			}
@@ -66,7 +66,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			write(listed, c.list)
+			write(listFile, c.list)
 			if c.more != "" {
 				write("b/b_test.go", strings.Replace(strings.Replace(fails, "%", "b", 1), "%", "", 1))
 				defer os.RemoveAll("b")
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -28,7 +28,7 @@
 type extras struct {
 	core  *configure.Core // of the reload's goroutine
 	log   *logrus.Entry
-	pools *pools.Backs
+	pools *pools.Backends
 	run   gate.Runner
 	web   *uwsgi.Server // nil without a front
 	ln    *net.TCPListener
@@ -42,7 +42,7 @@
 }
 
 func newExtras(
-	ctx context.Context, t Config, table *front.Table, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
+	ctx context.Context, t Config, table *front.ConnTable, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
 ) (*extras, error) {
 	f := &t.Operator.File
 	tree, err := operator.Tree(f)
@@ -83,9 +83,9 @@
 }
 
 // listen lets the front accept.
-func (x *extras) listen(table *front.Table) {
+func (x *extras) listen(table *front.ConnTable) {
 	if x.web != nil {
-		table.Listen(x.ln, x.web.Open)
+		table.AddListener(x.ln, x.web.Open)
 	}
 }
 
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -101,7 +101,7 @@
 	p := t.Process
 	runtime.GOMAXPROCS(int(math.Ceil(p.Cores)))
 	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
-	if absent := mprpc.Absent(p.Config); len(absent) > 0 {
+	if absent := mprpc.RemoveUnsupported(p.Config); len(absent) > 0 {
 		log.WithField("absent", strings.Join(absent, ", ")).Warn("server: not carried by this protocol")
 	}
 	ln, err := listen(p.Listen, stop, func() { log.WithField("listen", p.Listen).Warn("serve: waits for the address, which is in use") })
@@ -140,8 +140,8 @@
 				log.WithField("keys", brief(stays)).Warn("reload: keys that only a new start can change")
 			}
 			latest.Store(&next)
-			x.link.Move(next.Engine)
-			x.report.Move(x.ctx, next.Members)
+			x.link.SetAddr(next.Engine)
+			x.report.SetAddr(x.ctx, next.Members)
 			done := log.WithFields(logrus.Fields{"engine": next.Engine, "members": next.Members})
 			if next.Operator != nil {
 				done = done.WithFields(logrus.Fields{"version": next.Operator.File.Version, "hash": next.Operator.Hash[:12], "number": number})
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -81,7 +81,7 @@
 	for _, s := range f {
 		b = msgpack.AppendString(b, s)
 	}
-	return append(msgpack.AppendBinHead(b, len(body)), body...)
+	return append(msgpack.AppendBinHeader(b, len(body)), body...)
 }
 
 // whole is a server with its stand-ins, and one connection to it.
@@ -472,7 +472,7 @@
 		for _, s := range f {
 			b = msgpack.AppendString(b, s)
 		}
-		return append(msgpack.AppendBinHead(b, 4), "wait"...)
+		return append(msgpack.AppendBinHeader(b, 4), "wait"...)
 	}
 	w := start(t, 5000, stored)
 	close(w.wait)
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -33,7 +33,7 @@
 	ends   []func()       // the last first
 	wg     sync.WaitGroup // of what serves until ctx ends
 	log    *logrus.Entry
-	table  *front.Table
+	table  *front.ConnTable
 	link   *engine.Link
 	report *members.Reporter
 	more   *extras  // nil without an operator's file
@@ -54,7 +54,7 @@
 	Log    *logrus.Entry
 	Build  string
 	Gate   *gate.Gate
-	Pools  *pools.Backs                         // those of the operator's file
+	Pools  *pools.Backends                      // those of the operator's file
 	Phase  func() (ramp float64, draining bool) // ramp is the share of it that is over, 1 when warm; 0 before an engine answers
 	// Leave has the server drain and end, as a signal to stop does, unless Stay takes that back before its grace is over. A signal to
 	// stop is obeyed at once, whatever else goes on.
@@ -172,7 +172,7 @@
 		begun(cold, ago)
 	})
 	x.link = link
-	x.table = front.NewTable(sockets, g.Idle, log)
+	x.table = front.NewConnTable(sockets, g.Idle, log)
 	run := link.Runner()
 	if t.Operator != nil {
 		if x.more, err = newExtras(ctx, t, x.table, g, run, log); err != nil {
@@ -199,7 +199,7 @@
 		x.serves(x.report.Serve)
 	}
 	x.serves(func(ctx context.Context) { tick(ctx, g, link) })
-	x.table.Listen(ln.(*net.TCPListener), srv.Open)
+	x.table.AddListener(ln.(*net.TCPListener), srv.Open)
 	if x.more != nil {
 		x.more.listen(x.table)
 	}
@@ -227,7 +227,7 @@
 func (x *Server) Shutdown(ctx context.Context) { x.table.Shutdown(ctx) }
 
 // Pools are those of the operator's file; nil without one.
-func (x *Server) Pools() *pools.Backs {
+func (x *Server) Pools() *pools.Backends {
 	if x.more == nil {
 		return nil
 	}
--- a/internal/experiment/parity.go
+++ b/internal/experiment/parity.go
@@ -159,7 +159,7 @@
 		g.UseClock(h.clock)
 	}
 	g.Start(true, 0)
-	table := front.NewTable(1024, func() time.Duration { return time.Hour }, log)
+	table := front.NewConnTable(1024, func() time.Duration { return time.Hour }, log)
 	srv := mprpc.New(table, g, func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
 		n, _ := strconv.Atoi(string(w.Body))
 		h.run(n, func() { done(gate.Succeeded, 0, nil, w.Body) })
@@ -168,7 +168,7 @@
 	if err != nil {
 		return nil, err
 	}
-	table.Listen(ln.(*net.TCPListener), srv.Open)
+	table.AddListener(ln.(*net.TCPListener), srv.Open)
 	router := standin.NewRouter(ln.Addr().String())
 	f.call = func(a *arrival, door time.Time) bool {
 		c := a.call
--- a/internal/experiment/pools.go
+++ b/internal/experiment/pools.go
@@ -222,7 +222,7 @@
 	router.Close()
 	<-watched
 	w.verdict = rules.Report()
-	c := s.Pools.States()[0].Tries
+	c := s.Pools.States()[0].Attempts
 	w.first, w.further = float64(c.FirstAttempts), float64(c.Retries)
 	// What the rules allow: the share of first tries, the floor a second, and what may be saved up at the start.
 	w.allowed = p.Retry.Share*w.first + p.Retry.Floor*time.Since(began).Seconds() + p.Retry.Floor*10 + 100*p.Retry.Share
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -52,7 +52,7 @@
 type Server struct {
 	RPC, Web string // addresses
 	Gate     *gate.Gate
-	Pools    *pools.Backs
+	Pools    *pools.Backends
 	whole    *daemon.Server
 }
 
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -145,7 +145,7 @@
 }
 
 // Retry is pools.Budgets: one more further try.
-func (b *Budgets) Retry(pool string, worth float64) bool {
+func (b *Budgets) AllowRetry(pool string, worth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	ok, _, _ := b.book.Take(b.now(), b.name(pool, "", operator.RetriesPrefix).budget, worth, 0)
@@ -153,7 +153,7 @@
 }
 
 // Call is pools.Budgets: one more in hand.
-func (b *Budgets) Call(pool string, worth, longest float64) bool {
+func (b *Budgets) AllowCall(pool string, worth, longest float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -166,7 +166,7 @@
 }
 
 // CallEnds is pools.Budgets. One that was given up stays in hand for as long as the pool may go on with it.
-func (b *Budgets) CallEnds(pool string, failed, silent bool) {
+func (b *Budgets) CompleteCall(pool string, failed, silent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -161,18 +161,18 @@
 	listen := free(t)
 	f := open(t, &listen, Options{Name: "n0"})
 	b := f.Share(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
-	if !b.Call("p", 1, 100) || !b.Call("p", 1, 100) || b.Call("p", 1, 100) {
+	if !b.AllowCall("p", 1, 100) || !b.AllowCall("p", 1, 100) || b.AllowCall("p", 1, 100) {
 		t.Fatal("two of two expected")
 	}
-	b.CallEnds("p", false, false)
-	if !b.Call("p", 1, 100) {
+	b.CompleteCall("p", false, false)
+	if !b.AllowCall("p", 1, 100) {
 		t.Error("one has ended")
 	}
-	b.CallEnds("p", true, true)
-	if b.Call("p", 1, 100) {
+	b.CompleteCall("p", true, true)
+	if b.AllowCall("p", 1, 100) {
 		t.Error("one was given up, and may be gone on with")
 	}
-	wait(t, "linger", func() bool { return b.Call("p", 1, 100) })
+	wait(t, "linger", func() bool { return b.AllowCall("p", 1, 100) })
 }
 
 func BenchmarkArrives(b *testing.B) {
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -68,14 +68,14 @@
 	}
 	y := &part{f: f, b: f.Share(p.Config.Operator.File.Budgets)}
 	p.Gate.Share(y.b)
-	p.Pools.Judge(f.Judge())
+	p.Pools.UseOutlierDetection(f.Judge())
 	methods := p.Config.Config.Methods
-	p.Pools.Share(y.b, func(method string) float64 {
+	p.Pools.UseBudgets(y.b, func(method string) float64 {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
 		return methods[max(0, i)].Criticality
 	})
 	if len(x.PermitServers) > 0 {
-		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.CancelDrain, Aside: p.Pools.Aside, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
+		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.CancelDrain, Aside: p.Pools.SetDraining, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
 			n := p.Gate.Flow()
 			return n.All, n.PushedBack
 		}, Settle: Settle{Build: p.Build, Folder: x.DataDir, Take: p.Release, Flow: p.Gate.Flow, Mark: p.SampleLoad}})
@@ -91,7 +91,7 @@
 }
 
 // below tells how the members of pools stand.
-func below(b *pools.Backs) func() map[string]map[string]Below {
+func below(b *pools.Backends) func() map[string]map[string]Below {
 	return func() map[string]map[string]Below {
 		all := map[string]map[string]Below{}
 		for _, s := range b.States() {
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -70,7 +70,7 @@
 func (j *Judges) now() float64 { return float64(time.Since(j.origin)) / 1e6 }
 
 // Members is pools.Judges: whom there is to judge.
-func (j *Judges) Members(all map[string][]string, rules func(string) pool.Config) {
+func (j *Judges) SetMembers(all map[string][]string, rules func(string) pool.Config) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	now := j.now()
@@ -100,7 +100,7 @@
 }
 
 // Saw is pools.Judges: the end of a try.
-func (j *Judges) Saw(name, member string, how pool.Outcome, latency float64) {
+func (j *Judges) RecordOutcome(name, member string, how pool.Outcome, latency float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	p := j.pools[name]
@@ -118,7 +118,7 @@
 }
 
 // Busy is pools.Judges: a member's word that it is to be left alone.
-func (j *Judges) Busy(name, member string, away float64) {
+func (j *Judges) RecordRetryAfter(name, member string, away float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if p := j.pools[name]; p != nil {
@@ -140,7 +140,7 @@
 }
 
 // Verdicts is pools.Judges.
-func (j *Judges) Verdicts(name string) (all []pool.FleetDecision, is bool) {
+func (j *Judges) Decisions(name string) (all []pool.FleetDecision, is bool) {
 	j.mu.Lock()
 	p := j.pools[name]
 	j.mu.Unlock()
@@ -151,12 +151,12 @@
 }
 
 // Takes is pools.Judges.
-func (j *Judges) Takes(member string, caller uint64, share float64) bool {
+func (j *Judges) Admits(member string, caller uint64, share float64) bool {
 	return outlier.Takes(member, caller, share)
 }
 
 // Probe is pools.Judges.
-func (j *Judges) Probe(name string) string {
+func (j *Judges) TrialMember(name string) string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	p := j.pools[name]
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -18,108 +18,108 @@
 
 // Conn is one connection of a front.
 type Conn interface {
-	Serve()                                           // reads until the end, and closes by ConnState.Finish
-	Room(now time.Time) (how Readily, last time.Time) // how readily it is given up, and when something last passed
-	Evict(last time.Time)                             // has it closed unless something has passed since
-	Retire(idle, lingers time.Duration)               // has it closed in its protocol's way once it has been idle so long, or told
-	Closing()                                         // no more RPCs are wanted on it
-	Cut(by time.Time)                                 // all on it is over by then
+	Serve()                                                             // reads until the end, and closes by ConnState.Finish
+	EvictionPriority(now time.Time) (how EvictionClass, last time.Time) // how readily it is given up, and when something last passed
+	Evict(last time.Time)                                               // has it closed unless something has passed since
+	CloseIdle(idle, lingers time.Duration)                              // has it closed in its protocol's way once it has been idle so long, or told
+	GoAway()                                                            // no more RPCs are wanted on it
+	Abort(by time.Time)                                                 // all on it is over by then
 }
 
 // Table holds the connections of all fronts.
-type Table struct {
-	idle func() time.Duration
-	log  *logrus.Entry
+type ConnTable struct {
+	idleTimeout func() time.Duration
+	log         *logrus.Entry
 
-	beforeLast func() // a test's: called between the end of the last accept and the last look
+	beforeLastAccept func() // a test's: called between the end of the last accept and the last look
 
-	withheld atomic.Int32  // permits that are never used, as descriptors ran out
-	permits  chan struct{} // a semaphore: one for each connection that may be open
-	over     atomic.Bool   // no more RPCs are wanted: every connection is told so
-	closed   chan struct{} // once nothing is accepted any more
+	withheldPermits atomic.Int32  // permits that are never used, as descriptors ran out
+	permits         chan struct{} // a semaphore: one for each connection that may be open
+	shuttingDown    atomic.Bool   // no more RPCs are wanted: every connection is told so
+	acceptorsDone   chan struct{} // once nothing is accepted any more
 
 	mu        sync.Mutex
 	listeners []*net.TCPListener
-	accepting int
+	acceptors int
 	conns     map[Conn]struct{}
-	wg        sync.WaitGroup
+	serving   sync.WaitGroup
 }
 
 const (
 	// reserved descriptors: the listener, the engine, the membership service, the three standard ones and what
 	// the runtime keeps make ten; the rest is for the moments in which a closed one is not yet gone, and for
 	// the listener of a second front.
-	reserved = 24
+	reservedDescriptors = 24
 	// leastOpen connections are allowed, however few descriptors there are: fewer serve nobody.
-	leastOpen = 8
+	minConnections = 8
 	// sweepEvery is how often idle connections are looked for: a tenth of the shortest idle time in use.
-	sweepEvery = 100 * time.Millisecond
+	idleCheckInterval = 100 * time.Millisecond
 	// roomPause is waited for a connection to make room before the next one is looked for.
-	roomPause = 10 * time.Millisecond
+	evictionPause = 10 * time.Millisecond
 	// acceptPause follows an error of accept, which would else come again at once.
-	acceptPause = 20 * time.Millisecond
+	acceptBackoff = 20 * time.Millisecond
 	// restEvery is how often a shutdown looks for connections that rest: a tenth of Crossing.
-	restEvery = Crossing / 10
+	drainPollInterval = TransitTime / 10
 	// cutTime is what is left of a shutdown for closing connections as its time is over: on one machine a peer's end
 	// comes back in well under a millisecond, and the process has to be gone 20 ms after that.
-	cutTime = 10 * time.Millisecond
+	abortTimeout = 10 * time.Millisecond
 	// LastAccept is how long connections are still accepted once no more are wanted. The listening socket is
 	// closed right after a look that found none: the machine may have accepted one that we have not yet, and
 	// what is written to that would be lost.
-	LastAccept = 5 * time.Millisecond
+	AcceptGrace = 5 * time.Millisecond
 )
 
 // NewTable returns a table for a process that may hold so many descriptors; idle tells how long a connection may
 // carry nothing.
-func NewTable(sockets int, idle func() time.Duration, log *logrus.Entry) *Table {
-	return &Table{
-		idle: idle, log: log, beforeLast: func() {}, closed: make(chan struct{}),
-		permits: make(chan struct{}, max(leastOpen, sockets-reserved)), conns: map[Conn]struct{}{},
+func NewConnTable(sockets int, idle func() time.Duration, log *logrus.Entry) *ConnTable {
+	return &ConnTable{
+		idleTimeout: idle, log: log, beforeLastAccept: func() {}, acceptorsDone: make(chan struct{}),
+		permits: make(chan struct{}, max(minConnections, sockets-reservedDescriptors)), conns: map[Conn]struct{}{},
 	}
 }
 
 // Over tells whether no more RPCs are wanted.
-func (t *Table) Over() bool { return t.over.Load() }
+func (t *ConnTable) ShuttingDown() bool { return t.shuttingDown.Load() }
 
 // Listen adds the listening socket of a front, whose connections are made by open. It does not block. It must not
 // be called after Shutdown.
-func (t *Table) Listen(ln *net.TCPListener, open func(net.Conn) Conn) {
+func (t *ConnTable) AddListener(ln *net.TCPListener, open func(net.Conn) Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.listeners = append(t.listeners, ln)
-	if t.accepting++; t.accepting == 1 {
-		go t.sweep()
+	if t.acceptors++; t.acceptors == 1 {
+		go t.closeIdleConns()
 	}
 	go t.accept(ln, open)
 }
 
-func (t *Table) accept(ln *net.TCPListener, open func(net.Conn) Conn) {
+func (t *ConnTable) accept(ln *net.TCPListener, open func(net.Conn) Conn) {
 	defer func() {
 		ln.Close()
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if t.accepting--; t.accepting == 0 {
-			close(t.closed)
+		if t.acceptors--; t.acceptors == 0 {
+			close(t.acceptorsDone)
 		}
 	}()
 	for {
 		t.acquire()
-		if t.over.Load() { // one may have waited for its permit: a deadline that is past would pass it over
-			ln.SetDeadline(time.Now().Add(LastAccept))
+		if t.shuttingDown.Load() { // one may have waited for its permit: a deadline that is past would pass it over
+			ln.SetDeadline(time.Now().Add(AcceptGrace))
 		}
 		nc, err := ln.Accept()
 		if err != nil {
 			<-t.permits
-			if !errors.Is(err, os.ErrDeadlineExceeded) || !t.over.Load() {
+			if !errors.Is(err, os.ErrDeadlineExceeded) || !t.shuttingDown.Load() {
 				t.log.WithError(err).Warn("server: accept failed")
 				if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-					t.withhold()
+					t.withholdPermits()
 				}
-				time.Sleep(acceptPause)
+				time.Sleep(acceptBackoff)
 				continue
 			}
-			t.beforeLast()
-			if nc = last(ln); nc == nil {
+			t.beforeLastAccept()
+			if nc = acceptPending(ln); nc == nil {
 				return
 			}
 			t.acquire()
@@ -128,14 +128,14 @@
 		t.mu.Lock()
 		t.conns[c] = struct{}{}
 		t.mu.Unlock()
-		t.wg.Add(1)
+		t.serving.Add(1)
 		go func() {
 			c.Serve()
 			t.mu.Lock()
 			delete(t.conns, c)
 			t.mu.Unlock()
 			<-t.permits
-			t.wg.Done()
+			t.serving.Done()
 		}()
 	}
 }
@@ -143,21 +143,21 @@
 // withhold lowers the limit for good to what is open now less reserved, and evicts down to that. It guards against
 // descriptors that run out before the limit: without it accept would take each one that comes free, and the reporter and the
 // engine's link, which the server can't do without, would get none.
-func (t *Table) withhold() {
-	n := min(cap(t.permits)-len(t.permits)+reserved, cap(t.permits)-leastOpen-int(t.withheld.Load()))
+func (t *ConnTable) withholdPermits() {
+	n := min(cap(t.permits)-len(t.permits)+reservedDescriptors, cap(t.permits)-minConnections-int(t.withheldPermits.Load()))
 	for range n {
-		if t.over.Load() {
+		if t.shuttingDown.Load() {
 			return
 		}
 		t.acquire()
-		t.withheld.Add(1)
+		t.withheldPermits.Add(1)
 	}
-	t.log.WithField("most", cap(t.permits)-int(t.withheld.Load())).Warn("server: descriptors ran out, fewer connections from now on")
+	t.log.WithField("most", cap(t.permits)-int(t.withheldPermits.Load())).Warn("server: descriptors ran out, fewer connections from now on")
 }
 
 // last accepts a connection that the machine has accepted and that is waiting, if there is one. An Accept that ends by its
 // deadline has not looked: closing the socket then would reset one that came with the deadline.
-func last(ln *net.TCPListener) net.Conn {
+func acceptPending(ln *net.TCPListener) net.Conn {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return nil
@@ -180,7 +180,7 @@
 }
 
 // acquire waits for a permit for one more connection.
-func (t *Table) acquire() {
+func (t *ConnTable) acquire() {
 	select {
 	case t.permits <- struct{}{}:
 		return
@@ -188,67 +188,67 @@
 		t.log.WithField("most", cap(t.permits)).Warn("server: connection limit reached")
 	}
 	for {
-		t.EvictSome()
+		t.Evict()
 		select {
 		case t.permits <- struct{}{}:
 			return
-		case <-time.After(roomPause):
+		case <-time.After(evictionPause):
 		}
 	}
 }
 
 // sweep closes connections that have carried nothing for as long as idle says.
-func (t *Table) sweep() {
-	tick := time.NewTicker(sweepEvery)
+func (t *ConnTable) closeIdleConns() {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-t.closed:
+		case <-t.acceptorsDone:
 			return
 		case <-tick.C:
 		}
-		idle := t.idle()
-		for _, c := range t.All() {
-			c.Retire(idle, Lingers)
+		idle := t.idleTimeout()
+		for _, c := range t.Conns() {
+			c.CloseIdle(idle, LingerTimeout)
 		}
 	}
 }
 
 // EvictMost is how many connections one look gives up: a crowd comes by hundreds, and a look at each of all
 // connections for each new one took a fifth of the server's time.
-const EvictMost = 16
+const MaxEvictions = 16
 
 // endingMost is how many idle connections may be on their way out at once: each takes lingerEvicted where its peer does
 // not close, so eighty new ones a second get in however many rest.
-const endingMost = 4
+const maxClosingIdle = 4
 
 // EvictSome gives up the connections that are missed least. Those that were never of use go first, however many: else
 // a crowd of them would keep sound peers out. Without any, it is the one that has been idle for longest.
-func (t *Table) EvictSome() {
+func (t *ConnTable) Evict() {
 	var longest Conn
 	var since time.Time
 	given, ending, wait, now := 0, 0, false, time.Now()
-	for _, c := range t.All() {
-		readily, last := c.Room(now)
+	for _, c := range t.Conns() {
+		readily, last := c.EvictionPriority(now)
 		switch {
-		case readily == Useless && given < EvictMost:
+		case readily == Unused && given < MaxEvictions:
 			c.Evict(last)
 			given++
-		case readily == Young:
+		case readily == AwaitingFirstMessage:
 			wait = true
-		case readily == Ending:
+		case readily == Closing:
 			ending++
 		case readily == Idle && (longest == nil || last.Before(since)):
 			longest, since = c, last
 		}
 	}
-	if given == 0 && ending < endingMost && !wait && longest != nil {
+	if given == 0 && ending < maxClosingIdle && !wait && longest != nil {
 		longest.Evict(since)
 	}
 }
 
 // All is the connections that are open.
-func (t *Table) All() []Conn {
+func (t *ConnTable) Conns() []Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	all := make([]Conn, 0, len(t.conns))
@@ -262,53 +262,53 @@
 // the connections are closed, or ctx ends. A peer that rests on its connection is waited for half of the time; then the
 // connection is closed from here, so that there is time left to read what crosses that. What is left as ctx ends is closed
 // within cutTime.
-func (t *Table) Shutdown(ctx context.Context) {
-	t.over.Store(true)
+func (t *ConnTable) Shutdown(ctx context.Context) {
+	t.shuttingDown.Store(true)
 	t.mu.Lock()
 	for _, ln := range t.listeners {
-		ln.SetDeadline(time.Now().Add(LastAccept))
+		ln.SetDeadline(time.Now().Add(AcceptGrace))
 	}
 	none := len(t.listeners) == 0
 	t.mu.Unlock()
-	for _, c := range t.All() {
-		c.Closing()
+	for _, c := range t.Conns() {
+		c.GoAway()
 	}
-	rest := time.Now().Add(Lingers)
+	rest := time.Now().Add(LingerTimeout)
 	if by, ok := ctx.Deadline(); ok {
-		rest = time.Now().Add(min(Lingers, time.Until(by)/2))
+		rest = time.Now().Add(min(LingerTimeout, time.Until(by)/2))
 	}
 	done := make(chan struct{})
 	go func() {
 		if !none {
-			<-t.closed
+			<-t.acceptorsDone
 		}
-		t.wg.Wait()
+		t.serving.Wait()
 		close(done)
 	}()
-	look := time.NewTicker(restEvery)
+	look := time.NewTicker(drainPollInterval)
 	defer look.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-look.C:
-			lingers := Lingers
+			lingers := LingerTimeout
 			if time.Now().After(rest) {
-				lingers = Crossing
+				lingers = TransitTime
 			}
-			for _, c := range t.All() {
-				c.Retire(0, lingers)
+			for _, c := range t.Conns() {
+				c.CloseIdle(0, lingers)
 			}
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	by := time.Now().Add(cutTime)
-	for _, c := range t.All() {
-		c.Cut(by)
+	by := time.Now().Add(abortTimeout)
+	for _, c := range t.Conns() {
+		c.Abort(by)
 	}
-	last := time.NewTimer(cutTime + cutTime/2)
+	last := time.NewTimer(abortTimeout + abortTimeout/2)
 	defer last.Stop()
 	select {
 	case <-done:
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -23,7 +23,7 @@
 // lines is a front that answers each line by itself.
 type lines struct {
 	ConnState
-	table *Table
+	table *ConnTable
 }
 
 func (c *lines) Serve() {
@@ -31,11 +31,11 @@
 	in := bufio.NewReader(c.Conn)
 	for {
 		line, err := in.ReadString('\n')
-		if err != nil || c.Ended() {
+		if err != nil || c.Ending() {
 			return
 		}
 		c.Mu.Lock()
-		c.Used, c.Last = true, time.Now()
+		c.ReceivedRPC, c.LastActivity = true, time.Now()
 		c.Mu.Unlock()
 		if !c.Send([]byte(line)) {
 			return
@@ -43,8 +43,8 @@
 	}
 }
 
-func (c *lines) Retire(_, lingers time.Duration) { c.Rested(lingers) }
-func (c *lines) Closing()                        { c.Tell() }
+func (c *lines) CloseIdle(_, lingers time.Duration) { c.CloseIfDrained(lingers) }
+func (c *lines) GoAway()                            { c.MarkGoAway() }
 
 func quietLog() *logrus.Entry {
 	log := logrus.New()
@@ -53,21 +53,21 @@
 }
 
 // serve returns a table that serves lines, and where.
-func serve(t *testing.T, sockets int) (*Table, string) {
+func serve(t *testing.T, sockets int) (*ConnTable, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := NewTable(sockets, func() time.Duration { return time.Hour }, quietLog())
-	table.Listen(ln.(*net.TCPListener), func(nc net.Conn) Conn {
-		return &lines{ConnState: ConnState{Conn: nc, WriteTime: soon, Last: time.Now()}, table: table}
+	table := NewConnTable(sockets, func() time.Duration { return time.Hour }, quietLog())
+	table.AddListener(ln.(*net.TCPListener), func(nc net.Conn) Conn {
+		return &lines{ConnState: ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}, table: table}
 	})
 	t.Cleanup(func() { shutdown(t, table, 100*time.Millisecond) })
 	return table, ln.Addr().String()
 }
 
-func shutdown(t *testing.T, table *Table, within time.Duration) {
+func shutdown(t *testing.T, table *ConnTable, within time.Duration) {
 	t.Helper()
 	ctx, end := context.WithTimeout(context.Background(), within)
 	defer end()
@@ -132,16 +132,19 @@
 		name string
 		ends func(s *ConnState)
 	}{
-		{"evicted", func(s *ConnState) { s.Evict(s.Last) }},
-		{"rested", func(s *ConnState) { s.Told, s.Last = time.Unix(1, 0), time.Unix(1, 0); s.Rested(Crossing) }},
-		{"ended", func(s *ConnState) { s.End() }},
-		{"cut", func(s *ConnState) { s.Cut(time.Now().Add(soon)) }},
+		{"evicted", func(s *ConnState) { s.Evict(s.LastActivity) }},
+		{"rested", func(s *ConnState) {
+			s.GoAwayAt, s.LastActivity = time.Unix(1, 0), time.Unix(1, 0)
+			s.CloseIfDrained(TransitTime)
+		}},
+		{"ended", func(s *ConnState) { s.RequestClose() }},
+		{"cut", func(s *ConnState) { s.Abort(time.Now().Add(soon)) }},
 		{"served to its end", func(s *ConnState) {}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			peer, nc := pair(t)
-			s := &ConnState{Conn: nc, WriteTime: soon, Last: time.Now(), Used: true}
+			s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now(), ReceivedRPC: true}
 			io.WriteString(peer, "half a li")
 			arrived(t, nc)
 			if !s.Send([]byte("an ans"), []byte("wer\n")) {
@@ -170,25 +173,25 @@
 // Neither a reader's own deadline nor a second end changes how long a closing connection is read on.
 func TestEndOnce(t *testing.T) {
 	_, nc := pair(t)
-	s := &ConnState{Conn: nc, WriteTime: soon, Last: time.Now()}
-	s.End()
-	s.ReadBy(time.Time{}) // as a reader that was between two lines when the end was decided
+	s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}
+	s.RequestClose()
+	s.BoundReads(time.Time{}) // as a reader that was between two lines when the end was decided
 	began := time.Now()
-	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !s.Ended() {
+	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !s.Ending() {
 		t.Fatalf("the owner is not woken: %v", err)
 	}
 	over := make(chan struct{})
 	go func() { s.Finish(); close(over) }()
 	for open := true; open; {
-		s.End()
-		s.Evict(s.Last)
+		s.RequestClose()
+		s.Evict(s.LastActivity)
 		select {
 		case <-over:
 			open = false
 		default:
 		}
 	}
-	if gone := time.Since(began); gone < lingerTime {
+	if gone := time.Since(began); gone < finishLinger {
 		t.Errorf("read on for %v only", gone)
 	}
 }
@@ -197,8 +200,8 @@
 func TestLastLook(t *testing.T) {
 	table, addr := serve(t, 1024)
 	got := make(chan string, 1)
-	table.beforeLast = func() {
-		table.beforeLast = func() {}
+	table.beforeLastAccept = func() {
+		table.beforeLastAccept = func() {}
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			got <- err.Error()
@@ -235,7 +238,7 @@
 		conn.Close()
 	}()
 	shutdown(t, table, within)
-	if gone := time.Since(began); gone > within-cutTime {
+	if gone := time.Since(began); gone > within-abortTimeout {
 		t.Errorf("over after %v", gone)
 	}
 }
@@ -256,10 +259,10 @@
 	if gone := time.Since(began); gone > soon/2 {
 		t.Errorf("over after %v", gone)
 	}
-	for len(table.All()) > 0 && time.Since(began) < soon {
+	for len(table.Conns()) > 0 && time.Since(began) < soon {
 		time.Sleep(time.Millisecond)
 	}
-	if n := len(table.All()); n > 0 {
+	if n := len(table.Conns()); n > 0 {
 		t.Errorf("%d connections left", n)
 	}
 }
@@ -273,7 +276,7 @@
 	}
 	const idle = 60
 	limit := was
-	limit.Cur = 2*idle + 2*reserved // each connection has both ends here
+	limit.Cur = 2*idle + 2*reservedDescriptors // each connection has both ends here
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
@@ -298,8 +301,8 @@
 			break
 		}
 		conns = append(conns, conn)
-		for len(table.All()) < len(conns)-int(table.withheld.Load()) && !ran {
-			ran = table.withheld.Load() > 0
+		for len(table.Conns()) < len(conns)-int(table.withheldPermits.Load()) && !ran {
+			ran = table.withheldPermits.Load() > 0
 			time.Sleep(time.Millisecond)
 		}
 		if !ran {
--- a/internal/front/mprpc/server.go
+++ b/internal/front/mprpc/server.go
@@ -20,19 +20,19 @@
 type Server struct {
 	gate  *gate.Gate
 	run   gate.Runner
-	table *front.Table
+	table *front.ConnTable
 	log   *logrus.Entry
 
-	silence time.Duration // a first message, and the rest of one that has begun, must come within this
+	messageTimeout time.Duration // a first message, and the rest of one that has begun, must come within this
 }
 
 // silence is well above the stalls of machines, and well under the 3 s after which a connection that says
 // nothing should be gone.
-const silence = 2 * time.Second
+const defaultMessageTimeout = 2 * time.Second
 
 // New returns the front. Its connections are to be made by Open.
-func New(table *front.Table, g *gate.Gate, run gate.Runner, log *logrus.Entry) *Server {
-	return &Server{gate: g, run: run, table: table, log: log, silence: silence}
+func New(table *front.ConnTable, g *gate.Gate, run gate.Runner, log *logrus.Entry) *Server {
+	return &Server{gate: g, run: run, table: table, log: log, messageTimeout: defaultMessageTimeout}
 }
 
 // Open takes a connection that has just been accepted.
@@ -40,18 +40,18 @@
 
 // Absent takes out of o what the protocol of the routers and of the engine can't carry, so that no decision is
 // built on it, and names it.
-func Absent(o *startup.Config) (names []string) {
-	if o.Dependency.ConcurrencyShare > 0 {
-		o.Dependency, names = control.Dependency{}, append(names, "calls below")
+func RemoveUnsupported(config *startup.Config) (names []string) {
+	if config.Dependency.ConcurrencyShare > 0 {
+		config.Dependency, names = control.Dependency{}, append(names, "calls below")
 	}
-	if o.Node.Preemption != control.PreemptNone {
-		o.Node.Preemption, names = control.PreemptNone, append(names, "stopping of runs")
+	if config.Node.Preemption != control.PreemptNone {
+		config.Node.Preemption, names = control.PreemptNone, append(names, "stopping of runs")
 	}
-	if o.Fleet.Feedback != control.FeedbackNone {
-		o.Fleet.Feedback, names = control.FeedbackNone, append(names, "a value for callers")
+	if config.Fleet.Feedback != control.FeedbackNone {
+		config.Fleet.Feedback, names = control.FeedbackNone, append(names, "a value for callers")
 	}
-	if o.Fleet.PropagatesDeadline {
-		o.Fleet.PropagatesDeadline, names = false, append(names, "the time that a caller waits")
+	if config.Fleet.PropagatesDeadline {
+		config.Fleet.PropagatesDeadline, names = false, append(names, "the time that a caller waits")
 	}
 	return names
 }
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -31,7 +31,7 @@
 type rig struct {
 	*testing.T
 	s     *Server
-	table *front.Table
+	table *front.ConnTable
 	g     *gate.Gate
 	addr  string
 	conn  net.Conn
@@ -62,7 +62,7 @@
 	r.g = gate.New(o, 64, func(string, string) {})
 	r.g.Start(false, 0)
 	entry := log.WithField("node", "n0")
-	r.table = front.NewTable(sockets, r.g.Idle, entry)
+	r.table = front.NewConnTable(sockets, r.g.Idle, entry)
 	r.s = New(r.table, r.g, func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
@@ -75,9 +75,9 @@
 			done(how, spent, head, result)
 		}}
 	}, entry)
-	for _, r.s.silence = range patience {
+	for _, r.s.messageTimeout = range patience {
 	}
-	r.table.Listen(ln.(*net.TCPListener), r.s.Open)
+	r.table.AddListener(ln.(*net.TCPListener), r.s.Open)
 	t.Cleanup(func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
@@ -110,7 +110,7 @@
 	for _, s := range f {
 		b = msgpack.AppendString(b, s)
 	}
-	return string(msgpack.AppendBinHead(b, len(body))) + body
+	return string(msgpack.AppendBinHeader(b, len(body))) + body
 }
 
 func (r *rig) says(s string) {
@@ -126,8 +126,8 @@
 	for {
 		p := msgpack.Parse(r.buf)
 		if p.Skip(); p.Err() == nil {
-			s := show(r.buf[:p.At()])
-			r.buf = r.buf[p.At():]
+			s := show(r.buf[:p.Offset()])
+			r.buf = r.buf[p.Offset():]
 			return s
 		}
 		b := make([]byte, 4096)
@@ -190,7 +190,7 @@
 
 func TestConnection(t *testing.T) {
 	cancel := func(id uint64) string {
-		b := msgpack.AppendString(msgpack.AppendUint(msgpack.AppendArray(nil, 3), typeNotice), "cancel")
+		b := msgpack.AppendString(msgpack.AppendUint(msgpack.AppendArray(nil, 3), typeNotification), "cancel")
 		return string(msgpack.AppendUint(msgpack.AppendArray(b, 1), id))
 	}
 	health := "\x94\x00\x63\xa6health\x91\x80"
@@ -242,14 +242,14 @@
 		}},
 		{"hundreds withdrawn at once: each hears of it, and all is free again", func(r *rig) {
 			s := cancel(77) + "\x93\x02\xa4sing\x90"
-			for id := uint64(1); id <= maxOpen; id++ {
+			for id := uint64(1); id <= maxInFlight; id++ {
 				s += rpc(id, "view", "a")
 			}
-			for id := uint64(1); id <= maxOpen+pointless/2; id++ { // some cross their answers
+			for id := uint64(1); id <= maxInFlight+maxFaultsUndelayed/2; id++ { // some cross their answers
 				s += cancel(id)
 			}
 			r.says(s)
-			for range maxOpen {
+			for range maxInFlight {
 				if got := r.next(); !strings.HasSuffix(got, " Cancelled") {
 					r.Fatalf("read %q", got)
 				}
@@ -296,7 +296,7 @@
 				"\x94\x00\x09\xa4view\x91\x80", "\x94\x00\x0a\xa4view\x92\x81\xa1a\x07\xc4\x00", "\x94\x00\x0b\xa4view\x92\x80\x07",
 				rpc(12, "view", "", "ram", "0"), rpc(13, "view", "", "ram", "2000"), rpc(14, "view", "", "standing", "1"),
 				rpc(15, "view", "", "door", "9999999999999"), rpc(16, "view", "", "txn", "0123456789abcde"),
-				rpc(17, "view", "", "txn", "0123456789abcdeg"), rpc(18, "buy", "", "unique", strings.Repeat("u", maxText+1)),
+				rpc(17, "view", "", "txn", "0123456789abcdeg"), rpc(18, "buy", "", "unique", strings.Repeat("u", maxToken+1)),
 				"\x94\x00\x13\xa6health\x91\x07",
 			} {
 				r.says(s)
@@ -335,13 +335,13 @@
 				s += rpc(id, "view", "b")
 			}
 			r.says(s)
-			for id := maxOpen + 1; id <= 300; id++ {
+			for id := maxInFlight + 1; id <= 300; id++ {
 				r.expect(fmt.Sprint(id, " Overloaded"))
 			}
-			for range maxOpen {
+			for range maxInFlight {
 				r.end("b")
 			}
-			for range maxOpen {
+			for range maxInFlight {
 				if got := r.next(); !strings.HasSuffix(got, " ok r-b") {
 					r.Fatalf("read %q", got)
 				}
@@ -349,12 +349,12 @@
 		}},
 		{"a peer that never makes sense is slowed down, and still answered", func(r *rig) {
 			began := time.Now()
-			for id := uint64(1); id <= pointless+5; id++ {
+			for id := uint64(1); id <= maxFaultsUndelayed+5; id++ {
 				r.says(rpc(id, "sell", ""))
 				r.expect(fmt.Sprint(id, " Invalid"))
 			}
-			if gone := time.Since(began); gone < 4*slowdown {
-				r.Errorf("%d answers in %v", pointless+5, gone)
+			if gone := time.Since(began); gone < 4*faultDelay {
+				r.Errorf("%d answers in %v", maxFaultsUndelayed+5, gone)
 			}
 		}},
 		{"a half-closed connection gets its answers", func(r *rig) {
@@ -391,11 +391,11 @@
 				runtime.Gosched()
 			}
 			open := func() (n int) {
-				for _, c := range r.table.All() {
+				for _, c := range r.table.Conns() {
 					c := c.(*conn)
 					c.Mu.Lock()
 					if c.RemoteAddr().String() == gone.LocalAddr().String() {
-						n = len(c.open)
+						n = len(c.tickets)
 					}
 					c.Mu.Unlock()
 				}
@@ -443,10 +443,10 @@
 		{"an idle connection is told, and closed", func(r *rig) {
 			r.says(health)
 			r.expect("99 health true")
-			for _, c := range r.table.All() {
+			for _, c := range r.table.Conns() {
 				c := c.(*conn)
 				c.Mu.Lock()
-				c.Last = c.Last.Add(-time.Hour)
+				c.LastActivity = c.LastActivity.Add(-time.Hour)
 				c.Mu.Unlock()
 			}
 			r.expect("closing", "")
@@ -454,9 +454,9 @@
 		{"what crosses a close from here is not run, as it is sent again", func(r *rig) {
 			r.says(health)
 			r.expect("99 health true")
-			c := r.table.All()[0].(*conn)
+			c := r.table.Conns()[0].(*conn)
 			c.Mu.Lock()
-			c.Shut = true
+			c.CloseRequested = true
 			c.Mu.Unlock()
 			r.says(rpc(1, "view", "a"))
 			r.expect("")
@@ -579,7 +579,7 @@
 			r.says(rpc(1, "view", "b"))
 			r.end("b")
 			r.expect("1 ok r-b")
-			if gone := time.Since(began); gone > 100/7*2*front.Crossing+soon/10 {
+			if gone := time.Since(began); gone > 100/7*2*front.TransitTime+soon/10 {
 				t.Errorf("kept out for %v", gone)
 			}
 			r.conn, r.buf = sound, nil
@@ -597,20 +597,20 @@
 	r.end("a")
 	r.expect("1 ok r-a")
 	sound := r.conn
-	for range front.EvictMost + 5 {
+	for range front.MaxEvictions + 5 {
 		r.conn = r.dial()
 		r.says("\x94\x00\x63\xa6health\x91\x80")
 		r.expect("99 health true")
 	}
-	for _, c := range r.table.All() { // an answer is heard before its server has booked it: a connection is busy until then
+	for _, c := range r.table.Conns() { // an answer is heard before its server has booked it: a connection is busy until then
 		for busy := true; busy; runtime.Gosched() {
-			readily, _ := c.Room(time.Now().Add(2 * front.Crossing))
+			readily, _ := c.EvictionPriority(time.Now().Add(2 * front.TransitTime))
 			busy = readily == front.Busy
 		}
 	}
 	for range 2 {
-		left := len(r.table.All()) - front.EvictMost
-		for r.table.EvictSome(); len(r.table.All()) > max(1, left); {
+		left := len(r.table.Conns()) - front.MaxEvictions
+		for r.table.Evict(); len(r.table.Conns()) > max(1, left); {
 			runtime.Gosched() // until they have ended
 		}
 	}
@@ -649,7 +649,7 @@
 	defer end()
 	go r.table.Shutdown(ctx)
 	go func() {
-		time.Sleep(4 * front.LastAccept) // the first deadline must be past while eight connections take all places
+		time.Sleep(4 * front.AcceptGrace) // the first deadline must be past while eight connections take all places
 		for range conns {
 			run := <-r.runs
 			run.done(gate.Succeeded, 1, nil)
@@ -667,11 +667,11 @@
 
 func TestAbsent(t *testing.T) {
 	o := &startup.Config{}
-	if names := Absent(o); names != nil {
+	if names := RemoveUnsupported(o); names != nil {
 		t.Errorf("absent %q of nothing", names)
 	}
 	o.Dependency.ConcurrencyShare, o.Node.Preemption, o.Fleet.Feedback, o.Fleet.PropagatesDeadline = 2, control.PreemptAbort, control.FeedbackLevel, true
-	if names := Absent(o); len(names) != 4 || o.Dependency.ConcurrencyShare != 0 || o.Node.Preemption != control.PreemptNone ||
+	if names := RemoveUnsupported(o); len(names) != 4 || o.Dependency.ConcurrencyShare != 0 || o.Node.Preemption != control.PreemptNone ||
 		o.Fleet.Feedback != control.FeedbackNone || o.Fleet.PropagatesDeadline {
 		t.Errorf("absent %q, told %+v", names, o)
 	}
@@ -703,9 +703,9 @@
 	r.says(rpc(1, "view", "a"))
 	r.end("a")
 	r.expect("1 ok r-a")
-	c := r.table.All()[0].(*conn)
+	c := r.table.Conns()[0].(*conn)
 	c.Mu.Lock()
-	c.Shut = true // decided, and its reader has yet to be woken
+	c.CloseRequested = true // decided, and its reader has yet to be woken
 	c.Mu.Unlock()
 	crossing := ""
 	for id := range uint64(40) { // more than one read takes
@@ -716,7 +716,7 @@
 		t.Errorf("read %q", got)
 	}
 	r.conn.Close()
-	for len(r.table.All()) > 0 {
+	for len(r.table.Conns()) > 0 {
 		runtime.Gosched()
 	}
 	select {
@@ -732,26 +732,26 @@
 	r.says(rpc(1, "view", "a"))
 	r.end("a")
 	r.expect("1 ok r-a")
-	c := r.table.All()[0].(*conn)
+	c := r.table.Conns()[0].(*conn)
 	half := rpc(2, "view", "b")
 	r.says(half[:len(half)/2])
 	for begun := false; !begun; runtime.Gosched() {
 		c.Mu.Lock()
-		begun = c.Begun
+		begun = c.PartialMessage
 		c.Mu.Unlock()
 	}
 	c.Mu.Lock()
-	c.Last = c.Last.Add(-front.Lingers) // it takes its time
+	c.LastActivity = c.LastActivity.Add(-front.LingerTimeout) // it takes its time
 	c.Mu.Unlock()
-	c.Closing()
+	c.GoAway()
 	r.expect("closing")
-	c.Rested(0)
-	r.table.EvictSome()
+	c.CloseIfDrained(0)
+	r.table.Evict()
 	r.says(half[len(half)/2:])
 	r.end("b")
 	r.expect("2 ok r-b")
 	c.Mu.Lock()
-	if c.Begun {
+	if c.PartialMessage {
 		t.Error("still taken for begun")
 	}
 	c.Mu.Unlock()
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -11,84 +11,84 @@
 )
 
 // Readily is how readily a connection is given up for another.
-type Readily int
+type EvictionClass int
 
 const (
-	Busy    Readily = iota // something is open, or may be on its way
-	Idle                   // it has carried RPCs
-	Young                  // its first message may be on its way: that is waited for before any idle one is given up
-	Ending                 // given up, and not yet gone
-	Useless                // never more than silence, nonsense or a check, each of which has a connection of its own
+	Busy                 EvictionClass = iota // something is open, or may be on its way
+	Idle                                      // it has carried RPCs
+	AwaitingFirstMessage                      // its first message may be on its way: that is waited for before any idle one is given up
+	Closing                                   // given up, and not yet gone
+	Unused                                    // never more than silence, nonsense or a check, each of which has a connection of its own
 )
 
 // Crossing is how long a connection without anything open is kept at the limit, as an RPC may be on its way: twice
 // the time in which one that crosses a close is sent again, and enough for a first message.
-const Crossing = 100 * time.Millisecond
+const TransitTime = 100 * time.Millisecond
 
 // Lingers is how long a connection stays open after its closing notice and its last answer, for its peer to close
 // it; far above the 50 ms in which an RPC may cross the notice.
-const Lingers = 1500 * time.Millisecond
+const LingerTimeout = 1500 * time.Millisecond
 
 const (
 	// lingerTime is for a peer to take its last answers and to close: twice Crossing, as what crossed must be read.
-	lingerTime = 2 * Crossing
+	finishLinger = 2 * TransitTime
 	// lingerEvicted is that for one that is evicted: a crowd of such that never closes must not keep others out for
 	// longer than an RPC may cross a close.
-	lingerEvicted = Crossing / 2
-	lingerMost    = 1 << 20 // bytes that a peer may send meanwhile
+	evictedLinger  = TransitTime / 2
+	maxLingerBytes = 1 << 20 // bytes that a peer may send meanwhile
 )
 
 // ConnState is the state of one connection, to be embedded. One goroutine owns it: the reader, which alone closes it,
 // by Finish. All others ask for that by End. The fields are guarded by Mu.
 type ConnState struct {
 	net.Conn
-	WriteTime time.Duration // for one answer: past the longest deadline told, so that only a dead peer meets it
-
-	Mu      sync.Mutex
-	Open    int       // RPCs in hand, and answers that are being written
-	Last    time.Time // when something was read or answered
-	Spoke   bool      // a whole message has come
-	Used    bool      // and a sound RPC
-	Begun   bool      // a part of the next message has come
-	Told    time.Time // when the peer was asked for no more
-	Shut    bool      // it ends: nothing more is taken, as its peer may send it again; set once, by End
-	by      time.Time // if set, all reading and writing on it is over then
-	brief   bool      // it is closed for another that waits
-	lingers bool      // Finish reads on
-
-	writing sync.Mutex
-	mute    bool // nothing more may be written; guarded by writing
+	WriteTimeout time.Duration // for one answer: past the longest deadline told, so that only a dead peer meets it
+
+	Mu              sync.Mutex
+	InFlight        int       // RPCs in hand, and answers that are being written
+	LastActivity    time.Time // when something was read or answered
+	ReceivedMessage bool      // a whole message has come
+	ReceivedRPC     bool      // and a sound RPC
+	PartialMessage  bool      // a part of the next message has come
+	GoAwayAt        time.Time // when the peer was asked for no more
+	CloseRequested  bool      // it ends: nothing more is taken, as its peer may send it again; set once, by End
+	abortDeadline   time.Time // if set, all reading and writing on it is over then
+	evicted         bool      // it is closed for another that waits
+	lingering       bool      // Finish reads on
+
+	writing      sync.Mutex
+	writesClosed bool // nothing more may be written; guarded by writing
 }
 
 // Room is how readily the connection is given up for another, and when something last came or went on it.
-func (s *ConnState) Room(now time.Time) (readily Readily, last time.Time) {
+func (s *ConnState) EvictionPriority(now time.Time) (readily EvictionClass, last time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	quiet := now.Sub(s.Last) > Crossing
+	quiet := now.Sub(s.LastActivity) > TransitTime
 	switch {
-	case s.Shut && s.Used:
-		return Ending, s.Last
-	case s.Shut: // its room is waited for before any idle one is given up
-		return Young, s.Last
-	case s.Open > 0 || s.Begun && s.Used:
-		return Busy, s.Last
-	case !s.Used && (s.Spoke || quiet):
-		return Useless, s.Last
-	case !s.Used:
-		return Young, s.Last
+	case s.CloseRequested && s.ReceivedRPC:
+		return Closing, s.LastActivity
+	case s.CloseRequested: // its room is waited for before any idle one is given up
+		return AwaitingFirstMessage, s.LastActivity
+	case s.InFlight > 0 || s.PartialMessage && s.ReceivedRPC:
+		return Busy, s.LastActivity
+	case !s.ReceivedRPC && (s.ReceivedMessage || quiet):
+		return Unused, s.LastActivity
+	case !s.ReceivedRPC:
+		return AwaitingFirstMessage, s.LastActivity
 	case quiet:
-		return Idle, s.Last
+		return Idle, s.LastActivity
 	}
-	return Busy, s.Last
+	return Busy, s.LastActivity
 }
 
 // Tell books that the peer is asked for no more, and tells whether that is the first time.
-func (s *ConnState) Tell() bool {
+func (s *ConnState) MarkGoAway() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	first := s.Told.IsZero()
+	first := s.GoAwayAt.IsZero()
 	if first {
-		s.Told = time.Now()
+		s.GoAwayAt = time.Now()
 	}
 	return first
 }
@@ -97,68 +97,68 @@
 func (s *ConnState) Evict(last time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if s.Open == 0 && !(s.Begun && s.Used) && !s.Shut && s.Last.Equal(last) {
-		s.brief = true
-		s.end()
+	if s.InFlight == 0 && !(s.PartialMessage && s.ReceivedRPC) && !s.CloseRequested && s.LastActivity.Equal(last) {
+		s.evicted = true
+		s.requestClose()
 	}
 }
 
 // Begins books that a part of the next message has come: what is on its way is waited for, for as long as the front lets
 // a message take.
-func (s *ConnState) Begins() {
+func (s *ConnState) BeginMessage() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if !s.Begun {
-		s.Begun, s.Last = true, time.Now()
+	if !s.PartialMessage {
+		s.PartialMessage, s.LastActivity = true, time.Now()
 	}
 }
 
 // Rested has the connection closed if its peer was asked for no more and nothing has been open on it for so long.
-func (s *ConnState) Rested(lingers time.Duration) {
+func (s *ConnState) CloseIfDrained(lingers time.Duration) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if s.Open == 0 && !s.Begun && !s.Told.IsZero() && time.Since(s.Last) > lingers && time.Since(s.Told) > lingers {
-		s.end()
+	if s.InFlight == 0 && !s.PartialMessage && !s.GoAwayAt.IsZero() && time.Since(s.LastActivity) > lingers && time.Since(s.GoAwayAt) > lingers {
+		s.requestClose()
 	}
 }
 
 // End has the connection closed by its owner, whatever is open on it. It does not block.
-func (s *ConnState) End() {
+func (s *ConnState) RequestClose() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.end()
+	s.requestClose()
 }
 
-func (s *ConnState) end() {
-	if !s.Shut { // later on the deadline is Finish's
-		s.Shut = true
+func (s *ConnState) requestClose() {
+	if !s.CloseRequested { // later on the deadline is Finish's
+		s.CloseRequested = true
 		s.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes the owner
 	}
 }
 
 // Ended tells whether the connection is to be closed: a deadline that its reader meets may be no silence.
-func (s *ConnState) Ended() bool {
+func (s *ConnState) Ending() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	return s.Shut
+	return s.CloseRequested
 }
 
 // Cut ends the connection, and bounds all that is still written on it and its closing.
-func (s *ConnState) Cut(by time.Time) {
+func (s *ConnState) Abort(by time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.by = by
+	s.abortDeadline = by
 	s.Conn.SetWriteDeadline(by)
-	if s.end(); s.lingers {
+	if s.requestClose(); s.lingering {
 		s.Conn.SetReadDeadline(by)
 	}
 }
 
 // ReadBy bounds the owner's next reads, the zero time not at all; once the connection is to end it changes nothing.
-func (s *ConnState) ReadBy(t time.Time) {
+func (s *ConnState) BoundReads(t time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if !s.Shut {
+	if !s.CloseRequested {
 		s.Conn.SetReadDeadline(t)
 	}
 }
@@ -168,26 +168,26 @@
 func (s *ConnState) Send(parts ...[]byte) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
-	if s.mute {
+	if s.writesClosed {
 		return false
 	}
 	s.Mu.Lock()
-	s.Conn.SetWriteDeadline(s.within(s.WriteTime))
+	s.Conn.SetWriteDeadline(s.earliest(s.WriteTimeout))
 	s.Mu.Unlock()
 	b := net.Buffers(parts)
 	if _, err := b.WriteTo(s.Conn); err != nil {
-		s.mute = true
-		s.End()
+		s.writesClosed = true
+		s.RequestClose()
 		return false
 	}
 	return true
 }
 
 // within is the time after d, or the end of all if that comes first. Mu is held.
-func (s *ConnState) within(d time.Duration) time.Time {
+func (s *ConnState) earliest(d time.Duration) time.Time {
 	t := time.Now().Add(d)
-	if !s.by.IsZero() && s.by.Before(t) {
-		return s.by
+	if !s.abortDeadline.IsZero() && s.abortDeadline.Before(t) {
+		return s.abortDeadline
 	}
 	return t
 }
@@ -197,21 +197,21 @@
 // time. A close over unread bytes would reset the connection and take answers along that the peer has not read yet; an
 // RPC among them crossed the close, and its peer sends it again.
 func (s *ConnState) Finish() {
-	s.End()
+	s.RequestClose()
 	s.writing.Lock()
-	s.mute = true
+	s.writesClosed = true
 	s.writing.Unlock()
 	if t, ok := s.Conn.(interface{ CloseWrite() error }); ok {
 		t.CloseWrite()
 	}
 	s.Mu.Lock()
-	linger := lingerTime
-	if s.brief {
-		linger = lingerEvicted
+	linger := finishLinger
+	if s.evicted {
+		linger = evictedLinger
 	}
-	s.lingers = true
-	s.Conn.SetReadDeadline(s.within(linger))
+	s.lingering = true
+	s.Conn.SetReadDeadline(s.earliest(linger))
 	s.Mu.Unlock()
-	io.CopyN(io.Discard, s.Conn, lingerMost)
+	io.CopyN(io.Discard, s.Conn, maxLingerBytes)
 	s.Conn.Close()
 }
--- a/internal/front/uwsgi/answer.go
+++ b/internal/front/uwsgi/answer.go
@@ -26,7 +26,7 @@
 //	no sense: body too long                     413
 //	no sense: path too long                     414
 //	no sense: block too long, too many in it    431
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 411: "Length Required",
 	413: "Content Too Large", 414: "URI Too Long", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 503: "Service Unavailable", 504: "Gateway Timeout",
@@ -34,18 +34,18 @@
 
 // Fields of our own. Away is the exact advice, as Retry-After knows whole seconds only.
 const (
-	fieldAway = "Valve-Away-Ms"
-	fieldLast = "Valve-Last"
-	fieldWhy  = "Valve-Why"
+	fieldRetryAfterMs = "Valve-Away-Ms"
+	fieldDoNotRetry   = "Valve-Last"
+	fieldReason       = "Valve-Why"
 )
 
-func statusLine(b []byte, status int) []byte {
+func appendStatusLine(b []byte, status int) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(status), 10)
-	return append(append(append(b, ' '), reasons[status]...), "\r\n"...)
+	return append(append(append(b, ' '), reasonPhrases[status]...), "\r\n"...)
 }
 
 // endHead adds what each answer ends its head with.
-func endHead(b []byte, length int, keep bool) []byte {
+func appendHeadEnd(b []byte, length int, keep bool) []byte {
 	b = append(strconv.AppendInt(append(b, "Content-Length: "...), int64(length), 10), "\r\n"...)
 	if !keep {
 		b = append(b, "Connection: close\r\n"...)
@@ -55,32 +55,32 @@
 
 // okHead is the head of an ok answer, and how much of the result goes behind it. One that a pool has put a head
 // before keeps that, less what speaks of the connection.
-func okHead(v *gate.Verdict, verb, kind string, keep bool) (b []byte, body []byte) {
+func resultResponse(v *gate.Verdict, verb, kind string, keep bool) (b []byte, body []byte) {
 	b, body = make([]byte, 0, 256), v.Result
-	a, _, err := wire.ParseAnswer(v.Head)
+	a, _, err := wire.ParseResponse(v.Head)
 	if len(v.Head) == 0 || err != nil {
-		b = statusLine(b, 200)
+		b = appendStatusLine(b, 200)
 		b = wire.AppendField(b, "Content-Type", kind)
-		b = endHead(b, len(body), keep)
+		b = appendHeadEnd(b, len(body), keep)
 	} else {
 		b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(a.Status), 10)
-		b = append(append(append(b, ' '), wire.ReasonOf(a.Head)...), "\r\n"...)
-		wire.FieldsOf(a.Head, func(name, value []byte) {
-			if !ofConnection(name) {
+		b = append(append(append(b, ' '), wire.ReasonPhrase(a.Head)...), "\r\n"...)
+		wire.EachField(a.Head, func(name, value []byte) {
+			if !isHopByHop(name) {
 				b = append(append(append(append(b, name...), ": "...), value...), "\r\n"...)
 			}
 		})
 		switch {
-		case a.NoBody():
+		case a.HasNoBody():
 			body = nil
 			if !keep {
 				b = append(b, "Connection: close\r\n"...)
 			}
 			b = append(b, "\r\n"...)
 		case verb == "HEAD" && a.Length >= 0:
-			b = endHead(b, int(a.Length), keep)
+			b = appendHeadEnd(b, int(a.Length), keep)
 		default:
-			b = endHead(b, len(body), keep)
+			b = appendHeadEnd(b, len(body), keep)
 		}
 	}
 	if verb == "HEAD" {
@@ -90,11 +90,11 @@
 }
 
 // connectionFields are those that hold for one connection only, and the length, which is written anew.
-var connectionFields = []string{"connection", "keep-alive", "proxy-authenticate", "proxy-connection", "te", "trailer",
+var hopByHopFields = []string{"connection", "keep-alive", "proxy-authenticate", "proxy-connection", "te", "trailer",
 	"transfer-encoding", "upgrade", "content-length"}
 
-func ofConnection(name []byte) bool {
-	for _, f := range connectionFields {
+func isHopByHop(name []byte) bool {
+	for _, f := range hopByHopFields {
 		if len(f) == len(name) && bytes.EqualFold(name, []byte(f)) {
 			return true
 		}
@@ -103,7 +103,7 @@
 }
 
 // failHead is the head of an answer without a result: pushed back or aborted.
-func failHead(v *gate.Verdict, keep bool) []byte {
+func failureHead(v *gate.Verdict, keep bool) []byte {
 	status := 500
 	switch {
 	case v.Answer == gate.PushedBack:
@@ -111,33 +111,33 @@
 	case v.Late:
 		status = 504
 	}
-	b := statusLine(make([]byte, 0, 192), status)
+	b := appendStatusLine(make([]byte, 0, 192), status)
 	if v.Answer == gate.PushedBack && v.Away > 0 {
 		seconds := math.Max(1, math.Ceil(v.Away/1000))
 		b = append(strconv.AppendInt(append(b, "Retry-After: "...), int64(seconds), 10), "\r\n"...)
-		b = append(strconv.AppendInt(append(b, fieldAway+": "...), int64(math.Ceil(v.Away)), 10), "\r\n"...)
+		b = append(strconv.AppendInt(append(b, fieldRetryAfterMs+": "...), int64(math.Ceil(v.Away)), 10), "\r\n"...)
 	}
 	if v.Last {
-		b = append(b, fieldLast+": 1\r\n"...)
+		b = append(b, fieldDoNotRetry+": 1\r\n"...)
 	}
 	if v.Why != "" {
-		b = wire.AppendField(b, fieldWhy, oneLine(v.Why))
+		b = wire.AppendField(b, fieldReason, printableASCII(v.Why))
 	}
-	return endHead(b, 0, keep)
+	return appendHeadEnd(b, 0, keep)
 }
 
 // wrongHead is the head of the answer to what makes no sense.
-func wrongHead(w *wrong, keep bool) []byte {
-	b := statusLine(make([]byte, 0, 192), w.status)
+func requestErrorHead(w *requestError, keep bool) []byte {
+	b := appendStatusLine(make([]byte, 0, 192), w.status)
 	if len(w.allow) > 0 {
 		b = wire.AppendField(b, "Allow", strings.Join(w.allow, ", "))
 	}
-	b = wire.AppendField(b, fieldWhy, oneLine(w.why))
-	return endHead(b, 0, keep)
+	b = wire.AppendField(b, fieldReason, printableASCII(w.reason))
+	return appendHeadEnd(b, 0, keep)
 }
 
 // oneLine keeps what a peer wrote, and an error repeats, from ending the field.
-func oneLine(s string) string {
+func printableASCII(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '?'
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -38,7 +38,7 @@
 		b.Run(protocol, func(b *testing.B) {
 			g := gate.New(o, 64, func(string, string) {})
 			g.Start(false, 0)
-			table := front.NewTable(1024, g.Idle, log)
+			table := front.NewConnTable(1024, g.Idle, log)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
@@ -47,7 +47,7 @@
 			if protocol == "uwsgi" {
 				open = New(table, g, run, file(), 7, log).Open
 			}
-			table.Listen(ln.(*net.TCPListener), open)
+			table.AddListener(ln.(*net.TCPListener), open)
 			conn, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
 				b.Fatal(err)
@@ -94,7 +94,7 @@
 				for _, s := range f {
 					frame = msgpack.AppendString(frame, s)
 				}
-				frame = append(msgpack.AppendBinHead(frame, len(body)), body...)
+				frame = append(msgpack.AppendBinHeader(frame, len(body)), body...)
 				if _, err := conn.Write(frame); err != nil {
 					b.Fatal(err)
 				}
@@ -121,17 +121,17 @@
 	f := file()
 	s := &Server{}
 	s.Set(f)
-	v := s.view.Load()
-	block := post("/view/7", "", "HTTP_HOST", "portal.example", "REMOTE_ADDR", "10.0.0.1", "HTTP_USER_AGENT", "Mozilla/5.0 (X11; Linux x86_64)")[wire.HeadSize:]
+	v := s.config.Load()
+	block := post("/view/7", "", "HTTP_HOST", "portal.example", "REMOTE_ADDR", "10.0.0.1", "HTTP_USER_AGENT", "Mozilla/5.0 (X11; Linux x86_64)")[wire.HeaderSize:]
 	var vars wire.Variables
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := vars.Parse(block, 64); err != nil {
 			b.Fatal(err)
 		}
-		var m message
+		var m request
 		m.Variables = &vars
-		if w := v.understand(&m); w != nil {
+		if w := v.parseRequest(&m); w != nil {
 			b.Fatal(w)
 		}
 		if _, err := v.routes.Resolve(&m.Message); err != nil {
--- a/internal/front/uwsgi/server.go
+++ b/internal/front/uwsgi/server.go
@@ -22,39 +22,39 @@
 type Server struct {
 	gate  *gate.Gate
 	run   gate.Runner
-	table *front.Table
+	table *front.ConnTable
 	log   *logrus.Entry
 
-	view   atomic.Pointer[view]
-	bodies atomic.Int64 // bytes of bodies that are being read or in hand
-	seed   uint64
-	last   atomic.Uint64
+	config    atomic.Pointer[config]
+	bodyBytes atomic.Int64 // bytes of bodies that are being read or in hand
+	idSeed    uint64
+	lastID    atomic.Uint64
 }
 
 // view is what an operator's file sets here. An RPC keeps the one it was read under.
-type view struct {
-	routes *route.Table
-	types  []string // of engine results, by the place of the rule
-	limits operator.UWSGI
+type config struct {
+	routes       *route.Table
+	contentTypes []string // of engine results, by the place of the rule
+	limits       operator.UWSGI
 }
 
 // New returns the front for a file that has been checked and has a UWSGI part. Its connections are to be made by Open.
 // The ids of its RPCs are hashes of the seed and a count.
-func New(table *front.Table, g *gate.Gate, run gate.Runner, f *operator.File, seed uint64, log *logrus.Entry) *Server {
-	s := &Server{gate: g, run: run, table: table, log: log, seed: seed}
+func New(table *front.ConnTable, g *gate.Gate, run gate.Runner, f *operator.File, seed uint64, log *logrus.Entry) *Server {
+	s := &Server{gate: g, run: run, table: table, log: log, idSeed: seed}
 	s.Set(f)
 	return s
 }
 
 // Set takes a new file, which has been checked. What has been read goes on under the old one.
 func (s *Server) Set(f *operator.File) {
-	v := &view{limits: *f.UWSGI}
+	v := &config{limits: *f.UWSGI}
 	rules := f.Rules()
 	for _, r := range rules {
-		v.types = append(v.types, f.Routes[r.Name].Type)
+		v.contentTypes = append(v.contentTypes, f.Routes[r.Name].Type)
 	}
 	v.routes = route.New(rules)
-	s.view.Store(v)
+	s.config.Store(v)
 }
 
 // Open takes a connection that has just been accepted.
@@ -62,34 +62,34 @@
 
 // newID is an id that no other try has.
 func (s *Server) newID() string {
-	x := s.last.Add(1) * 0x9e3779b97f4a7c15 // odd, so that no two counts meet
+	x := s.lastID.Add(1) * 0x9e3779b97f4a7c15 // odd, so that no two counts meet
 	x ^= x >> 32
-	id := strconv.FormatUint(x^s.seed, 16)
+	id := strconv.FormatUint(x^s.idSeed, 16)
 	return "0000000000000000"[len(id):] + id
 }
 
 // message is what a block of variables says.
-type message struct {
+type request struct {
 	route.Message
-	length int // of the body
-	keep   bool
+	bodyLength int // of the body
+	keepAlive  bool
 }
 
 // wrong is a message that makes no sense here, and how it is answered.
-type wrong struct {
+type requestError struct {
 	status int
-	why    string
+	reason string
 	allow  []string // 405
 }
 
-func (w *wrong) Error() string { return w.why }
+func (w *requestError) Error() string { return w.reason }
 
 // understand reads the variables that say what a message is. What they say of the RPC is for the routes.
-func (v *view) understand(m *message) *wrong {
+func (v *config) parseRequest(m *request) *requestError {
 	get := func(name string) string { s, _ := m.Variables.Get(name); return s }
 	m.Verb = get("REQUEST_METHOD")
 	if m.Verb == "" {
-		return &wrong{status: 400, why: "REQUEST_METHOD: a verb expected, none there"}
+		return &requestError{status: 400, reason: "REQUEST_METHOD: a verb expected, none there"}
 	}
 	target := get("REQUEST_URI")
 	m.Path, m.Query = get("PATH_INFO"), get("QUERY_STRING")
@@ -101,41 +101,41 @@
 		}
 	}
 	if len(target) > v.limits.MaxPathBytes || len(m.Path)+len(m.Query) > v.limits.MaxPathBytes {
-		return &wrong{status: 414, why: "the path is longer than " + strconv.Itoa(v.limits.MaxPathBytes) + " bytes"}
+		return &requestError{status: 414, reason: "the path is longer than " + strconv.Itoa(v.limits.MaxPathBytes) + " bytes"}
 	}
-	if !cleanPath(m.Path) {
-		return &wrong{status: 400, why: "the path: one from / without empty, . and .. segments expected"}
+	if !isCleanPath(m.Path) {
+		return &requestError{status: 400, reason: "the path: one from / without empty, . and .. segments expected"}
 	}
 	if m.Host = get("HTTP_HOST"); m.Host == "" {
 		m.Host = get("SERVER_NAME")
 	}
-	m.Host = strings.ToLower(withoutPort(m.Host))
-	if !knownVerb(m.Verb) {
-		return &wrong{status: 405, why: "the verb is not taken", allow: route.Verbs}
+	m.Host = strings.ToLower(trimPort(m.Host))
+	if !isKnownVerb(m.Verb) {
+		return &requestError{status: 405, reason: "the verb is not taken", allow: route.Verbs}
 	}
 	switch s := get("CONTENT_LENGTH"); {
 	case s != "":
 		n, err := strconv.ParseUint(s, 10, 31)
 		if err != nil {
-			return &wrong{status: 400, why: "CONTENT_LENGTH: a number of bytes expected"}
+			return &requestError{status: 400, reason: "CONTENT_LENGTH: a number of bytes expected"}
 		}
-		m.length = int(n)
+		m.bodyLength = int(n)
 	case get("HTTP_TRANSFER_ENCODING") != "" || m.Verb == "POST" || m.Verb == "PUT" || m.Verb == "PATCH":
-		return &wrong{status: 411, why: "CONTENT_LENGTH: the length of the body expected, none there"}
+		return &requestError{status: 411, reason: "CONTENT_LENGTH: the length of the body expected, none there"}
 	}
-	if m.length > v.limits.MaxBodyBytes {
-		return &wrong{status: 413, why: "the body is longer than " + strconv.Itoa(v.limits.MaxBodyBytes) + " bytes"}
+	if m.bodyLength > v.limits.MaxBodyBytes {
+		return &requestError{status: 413, reason: "the body is longer than " + strconv.Itoa(v.limits.MaxBodyBytes) + " bytes"}
 	}
 	switch v.limits.KeepAlive {
 	case "always":
-		m.keep = true
+		m.keepAlive = true
 	case "asked":
-		m.keep = get("VALVE_KEEP") == "1"
+		m.keepAlive = get("VALVE_KEEP") == "1"
 	}
 	return nil
 }
 
-func knownVerb(verb string) bool {
+func isKnownVerb(verb string) bool {
 	for _, v := range route.Verbs {
 		if v == verb {
 			return true
@@ -145,7 +145,7 @@
 }
 
 // cleanPath tells whether a path says one thing to every reader.
-func cleanPath(p string) bool {
+func isCleanPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.IndexByte(p, 0) >= 0 {
 		return false
 	}
@@ -159,7 +159,7 @@
 	return true
 }
 
-func withoutPort(host string) string {
+func trimPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
 	}
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -32,7 +32,7 @@
 type rig struct {
 	*testing.T
 	s     *Server
-	table *front.Table
+	table *front.ConnTable
 	g     *gate.Gate
 	web   string
 	rpc   string
@@ -83,7 +83,7 @@
 	r := &rig{T: t, runs: make(chan running, 1000), over: make(chan struct{})}
 	r.g = gate.New(o, 64, func(string, string) {})
 	r.g.Start(false, 0)
-	r.table = front.NewTable(sockets, r.g.Idle, log)
+	r.table = front.NewConnTable(sockets, r.g.Idle, log)
 	run := func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
@@ -96,7 +96,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.table.Listen(ln.(*net.TCPListener), open)
+		r.table.AddListener(ln.(*net.TCPListener), open)
 		return ln.Addr().String()
 	}
 	r.web = listen(r.s.Open)
@@ -129,7 +129,7 @@
 	for i := 0; i < len(pairs); i += 2 {
 		b = wire.AppendVariable(b, pairs[i], pairs[i+1])
 	}
-	return string(wire.AppendHead(nil, 0, len(b), 0)) + string(b) + body
+	return string(wire.AppendHeader(nil, 0, len(b), 0)) + string(b) + body
 }
 
 func post(path, body string, more ...string) string {
@@ -163,7 +163,7 @@
 			break
 		}
 	}
-	a, _, err := wire.ParseAnswer([]byte(head.String()))
+	a, _, err := wire.ParseResponse([]byte(head.String()))
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -209,14 +209,14 @@
 // gone waits until there are no connections.
 func (r *rig) gone() {
 	r.Helper()
-	r.until("no connection", func() bool { return len(r.table.All()) == 0 })
+	r.until("no connection", func() bool { return len(r.table.Conns()) == 0 })
 }
 
 func (r *rig) until(what string, holds func() bool) {
 	r.Helper()
 	for end := time.Now().Add(soon); !holds(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			r.Fatalf("never: %s; %d in hand, %d connections", what, r.g.InHand(), len(r.table.All()))
+			r.Fatalf("never: %s; %d in hand, %d connections", what, r.g.InHand(), len(r.table.Conns()))
 		}
 	}
 }
@@ -284,7 +284,7 @@
 			r.expect("200 30000")
 		}},
 		{"a block of exactly the longest size, and one byte more", nil, func(r *rig) {
-			least := len(get("/view", "PAD", "")) - wire.HeadSize
+			least := len(get("/view", "PAD", "")) - wire.HeaderSize
 			r.says(get("/view", "PAD", strings.Repeat("x", 8192-least)))
 			r.run().end("a")
 			r.expect("200 a", "")
@@ -308,7 +308,7 @@
 			for n := range 2 {
 				r.dial()
 				r.says(packet("", "REQUEST_METHOD", "POST", "PATH_INFO", "/view/1", "CONTENT_LENGTH", "40000"))
-				r.until("the body is expected", func() bool { return r.s.bodies.Load() == int64(40000*(n+1)) })
+				r.until("the body is expected", func() bool { return r.s.bodyBytes.Load() == int64(40000*(n+1)) })
 			}
 			r.dial()
 			r.says(post("/view/1", strings.Repeat("x", 40000)))
@@ -364,7 +364,7 @@
 		{"a client that leaves in mid body", nil, func(r *rig) {
 			r.says(packet("abc", "REQUEST_METHOD", "POST", "PATH_INFO", "/topup-buy", "CONTENT_LENGTH", "10", "HTTP_IDEMPOTENCY_KEY", "k"))
 			r.conn.Close()
-			r.until("the body is no longer expected", func() bool { return r.s.bodies.Load() == 0 })
+			r.until("the body is no longer expected", func() bool { return r.s.bodyBytes.Load() == 0 })
 			r.dial()
 			r.says(post("/topup-buy", "abcdefghij", "HTTP_IDEMPOTENCY_KEY", "k"))
 			r.run().end("a")
@@ -475,15 +475,15 @@
 			r.says(get("/view", keep...))
 			r.run().end("a")
 			r.expect("200 a")
-			for _, c := range r.table.All() {
+			for _, c := range r.table.Conns() {
 				c := c.(*conn)
 				r.until("it is booked as idle", func() bool { // which follows the answer
 					c.Mu.Lock()
 					defer c.Mu.Unlock()
-					return c.Open == 0
+					return c.InFlight == 0
 				})
 				c.Mu.Lock()
-				c.Last = c.Last.Add(-time.Hour)
+				c.LastActivity = c.LastActivity.Add(-time.Hour)
 				c.Mu.Unlock()
 			}
 			r.expect("")
@@ -703,7 +703,7 @@
 					t.Errorf("%s: %+v", protocol, got)
 				}
 			}
-			if n := len(r.table.All()); n > 8 {
+			if n := len(r.table.Conns()); n > 8 {
 				t.Errorf("%d connections", n)
 			}
 		})
@@ -731,7 +731,7 @@
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
 	go func() { r.table.Shutdown(ctx); close(over) }()
-	r.until("it is over", r.table.Over)
+	r.until("it is over", r.table.ShuttingDown)
 	r.conn, r.in = late, bufio.NewReader(late)
 	r.says(get("/view", "VALVE_KEEP", "1")) // read after it has begun
 	second := r.run()
@@ -796,7 +796,7 @@
 }
 
 func FuzzUnderstand(f *testing.F) {
-	v := &view{limits: *file().UWSGI}
+	v := &config{limits: *file().UWSGI}
 	f.Add(get("/view")[4:])
 	f.Add(post("/a//b", "")[4:])
 	f.Fuzz(func(t *testing.T, block string) {
@@ -804,18 +804,18 @@
 		if vars.Parse(block, 32) != nil {
 			return
 		}
-		m := message{}
+		m := request{}
 		m.Variables = &vars
-		if w := v.understand(&m); w != nil {
-			if reasons[w.status] == "" {
+		if w := v.parseRequest(&m); w != nil {
+			if reasonPhrases[w.status] == "" {
 				t.Errorf("status %d has no name", w.status)
 			}
-			if head := string(wrongHead(w, false)); strings.Count(head, "\r\n\r\n") != 1 || !strings.HasSuffix(head, "\r\n\r\n") {
+			if head := string(requestErrorHead(w, false)); strings.Count(head, "\r\n\r\n") != 1 || !strings.HasSuffix(head, "\r\n\r\n") {
 				t.Errorf("head %q", head)
 			}
 			return
 		}
-		if m.length < 0 || m.length > v.limits.MaxBodyBytes || !cleanPath(m.Path) {
+		if m.bodyLength < 0 || m.bodyLength > v.limits.MaxBodyBytes || !isCleanPath(m.Path) {
 			t.Errorf("took %+v", m)
 		}
 	})
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -22,58 +22,58 @@
 )
 
 const (
-	every = 800 * time.Millisecond // three reports within the 3 s after which an entry lapses
+	reportInterval = 800 * time.Millisecond // three reports within the 3 s after which an entry lapses
 	// timeout is for one report, dial and answer together. One that is written late still counts within the 3 s, so
 	// a service to which each dial takes seconds hears one after the other.
-	timeout = 3 * every
-	paced   = 3                     // reports on their way at the usual pace: none has had an answer then
-	most    = paced + 1             // with one for a change
-	minWait = 50 * time.Millisecond // after a failed report, doubling
-	maxWait = every
-	maxHead = 8 << 10 // of an answer
-	maxBody = 64 << 10
+	reportTimeout = 3 * reportInterval
+	maxScheduled  = 3                     // reports on their way at the usual pace: none has had an answer then
+	maxInFlight   = maxScheduled + 1      // with one for a change
+	minBackoff    = 50 * time.Millisecond // after a failed report, doubling
+	maxBackoff    = reportInterval
+	maxHeadBytes  = 8 << 10 // of an answer
+	maxBodyBytes  = 64 << 10
 )
 
 // Reporter reports for one server.
 type Reporter struct {
 	addr, name string
 	log        *logrus.Entry
-	up         func() bool     // what to report
-	known      func() bool     // whether there is anything to report yet
+	serving    func() bool     // what to report
+	ready      func() bool     // whether there is anything to report yet
 	changed    <-chan struct{} // has a value after that has changed
-	moved      chan string
+	newAddr    chan string
 
 	// A report says what holds as it is written, not as it was begun: between the two its dial may take seconds, and
 	// another report may have been written. The lock makes the order of writing that of what held.
-	writing sync.Mutex
+	writeMu sync.Mutex
 
-	every time.Duration
-	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
+	interval time.Duration
+	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // New returns a reporter to the service at addr. up and known may be called from several goroutines.
 func New(addr, name string, log *logrus.Entry, up, known func() bool, changed <-chan struct{}) *Reporter {
-	return &Reporter{addr: addr, name: name, log: log, up: up, known: known, changed: changed, moved: make(chan string), every: every, dial: new(net.Dialer).DialContext}
+	return &Reporter{addr: addr, name: name, log: log, serving: up, ready: known, changed: changed, newAddr: make(chan string), interval: reportInterval, dial: new(net.Dialer).DialContext}
 }
 
 // Move has all reports from now on sent to another address of the service.
-func (r *Reporter) Move(ctx context.Context, addr string) {
+func (r *Reporter) SetAddr(ctx context.Context, addr string) {
 	select {
-	case r.moved <- addr:
+	case r.newAddr <- addr:
 	case <-ctx.Done():
 	}
 }
 
 // exchange is one report on its way, and its connection.
 type exchange struct {
-	addr string
-	conn net.Conn // nil for a new one
-	in   *bufio.Reader
-	end  context.CancelFunc
-	sent bool // whole: the service may have counted it
-	up   bool // what it said
-	keep bool // answered in full: the connection can carry another
-	err  error
+	addr     string
+	conn     net.Conn // nil for a new one
+	reader   *bufio.Reader
+	cancel   context.CancelFunc
+	sent     bool // whole: the service may have counted it
+	serving  bool // what it said
+	reusable bool // answered in full: the connection can carry another
+	err      error
 }
 
 // Serve reports until ctx ends. Each report is an exchange of its own beside this loop, so that one without an
@@ -86,7 +86,7 @@
 	var out []*exchange // the oldest first
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wait := minWait
+	wait := minBackoff
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	owed := false // a change has yet to be reported
@@ -95,7 +95,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case addr := <-r.moved:
+		case addr := <-r.newAddr:
 			if addr == r.addr {
 				continue
 			}
@@ -107,43 +107,43 @@
 		case <-timer.C:
 		case x := <-ended:
 			out = slices.DeleteFunc(out, func(o *exchange) bool { return o == x })
-			if x.keep && kept == nil && x.addr == r.addr {
+			if x.reusable && kept == nil && x.addr == r.addr {
 				kept = x
 			} else {
 				x.close()
 			}
 			if x.err == nil {
-				wait = minWait
+				wait = minBackoff
 			} else {
 				r.log.WithError(x.err).Warn("members: report failed")
 				if !x.sent && x.addr == r.addr { // one that was sent may have counted: the next comes at its time
 					timer.Reset(wait/2 + time.Duration(rand.Int63n(int64(wait)))) // half to one and a half of it
-					wait = min(maxWait, 2*wait)
+					wait = min(maxBackoff, 2*wait)
 				}
 			}
-			if stale := x.sent && x.up != r.up(); !stale && !owed {
+			if stale := x.sent && x.serving != r.serving(); !stale && !owed {
 				continue
 			}
 			change = true
 		}
-		if !r.known() {
-			timer.Reset(minWait)
+		if !r.ready() {
+			timer.Reset(minBackoff)
 			continue
 		}
-		timer.Reset(r.every)
-		if len(out) >= paced && !change { // each ends within its time, and the timer comes again
+		timer.Reset(r.interval)
+		if len(out) >= maxScheduled && !change { // each ends within its time, and the timer comes again
 			continue
 		}
-		if owed = len(out) == most; owed { // the oldest makes way, and what is owed goes out once it has ended
-			out[0].end()
+		if owed = len(out) == maxInFlight; owed { // the oldest makes way, and what is owed goes out once it has ended
+			out[0].cancel()
 			continue
 		}
 		x := &exchange{addr: r.addr}
 		if kept != nil {
 			x, kept = kept, nil
 		}
-		its, end := context.WithTimeout(ctx, timeout)
-		x.end = end
+		its, end := context.WithTimeout(ctx, reportTimeout)
+		x.cancel = end
 		out = append(out, x)
 		wg.Add(1)
 		go func() {
@@ -169,10 +169,10 @@
 // report sends one report. A connection that was kept may have been closed meanwhile, so that is tried once more.
 func (r *Reporter) report(ctx context.Context, x *exchange) {
 	kept := x.conn != nil
-	code := r.put(ctx, x)
+	code := r.send(ctx, x)
 	if x.err != nil && kept && ctx.Err() == nil {
 		x.close()
-		code = r.put(ctx, x)
+		code = r.send(ctx, x)
 	}
 	if x.err == nil && (code < 200 || code > 299) {
 		x.err = fmt.Errorf("status %d", code)
@@ -180,35 +180,35 @@
 }
 
 // put sends one report and returns the status of its answer. All of it ends with ctx.
-func (r *Reporter) put(ctx context.Context, x *exchange) (code int) {
-	x.sent, x.keep = false, false
+func (r *Reporter) send(ctx context.Context, x *exchange) (code int) {
+	x.sent, x.reusable = false, false
 	if x.conn == nil {
 		if x.conn, x.err = r.dial(ctx, "tcp", x.addr); x.err != nil {
 			x.conn = nil
 			return 0
 		}
-		x.in = bufio.NewReaderSize(x.conn, 1<<10)
+		x.reader = bufio.NewReaderSize(x.conn, 1<<10)
 	}
 	conn := x.conn
 	conn.SetDeadline(time.Time{})
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
-	if x.err = r.write(ctx, x); x.err == nil {
+	if x.err = r.writeRequest(ctx, x); x.err == nil {
 		x.sent = true
-		code, x.keep, x.err = readAnswer(x.in)
+		code, x.reusable, x.err = readResponse(x.reader)
 	}
 	return code
 }
 
 // write writes what holds now. It does not wait: a connection that is new or was answered in full takes so little at once.
-func (r *Reporter) write(ctx context.Context, x *exchange) error {
-	r.writing.Lock()
-	defer r.writing.Unlock()
+func (r *Reporter) writeRequest(ctx context.Context, x *exchange) error {
+	r.writeMu.Lock()
+	defer r.writeMu.Unlock()
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	x.up = r.up()
+	x.serving = r.serving()
 	phase := "OUT"
-	if x.up {
+	if x.serving {
 		phase = "UP"
 	}
 	body := `{"phase":"` + phase + `"}`
@@ -217,11 +217,11 @@
 	return err
 }
 
-var errAnswer = errors.New("not an HTTP/1.1 answer")
+var errMalformed = errors.New("not an HTTP/1.1 answer")
 
 // readAnswer reads one answer with its body and tells whether the connection can be used again.
-func readAnswer(in *bufio.Reader) (code int, keep bool, err error) {
-	left := maxHead
+func readResponse(in *bufio.Reader) (code int, keep bool, err error) {
+	left := maxHeadBytes
 	for code < 200 { // 100 and the like come before the answer itself
 		s, err := readLine(in, &left)
 		if err != nil {
@@ -231,7 +231,7 @@
 		status, _, _ := strings.Cut(rest, " ")
 		code, err = strconv.Atoi(status)
 		if err != nil || len(status) != 3 || code < 100 || !strings.HasPrefix(version, "HTTP/1.") {
-			return 0, false, errAnswer
+			return 0, false, errMalformed
 		}
 		keep = version != "HTTP/1.0"
 		length, chunked := -1, false
@@ -244,12 +244,12 @@
 			}
 			name, v, ok := strings.Cut(s, ":")
 			if !ok {
-				return 0, false, errAnswer
+				return 0, false, errMalformed
 			}
 			switch v = strings.ToLower(strings.TrimSpace(v)); strings.ToLower(name) {
 			case "content-length":
-				if length, err = strconv.Atoi(v); err != nil || length < 0 || length > maxBody {
-					return 0, false, errAnswer
+				if length, err = strconv.Atoi(v); err != nil || length < 0 || length > maxBodyBytes {
+					return 0, false, errMalformed
 				}
 			case "transfer-encoding":
 				chunked = true
@@ -273,7 +273,7 @@
 func readLine(in *bufio.Reader, left *int) (string, error) {
 	b, err := in.ReadSlice('\n')
 	if *left -= len(b); err == nil && *left < 0 || errors.Is(err, bufio.ErrBufferFull) {
-		return "", errAnswer
+		return "", errMalformed
 	}
 	if err != nil {
 		return "", err
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -51,7 +51,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			code, keep, err := readAnswer(bufio.NewReaderSize(strings.NewReader(c.in), 1<<10))
+			code, keep, err := readResponse(bufio.NewReaderSize(strings.NewReader(c.in), 1<<10))
 			if (err != nil) != c.bad || code != c.code || keep != c.keep {
 				t.Errorf("got %d, %v, error %v", code, keep, err)
 			}
@@ -175,13 +175,13 @@
 	defer accept(ln).Close()
 	changed <- struct{}{}
 	defer accept(ln).Close()
-	r.Move(ctx, next.Addr().String())
+	r.SetAddr(ctx, next.Addr().String())
 	defer accept(next).Close()
-	if gone := time.Since(began); gone > every {
+	if gone := time.Since(began); gone > reportInterval {
 		t.Errorf("three reports without an answer took %v", gone)
 	}
 	defer accept(next).Close() // at its time, though none has had an answer
-	if gone := time.Since(began); gone < every {
+	if gone := time.Since(began); gone < reportInterval {
 		t.Errorf("repeated after %v", gone)
 	}
 }
@@ -205,7 +205,7 @@
 	o := &order{T: t, ln: ln, changed: make(chan struct{})}
 	o.up.Store(true)
 	o.r = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.up.Load, always, o.changed)
-	o.r.every = time.Hour
+	o.r.interval = time.Hour
 	return o
 }
 
@@ -277,7 +277,7 @@
 	o := startOrder(t)
 	o.serve()
 	o.expect("UP")
-	for i := range 2 * most {
+	for i := range 2 * maxInFlight {
 		up := i%2 == 1
 		o.up.Store(up)
 		o.changed <- struct{}{}
@@ -288,7 +288,7 @@
 func FuzzReadAnswer(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	f.Fuzz(func(t *testing.T, s string) {
-		if code, _, err := readAnswer(bufio.NewReaderSize(strings.NewReader(s), 1<<10)); err == nil && (code < 200 || code > 999) {
+		if code, _, err := readResponse(bufio.NewReaderSize(strings.NewReader(s), 1<<10)); err == nil && (code < 200 || code > 999) {
 			t.Errorf("status %d", code)
 		}
 	})
--- a/internal/msgpack/msgpack.go
+++ b/internal/msgpack/msgpack.go
@@ -10,10 +10,10 @@
 )
 
 var (
-	ErrShort  = errors.New("msgpack: the value is cut off")
-	ErrFormat = errors.New("msgpack: not MessagePack")
-	ErrDeep   = errors.New("msgpack: nested too deep")
-	ErrType   = errors.New("msgpack: a value of another type expected")
+	ErrTruncated      = errors.New("msgpack: the value is cut off")
+	ErrInvalid        = errors.New("msgpack: not MessagePack")
+	ErrTooDeep        = errors.New("msgpack: nested too deep")
+	ErrUnexpectedType = errors.New("msgpack: a value of another type expected")
 )
 
 // maxDepth bounds the nesting: the protocol's own messages are four deep.
@@ -21,23 +21,23 @@
 
 // Parser reads one value after the other. The first error stays, and all that is read after it is zero.
 type Parser struct {
-	b    []byte
-	at   int
-	lack uint64
-	err  error
+	data    []byte
+	offset  int
+	missing uint64
+	err     error
 }
 
 // Parse returns a parser of b.
-func Parse(b []byte) Parser { return Parser{b: b} }
+func Parse(b []byte) Parser { return Parser{data: b} }
 
 // Err is the first error met.
 func (p *Parser) Err() error { return p.err }
 
 // Lack is, after ErrShort, how many bytes more there must be at the least.
-func (p *Parser) Lack() uint64 { return p.lack }
+func (p *Parser) Missing() uint64 { return p.missing }
 
 // At is the number of bytes read.
-func (p *Parser) At() int { return p.at }
+func (p *Parser) Offset() int { return p.offset }
 
 func (p *Parser) fail(err error) {
 	if p.err == nil {
@@ -47,9 +47,9 @@
 
 // has tells whether n more bytes are there.
 func (p *Parser) has(n uint64) bool {
-	left := uint64(len(p.b) - p.at)
+	left := uint64(len(p.data) - p.offset)
 	if p.err == nil && n > left {
-		p.err, p.lack = ErrShort, n-left
+		p.err, p.missing = ErrTruncated, n-left
 	}
 	return p.err == nil
 }
@@ -58,8 +58,8 @@
 	if !p.has(n) {
 		return nil
 	}
-	b := p.b[p.at : p.at+int(n)]
-	p.at += int(n)
+	b := p.data[p.offset : p.offset+int(n)]
+	p.offset += int(n)
 	return b
 }
 
@@ -67,7 +67,7 @@
 	if !p.has(1) {
 		return 0
 	}
-	return p.b[p.at]
+	return p.data[p.offset]
 }
 
 // uint reads an unsigned number of n bytes.
@@ -82,7 +82,7 @@
 type kind uint8
 
 const (
-	none kind = iota
+	noKind kind = iota
 	nilKind
 	boolKind
 	uintKind
@@ -100,9 +100,9 @@
 func (p *Parser) head() (k kind, v uint64) {
 	c := p.peek()
 	if p.err != nil {
-		return none, 0
+		return noKind, 0
 	}
-	p.at++
+	p.offset++
 	switch {
 	case c <= 0x7f:
 		return uintKind, uint64(c)
@@ -147,14 +147,14 @@
 	case 0xde, 0xdf:
 		return mapKind, p.uint(2 << (c - 0xde))
 	}
-	p.fail(ErrFormat) // 0xc1 is never used
-	return none, 0
+	p.fail(ErrInvalid) // 0xc1 is never used
+	return noKind, 0
 }
 
-func (p *Parser) want(k kind) uint64 {
+func (p *Parser) expect(k kind) uint64 {
 	got, v := p.head()
 	if got != k {
-		p.fail(ErrType)
+		p.fail(ErrUnexpectedType)
 	}
 	if p.err != nil {
 		return 0
@@ -163,14 +163,14 @@
 }
 
 // Array reads the head of an array and returns how many items follow.
-func (p *Parser) Array() int { return p.items(arrayKind, 1) }
+func (p *Parser) Array() int { return p.count(arrayKind, 1) }
 
 // Map reads the head of a map and returns how many pairs follow.
-func (p *Parser) Map() int { return p.items(mapKind, 2) }
+func (p *Parser) Map() int { return p.count(mapKind, 2) }
 
 // items returns a count; each item takes a byte at least, so a false one is found here.
-func (p *Parser) items(k kind, each uint64) int {
-	n := p.want(k)
+func (p *Parser) count(k kind, each uint64) int {
+	n := p.expect(k)
 	if !p.has(n * each) {
 		return 0
 	}
@@ -181,7 +181,7 @@
 func (p *Parser) Uint() uint64 {
 	k, v := p.head()
 	if k != uintKind && (k != intKind || int64(v) < 0) {
-		p.fail(ErrType)
+		p.fail(ErrUnexpectedType)
 	}
 	if p.err != nil {
 		return 0
@@ -190,16 +190,16 @@
 }
 
 // Bool reads true or false.
-func (p *Parser) Bool() bool { return p.want(boolKind) == 1 }
+func (p *Parser) Bool() bool { return p.expect(boolKind) == 1 }
 
 // Nil reads a nil.
-func (p *Parser) Nil() { p.want(nilKind) }
+func (p *Parser) Nil() { p.expect(nilKind) }
 
 // Bytes reads a string or binary. The bytes are those parsed, not a copy.
 func (p *Parser) Bytes() []byte {
 	k, n := p.head()
 	if k != strKind && k != binKind {
-		p.fail(ErrType)
+		p.fail(ErrUnexpectedType)
 	}
 	return p.take(n)
 }
@@ -209,7 +209,7 @@
 
 func (p *Parser) skip(depth int) {
 	if depth > maxDepth {
-		p.fail(ErrDeep)
+		p.fail(ErrTooDeep)
 		return
 	}
 	k, n := p.head()
@@ -269,7 +269,7 @@
 }
 
 // AppendBinHead begins a binary of n bytes, which the caller writes behind it.
-func AppendBinHead(b []byte, n int) []byte {
+func AppendBinHeader(b []byte, n int) []byte {
 	if n <= math.MaxUint8 {
 		return append(b, 0xc4, byte(n))
 	}
--- a/internal/msgpack/msgpack_test.go
+++ b/internal/msgpack/msgpack_test.go
@@ -12,7 +12,7 @@
 	num := func(p *Parser) any { return p.Uint() }
 	array := func(p *Parser) any { return p.Array() }
 	dict := func(p *Parser) any { return p.Map() }
-	skip := func(p *Parser) any { p.Skip(); return p.At() }
+	skip := func(p *Parser) any { p.Skip(); return p.Offset() }
 	cases := []struct {
 		name, in string
 		read     func(*Parser) any
@@ -23,25 +23,25 @@
 		{"uint16", "\xcd\x01\x00", num, uint64(256), nil},
 		{"uint64", "\xcf\xff\xff\xff\xff\xff\xff\xff\xff", num, uint64(math.MaxUint64), nil},
 		{"a signed form of a number from 0 up", "\xd2\x00\x00\x00\x09", num, uint64(9), nil},
-		{"negative", "\xff", num, uint64(0), ErrType},
-		{"negative, wide", "\xd1\xff\x00", num, uint64(0), ErrType},
-		{"number cut off", "\xce\x00", num, uint64(0), ErrShort},
+		{"negative", "\xff", num, uint64(0), ErrUnexpectedType},
+		{"negative, wide", "\xd1\xff\x00", num, uint64(0), ErrUnexpectedType},
+		{"number cut off", "\xce\x00", num, uint64(0), ErrTruncated},
 		{"text", "\xa3abc", text, "abc", nil},
 		{"str8", "\xd9\x02ab", text, "ab", nil},
 		{"bin16", "\xc5\x00\x02\x00\xff", text, "\x00\xff", nil},
-		{"text cut off", "\xa3ab", text, "", ErrShort},
-		{"text of four gigabytes", "\xdb\xff\xff\xff\xffab", text, "", ErrShort},
-		{"text expected", "\xc0", text, "", ErrType},
+		{"text cut off", "\xa3ab", text, "", ErrTruncated},
+		{"text of four gigabytes", "\xdb\xff\xff\xff\xffab", text, "", ErrTruncated},
+		{"text expected", "\xc0", text, "", ErrUnexpectedType},
 		{"array", "\x92\x01\x02", array, 2, nil},
-		{"array32 of more items than bytes", "\xdd\xff\xff\xff\xff\x01", array, 0, ErrShort},
+		{"array32 of more items than bytes", "\xdd\xff\xff\xff\xff\x01", array, 0, ErrTruncated},
 		{"map", "\x81\xa1a\xa1b", dict, 1, nil},
-		{"map16 of more pairs than bytes", "\xde\x00\x02\xa1a\xa1", dict, 0, ErrShort},
+		{"map16 of more pairs than bytes", "\xde\x00\x02\xa1a\xa1", dict, 0, ErrTruncated},
 		{"skip nested", "\x92\x81\xa1a\xc4\x01x\xcb\x00\x00\x00\x00\x00\x00\x00\x00rest", skip, 16, nil},
 		{"skip an extension", "\xd6\x01abcd\x05", skip, 6, nil},
 		{"skip a long extension", "\xc7\x02\x01ab", skip, 5, nil},
-		{"a code that is never used", "\xc1", skip, 1, ErrFormat},
-		{"too deep", strings.Repeat("\x91", 40), skip, 18, ErrDeep},
-		{"nothing", "", skip, 0, ErrShort},
+		{"a code that is never used", "\xc1", skip, 1, ErrInvalid},
+		{"too deep", strings.Repeat("\x91", 40), skip, 18, ErrTooDeep},
+		{"nothing", "", skip, 0, ErrTruncated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,7 +57,7 @@
 	for _, n := range []int{0, 1, 15, 16, 31, 32, 127, 128, 255, 256, 65535, 65536} {
 		b := AppendArray(nil, 5)
 		b = AppendString(b, strings.Repeat("s", n))
-		b = append(AppendBinHead(b, n), make([]byte, n)...)
+		b = append(AppendBinHeader(b, n), make([]byte, n)...)
 		b = AppendUint(AppendUint(b, uint64(n)), uint64(n)<<32)
 		b = AppendBool(AppendNil(b), n%2 == 0)
 		p := Parse(b)
@@ -65,11 +65,11 @@
 		s, bin, v, w := p.Bytes(), p.Bytes(), p.Uint(), p.Uint()
 		p.Nil()
 		if even := p.Bool(); p.Err() != nil || len(s) != n || len(bin) != n || v != uint64(n) || w != v<<32 ||
-			even != (n%2 == 0) || p.At() != len(b) {
-			t.Errorf("%d: read %d, %d, %d, %d up to %d of %d, error %v", n, len(s), len(bin), v, w, p.At(), len(b), p.Err())
+			even != (n%2 == 0) || p.Offset() != len(b) {
+			t.Errorf("%d: read %d, %d, %d, %d up to %d of %d, error %v", n, len(s), len(bin), v, w, p.Offset(), len(b), p.Err())
 		}
 		p = Parse(AppendMap(nil, n))
-		if p.want(mapKind) != uint64(n) {
+		if p.expect(mapKind) != uint64(n) {
 			t.Errorf("map of %d, error %v", n, p.Err())
 		}
 	}
@@ -85,12 +85,12 @@
 		if p.Skip(); p.Err() != nil {
 			return
 		}
-		if p.At() > len(b) {
-			t.Fatalf("read %d of %d bytes", p.At(), len(b))
+		if p.Offset() > len(b) {
+			t.Fatalf("read %d of %d bytes", p.Offset(), len(b))
 		}
-		cut := Parse(bytes.Clone(b[:p.At()-1]))
-		if cut.Skip(); cut.Err() != ErrShort || cut.Lack() != 1 {
-			t.Errorf("cut by one byte: error %v, %d lack", cut.Err(), cut.Lack())
+		cut := Parse(bytes.Clone(b[:p.Offset()-1]))
+		if cut.Skip(); cut.Err() != ErrTruncated || cut.Missing() != 1 {
+			t.Errorf("cut by one byte: error %v, %d lack", cut.Err(), cut.Missing())
 		}
 	})
 }
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -163,18 +163,18 @@
 		return
 	}
 	in := bufio.NewReader(c)
-	head := make([]byte, wire.HeadSize)
+	head := make([]byte, wire.HeaderSize)
 	if _, err := io.ReadFull(in, head); err != nil {
 		return
 	}
-	h := wire.ParseHead(head)
+	h := wire.ParseHeader(head)
 	if h.Modifier1 == 100 { // a ping
 		if fault != HangAfterRead {
-			c.Write(wire.AppendHead(nil, 100, 0, 1))
+			c.Write(wire.AppendHeader(nil, 100, 0, 1))
 		}
 		return
 	}
-	block := make([]byte, h.Size)
+	block := make([]byte, h.BlockSize)
 	if _, err := io.ReadFull(in, block); err != nil {
 		return
 	}
--- a/internal/standin/callers.go
+++ b/internal/standin/callers.go
@@ -173,7 +173,7 @@
 	for _, s := range f {
 		b = msgpack.AppendString(b, s)
 	}
-	b = append(msgpack.AppendBinHead(b, len(c.Body)), c.Body...)
+	b = append(msgpack.AppendBinHeader(b, len(c.Body)), c.Body...)
 	if _, err := conn.nc.Write(b); err != nil {
 		conn.nc.Close()
 		return Reply{Outcome: Lost, Reason: err.Error()}
@@ -210,8 +210,8 @@
 			}
 			continue
 		}
-		c.answer(b[:p.At()])
-		b = append([]byte(nil), b[p.At():]...)
+		c.answer(b[:p.Offset()])
+		b = append([]byte(nil), b[p.Offset():]...)
 		c.mu.Lock()
 		over := c.shut && len(c.open) == 0
 		c.mu.Unlock()
@@ -308,11 +308,11 @@
 	if c.Subject != 0 {
 		f = append(f, "SUBJECT", strconv.FormatUint(c.Subject, 16))
 	}
-	b := make([]byte, wire.HeadSize, 1024)
+	b := make([]byte, wire.HeaderSize, 1024)
 	for i := 0; i < len(f); i += 2 {
 		b = wire.AppendVariable(b, f[i], f[i+1])
 	}
-	wire.AppendHead(b[:0], 0, len(b)-wire.HeadSize, 0)
+	wire.AppendHeader(b[:0], 0, len(b)-wire.HeaderSize, 0)
 	return b
 }
 
@@ -365,12 +365,12 @@
 			break
 		}
 	}
-	a, _, err := wire.ParseAnswer(head)
+	a, _, err := wire.ParseResponse(head)
 	if err != nil {
 		return Reply{Outcome: Lost, Reason: err.Error()}, false
 	}
 	keep = true
-	wire.FieldsOf(a.Head, func(name, value []byte) {
+	wire.EachField(a.Head, func(name, value []byte) {
 		switch string(name) {
 		case "Connection":
 			keep = string(value) != "close"
@@ -394,7 +394,7 @@
 		if _, err := io.ReadFull(in, r.Body); err != nil {
 			return Reply{Outcome: Lost, Reason: err.Error()}, false
 		}
-	} else if a.Length < 0 && !a.NoBody() {
+	} else if a.Length < 0 && !a.HasNoBody() {
 		if r.Body, err = io.ReadAll(in); err != nil {
 			return Reply{Outcome: Lost, Reason: err.Error()}, false
 		}
--- a/internal/uwsgi/uwsgi.go
+++ b/internal/uwsgi/uwsgi.go
@@ -12,36 +12,36 @@
 )
 
 // HeadSize is the number of bytes before the block of variables.
-const HeadSize = 4
+const HeaderSize = 4
 
 // MaxBlock is the longest block that the head can tell.
-const MaxBlock = 1<<16 - 1
+const MaxBlockSize = 1<<16 - 1
 
 // Head is what a packet begins with. Both modifiers are 0 for a WSGI-like RPC with variables and a body.
-type Head struct {
+type Header struct {
 	Modifier1, Modifier2 byte
-	Size                 int // of the block in bytes
+	BlockSize            int // of the block in bytes
 }
 
 // ParseHead reads the head. b must hold HeadSize bytes.
-func ParseHead(b []byte) Head {
-	return Head{Modifier1: b[0], Modifier2: b[3], Size: int(binary.LittleEndian.Uint16(b[1:]))}
+func ParseHeader(b []byte) Header {
+	return Header{Modifier1: b[0], Modifier2: b[3], BlockSize: int(binary.LittleEndian.Uint16(b[1:]))}
 }
 
 var (
-	ErrShort     = errors.New("uwsgi: cut off")
-	ErrSize      = errors.New("uwsgi: a variable's length goes beyond the block")
-	ErrMany      = errors.New("uwsgi: too many variables")
-	ErrNoName    = errors.New("uwsgi: a variable without a name")
-	ErrDuplicate = errors.New("uwsgi: a variable stands twice with two values")
+	ErrTruncated        = errors.New("uwsgi: cut off")
+	ErrLengthOutOfRange = errors.New("uwsgi: a variable's length goes beyond the block")
+	ErrTooManyVariables = errors.New("uwsgi: too many variables")
+	ErrEmptyName        = errors.New("uwsgi: a variable without a name")
+	ErrDuplicate        = errors.New("uwsgi: a variable stands twice with two values")
 )
 
 // Variables are those of one block, in their order. They are parts of the text that was parsed.
 type Variables struct {
-	pairs []pair
+	pairs []variable
 }
 
-type pair struct{ name, value string }
+type variable struct{ name, value string }
 
 // Parse takes a whole block. Of HTTP_ variables, which stand for header lines and may come several times, the first
 // counts; any other, and HTTP_HOST, may stand twice only with one value, as two readers would else go by two. An
@@ -49,32 +49,32 @@
 func (v *Variables) Parse(block string, most int) error {
 	v.pairs = v.pairs[:0]
 	for len(block) > 0 {
-		name, rest, ok := text(block)
+		name, rest, ok := cutString(block)
 		if !ok {
-			return ErrSize
+			return ErrLengthOutOfRange
 		}
-		value, rest, ok := text(rest)
+		value, rest, ok := cutString(rest)
 		if !ok {
-			return ErrSize
+			return ErrLengthOutOfRange
 		}
 		block = rest
 		if name == "" {
-			return ErrNoName
+			return ErrEmptyName
 		}
 		if len(v.pairs) == most {
-			return ErrMany
+			return ErrTooManyVariables
 		}
 		if !strings.HasPrefix(name, "HTTP_") || name == "HTTP_HOST" {
 			if old, had := v.Get(name); had && old != value {
 				return fmt.Errorf("%w: %.40q", ErrDuplicate, name)
 			}
 		}
-		v.pairs = append(v.pairs, pair{name, value})
+		v.pairs = append(v.pairs, variable{name, value})
 	}
 	return nil
 }
 
-func text(b string) (s, rest string, ok bool) {
+func cutString(b string) (s, rest string, ok bool) {
 	if len(b) < 2 {
 		return "", "", false
 	}
@@ -98,11 +98,11 @@
 // Lookup finds a variable in a block that Parse has taken, without taking it apart again.
 func Lookup(block, name string) (value string, has bool) {
 	for len(block) > 0 {
-		n, rest, ok := text(block)
+		n, rest, ok := cutString(block)
 		if !ok {
 			return "", false
 		}
-		v, rest, ok := text(rest)
+		v, rest, ok := cutString(rest)
 		if !ok {
 			return "", false
 		}
@@ -127,14 +127,14 @@
 }
 
 // AppendHead adds the head of a packet with a block of size bytes, which is at most MaxBlock.
-func AppendHead(b []byte, modifier1 byte, size int, modifier2 byte) []byte {
+func AppendHeader(b []byte, modifier1 byte, size int, modifier2 byte) []byte {
 	return append(binary.LittleEndian.AppendUint16(append(b, modifier1), uint16(size)), modifier2)
 }
 
 // AppendVariable adds one variable. What is longer than its length can tell is cut, which no block that was read has.
 func AppendVariable(b []byte, name, value string) []byte {
 	for _, s := range [...]string{name, value} {
-		s = s[:min(len(s), MaxBlock)]
+		s = s[:min(len(s), MaxBlockSize)]
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 	}
 	return b
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/uwsgi_test.go
@@ -27,12 +27,12 @@
 		{"twice with two values", block("PATH_INFO", "/a", "PATH_INFO", "/b"), ErrDuplicate},
 		{"two lengths", block("CONTENT_LENGTH", "1", "CONTENT_LENGTH", "2"), ErrDuplicate},
 		{"two hosts", block("HTTP_HOST", "a", "HTTP_HOST", "b"), ErrDuplicate},
-		{"no name", block("", "x"), ErrNoName},
-		{"a length beyond the block", block("A", "x") + "\x05\x00ab", ErrSize},
-		{"a name without a value", "\x01\x00A", ErrSize},
-		{"half a length", block("A", "x") + "\x01", ErrSize},
-		{"too many", block("A", "", "B", "", "C", "", "D", ""), ErrMany},
-		{"the longest value", block("A", strings.Repeat("x", MaxBlock)), nil},
+		{"no name", block("", "x"), ErrEmptyName},
+		{"a length beyond the block", block("A", "x") + "\x05\x00ab", ErrLengthOutOfRange},
+		{"a name without a value", "\x01\x00A", ErrLengthOutOfRange},
+		{"half a length", block("A", "x") + "\x01", ErrLengthOutOfRange},
+		{"too many", block("A", "", "B", "", "C", "", "D", ""), ErrTooManyVariables},
+		{"the longest value", block("A", strings.Repeat("x", MaxBlockSize)), nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,22 +59,22 @@
 		{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", 200, 38, 3, nil},
 		{"bare newlines, no reason", "HTTP/1.0 404\nA: b\n\n", 404, 19, -1, nil},
 		{"one length twice", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\ncontent-length: 3\r\n\r\n", 200, 57, 3, nil},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 0, 0, 0, ErrLength},
-		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", 0, 0, 0, ErrLength},
-		{"a length beyond all bounds", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n", 0, 0, 0, ErrLength},
-		{"cut off in the status", "HTTP/1.", 0, 0, 0, ErrShort},
-		{"cut off in a field", "HTTP/1.1 200 OK\r\nConte", 0, 0, 0, ErrShort},
-		{"another version", "HTTP/2 200 OK\r\n\r\n", 0, 0, 0, ErrStatus},
-		{"no status", "HTTP/1.1 abc OK\r\n\r\n", 0, 0, 0, ErrStatus},
-		{"a status of four digits", "HTTP/1.1 2000 OK\r\n\r\n", 0, 0, 0, ErrStatus},
-		{"a status out of range", "HTTP/1.1 999 OK\r\n\r\n", 0, 0, 0, ErrStatus},
-		{"garbage", "\x00\x01\x02", 0, 0, 0, ErrStatus},
-		{"a field without a colon", "HTTP/1.1 200 OK\r\nabc\r\n\r\n", 0, 0, 0, ErrField},
-		{"a folded field", "HTTP/1.1 200 OK\r\nA: b\r\n c: d\r\n\r\n", 0, 0, 0, ErrField},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 0, 0, 0, ErrContentLength},
+		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", 0, 0, 0, ErrContentLength},
+		{"a length beyond all bounds", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n", 0, 0, 0, ErrContentLength},
+		{"cut off in the status", "HTTP/1.", 0, 0, 0, ErrTruncated},
+		{"cut off in a field", "HTTP/1.1 200 OK\r\nConte", 0, 0, 0, ErrTruncated},
+		{"another version", "HTTP/2 200 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
+		{"no status", "HTTP/1.1 abc OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
+		{"a status of four digits", "HTTP/1.1 2000 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
+		{"a status out of range", "HTTP/1.1 999 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
+		{"garbage", "\x00\x01\x02", 0, 0, 0, ErrStatusLine},
+		{"a field without a colon", "HTTP/1.1 200 OK\r\nabc\r\n\r\n", 0, 0, 0, ErrHeaderField},
+		{"a folded field", "HTTP/1.1 200 OK\r\nA: b\r\n c: d\r\n\r\n", 0, 0, 0, ErrHeaderField},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a, size, err := ParseAnswer([]byte(c.in))
+			a, size, err := ParseResponse([]byte(c.in))
 			if !errors.Is(err, c.want) {
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
@@ -107,14 +107,14 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.0 500\nA: b\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, size, err := ParseAnswer(b)
+		a, size, err := ParseResponse(b)
 		if err != nil {
 			return
 		}
 		if size > len(b) || !bytes.Equal(a.Head, b[:size]) || a.Status < 100 || a.Length < -1 {
 			t.Errorf("got %+v of %d bytes", a, size)
 		}
-		FieldsOf(a.Head, func(name, _ []byte) {
+		EachField(a.Head, func(name, _ []byte) {
 			if len(name) == 0 {
 				t.Error("a field without a name")
 			}
