--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -116,7 +116,7 @@
 		return e
 	}
 	for _, x := range check(file) {
-		return errors.New(x.String())
+		return x
 	}
 	return nil
 }
--- a/internal/operator/tree.go
+++ b/internal/operator/tree.go
@@ -1,8 +1,5 @@
 package operator
 
-// This file owns the file as a tree for package configure, and which parts of it a running process can't take anew. It
-// must never drop a key on the way.
-
 import (
 	"bytes"
 	"encoding/json"
@@ -11,11 +8,11 @@
 	"sorrelvalve/decision/configure"
 )
 
-// StartOnly are the paths that only a new start can change: what the decisions are made from, where the front listens,
+// RestartOnly are the paths that only a restart can change: what the decisions are made from, where the front listens,
 // and the files that are held open.
 var RestartOnly = []configure.Path{{"hold"}, {"limits"}, {"trace"}, {"store"}, {"uwsgi", "listen"}, {"fleet"}}
 
-// Tree is a file as a tree.
+// Tree returns a file as a tree for package configure, with all its keys.
 func Tree(f *File) (configure.Tree, error) {
 	b, err := json.Marshal(f)
 	if err != nil {
@@ -25,7 +22,7 @@
 	return t, json.Unmarshal(b, &t)
 }
 
-// FromTree is the file that a tree says, read as strictly as a record.
+// FromTree returns the file that a tree holds, decoded as strictly as a record.
 func FromTree(t configure.Tree) (*File, error) {
 	b, err := json.Marshal(t)
 	if err != nil {
@@ -37,8 +34,8 @@
 	return f, d.Decode(f)
 }
 
-// Over is a version that is for a whole fleet laid over one server's own file: what only a start can change, and what is a server's own,
-// is as the own file has it where the version says nothing of it.
+// Overlay returns a version that is for a whole fleet laid over one server's own file: what only a restart can change
+// is as the own file has it where the version says nothing of it. The result shares its maps and pointers with both.
 func (f *File) Overlay(own *File) File {
 	x := *f
 	if x.Queue == (Queue{}) {
