--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -314,19 +314,19 @@
 		return fmt.Errorf("nothing ran")
 	}
 	time.Sleep(2 * time.Duration(quotaLongest) * time.Millisecond)
-	before, _, err := cost(q.Bed)
+	before, err := readUsage(q.Bed)
 	if err != nil {
 		return err
 	}
 	time.Sleep(rest)
-	now, _, err := cost(q.Bed)
+	now, err := readUsage(q.Bed)
 	if err != nil {
 		return err
 	}
 	packets, bytes := 0.0, 0.0
 	for name := range now {
-		packets = max(packets, float64(now[name].Budgets.Sent-before[name].Budgets.Sent)/rest.Seconds())
-		bytes = max(bytes, float64(now[name].Traffic.BytesOut-before[name].Traffic.BytesOut)/rest.Seconds())
+		packets = max(packets, float64(now[name].status.Budgets.Sent-before[name].status.Budgets.Sent)/rest.Seconds())
+		bytes = max(bytes, float64(now[name].status.Traffic.BytesOut-before[name].status.Traffic.BytesOut)/rest.Seconds())
 	}
 	r.AddRow("8 processes: most that ran in any second over bound and burst, all phases", len(times), most(times), "")
 	r.AddRow("in contact, from 2 s after a move: served of the whole quota, the least; fixed parts beside", 2*rounds, contact, fixed)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -36,7 +36,7 @@
 		{"durable-kill", "a process with a durable store, killed at random under repeated purchases by both fronts", DurableKill},
 		{"durable-cost", "what the durable store costs: off, on, on a slow disk", DurableCost},
 		{"embedded", "a gin program at 150% of its cores: bare, behind a semaphore, behind the valve", Embedded},
-		{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", Hearing},
+		{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", FleetFailureDetection},
 		{"fleet-sim", "simulated fleets under random faults, how they grow, and a twin of real processes", FleetSim},
 		{"fleet-twin", "the same schedules through eight processes and through the simulator", FleetTwin},
 		{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", FleetBudgets},
