--- a/internal/fleetsim/check.go
+++ b/internal/fleetsim/check.go
@@ -5,15 +5,15 @@
 // Checker looks at a run and tells what it found wrong by World.Found.
 type Checker interface {
 	Name() string
-	Check(w *Simulation)              // every so often
-	Finish(w *Simulation)             // at the end
-	Cases() int                       // cases: none is a fault of the run
-	MustHaveCases(w *Simulation) bool // whether this run must have had cases
+	Check(sim *Simulation)              // every so often
+	Finish(sim *Simulation)             // at the end
+	Cases() int                         // cases: none is a fault of the run
+	MustHaveCases(sim *Simulation) bool // whether this run must have had cases
 }
 
 // deathObserver is a checker that hears of each judgement on a peer.
 type deathObserver interface {
-	declaredDead(w *Simulation, s *server, p int32, x *suspicion)
+	declaredDead(sim *Simulation, s *server, p int32, x *suspicion)
 }
 
 // AllCheckers returns one of each.
--- a/internal/fleetsim/check_growth.go
+++ b/internal/fleetsim/check_growth.go
@@ -5,31 +5,33 @@
 
 type growthChecker struct{ cases int }
 
-func (*growthChecker) Name() string                     { return "growth" }
-func (c *growthChecker) Cases() int                     { return c.cases }
-func (*growthChecker) MustHaveCases(w *Simulation) bool { return w.o.DurationMs > 2*checkMs }
-func (*growthChecker) Finish(*Simulation)               {}
+func (*growthChecker) Name() string { return "growth" }
+func (c *growthChecker) Cases() int { return c.cases }
+func (*growthChecker) MustHaveCases(sim *Simulation) bool {
+	return sim.options.DurationMs > 2*checkIntervalMs
+}
+func (*growthChecker) Finish(*Simulation) {}
 
-func (c *growthChecker) Check(w *Simulation) {
-	n := len(w.servers)
-	w.forgetTokens()
-	for i := range w.servers {
-		s := &w.servers[i]
+func (c *growthChecker) Check(sim *Simulation) {
+	n := len(sim.servers)
+	sim.expireTokens()
+	for i := range sim.servers {
+		s := &sim.servers[i]
 		if !s.up {
 			continue
 		}
 		c.cases++
-		if s.det.news.live > 2*n || s.det.news.held > 4*n+64 || len(s.det.suspects) > n {
-			w.AddFinding("growth", "%s holds %d news, %d with those replaced, and %d suspicions", s.name, s.det.news.live, s.det.news.held, len(s.det.suspects))
+		if s.detector.updates.pending > 2*n || s.detector.updates.stored > 4*n+64 || len(s.detector.suspicions) > n {
+			sim.AddFinding("growth", "%s holds %d news, %d with those replaced, and %d suspicions", s.name, s.detector.updates.pending, s.detector.updates.stored, len(s.detector.suspicions))
 		}
-		if names := s.hear.Names(); names > n-1 {
-			w.AddFinding("growth", "%s remembers %d names of %d", s.name, names, n-1)
+		if names := s.health.Names(); names > n-1 {
+			sim.AddFinding("growth", "%s remembers %d names of %d", s.name, names, n-1)
 		}
-		if s.gate != nil && s.gate.InHand() > len(s.tickets)+1 {
-			w.AddFinding("growth", "%s: the gate holds %d RPCs, %d are open", s.name, s.gate.InHand(), len(s.tickets))
+		if s.gate != nil && s.gate.InHand() > len(s.inFlight)+1 {
+			sim.AddFinding("growth", "%s: the gate holds %d RPCs, %d are open", s.name, s.gate.InHand(), len(s.inFlight))
 		}
 	}
-	if len(w.rpcs) > 4*n*(int(w.o.RatePerServer*deadlineMs/1000)+16) {
-		w.AddFinding("growth", "%d RPCs are held at a time", len(w.rpcs))
+	if len(sim.rpcs) > 4*n*(int(sim.options.RatePerServer*deadlineMs/1000)+16) {
+		sim.AddFinding("growth", "%d RPCs are held at a time", len(sim.rpcs))
 	}
 }
--- a/internal/fleetsim/check_views.go
+++ b/internal/fleetsim/check_views.go
@@ -11,36 +11,36 @@
 
 func (*viewsChecker) Name() string { return "views" }
 func (c *viewsChecker) Cases() int { return c.cases }
-func (c *viewsChecker) MustHaveCases(w *Simulation) bool {
-	return w.o.DurationMs >= w.lastAct+w.o.SettleTimeoutMs
+func (c *viewsChecker) MustHaveCases(sim *Simulation) bool {
+	return sim.options.DurationMs >= sim.lastStepAt+sim.options.SettleTimeoutMs
 }
 
-func (c *viewsChecker) Check(w *Simulation) {
-	if w.now < w.lastAct {
+func (c *viewsChecker) Check(sim *Simulation) {
+	if sim.now < sim.lastStepAt {
 		return
 	}
 	all := true
-	for i := range w.servers {
-		s := &w.servers[i]
+	for i := range sim.servers {
+		s := &sim.servers[i]
 		if !s.up || s.stopped {
 			continue
 		}
 		c.cases++
-		if s.hear.State(w.local(s)) == health.Whole {
+		if s.health.State(sim.localClock(s)) == health.Whole {
 			continue
 		}
 		all = false
-		if w.now >= w.lastAct+w.o.SettleTimeoutMs {
-			v := s.hear.View(w.local(s))
-			w.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Heard, v.Roster, (w.now-w.lastAct)/1000)
+		if sim.now >= sim.lastStepAt+sim.options.SettleTimeoutMs {
+			v := s.health.View(sim.localClock(s))
+			sim.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Heard, v.Roster, (sim.now-sim.lastStepAt)/1000)
 			break
 		}
 	}
 	if !all {
 		c.settled = -1
 	} else if c.settled <= 0 {
-		c.settled = w.now - w.lastAct
+		c.settled = sim.now - sim.lastStepAt
 	}
 }
 
-func (c *viewsChecker) Finish(w *Simulation) { w.result.SettledMs = c.settled }
+func (c *viewsChecker) Finish(sim *Simulation) { sim.result.SettledMs = c.settled }
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -56,69 +56,69 @@
 // The usual figures: clocks of machines differ by less than 1e-3; views have settled 20 s after the last fault, which is
 // twice what a detector takes at most with 30 servers, and joining again.
 const (
-	usualDrift  = 1e-3
-	usualSettle = 20e3
-	tickMs      = 100.0
-	joinMs      = 1000.0
-	joinTries   = 20 // looks at a stream that stands still
-	checkMs     = 500.0
-	mostHeld    = 300 // packets that a stopped process's socket holds
-	epoch       = 1_700_000_000_000
+	defaultClockDrift = 1e-3
+	defaultSettleMs   = 20e3
+	healthTickMs      = 100.0
+	joinIntervalMs    = 1000.0
+	joinAttempts      = 20 // looks at a stream that stands still
+	checkIntervalMs   = 500.0
+	maxQueuedPackets  = 300 // packets that a stopped process's socket holds
+	wallEpochMs       = 1_700_000_000_000
 )
 
 // server is one.
 type server struct {
-	i        int32
-	low      int32 // the first of its fleet, and how many that has
-	size     int32
-	name     string
-	zone     string
-	up       bool
-	stopped  bool
-	draining bool
-	stopAt   float64 // when it ends, while it drains
-	life     uint32  // of its process, counted over the run: larger is later
-	chance   *rand.Rand
-	rate     float64 // of its clock
-	at0      float64 // world's ms at which its clock showed base
-	base     float64
-	wall     float64 // steps of its wall clock
-	ticked   float64 // local
-	muted    bool
-	hear     *health.Hearing
-	det      detector
-	held     []event
-	joinAt   float64
-	downAt   float64
-	stalls   int // that it found
-	pulses   uint32
-	serving
-	sharing
-	below
-
-	deaf   map[int32]bool // of a planted fault
-	roused float64        // world's ms when it last woke or started
+	index        int32
+	fleetFirst   int32 // the first of its fleet, and how many that has
+	fleetSize    int32
+	name         string
+	zone         string
+	up           bool
+	stopped      bool
+	draining     bool
+	stopAt       float64 // when it ends, while it drains
+	incarnation  uint32  // of its process, counted over the run: larger is later
+	rand         *rand.Rand
+	clockRate    float64 // of its clock
+	clockSetAt   float64 // world's ms at which its clock showed base
+	clockBase    float64
+	wallOffset   float64 // steps of its wall clock
+	lastTickAt   float64 // local
+	muted        bool
+	health       *health.Hearing
+	detector     detector
+	queuedEvents []event
+	nextJoinAt   float64
+	downAt       float64
+	stalls       int // that it found
+	heartbeats   uint32
+	rpcServer
+	quotaParticipant
+	backendClient
+
+	neverAlive map[int32]bool // of a planted fault
+	resumedAt  float64        // world's ms when it last woke or started
 }
 
 // Simulation is one run.
 type Simulation struct {
-	o       Options
-	now     float64
-	queue   queue
-	servers []server
-	wire    wire
-	chance  *rand.Rand
-	packets []packet
-	free    []int32
+	options     Options
+	now         float64
+	queue       queue
+	servers     []server
+	network     network
+	rand        *rand.Rand
+	packets     []packet
+	freePackets []int32
 	callers
 	quotaState
 	backendState
-	script   script.Script
-	lastAct  float64
-	checkers []Checker
-	found    []Finding
-	result   Result
-	digest   *xxhash.Digest
+	script     script.Script
+	lastStepAt float64
+	checkers   []Checker
+	findings   []Finding
+	result     Result
+	digest     *xxhash.Digest
 }
 
 // Result is what a run came to.
@@ -154,9 +154,9 @@
 const maxFindings = 20
 
 // AddFinding notes one.
-func (w *Simulation) AddFinding(checker, format string, a ...any) {
-	if len(w.found) < maxFindings {
-		w.found = append(w.found, Finding{w.now, checker, fmt.Sprintf(format, a...)})
+func (sim *Simulation) AddFinding(checker, format string, a ...any) {
+	if len(sim.findings) < maxFindings {
+		sim.findings = append(sim.findings, Finding{sim.now, checker, fmt.Sprintf(format, a...)})
 	}
 }
 
@@ -178,216 +178,222 @@
 		}
 	}
 	if o.MaxClockDrift == 0 {
-		o.MaxClockDrift = usualDrift
+		o.MaxClockDrift = defaultClockDrift
 	}
 	if o.SettleTimeoutMs == 0 {
-		o.SettleTimeoutMs = usualSettle
+		o.SettleTimeoutMs = defaultSettleMs
 	}
-	w := &Simulation{o: o, digest: xxhash.New(), script: o.Script, checkers: o.Checkers, chance: rand.New(rand.NewPCG(o.Seed, 1))}
-	w.wire.chance = rand.New(rand.NewPCG(o.Seed, 2))
-	if w.checkers == nil {
-		w.checkers = AllCheckers()
+	sim := &Simulation{options: o, digest: xxhash.New(), script: o.Script, checkers: o.Checkers, rand: rand.New(rand.NewPCG(o.Seed, 1))}
+	sim.network.rand = rand.New(rand.NewPCG(o.Seed, 2))
+	if sim.checkers == nil {
+		sim.checkers = AllCheckers()
 	}
-	w.servers = make([]server, o.Servers)
+	sim.servers = make([]server, o.Servers)
 	zones := max(1, o.Zones)
 	for i, name := range ServerNames(o.Servers) {
-		s := &w.servers[i]
-		s.i, s.name, s.zone = int32(i), name, fmt.Sprint("z", i%zones)
-		if s.size = int32(o.Servers); o.FleetSize > 0 {
-			s.low = int32(i / o.FleetSize * o.FleetSize)
-			s.size = min(int32(o.FleetSize), int32(o.Servers)-s.low)
+		s := &sim.servers[i]
+		s.index, s.name, s.zone = int32(i), name, fmt.Sprint("z", i%zones)
+		if s.fleetSize = int32(o.Servers); o.FleetSize > 0 {
+			s.fleetFirst = int32(i / o.FleetSize * o.FleetSize)
+			s.fleetSize = min(int32(o.FleetSize), int32(o.Servers)-s.fleetFirst)
 		}
-		s.chance = rand.New(rand.NewPCG(o.Seed, uint64(100+i)))
-		s.rate = 1 + max(0, o.MaxClockDrift)*(2*s.chance.Float64()-1)
-		s.det.target = -1
-		w.rise(s)
+		s.rand = rand.New(rand.NewPCG(o.Seed, uint64(100+i)))
+		s.clockRate = 1 + max(0, o.MaxClockDrift)*(2*s.rand.Float64()-1)
+		s.detector.checkTarget = -1
+		sim.startProcess(s)
 	}
-	for k, x := range w.script {
+	for k, x := range sim.script {
 		at := float64(x.At) / 1e6
-		w.queue.put(event{at: at, kind: evAct, who: -1, a: int32(k)})
-		w.lastAct = max(w.lastAct, at)
+		sim.queue.put(event{at: at, kind: eventScriptStep, server: -1, subject: int32(k)})
+		sim.lastStepAt = max(sim.lastStepAt, at)
 	}
 	if o.CheckIntervalMs == 0 {
-		o.CheckIntervalMs = checkMs
+		o.CheckIntervalMs = checkIntervalMs
 	}
 	for at := o.CheckIntervalMs; at <= o.DurationMs; at += o.CheckIntervalMs {
-		w.queue.put(event{at: at, kind: evCheck, who: -1})
+		sim.queue.put(event{at: at, kind: eventCheck, server: -1})
 	}
-	w.beginCallers()
-	w.beginLoad()
-	w.beginServices()
-	return w
+	sim.startCallers()
+	sim.startQuotaLoad()
+	sim.startBackendLoad()
+	return sim
 }
 
-// local is a server's own monotonic clock.
-func (w *Simulation) local(s *server) float64 { return s.base + (w.now-s.at0)*s.rate }
+// localClock is a server's own monotonic clock.
+func (sim *Simulation) localClock(s *server) float64 {
+	return s.clockBase + (sim.now-s.clockSetAt)*s.clockRate
+}
 
-// wallOf is its wall clock.
-func (w *Simulation) wallOf(s *server) float64 { return epoch + w.local(s) + s.wall }
+// wallClock is its wall clock.
+func (sim *Simulation) wallClock(s *server) float64 {
+	return wallEpochMs + sim.localClock(s) + s.wallOffset
+}
 
-// after sets an event of a server's process after a while of its own clock.
-func (w *Simulation) after(s *server, d float64, k kind, a, b int32) {
-	w.queue.put(event{at: w.now + d/s.rate, kind: k, who: s.i, a: a, b: b, life: s.life})
+// scheduleAfter sets an event of a server's process after a while of its own clock.
+func (sim *Simulation) scheduleAfter(s *server, d float64, k eventKind, a, b int32) {
+	sim.queue.put(event{at: sim.now + d/s.clockRate, kind: k, server: s.index, subject: a, detail: b, incarnation: s.incarnation})
 }
 
-// rise starts a server's process, which knows nobody.
-func (w *Simulation) rise(s *server) {
-	s.base, s.at0 = 1000*s.chance.Float64(), w.now
+// startProcess starts a server's process, which knows nobody.
+func (sim *Simulation) startProcess(s *server) {
+	s.clockBase, s.clockSetAt = 1000*s.rand.Float64(), sim.now
 	s.up, s.stopped, s.draining, s.muted = true, false, false, false
-	s.life++
-	s.roused = w.now
-	s.held = s.held[:0]
-	s.det.inc = 0
-	w.freshDetector(s)
-	s.det.target = -1
-	now := w.local(s)
-	s.hear = health.New(w.o.HealthRules, s.name, s.zone, now, w.wallOf(s))
-	s.ticked, s.joinAt = now, now
-	w.after(s, tickMs*s.chance.Float64(), evTick, 0, 0)
-	w.after(s, probeMs*s.chance.Float64(), evProbe, 0, 0)
-	w.after(s, pulseMs*s.chance.Float64(), evPulse, 0, 0)
-	w.after(s, exchangeMs*(0.5+s.chance.Float64()), evExchange, 0, 0)
-	w.beginServing(s)
-	w.beginSharing(s)
-	w.beginBelow(s)
+	s.incarnation++
+	s.resumedAt = sim.now
+	s.queuedEvents = s.queuedEvents[:0]
+	s.detector.version = 0
+	sim.resetDetector(s)
+	s.detector.checkTarget = -1
+	now := sim.localClock(s)
+	s.health = health.New(sim.options.HealthRules, s.name, s.zone, now, sim.wallClock(s))
+	s.lastTickAt, s.nextJoinAt = now, now
+	sim.scheduleAfter(s, healthTickMs*s.rand.Float64(), eventHealthTick, 0, 0)
+	sim.scheduleAfter(s, healthCheckIntervalMs*s.rand.Float64(), eventHealthCheck, 0, 0)
+	sim.scheduleAfter(s, heartbeatMs*s.rand.Float64(), eventHeartbeat, 0, 0)
+	sim.scheduleAfter(s, pushPullIntervalMs*(0.5+s.rand.Float64()), eventPushPull, 0, 0)
+	sim.startGate(s)
+	sim.startQuota(s)
+	sim.startBackendClient(s)
 }
 
-// fall ends it.
-func (w *Simulation) fall(s *server) {
+// endProcess ends it.
+func (sim *Simulation) endProcess(s *server) {
 	if !s.up {
 		return
 	}
-	w.broken(s)
-	s.up, s.downAt = false, w.now
-	s.life++ // what is under way for it is void
-	w.endServing(s)
+	sim.breakConnections(s)
+	s.up, s.downAt = false, sim.now
+	s.incarnation++ // what is under way for it is void
+	sim.stopGate(s)
 }
 
 // awake is as internal/fleet has it: false once the server has stalled, until its detector begins anew.
-func (w *Simulation) awake(s *server) bool {
+func (sim *Simulation) awake(s *server) bool {
 	if s.muted {
 		return false
 	}
-	if w.local(s)-s.ticked >= w.o.HealthRules.Stall && w.o.injected != staleAfterStall {
+	if sim.localClock(s)-s.lastTickAt >= sim.options.HealthRules.Stall && sim.options.injected != staleAfterStall {
 		s.muted = true
 	}
 	return !s.muted
 }
 
-// tick is one of the fleet's part, as internal/fleet's loop does it.
-func (w *Simulation) tick(s *server) {
-	w.after(s, tickMs, evTick, 0, 0)
-	muted := !w.awake(s)
-	now := w.local(s)
-	if w.o.injected == staleAfterStall {
-		s.hear.Tick(s.ticked+tickMs, epoch) // as if no time had passed
-		s.hear.Tick(now, epoch+now-s.ticked)
-	} else if s.hear.Tick(now, w.wallOf(s)) || muted {
-		s.hear.Void(now)
+// healthTick is one of the fleet's part, as internal/fleet's loop does it.
+func (sim *Simulation) healthTick(s *server) {
+	sim.scheduleAfter(s, healthTickMs, eventHealthTick, 0, 0)
+	muted := !sim.awake(s)
+	now := sim.localClock(s)
+	if sim.options.injected == staleAfterStall {
+		s.health.Tick(s.lastTickAt+healthTickMs, wallEpochMs) // as if no time had passed
+		s.health.Tick(now, wallEpochMs+now-s.lastTickAt)
+	} else if s.health.Tick(now, sim.wallClock(s)) || muted {
+		s.health.Void(now)
 		s.stalls++
-		w.voidSharing(s)
-		w.observe(10, s.i, 0)
-		w.freshDetector(s)
-		s.det.target = -1
-		s.muted, s.ticked, s.joinAt = false, now, now
-		s.roused = w.now
+		sim.suspendQuota(s)
+		sim.observe(10, s.index, 0)
+		sim.resetDetector(s)
+		s.detector.checkTarget = -1
+		s.muted, s.lastTickAt, s.nextJoinAt = false, now, now
+		s.resumedAt = sim.now
 		return
 	}
-	s.ticked = now
-	if s.det.there > 0 && s.hear.Deaf(now) { // as internal/fleet: it hears nobody
-		s.hear.Void(now)
-		w.freshDetector(s)
-		s.det.target, s.joinAt = -1, now
+	s.lastTickAt = now
+	if s.detector.aliveCount > 0 && s.health.Deaf(now) { // as internal/fleet: it hears nobody
+		s.health.Void(now)
+		sim.resetDetector(s)
+		s.detector.checkTarget, s.nextJoinAt = -1, now
 	}
-	if now >= s.joinAt {
-		s.joinAt = now + joinMs*(0.75+0.5*s.chance.Float64())
-		if s.hear.State(now) != health.Whole {
-			w.joins(s)
+	if now >= s.nextJoinAt {
+		s.nextJoinAt = now + joinIntervalMs*(0.75+0.5*s.rand.Float64())
+		if s.health.State(now) != health.Whole {
+			sim.joinPeers(s)
 		}
 	}
 }
 
-// joins tries two of those on the roster that are silent, and of the seeds on which nobody heard is: the first three names.
-func (w *Simulation) joins(s *server) {
-	n := int(s.size)
+// joinPeers tries two of those on the roster that are silent, and of the seeds on which nobody heard is: the first three names.
+func (sim *Simulation) joinPeers(s *server) {
+	n := int(s.fleetSize)
 	tried := 0
-	from := s.chance.IntN(n)
+	from := s.rand.IntN(n)
 	for k := 0; k < n && tried < 2; k++ {
-		p := s.low + int32((from+k)%n)
-		st := s.det.m[p-s.low].state
+		p := s.fleetFirst + int32((from+k)%n)
+		st := s.detector.members[p-s.fleetFirst].state
 		found := st == alive || st == suspect
-		if p == s.i || !s.hear.Misses(w.servers[p].name) && (found || p-s.low >= 3) {
+		if p == s.index || !s.health.Misses(sim.servers[p].name) && (found || p-s.fleetFirst >= 3) {
 			continue
 		}
 		tried++
-		w.after(s, 3*wayMs, evJoin, p, 0)
+		sim.scheduleAfter(s, 3*networkDelayMs, eventJoin, p, 0)
 	}
 }
 
 // What the servers' own code hears of the detector, as internal/fleet hands it on.
 
-func (w *Simulation) heardAlive(s *server, p int32, life uint32) {
-	now := w.local(s)
-	o := &w.servers[p]
-	s.hear.Known(now, o.name, o.zone, 0, 0)
-	if w.o.injected == neverAliveAgain && s.deaf[p] {
+func (sim *Simulation) onAlive(s *server, p int32, life uint32) {
+	now := sim.localClock(s)
+	o := &sim.servers[p]
+	s.health.Known(now, o.name, o.zone, 0, 0)
+	if sim.options.injected == neverAliveAgain && s.neverAlive[p] {
 		return
 	}
-	s.hear.Alive(now, o.name)
-	w.observe(1, s.i, p)
+	s.health.Alive(now, o.name)
+	sim.observe(1, s.index, p)
 }
 
-func (w *Simulation) knows(s *server, p int32, life uint32) {
-	if p == s.i {
+func (sim *Simulation) onKnown(s *server, p int32, life uint32) {
+	if p == s.index {
 		return
 	}
-	if m := &s.det.m[p-s.low]; m.state == unknown {
-		*m = member{state: dead, heardL: life}
-		o := &w.servers[p]
-		s.hear.Known(w.local(s), o.name, o.zone, 0, 0)
+	if m := &s.detector.members[p-s.fleetFirst]; m.state == unknown {
+		*m = member{state: dead, incarnation: life}
+		o := &sim.servers[p]
+		s.health.Known(sim.localClock(s), o.name, o.zone, 0, 0)
 	}
 }
 
-func (w *Simulation) heardLost(s *server, p int32, how state) {
-	name, now := w.servers[p].name, w.local(s)
-	w.observe(2, s.i, p)
-	if how == left || w.o.injected == silenceIsDeparture {
-		s.hear.Leaves(now, name, 0, health.Left)
+func (sim *Simulation) onLost(s *server, p int32, how memberState) {
+	name, now := sim.servers[p].name, sim.localClock(s)
+	sim.observe(2, s.index, p)
+	if how == left || sim.options.injected == silenceIsDeparture {
+		s.health.Leaves(now, name, 0, health.Left)
 		return
 	}
-	if w.o.injected == neverAliveAgain {
-		if s.deaf == nil {
-			s.deaf = map[int32]bool{}
+	if sim.options.injected == neverAliveAgain {
+		if s.neverAlive == nil {
+			s.neverAlive = map[int32]bool{}
 		}
-		s.deaf[p] = true
+		s.neverAlive[p] = true
 	}
-	s.hear.Lost(now, name)
+	s.health.Lost(now, name)
 }
 
-func (w *Simulation) word(s *server, from int32) { s.hear.Word(w.local(s), w.servers[from].name) }
+func (sim *Simulation) onPacketFrom(s *server, from int32) {
+	s.health.Word(sim.localClock(s), sim.servers[from].name)
+}
 
-func (w *Simulation) answeredBy(s *server, from int32) {
-	s.hear.Answered(w.local(s), w.servers[from].name)
+func (sim *Simulation) onAnswered(s *server, from int32) {
+	s.health.Answered(sim.localClock(s), sim.servers[from].name)
 }
 
 // declaredDead tells the checkers that a server itself calls another dead.
-func (w *Simulation) declaredDead(s *server, p int32, x *suspicion) {
-	for _, c := range w.checkers {
+func (sim *Simulation) declaredDead(s *server, p int32, x *suspicion) {
+	for _, c := range sim.checkers {
 		if j, is := c.(deathObserver); is {
-			j.declaredDead(w, s, p, x)
+			j.declaredDead(sim, s, p, x)
 		}
 	}
 }
 
-// send puts a packet on its way.
-func (w *Simulation) send(s *server, p packet) {
-	if !w.awake(s) {
+// sendPacket puts a packet on its way.
+func (sim *Simulation) sendPacket(s *server, p packet) {
+	if !sim.awake(s) {
 		return
 	}
-	p.from = s.i
-	first, again := w.wire.fate(s.i, p.to)
+	p.from = s.index
+	first, again := sim.network.transmit(s.index, p.to)
 	if first < 0 {
-		w.carry(s, nil) // what it carried counts as sent
+		sim.carry(s, nil) // what it carried counts as sent
 		return
 	}
 	for k, d := range [2]float64{first, again} {
@@ -395,30 +401,30 @@
 			continue
 		}
 		var at int32
-		if n := len(w.free); n > 0 {
-			at = w.free[n-1]
-			w.free = w.free[:n-1]
+		if n := len(sim.freePackets); n > 0 {
+			at = sim.freePackets[n-1]
+			sim.freePackets = sim.freePackets[:n-1]
 		} else {
-			w.packets = append(w.packets, packet{})
-			at = int32(len(w.packets) - 1)
+			sim.packets = append(sim.packets, packet{})
+			at = int32(len(sim.packets) - 1)
 		}
-		x := &w.packets[at]
-		news := x.news[:0]
+		x := &sim.packets[at]
+		news := x.updates[:0]
 		*x = p
 		if k == 0 {
-			x.news = w.carry(s, news)
+			x.updates = sim.carry(s, news)
 		} else {
-			x.news = news
+			x.updates = news
 		}
-		w.queue.put(event{at: w.now + d, kind: evPacket, who: p.to, a: at})
+		sim.queue.put(event{at: sim.now + d, kind: eventPacket, server: p.to, subject: at})
 	}
 }
 
-func (w *Simulation) carry(s *server, into []update) []update { return s.det.carried(into) }
+func (sim *Simulation) carry(s *server, into []update) []update { return s.detector.takeUpdates(into) }
 
 // observe adds to the digest: what, who, whom, and when.
-func (w *Simulation) observe(what byte, a, b int32) {
-	x := math.Float64bits(w.now)
+func (sim *Simulation) observe(what byte, a, b int32) {
+	x := math.Float64bits(sim.now)
 	var buf [17]byte
 	buf[0] = what
 	for i := range 8 {
@@ -427,153 +433,153 @@
 	for i := range 4 {
 		buf[9+i], buf[13+i] = byte(a>>(8*i)), byte(b>>(8*i))
 	}
-	w.digest.Write(buf[:])
+	sim.digest.Write(buf[:])
 }
 
 // Run lets the whole length pass and tells what came of it.
-func (w *Simulation) Run() *Result {
-	for w.queue.len() > 0 && w.queue.heap[0].at <= w.o.DurationMs {
-		e := w.queue.take()
-		w.now = e.at
-		w.result.Events++
-		w.happens(&e)
-	}
-	w.now = w.o.DurationMs
-	r := &w.result
-	for _, c := range w.checkers {
-		c.Finish(w)
+func (sim *Simulation) Run() *Result {
+	for sim.queue.len() > 0 && sim.queue.heap[0].at <= sim.options.DurationMs {
+		e := sim.queue.take()
+		sim.now = e.at
+		sim.result.Events++
+		sim.dispatch(&e)
+	}
+	sim.now = sim.options.DurationMs
+	r := &sim.result
+	for _, c := range sim.checkers {
+		c.Finish(sim)
 		if r.CasesByChecker == nil {
 			r.CasesByChecker = map[string]int{}
 		}
-		if r.CasesByChecker[c.Name()] = c.Cases(); c.Cases() == 0 && c.MustHaveCases(w) {
-			w.AddFinding(c.Name(), "saw no case")
+		if r.CasesByChecker[c.Name()] = c.Cases(); c.Cases() == 0 && c.MustHaveCases(sim) {
+			sim.AddFinding(c.Name(), "saw no case")
 		}
 	}
-	for i := range w.servers {
-		s := &w.servers[i]
+	for i := range sim.servers {
+		s := &sim.servers[i]
 		if s.up && !s.stopped {
-			st := s.hear.State(w.local(s))
+			st := s.health.State(sim.localClock(s))
 			r.FinalStates = append(r.FinalStates, st)
-			w.observe(20, s.i, int32(st))
+			sim.observe(20, s.index, int32(st))
 		}
 	}
-	r.Findings, r.Digest = w.found, w.digest.Sum64()
-	r.Network.Delivered, r.Network.Dropped = w.wire.passed, w.wire.lost
+	r.Findings, r.Digest = sim.findings, sim.digest.Sum64()
+	r.Network.Delivered, r.Network.Dropped = sim.network.delivered, sim.network.dropped
 	return r
 }
 
-func (w *Simulation) happens(e *event) {
-	if e.who >= 0 {
-		s := &w.servers[e.who]
-		if e.kind == evPacket {
+func (sim *Simulation) dispatch(e *event) {
+	if e.server >= 0 {
+		s := &sim.servers[e.server]
+		if e.kind == eventPacket {
 			if s.up && s.stopped {
-				if len(s.held) < mostHeld {
-					s.held = append(s.held, *e)
+				if len(s.queuedEvents) < maxQueuedPackets {
+					s.queuedEvents = append(s.queuedEvents, *e)
 				} else {
-					w.free = append(w.free, e.a)
+					sim.freePackets = append(sim.freePackets, e.subject)
 				}
 				return
 			}
 			if s.up {
-				p := w.packets[e.a] // a copy: the place may move while it is taken
-				w.receive(s, &p)
+				p := sim.packets[e.subject] // a copy: the place may move while it is taken
+				sim.receivePacket(s, &p)
 			}
-			w.free = append(w.free, e.a)
+			sim.freePackets = append(sim.freePackets, e.subject)
 			return
 		}
-		if e.life != s.life || !s.up {
+		if e.incarnation != s.incarnation || !s.up {
 			return
 		}
-		if s.stopped && e.kind != evEngine {
-			s.held = append(s.held, *e)
+		if s.stopped && e.kind != eventJobDone {
+			s.queuedEvents = append(s.queuedEvents, *e)
 			return
 		}
 		switch e.kind {
-		case evTick:
-			w.tick(s)
-		case evGateTick:
-			w.gateTick(s)
-		case evProbe:
-			w.probe(s)
-		case evProbeLate:
-			w.probeLate(s, e.a, e.b)
-		case evProbeOver:
-			w.probeOver(s, e.a, e.b)
-		case evSuspect:
-			w.suspicionOver(s, e.a, uint32(e.b))
-		case evPulse:
-			w.pulse(s)
-		case evGossip:
-			w.gossipRound(s)
-		case evExchange:
-			w.after(s, exchangeMs*math.Max(1, math.Ceil(math.Log2(float64(s.size))-5)+1), evExchange, 0, 0)
-			if peers, n := w.some(s, 1, -1); n == 1 {
-				w.exchange(s, &w.servers[peers[0]])
+		case eventHealthTick:
+			sim.healthTick(s)
+		case eventGateTick:
+			sim.gateTick(s)
+		case eventHealthCheck:
+			sim.startHealthCheck(s)
+		case eventHealthCheckTimeout:
+			sim.healthCheckTimeout(s, e.subject, e.detail)
+		case eventHealthCheckEnd:
+			sim.finishHealthCheck(s, e.subject, e.detail)
+		case eventSuspicionTimeout:
+			sim.suspicionTimeout(s, e.subject, uint32(e.detail))
+		case eventHeartbeat:
+			sim.sendHeartbeat(s)
+		case eventGossipRound:
+			sim.gossipRound(s)
+		case eventPushPull:
+			sim.scheduleAfter(s, pushPullIntervalMs*math.Max(1, math.Ceil(math.Log2(float64(s.fleetSize))-5)+1), eventPushPull, 0, 0)
+			if peers, n := sim.randomPeers(s, 1, -1); n == 1 {
+				sim.pushPull(s, &sim.servers[peers[0]])
 			}
-		case evJoin:
+		case eventJoin:
 			// A stream through a cut stands still for a second, and goes on if the cut heals before.
-			if !w.exchange(s, &w.servers[e.a]) && e.b < joinTries && w.servers[e.a].up {
-				w.after(s, joinMs/joinTries, evJoin, e.a, e.b+1)
+			if !sim.pushPull(s, &sim.servers[e.subject]) && e.detail < joinAttempts && sim.servers[e.subject].up {
+				sim.scheduleAfter(s, joinIntervalMs/joinAttempts, eventJoin, e.subject, e.detail+1)
 			}
-		case evOwed:
-			w.owed(s, e.a, e.b)
-		case evEngine:
-			w.engineDone(s, e.a)
-		case evShare:
-			w.shareTick(s)
-		case evTake:
-			w.takes(s, e.a)
-		case evLook:
-			w.lookTick(s)
+		case eventAnswerDue:
+			sim.checkAnswered(s, e.subject, e.detail)
+		case eventJobDone:
+			sim.finishJobs(s, e.subject)
+		case eventQuotaTick:
+			sim.quotaTick(s)
+		case eventQuotaRequest:
+			sim.requestQuota(s, e.subject)
+		case eventBackendTick:
+			sim.backendTick(s)
 		}
 		return
 	}
 	switch e.kind {
-	case evLoad:
-		w.load()
-	case evCall:
-		w.call()
-	case evQuiet:
-		w.quiet(e.a, e.b)
-	case evCallOver:
-		w.callOver(e.a, e.b)
-	case evCount:
-		w.countBelow()
-	case evStop:
-		w.stops(&w.servers[e.a], e.life)
-	case evAct:
-		w.act(&w.script[e.a])
-	case evCheck:
-		for _, c := range w.checkers {
-			c.Check(w)
+	case eventQuotaArrival:
+		sim.quotaArrival()
+	case eventBackendCall:
+		sim.backendCall()
+	case eventAttemptLate:
+		sim.attemptLate(e.subject, e.detail)
+	case eventAttemptDone:
+		sim.finishAttempt(e.subject, e.detail)
+	case eventCountEjections:
+		sim.countEjections()
+	case eventDrainDeadline:
+		sim.finishDrain(&sim.servers[e.subject], e.incarnation)
+	case eventScriptStep:
+		sim.applyStep(&sim.script[e.subject])
+	case eventCheck:
+		for _, c := range sim.checkers {
+			c.Check(sim)
 		}
 	default:
-		w.callersEvent(e)
+		sim.dispatchCallerEvent(e)
 	}
 }
 
-// wake has all happen that was held while a process was stopped: its timers and what lay in its socket, in their order.
-func (w *Simulation) wake(s *server) {
+// resumeProcess has all happen that was held while a process was stopped: its timers and what lay in its socket, in their order.
+func (sim *Simulation) resumeProcess(s *server) {
 	if !s.up || !s.stopped {
 		return
 	}
 	s.stopped = false
-	s.roused = w.now
-	held := s.held
-	s.held = nil
+	s.resumedAt = sim.now
+	held := s.queuedEvents
+	s.queuedEvents = nil
 	for _, e := range held {
-		e.at = w.now
-		w.queue.put(e)
+		e.at = sim.now
+		sim.queue.put(e)
 	}
-	w.wakeServing(s)
+	sim.resumeGate(s)
 }
 
-// act carries out a step of the script.
-func (w *Simulation) act(x *script.Step) {
-	w.observe(30, int32(len(x.Action)), 0)
+// applyStep carries out a step of the script.
+func (sim *Simulation) applyStep(x *script.Step) {
+	sim.observe(30, int32(len(x.Action)), 0)
 	numbers := func(names []string) (all []int32) {
 		if names == nil {
-			for i := range w.servers {
+			for i := range sim.servers {
 				all = append(all, int32(i))
 			}
 		}
@@ -584,20 +590,20 @@
 		}
 		return all
 	}
-	add := func(r rule) { w.wire.rules = append(w.wire.rules, r) }
-	ways := func(r rule) {
+	add := func(r networkRule) { sim.network.rules = append(sim.network.rules, r) }
+	ways := func(r networkRule) {
 		from, to := script.ParseDirection(x.Args[0])
 		if from != nil {
-			r.from = setOf(len(w.servers), numbers(from))
+			r.from = newServerSet(len(sim.servers), numbers(from))
 		}
 		if to != nil {
-			r.to = setOf(len(w.servers), numbers(to))
+			r.to = newServerSet(len(sim.servers), numbers(to))
 		}
 		add(r)
 	}
 	each := func(f func(s *server)) {
 		for _, i := range numbers(script.ParseNames(x.Args[0])) {
-			f(&w.servers[i])
+			f(&sim.servers[i])
 		}
 	}
 	switch x.Action {
@@ -606,52 +612,52 @@
 		for i := range sets {
 			for k := range sets {
 				if i != k {
-					add(rule{cut: true, from: setOf(len(w.servers), numbers(sets[i])), to: setOf(len(w.servers), numbers(sets[k]))})
+					add(networkRule{cut: true, from: newServerSet(len(sim.servers), numbers(sets[i])), to: newServerSet(len(sim.servers), numbers(sets[k]))})
 				}
 			}
 		}
 	case "cut":
-		ways(rule{cut: true})
+		ways(networkRule{cut: true})
 	case "loss":
-		ways(rule{drop: x.NumberArg(1)})
+		ways(networkRule{dropRate: x.NumberArg(1)})
 	case "mess":
-		ways(rule{mess: x.NumberArg(1)})
+		ways(networkRule{disturbRate: x.NumberArg(1)})
 	case "delay":
-		ways(rule{delay: float64(x.DurationArg(1)) / 1e6, spread: float64(x.DurationArg(2)) / 1e6})
+		ways(networkRule{delayMs: float64(x.DurationArg(1)) / 1e6, jitterMs: float64(x.DurationArg(2)) / 1e6})
 	case "heal":
-		w.wire.rules = w.wire.rules[:0]
+		sim.network.rules = sim.network.rules[:0]
 	case "stop":
 		each(func(s *server) { s.stopped = s.up })
 	case "cont":
-		each(w.wake)
+		each(sim.resumeProcess)
 	case "term":
-		each(w.drains)
+		each(sim.startDrain)
 	case "kill":
-		each(w.fall)
+		each(sim.endProcess)
 	case "start":
 		each(func(s *server) {
 			if !s.up {
-				w.rise(s)
+				sim.startProcess(s)
 			}
 		})
 	case "slow": // of streams, which are modelled by their end
 	case "relay": // packets under way are lost, streams break: for the servers a moment's cut
 	case "rate":
 		each(func(s *server) {
-			s.base, s.at0 = w.local(s), w.now
-			s.rate = x.NumberArg(1)
+			s.clockBase, s.clockSetAt = sim.localClock(s), sim.now
+			s.clockRate = x.NumberArg(1)
 		})
 	case "speed":
 		each(func(s *server) {
 			if s.gate != nil {
-				w.work(s)
+				sim.advanceJobs(s)
 				s.speed = x.NumberArg(1)
-				w.arm(s)
+				sim.scheduleJobDone(s)
 			}
 		})
 	case "fail":
-		each(func(s *server) { s.fails = x.NumberArg(1) })
+		each(func(s *server) { s.failureRate = x.NumberArg(1) })
 	case "jump":
-		each(func(s *server) { s.wall += float64(x.DurationArg(1)) / 1e6 })
+		each(func(s *server) { s.wallOffset += float64(x.DurationArg(1)) / 1e6 })
 	}
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -36,14 +36,14 @@
 	chance := rand.New(rand.NewPCG(1, 1))
 	var all []event
 	for i := range 5000 {
-		e := event{at: float64(chance.IntN(300)), a: int32(i)}
+		e := event{at: float64(chance.IntN(300)), subject: int32(i)}
 		q.put(e)
 		e.seq = uint64(i + 1)
 		all = append(all, e)
 		if chance.IntN(3) == 0 {
 			sort.Slice(all, func(i, k int) bool { return all[i].before(&all[k]) })
-			if got := q.take(); got.a != all[0].a {
-				t.Fatalf("took %d, want %d", got.a, all[0].a)
+			if got := q.take(); got.subject != all[0].subject {
+				t.Fatalf("took %d, want %d", got.subject, all[0].subject)
 			}
 			all = all[1:]
 		}
--- a/internal/fleetsim/budgets_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -9,7 +9,7 @@
 
 func bound(servers int) *QuotaOptions {
 	return &QuotaOptions{
-		Rules:         quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: usualDrift},
+		Rules:         quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: defaultClockDrift},
 		StickyServers: max(1, servers/8), RatePerCustomer: 60 * float64(servers), MoveIntervalMs: 10e3, UniformRate: 1,
 	}
 }
--- a/internal/fleetsim/release.go
+++ b/internal/fleetsim/rollout.go
@@ -62,23 +62,23 @@
 	Restored       bool
 }
 
-type released struct {
-	name, zone string
-	base       float64 // share of bad ends of its own
-	version    uint64
-	start      uint64
-	refused    uint64
-	counts     release.Counts
-	mb         float64
-	away       float64 // not heard until
-	warm       float64 // from then on
+type rolloutServer struct {
+	name, zone       string
+	errorRate        float64 // share of bad ends of its own
+	version          uint64
+	startID          uint64
+	rejectedVersion  uint64
+	counts           release.Counts
+	memoryMB         float64
+	unreachableUntil float64 // not heard until
+	warmAt           float64 // from then on
 }
 
 // fellBad are shares of bad ends that bad versions bring.
 const (
-	badShare   = 0.08
-	otherShare = 0.002 // usual one of a server, in the mean
-	releaseMs  = 2000.0
+	defectErrorRate = 0.08
+	meanErrorRate   = 0.002 // usual one of a server, in the mean
+	rolloutStepMs   = 2000.0
 )
 
 // Run plays it to its end.
@@ -86,10 +86,10 @@
 	chance := rand.New(rand.NewPCG(x.Seed, 11))
 	book := release.New()
 	var roster []release.Server
-	servers := make([]*released, x.Servers)
+	servers := make([]*rolloutServer, x.Servers)
 	for i := range servers {
 		z := fmt.Sprint("z", i%x.Zones)
-		s := &released{name: fmt.Sprint("n", i), zone: z, base: otherShare * (0.5 + chance.ExpFloat64()), start: 1, mb: 40 + 8*chance.Float64()}
+		s := &rolloutServer{name: fmt.Sprint("n", i), zone: z, errorRate: meanErrorRate * (0.5 + chance.ExpFloat64()), startID: 1, memoryMB: 40 + 8*chance.Float64()}
 		servers[i], roster = s, append(roster, release.Server{Name: s.name, Zone: z})
 	}
 	n := 0
@@ -132,18 +132,18 @@
 	}
 	resumes := 0
 	limit := 3600e3
-	for now := 0.0; now < limit; now += releaseMs {
-		if int(now/releaseMs)%15 == 0 {
+	for now := 0.0; now < limit; now += rolloutStepMs {
+		if int(now/rolloutStepMs)%15 == 0 {
 			load = 0.6 + 0.8*chance.Float64()
 		}
 		for _, s := range servers {
-			heard := now >= s.away
+			heard := now >= s.unreachableUntil
 			if heard && x.Faults && chance.Float64() < 0.00002 {
-				s.away = now + 5e3 + 60e3*chance.Float64()
+				s.unreachableUntil = now + 5e3 + 60e3*chance.Float64()
 			}
 			if target := book.Target(s.name); heard && target != s.version { // told with its word, taken at once
 				if x.Defect == DefectRejected && target == put.Version {
-					s.refused = target
+					s.rejectedVersion = target
 				} else {
 					s.version, s.counts = target, release.Counts{}
 					if target == put.Version {
@@ -152,7 +152,7 @@
 					}
 				}
 			}
-			bad := s.base
+			bad := s.errorRate
 			if now >= trouble.from && now < trouble.to && s.zone == trouble.zone {
 				bad += 0.3
 			}
@@ -160,30 +160,30 @@
 			if s.version == put.Version {
 				switch x.Defect {
 				case DefectErrors:
-					bad += badShare
+					bad += defectErrorRate
 					top = bad
 				case DefectUnderLoad:
 					if load > 1.1 {
-						bad += 2 * badShare
+						bad += 2 * defectErrorRate
 						top = bad
 					}
 				case DefectOneZone:
 					if s.zone == "z1" {
-						bad += 2 * badShare
+						bad += 2 * defectErrorRate
 						top = bad
 					}
 				case DefectStarvation:
 					top += 0.5
 				case DefectMemoryLeak:
-					s.mb += 0.6 * releaseMs / 1000
+					s.memoryMB += 0.6 * rolloutStepMs / 1000
 				case DefectCrashLoop:
-					if now >= s.warm { // up for three seconds, then again
-						s.start++
-						s.counts, s.warm = release.Counts{}, now+3e3
+					if now >= s.warmAt { // up for three seconds, then again
+						s.startID++
+						s.counts, s.warmAt = release.Counts{}, now+3e3
 					}
 				}
 			}
-			n := poisson(x.RatePerServer * load * releaseMs / 1000)
+			n := poisson(x.RatePerServer * load * rolloutStepMs / 1000)
 			tops := math.Round(0.15 * n)
 			down := x.Defect == DefectCrashLoop && s.version == put.Version
 			if down {
@@ -198,17 +198,17 @@
 			ok, usual = ok+n-b-tb, usual+n*(1-without)
 		}
 		if len(reached) > 0 && len(reached) <= end.FirstTwoWaves && (x.Defect != DefectUnderLoad || load > 1.1) {
-			end.ExposureMs += releaseMs
+			end.ExposureMs += rolloutStepMs
 		}
-		look := release.Command{Kind: release.Observe, ElapsedMS: releaseMs}
+		look := release.Command{Kind: release.Observe, ElapsedMS: rolloutStepMs}
 		if x.Faults && chance.Float64() < 0.01 {
 			look.ElapsedMS = 0 // another leads
 		}
 		for _, s := range servers {
-			if now < s.away {
+			if now < s.unreachableUntil {
 				continue
 			}
-			o := release.Report{Name: s.name, Incarnation: s.start, Version: s.version, RejectedVersion: s.refused, RejectReason: "it is wrong", Warm: now >= s.warm, ResidentMB: s.mb, Counts: s.counts}
+			o := release.Report{Name: s.name, Incarnation: s.startID, Version: s.version, RejectedVersion: s.rejectedVersion, RejectReason: "it is wrong", Warm: now >= s.warmAt, ResidentMB: s.memoryMB, Counts: s.counts}
 			if !x.CanaryAnalysis { // what it carries is told without its ends
 				o.Counts, o.ResidentMB = release.Counts{Total: s.counts.Total}, 0
 				o.Incarnation, o.Warm = 1, true
@@ -236,7 +236,7 @@
 	end.Phase, end.Reason, end.ServersReached, end.ServedShare = r.Phase, r.Reason, len(reached), ok/usual
 	end.Restored = r.Phase == release.RolledBack
 	for _, s := range servers {
-		if s.version != book.Target(s.name) && !(s.refused != 0 && book.Target(s.name) == s.refused) {
+		if s.version != book.Target(s.name) && !(s.rejectedVersion != 0 && book.Target(s.name) == s.rejectedVersion) {
 			end.Diverged++
 		}
 		if s.version != 0 {
--- a/internal/fleetsim/news_test.go
+++ b/internal/fleetsim/updates_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// plainNews is the list that news is measured against: each packet looks at all.
-type plainNews []struct {
+// plainQueue is the list that news is measured against: each packet looks at all.
+type plainQueue []struct {
 	update
 	sent int
 }
 
-func (n *plainNews) put(u update) {
+func (n *plainQueue) add(u update) {
 	*n = slices.DeleteFunc(*n, func(x struct {
 		update
 		sent int
 	}) bool {
-		return x.about == u.about && (x.state == pulsed) == (u.state == pulsed)
+		return x.subject == u.subject && (x.state == heartbeat) == (u.state == heartbeat)
 	})
 	*n = append(*n, struct {
 		update
@@ -25,10 +25,10 @@
 	}{u, 0})
 }
 
-func (n *plainNews) take(most, limit int) (out []update) {
+func (n *plainQueue) take(most, limit int) (out []update) {
 	for sent := range limit {
 		for i := range *n {
-			if x := &(*n)[i]; x.sent == sent && len(out) < most && (x.state != pulsed || sent < (limit+1)/2) {
+			if x := &(*n)[i]; x.sent == sent && len(out) < most && (x.state != heartbeat || sent < (limit+1)/2) {
 				out = append(out, x.update)
 				x.sent = -1 - sent // not met again in this packet
 			}
@@ -39,7 +39,7 @@
 		if x.sent < 0 {
 			x.sent = -x.sent
 		}
-		if x.sent < limit && (x.state != pulsed || x.sent < (limit+1)/2) {
+		if x.sent < limit && (x.state != heartbeat || x.sent < (limit+1)/2) {
 			keep = append(keep, x)
 		}
 	}
@@ -51,26 +51,26 @@
 func TestNews(t *testing.T) {
 	sorted := func(u []update) []update {
 		slices.SortFunc(u, func(a, b update) int {
-			return (int(a.about)*16 + int(a.state)) - (int(b.about)*16 + int(b.state))
+			return (int(a.subject)*16 + int(a.state)) - (int(b.subject)*16 + int(b.state))
 		})
 		return u
 	}
 	for seed := range uint64(200) {
 		chance := rand.New(rand.NewPCG(seed, 1))
-		var fast news
-		var plain plainNews
-		fast.clear(10, 30)
+		var fast updateQueue
+		var plain plainQueue
+		fast.reset(10, 30)
 		limit, most := 1+chance.IntN(12), 100
 		for step := range 500 {
 			if chance.IntN(2) == 0 {
-				u := update{about: 10 + chance.Int32N(30), inc: uint32(step), state: []state{alive, suspect, dead, pulsed}[chance.IntN(4)]}
-				fast.put(u)
-				plain.put(u)
+				u := update{subject: 10 + chance.Int32N(30), version: uint32(step), state: []memberState{alive, suspect, dead, heartbeat}[chance.IntN(4)]}
+				fast.add(u)
+				plain.add(u)
 			} else if a, b := sorted(fast.take(nil, most, limit)), sorted(plain.take(most, limit)); !slices.Equal(a, b) {
 				t.Fatalf("seed %d, step %d: %v, and by the plain list %v", seed, step, a, b)
 			}
-			if fast.live != len(plain) || fast.held > 2*fast.live+64+60 {
-				t.Fatalf("seed %d, step %d: %d live, %d held; %d in the plain list", seed, step, fast.live, fast.held, len(plain))
+			if fast.pending != len(plain) || fast.stored > 2*fast.pending+64+60 {
+				t.Fatalf("seed %d, step %d: %d live, %d held; %d in the plain list", seed, step, fast.pending, fast.stored, len(plain))
 			}
 		}
 	}
@@ -80,27 +80,27 @@
 	const servers = 1000
 	fill := func(put func(update)) {
 		for i := range int32(servers) {
-			put(update{about: i, state: alive})
+			put(update{subject: i, state: alive})
 		}
 	}
 	b.Run("buckets", func(b *testing.B) {
-		var n news
-		n.clear(0, servers)
-		fill(n.put)
-		into := make([]update, 0, packetNews)
+		var n updateQueue
+		n.reset(0, servers)
+		fill(n.add)
+		into := make([]update, 0, updatesPerPacket)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			n.put(update{about: int32(i) % servers, state: alive})
-			n.take(into, packetNews, 12)
+			n.add(update{subject: int32(i) % servers, state: alive})
+			n.take(into, updatesPerPacket, 12)
 		}
 	})
 	b.Run("plain", func(b *testing.B) {
-		var n plainNews
-		fill(n.put)
+		var n plainQueue
+		fill(n.add)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			n.put(update{about: int32(i) % servers, state: alive})
-			n.take(packetNews, 12)
+			n.add(update{subject: int32(i) % servers, state: alive})
+			n.take(updatesPerPacket, 12)
 		}
 	})
 }
