--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -131,7 +131,7 @@
 		}
 	}
 	for _, x := range configure.Diff(trees[0], trees[1]) {
-		fmt.Printf("%s: %s -> %s", x.Path, leaf(x.Was), leaf(x.Is))
+		fmt.Printf("%s: %s -> %s", x.Path, leaf(x.Before), leaf(x.After))
 		for _, top := range operator.RestartOnly {
 			if len(x.Path) >= len(top) && slices.Equal(x.Path[:len(top)], top) {
 				fmt.Print("  (needs a new start)")
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -50,7 +50,7 @@
 	if len(all) < 2*c.Parts || c.Parts < 2 {
 		return fmt.Errorf("%d events in %d parts: too few to plan by", len(all), c.Parts)
 	}
-	o := &r.Header.Told
+	o := &r.Header.Startup
 	s := replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
 	from, span := all[0].Now, (all[len(all)-1].Now-all[0].Now)/float64(c.Parts)
 	parts := make([][]replay.Step, c.Parts)
@@ -74,23 +74,23 @@
 func (c *planCmd) file(p *plan.Plan, s *replay.Settings) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Planned over a trace; applied by nobody. %d settings were tried.\n", p.Replays)
-	fmt.Fprintf(&b, "// Criticality served on the parts searched on: %.4f, before %.4f.\n", p.After, p.Before)
-	fmt.Fprintf(&b, "// On %d parts that it never saw: %+.4f in the mean, from %+.4f to %+.4f.\n", len(p.Held), p.Mean, p.Low, p.High)
-	for i, h := range p.Held {
+	fmt.Fprintf(&b, "// Criticality served on the parts searched on: %.4f, before %.4f.\n", p.TrainAfter, p.TrainBefore)
+	fmt.Fprintf(&b, "// On %d parts that it never saw: %+.4f in the mean, from %+.4f to %+.4f.\n", len(p.HeldOut), p.MeanGain, p.MinGain, p.MaxGain)
+	for i, h := range p.HeldOut {
 		fmt.Fprintf(&b, "//   part %d: %.4f, before %.4f; the most critical method %.4f, before %.4f\n", 2*i+2, h.After.Served, h.Before.Served,
 			h.After.Critical, h.Before.Critical)
 	}
 	fmt.Fprintf(&b, "package sorrelvalve\n\nversion: %q\n", "plan "+strconv.FormatInt(c.Seed, 10))
-	if p.Best.Settle >= 0 {
-		fmt.Fprintf(&b, "hold: settled_ms: %g\n", p.Best.Settle)
+	if p.Best.SettleMS >= 0 {
+		fmt.Fprintf(&b, "hold: settled_ms: %g\n", p.Best.SettleMS)
 	}
 	if p.Best.OverShare >= 0 {
 		fmt.Fprintf(&b, "limits: over_share: %g\n", p.Best.OverShare)
 	}
-	if p.Best.RunsACore > 0 {
-		fmt.Fprintf(&b, "limits: runs_a_core: %g\n", p.Best.RunsACore)
+	if p.Best.MaxRunsPerCore > 0 {
+		fmt.Fprintf(&b, "limits: runs_a_core: %g\n", p.Best.MaxRunsPerCore)
 	}
-	for i, f := range p.Best.Quotas {
+	for i, f := range p.Best.QuotaFactors {
 		if f != 1 {
 			fmt.Fprintf(&b, "limits: quotas: %q: %g\n", s.Customers[i].Name, s.Customers[i].Quota*f)
 		}
--- a/cmd/valvekeeper/main.go
+++ b/cmd/valvekeeper/main.go
@@ -45,7 +45,7 @@
 }
 
 func (c serveCmd) Run() error {
-	o := permitserver.Options{Name: c.Name, Dir: c.Dir, Bind: c.Bind, New: c.New, Join: c.Join, Log: daemon.NewLog(os.Stderr).WithField("keeper", c.Name)}
+	o := permitserver.Options{Name: c.Name, DataDir: c.Dir, Bind: c.Bind, Bootstrap: c.New, Join: c.Join, Log: daemon.NewLog(os.Stderr).WithField("keeper", c.Name)}
 	listen := ""
 	for _, s := range c.Peer {
 		name, addrs, ok := strings.Cut(s, "=")
@@ -56,7 +56,7 @@
 		if name == c.Name {
 			listen = http
 		}
-		o.Peers = append(o.Peers, permitserver.Peer{Name: name, Raft: raft, HTTP: http})
+		o.Peers = append(o.Peers, permitserver.Peer{Name: name, RaftAddr: raft, HTTPAddr: http})
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
--- a/decision/configure/configure.go
+++ b/decision/configure/configure.go
@@ -45,77 +45,77 @@
 }
 
 // Fault is one thing wrong with a candidate.
-type Fault struct {
+type Violation struct {
 	Path Path
 	Text string
 }
 
 // What a commit can fail by. The running settings are as before then.
 var (
-	ErrConflict = errors.New("configure: the settings have changed since the candidate was made")
-	ErrNoSuch   = errors.New("configure: no such version is kept")
-	ErrShape    = errors.New("configure: the path leads through a leaf")
+	ErrConflict       = errors.New("configure: the settings have changed since the candidate was made")
+	ErrUnknownVersion = errors.New("configure: no such version is kept")
+	ErrNotTable       = errors.New("configure: the path leads through a leaf")
 )
 
 // Invalid is a candidate that does not pass the checks.
-type Invalid struct{ Faults []Fault }
+type InvalidError struct{ Violations []Violation }
 
-func (e *Invalid) Error() string {
-	f := e.Faults[0]
-	return fmt.Sprintf("%s: %s (%d wrong in all)", f.Path, f.Text, len(e.Faults))
+func (e *InvalidError) Error() string {
+	f := e.Violations[0]
+	return fmt.Sprintf("%s: %s (%d wrong in all)", f.Path, f.Text, len(e.Violations))
 }
 
 // NeedsStart is a candidate that changes what only a new start can take.
-type NeedsStart struct{ Paths []Path }
+type RestartRequiredError struct{ Paths []Path }
 
-func (e *NeedsStart) Error() string {
+func (e *RestartRequiredError) Error() string {
 	return fmt.Sprintf("%s: only a new start can change it (%d such in all)", e.Paths[0], len(e.Paths))
 }
 
 // Starves is a candidate that is valid and would keep out what must not be, unless that is meant.
-type Starves struct{ Reasons []string }
+type StarvationError struct{ Reasons []string }
 
-func (e *Starves) Error() string { return "starves: " + strings.Join(e.Reasons, "; ") }
+func (e *StarvationError) Error() string { return "starves: " + strings.Join(e.Reasons, "; ") }
 
 // Version is settings that were committed.
 type Version struct {
-	Number int
-	At     float64 // Unix ms
-	Origin string  // who or what committed it
-	Tree   Tree
+	Number      int
+	CommittedMS float64 // Unix ms
+	Origin      string  // who or what committed it
+	Tree        Tree
 }
 
 // Core holds the running settings and those before them.
-type Core struct {
-	check    func(Tree) []Fault
-	guard    func(was, is Tree) []string
-	start    []Path
-	most     int
-	versions []Version // the last is running
+type Store struct {
+	check       func(Tree) []Violation
+	guard       func(was, is Tree) []string
+	restartOnly []Path
+	maxVersions int
+	versions    []Version // the last is running
 }
 
 // New returns a core that runs first, which must pass check. start are the paths that only a new start can change; guard
 // names what a change would starve, and may be nil; most versions are kept.
-func New(first Version, check func(Tree) []Fault, guard func(was, is Tree) []string, start []Path, most int) (*Core, error) {
+func New(first Version, check func(Tree) []Violation, guard func(was, is Tree) []string, restartOnly []Path, maxVersions int) (*Store, error) {
 	if faults := check(first.Tree); len(faults) > 0 {
-		return nil, &Invalid{faults}
+		return nil, &InvalidError{faults}
 	}
 	if guard == nil {
 		guard = func(_, _ Tree) []string { return nil }
 	}
 	first.Tree = clone(first.Tree).(Tree)
-	return &Core{check: check, guard: guard, start: start, most: max(1, most), versions: []Version{first}}, nil
+	return &Store{check: check, guard: guard, restartOnly: restartOnly, maxVersions: max(1, maxVersions), versions: []Version{first}}, nil
 }
 
 // Running is the version that is in force.
-func (c *Core) Running() Version { return c.versions[len(c.versions)-1] }
+func (c *Store) Running() Version { return c.versions[len(c.versions)-1] }
 
 // History is the versions that are kept, the oldest first.
-func (c *Core) History() []Version { return slices.Clone(c.versions) }
+func (c *Store) History() []Version { return slices.Clone(c.versions) }
 
 // Candidate is the running settings with operations carried out: all deletes, then all replaces, then all updates, each
 // kind in the order given. It returns the number of the version that it was made of, for Commit.
-func (c *Core) Candidate(all []Operation) (candidate Tree, base int, err error) {
+func (c *Store) Candidate(all []Operation) (candidate Tree, base int, err error) {
 	r := c.Running()
 	t := clone(r.Tree).(Tree)
 	for _, kind := range []Kind{Delete, Replace, Update} {
@@ -139,9 +139,9 @@
 			if o.Kind == Replace {
 				return clone(v).(Tree), nil
 			}
-			return over(t, v).(Tree), nil
+			return merge(t, v).(Tree), nil
 		}
-		return nil, ErrShape
+		return nil, ErrNotTable
 	}
 	at := t
 	for _, key := range o.Path[:len(o.Path)-1] {
@@ -155,7 +155,7 @@
 		}
 		table, is := next.(Tree)
 		if !is {
-			return nil, ErrShape
+			return nil, ErrNotTable
 		}
 		at = table
 	}
@@ -166,20 +166,20 @@
 	case Replace:
 		at[last] = clone(o.Value)
 	case Update:
-		at[last] = over(at[last], o.Value)
+		at[last] = merge(at[last], o.Value)
 	}
 	return t, nil
 }
 
 // over lays a value over another: tables key by key, all else as a whole.
-func over(was, v any) any {
+func merge(was, v any) any {
 	a, isTable := was.(Tree)
 	b, toTable := v.(Tree)
 	if !isTable || !toTable {
 		return clone(v)
 	}
 	for key, x := range b {
-		a[key] = over(a[key], x)
+		a[key] = merge(a[key], x)
 	}
 	return a
 }
@@ -205,7 +205,7 @@
 // Commit puts a candidate in force if it was made of the running version, passes the checks, changes nothing that needs a
 // new start and starves nothing, unless that is meant. A candidate that changes nothing is the running version. The
 // owner must have every part take the new version in one step.
-func (c *Core) Commit(candidate Tree, base int, at float64, origin string, meant bool) (Version, error) {
+func (c *Store) Commit(candidate Tree, base int, at float64, origin string, force bool) (Version, error) {
 	r := c.Running()
 	if base != r.Number {
 		return r, ErrConflict
@@ -215,42 +215,42 @@
 		return r, nil
 	}
 	if faults := c.check(candidate); len(faults) > 0 {
-		return r, &Invalid{faults}
+		return r, &InvalidError{faults}
 	}
 	var stays []Path
 	for _, x := range changes {
-		if slices.ContainsFunc(c.start, func(top Path) bool { return x.Path.under(top) || top.under(x.Path) }) {
+		if slices.ContainsFunc(c.restartOnly, func(top Path) bool { return x.Path.under(top) || top.under(x.Path) }) {
 			stays = append(stays, x.Path)
 		}
 	}
 	if len(stays) > 0 {
-		return r, &NeedsStart{stays}
+		return r, &RestartRequiredError{stays}
 	}
-	if reasons := c.guard(r.Tree, candidate); len(reasons) > 0 && !meant {
-		return r, &Starves{reasons}
+	if reasons := c.guard(r.Tree, candidate); len(reasons) > 0 && !force {
+		return r, &StarvationError{reasons}
 	}
-	v := Version{Number: r.Number + 1, At: at, Origin: origin, Tree: clone(candidate).(Tree)}
+	v := Version{Number: r.Number + 1, CommittedMS: at, Origin: origin, Tree: clone(candidate).(Tree)}
 	c.versions = append(c.versions, v)
-	if over := len(c.versions) - c.most; over > 0 {
+	if over := len(c.versions) - c.maxVersions; over > 0 {
 		c.versions = slices.Delete(c.versions, 0, over)
 	}
 	return v, nil
 }
 
 // Rollback commits the settings of an earlier version anew, by the same checks as any other change.
-func (c *Core) Rollback(number int, at float64, origin string, meant bool) (Version, error) {
+func (c *Store) Rollback(number int, at float64, origin string, force bool) (Version, error) {
 	for _, v := range c.versions {
 		if v.Number == number {
-			return c.Commit(v.Tree, c.Running().Number, at, fmt.Sprintf("%s, rollback to %d", origin, number), meant)
+			return c.Commit(v.Tree, c.Running().Number, at, fmt.Sprintf("%s, rollback to %d", origin, number), force)
 		}
 	}
-	return c.Running(), ErrNoSuch
+	return c.Running(), ErrUnknownVersion
 }
 
 // Change is one leaf, list of leaves, or empty table that differs. Was or Is is nil where it is not there.
 type Change struct {
-	Path    Path
-	Was, Is any
+	Path          Path
+	Before, After any
 }
 
 // Diff is what differs from one tree to another, in the order of paths.
--- a/decision/configure/configure_test.go
+++ b/decision/configure/configure_test.go
@@ -21,16 +21,16 @@
 func text(v any) string { b, _ := json.Marshal(v); return string(b) }
 
 // checked is sound unless a leaf is "bad".
-func checked(t Tree) (faults []Fault) {
+func checked(t Tree) (faults []Violation) {
 	for _, c := range Diff(Tree{}, t) {
-		if c.Is == "bad" {
-			faults = append(faults, Fault{c.Path, "bad"})
+		if c.After == "bad" {
+			faults = append(faults, Violation{c.Path, "bad"})
 		}
 	}
 	return faults
 }
 
-func core(t interface{ Fatal(...any) }, first string) *Core {
+func core(t interface{ Fatal(...any) }, first string) *Store {
 	c, err := New(Version{Number: 1, Origin: "file", Tree: tree(first)}, checked, func(_, is Tree) (reasons []string) {
 		if is["quota"] == 0.0 {
 			reasons = append(reasons, "topup-buy: nothing left")
@@ -136,8 +136,8 @@
 					_, err = x.Commit(candidate, base, 1, "c", rapid.Bool().Draw(t, "meant"))
 					again := clone(before.Tree).(Tree)
 					for _, c := range changes {
-						o := Operation{Replace, c.Path, c.Is}
-						if c.Is == nil {
+						o := Operation{Replace, c.Path, c.After}
+						if c.After == nil {
 							o = Operation{Delete, c.Path, nil}
 						}
 						if again, _ = apply(again, o); again == nil {
@@ -146,7 +146,7 @@
 					}
 					if left := Diff(again, candidate); len(left) > 0 {
 						for _, c := range left { // tables that became empty on the way are no settings
-							if table, is := c.Was.(Tree); !is || len(table) > 0 {
+							if table, is := c.Before.(Tree); !is || len(table) > 0 {
 								t.Fatalf("%s: %s is left of %s to %s", c.Path, text(left), frozen, text(candidate))
 							}
 						}
@@ -172,14 +172,14 @@
 }
 
 func TestGuard(t *testing.T) {
-	carried := &Carried{
-		Methods:   map[string]Method{"buy": {true, 20, 100}, "view": {false, 100, 100}},
+	carried := &Throughput{
+		Methods:   map[string]MethodLoad{"buy": {true, 20, 100}, "view": {false, 100, 100}},
 		Customers: map[string]map[string]float64{"acme": {"buy": 12, "view": 60}, "other": {"view": 40}},
 		Routes:    map[string]float64{"buy-web": 15, "buy-old": 5, "view": 100},
 	}
 	limits := func(change func(*Limits)) *Limits {
 		l := &Limits{Quotas: map[string]float64{"acme": 50, "other": 50}, Routes: map[string]string{"buy-web": "buy", "buy-old": "buy", "view": "view"},
-			Pools: map[string]Pool{"buy": {"p", 10}}, Runs: 16}
+			Pools: map[string]Pool{"buy": {"p", 10}}, MaxRuns: 16}
 		change(l)
 		return l
 	}
@@ -198,25 +198,25 @@
 		{"enough places", func(l *Limits) { l.Pools["buy"] = Pool{"p", 3} }, ""},
 		{"too few", func(l *Limits) { l.Pools["buy"] = Pool{"p", 1} }, "buy: pool p would have 1 places"},
 		{"a pool in place of the engine, too small", func(l *Limits) { l.Pools["buy"] = Pool{"q", 1} }, "buy: pool q"},
-		{"too few runs", func(l *Limits) { l.Runs = 1 }, "buy: 1 runs at once"},
-		{"more of all", func(l *Limits) { l.Quotas["acme"], l.Pools["buy"], l.Runs = 99, Pool{"p", 99}, 99 }, ""},
+		{"too few runs", func(l *Limits) { l.MaxRuns = 1 }, "buy: 1 runs at once"},
+		{"more of all", func(l *Limits) { l.Quotas["acme"], l.Pools["buy"], l.MaxRuns = 99, Pool{"p", 99}, 99 }, ""},
 	} {
 		reasons := Guard(limits(func(*Limits) {}), limits(c.change), carried)
 		if got := strings.Join(reasons, "; "); !strings.HasPrefix(got, c.want) || c.want == "" && got != "" {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
-	tight := limits(func(l *Limits) { l.Quotas["acme"], l.Runs = 1, 1 })
+	tight := limits(func(l *Limits) { l.Quotas["acme"], l.MaxRuns = 1, 1 })
 	if reasons := Guard(tight, tight, carried); len(reasons) > 0 {
 		t.Errorf("what is not changed is judged: %v", reasons)
 	}
-	if reasons := Guard(limits(func(*Limits) {}), tight, &Carried{}); len(reasons) > 0 {
+	if reasons := Guard(limits(func(*Limits) {}), tight, &Throughput{}); len(reasons) > 0 {
 		t.Errorf("nothing was carried: %v", reasons)
 	}
 }
 
-func ExampleCore() {
-	c, _ := New(Version{Number: 1, Tree: Tree{"quota": 50.0}}, func(Tree) []Fault { return nil }, nil, nil, 10)
+func ExampleStore() {
+	c, _ := New(Version{Number: 1, Tree: Tree{"quota": 50.0}}, func(Tree) []Violation { return nil }, nil, nil, 10)
 	candidate, base, _ := c.Candidate([]Operation{{Update, Path{"quota"}, 40.0}})
 	v, _ := c.Commit(candidate, base, 0, "manager", false)
 	fmt.Println(v.Number, v.Tree["quota"])
--- a/decision/plan/plan.go
+++ b/decision/plan/plan.go
@@ -14,48 +14,48 @@
 )
 
 // Knobs are what is searched. The zero value leaves all as it is.
-type Knobs struct {
-	Settle    float64   // ms: hold.settled_ms; below 0 for as it is
-	OverShare float64   // what an RPC over its quota keeps; below 0 for as it is
-	RunsACore float64   // at most; 0 for as it is
-	Quotas    []float64 // factor for each customer; nil for as they are
+type Parameters struct {
+	SettleMS       float64   // ms: hold.settled_ms; below 0 for as it is
+	OverShare      float64   // what an RPC over its quota keeps; below 0 for as it is
+	MaxRunsPerCore float64   // at most; 0 for as it is
+	QuotaFactors   []float64 // factor for each customer; nil for as they are
 }
 
 // Apply returns the settings with the knobs turned.
-func (k Knobs) Apply(s replay.Settings) replay.Settings {
-	if k.Settle >= 0 {
-		s.Limits.DisplaceableFor = k.Settle
+func (k Parameters) Apply(s replay.Settings) replay.Settings {
+	if k.SettleMS >= 0 {
+		s.Limits.DisplaceableFor = k.SettleMS
 	}
 	if k.OverShare >= 0 {
 		s.Fleet.OverQuotaFraction = k.OverShare
 	}
-	if k.RunsACore > 0 {
-		s.Limits.MaxRunsPerCore = k.RunsACore
+	if k.MaxRunsPerCore > 0 {
+		s.Limits.MaxRunsPerCore = k.MaxRunsPerCore
 	}
 	s.Customers = slices.Clone(s.Customers)
 	for i := range s.Customers {
-		if i < len(k.Quotas) {
-			s.Customers[i].Quota *= k.Quotas[i]
+		if i < len(k.QuotaFactors) {
+			s.Customers[i].Quota *= k.QuotaFactors[i]
 		}
 	}
 	return s
 }
 
 // AsItIs are the knobs that change nothing.
-func AsItIs(customers int) Knobs {
-	k := Knobs{Settle: -1, OverShare: -1}
+func Unchanged(customers int) Parameters {
+	k := Parameters{SettleMS: -1, OverShare: -1}
 	for range customers {
-		k.Quotas = append(k.Quotas, 1)
+		k.QuotaFactors = append(k.QuotaFactors, 1)
 	}
 	return k
 }
 
 // The values that are tried: steps that an operator would take, none beyond what the checks of the file allow.
 var (
-	settles    = []float64{0, 10, 20, 50, 100, 300}
-	overShares = []float64{0, 0.1, 0.3, 0.6, 1}
-	runsACore  = []float64{2, 3, 4, 6, 8, 12}
-	factors    = []float64{0.5, 0.75, 0.9, 1, 1.1, 1.3, 2}
+	settleValues      = []float64{0, 10, 20, 50, 100, 300}
+	overShareValues   = []float64{0, 0.1, 0.3, 0.6, 1}
+	runsPerCoreValues = []float64{2, 3, 4, 6, 8, 12}
+	quotaFactors      = []float64{0.5, 0.75, 0.9, 1, 1.1, 1.3, 2}
 )
 
 // Score is how a setting did on one part.
@@ -65,22 +65,22 @@
 }
 
 // Change is what a plan does on one part that it was not searched on.
-type Change struct{ Before, After Score }
+type HeldOutResult struct{ Before, After Score }
 
 // Plan is the outcome of a search.
 type Plan struct {
-	Best            Knobs
-	Replays         int
-	Before, After   float64  // criticality served on the parts searched on
-	Held            []Change // on those not searched on
-	Mean, Low, High float64  // of the change there
+	Best                       Parameters
+	Replays                    int
+	TrainBefore, TrainAfter    float64         // criticality served on the parts searched on
+	HeldOut                    []HeldOutResult // on those not searched on
+	MeanGain, MinGain, MaxGain float64         // of the change there
 }
 
 // worse is by how much the most critical method may do worse for a plan to be taken: noise of some ends in a thousand.
-const worse = 0.005
+const maxCriticalLoss = 0.005
 
 // gain is the least change that is worth a setting: below it lies what another seed of the same traffic does.
-const gain = 0.002
+const minGain = 0.002
 
 // Search tries settings on every other part. The budget is the number of settings that may be tried.
 func Search(s replay.Settings, parts [][]replay.Step, budget int, seed int64) Plan {
@@ -93,8 +93,8 @@
 		}
 	}
 	chance := rand.New(rand.NewSource(seed))
-	p := Plan{Best: AsItIs(len(s.Customers))}
-	evaluate := func(k Knobs) Score {
+	p := Plan{Best: Unchanged(len(s.Customers))}
+	evaluate := func(k Parameters) Score {
 		p.Replays++
 		sum := Score{}
 		for _, part := range learn {
@@ -106,42 +106,42 @@
 	}
 	first := evaluate(p.Best)
 	best := first
-	p.Before = first.Served
-	var turns []func(*Knobs, int) bool // one knob each: sets its nth value, false if there is none
+	p.TrainBefore = first.Served
+	var turns []func(*Parameters, int) bool // one knob each: sets its nth value, false if there is none
 	turns = append(turns,
-		func(k *Knobs, n int) bool { return set(&k.Settle, settles, n) },
-		func(k *Knobs, n int) bool { return set(&k.OverShare, overShares, n) },
-		func(k *Knobs, n int) bool { return set(&k.RunsACore, runsACore, n) })
+		func(k *Parameters, n int) bool { return set(&k.SettleMS, settleValues, n) },
+		func(k *Parameters, n int) bool { return set(&k.OverShare, overShareValues, n) },
+		func(k *Parameters, n int) bool { return set(&k.MaxRunsPerCore, runsPerCoreValues, n) })
 	for c := range s.Customers {
-		turns = append(turns, func(k *Knobs, n int) bool { return set(&k.Quotas[c], factors, n) })
+		turns = append(turns, func(k *Parameters, n int) bool { return set(&k.QuotaFactors[c], quotaFactors, n) })
 	}
 	for improved := true; improved && p.Replays < budget; {
 		improved = false
 		for _, t := range chance.Perm(len(turns)) {
 			for n := 0; p.Replays < budget; n++ {
 				k := p.Best
-				k.Quotas = slices.Clone(k.Quotas)
+				k.QuotaFactors = slices.Clone(k.QuotaFactors)
 				if !turns[t](&k, n) {
 					break
 				}
 				x := evaluate(k)
-				if x.Served > best.Served+gain && x.Critical >= first.Critical-worse {
+				if x.Served > best.Served+minGain && x.Critical >= first.Critical-maxCriticalLoss {
 					best, p.Best, improved = x, k, true
 				}
 			}
 		}
 	}
-	p.After = best.Served
-	p.Low, p.High = math.Inf(1), math.Inf(-1)
+	p.TrainAfter = best.Served
+	p.MinGain, p.MaxGain = math.Inf(1), math.Inf(-1)
 	for _, part := range held {
-		c := Change{score(s, part), score(p.Best.Apply(s), part)}
-		p.Held = append(p.Held, c)
+		c := HeldOutResult{score(s, part), score(p.Best.Apply(s), part)}
+		p.HeldOut = append(p.HeldOut, c)
 		d := c.After.Served - c.Before.Served
-		p.Mean += d / float64(len(held))
-		p.Low, p.High = math.Min(p.Low, d), math.Max(p.High, d)
+		p.MeanGain += d / float64(len(held))
+		p.MinGain, p.MaxGain = math.Min(p.MinGain, d), math.Max(p.MaxGain, d)
 	}
 	if len(held) == 0 {
-		p.Low, p.High = 0, 0
+		p.MinGain, p.MaxGain = 0, 0
 	}
 	return p
 }
@@ -159,23 +159,23 @@
 	i := 0
 	tallies := make([]replay.Tally, len(s.Methods))
 	s.Node.WarmingUp = false // a part begins in mid service
-	replay.Model(&s, func() (replay.Step, error) {
+	replay.Simulate(&s, func() (replay.Step, error) {
 		if i == len(steps) {
 			return replay.Step{}, io.EOF
 		}
 		i++
 		return steps[i-1], nil
-	}, func(f replay.Final) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) })
+	}, func(f replay.Completion) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) })
 	got, all, top := 0.0, 0.0, 0
 	for m := range s.Methods {
-		g, a := tallies[m].Served(&s.Methods[m])
+		g, a := tallies[m].WeightedCriticality(&s.Methods[m])
 		got, all = got+g, all+a
 		if s.Methods[m].Criticality > s.Methods[top].Criticality {
 			top = m
 		}
 	}
 	x := Score{Served: got / math.Max(1e-9, all)}
-	g, a := tallies[top].Served(&s.Methods[top])
+	g, a := tallies[top].WeightedCriticality(&s.Methods[top])
 	x.Critical = g / math.Max(1e-9, a)
 	if a == 0 {
 		x.Critical = 1
--- a/decision/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -35,13 +35,13 @@
 		parts = append(parts, steps)
 	}
 	a, b := Search(s, parts, 60, 1), Search(s, parts, 60, 1)
-	if a.After != b.After || a.Replays != b.Replays || a.Mean != b.Mean {
+	if a.TrainAfter != b.TrainAfter || a.Replays != b.Replays || a.MeanGain != b.MeanGain {
 		t.Errorf("two searches: %+v and %+v", a, b)
 	}
-	if a.Replays > 60 || a.After < a.Before+gain || a.Mean <= 0 || len(a.Held) != 2 {
+	if a.Replays > 60 || a.TrainAfter < a.TrainBefore+minGain || a.MeanGain <= 0 || len(a.HeldOut) != 2 {
 		t.Errorf("plan %+v", a)
 	}
-	if c := Search(s, parts, 1, 1); c.Replays != 1 || c.After != c.Before || c.Mean != 0 {
+	if c := Search(s, parts, 1, 1); c.Replays != 1 || c.TrainAfter != c.TrainBefore || c.MeanGain != 0 {
 		t.Errorf("without a budget %+v", c)
 	}
 }
--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -32,7 +32,7 @@
 	Customers  []control.Customer
 }
 
-func (s *Settings) start() *control.Controller {
+func (s *Settings) newControl() *control.Controller {
 	return control.New(s.Node, s.Fleet, s.Dependency, s.Limits, s.Methods, s.Customers)
 }
 
@@ -42,83 +42,83 @@
 const (
 	OK         Verdict = iota // within its latency target
 	Late                      // ok, past it
-	PushedBack                //
+	Rejected                  //
 	Aborted                   //
-	Gone                      // its caller left first
+	CallerLeft                // its caller left first
 )
 
 func (v Verdict) String() string {
-	return [...]string{"ok", "late", "pushed back", "aborted", "gone"}[min(v, Gone)]
+	return [...]string{"ok", "late", "pushed back", "aborted", "gone"}[min(v, CallerLeft)]
 }
 
 // TurnedAway tells whether that is a verdict with no result.
-func (v Verdict) TurnedAway() bool { return v == PushedBack || v == Aborted }
+func (v Verdict) NoResult() bool { return v == Rejected || v == Aborted }
 
 // Final is the end of one RPC. Nth counts arrivals from 0.
-type Final struct {
-	Nth     int
-	RPC     uint32
-	Method  int
-	Arrived float64
-	At      float64
-	Verdict Verdict
+type Completion struct {
+	ArrivalIndex int
+	RPC          uint32
+	Method       int
+	ArrivedMS    float64
+	CompletedMS  float64
+	Verdict      Verdict
 }
 
 // Tally counts ends.
-type Tally struct{ N, OK, Late, PushedBack, Aborted, Gone int }
+type Tally struct{ Total, OK, Late, Rejected, Aborted, CallerLeft int }
 
 // Add counts one.
 func (t *Tally) Add(v Verdict) {
-	t.N++
+	t.Total++
 	switch v {
 	case OK:
 		t.OK++
 	case Late:
 		t.Late++
-	case PushedBack:
-		t.PushedBack++
+	case Rejected:
+		t.Rejected++
 	case Aborted:
 		t.Aborted++
-	case Gone:
-		t.Gone++
+	case CallerLeft:
+		t.CallerLeft++
 	}
 }
 
 // Served is the criticality that the ends of a method came to, and all that there was. Callers that left count for
 // nothing on either side.
-func (t *Tally) Served(m *control.Method) (got, all float64) {
-	return m.Criticality * (float64(t.OK) + m.LateFraction*float64(t.Late)), m.Criticality * float64(t.N-t.Gone)
+func (t *Tally) WeightedCriticality(m *control.Method) (got, all float64) {
+	return m.Criticality * (float64(t.OK) + m.LateFraction*float64(t.Late)), m.Criticality * float64(t.Total-t.CallerLeft)
 }
 
 // Parting is a place at which verdicts part from the recorded ones.
-type Parting struct {
-	Step, At int // which step, and which verdict of it
-	Now      float64
-	Was, Is  control.Action // the zero Action for none
+type Divergence struct {
+	Step, VerdictIndex int // which step, and which verdict of it
+	Now                float64
+	Recorded, Replayed control.Action // the zero Action for none
 }
 
 // open is an RPC that has arrived and has no end yet.
-type open struct {
-	nth     int
-	method  int
-	arrived float64
-	target  float64
-	due     float64
-	final   bool
-	run     bool // on the machine, for Model
-	joined  bool
-	token   uint64
-	work    float64
+type rpcState struct {
+	arrivalIndex int
+	method       int
+	arrived      float64
+	target       float64
+	due          float64
+	completed    bool
+	started      bool // on the machine, for Model
+	joined       bool
+	token        uint64
+	work         float64
 }
 
 // ErrBegin is that the steps do not begin where the decisions did.
-var ErrBegin = errors.New("the trace does not hold its beginning: verdicts can't be compared exactly")
+var ErrNoBeginning = errors.New("the trace does not hold its beginning: verdicts can't be compared exactly")
 
 // Exact feeds the events as they were. part is called for each verdict that differs, end for each RPC as recorded. The
 // error is that of next, but for io.EOF.
-func Exact(s *Settings, next func() (Step, error), part func(Parting), end func(Final)) (steps int, err error) {
-	c := s.start()
-	in := map[uint32]*open{}
+func Verify(s *Settings, next func() (Step, error), part func(Divergence), end func(Completion)) (steps int, err error) {
+	c := s.newControl()
+	in := map[uint32]*rpcState{}
 	nth := 0
 	for ; ; steps++ {
 		x, err := next()
@@ -128,11 +128,11 @@
 			return steps, err
 		}
 		if steps == 0 && x.Event.Kind != control.Started {
-			return 0, ErrBegin
+			return 0, ErrNoBeginning
 		}
 		k := 0
 		for _, a := range c.Handle(x.Now, x.Event) {
-			if !verdict(a.Kind) {
+			if !isVerdict(a.Kind) {
 				continue
 			}
 			var was control.Action
@@ -140,16 +140,16 @@
 				was = x.Actions[k]
 			}
 			if k >= len(x.Actions) || was.Kind != a.Kind || was.RPC != a.RPC || was.Time != a.Time || was.NoRetry != a.NoRetry {
-				part(Parting{steps, k, x.Now, was, a})
+				part(Divergence{steps, k, x.Now, was, a})
 			}
 			k++
 		}
 		for ; k < len(x.Actions); k++ {
-			part(Parting{steps, k, x.Now, x.Actions[k], control.Action{}})
+			part(Divergence{steps, k, x.Now, x.Actions[k], control.Action{}})
 		}
 		ev := &x.Event
 		if ev.Kind == control.Arrived {
-			in[ev.RPC] = s.open(nth, x.Now, ev, x.Token)
+			in[ev.RPC] = s.newRPC(nth, x.Now, ev, x.Token)
 			nth++
 		}
 		for _, a := range x.Actions {
@@ -159,79 +159,79 @@
 			}
 			switch a.Kind {
 			case control.Reject:
-				o.end(end, a.RPC, x.Now, PushedBack)
+				o.complete(end, a.RPC, x.Now, Rejected)
 				delete(in, a.RPC)
 			case control.Abort:
-				o.end(end, a.RPC, x.Now, Aborted)
+				o.complete(end, a.RPC, x.Now, Aborted)
 			case control.Run, control.Join:
-				o.run = true
+				o.started = true
 			}
 		}
 		if o := in[ev.RPC]; o != nil && (ev.Kind == control.CallerGone || ev.Kind == control.Completed) {
 			switch {
 			case ev.Kind == control.CallerGone:
-				o.end(end, ev.RPC, x.Now, Gone)
+				o.complete(end, ev.RPC, x.Now, CallerLeft)
 			case ev.Outcome == control.OutcomeOK:
-				o.end(end, ev.RPC, x.Now, o.ok(x.Now))
+				o.complete(end, ev.RPC, x.Now, o.okVerdict(x.Now))
 			case ev.Outcome == control.OutcomeNotStarted:
-				o.end(end, ev.RPC, x.Now, PushedBack)
+				o.complete(end, ev.RPC, x.Now, Rejected)
 			default:
-				o.end(end, ev.RPC, x.Now, Aborted)
+				o.complete(end, ev.RPC, x.Now, Aborted)
 			}
-			if ev.Kind == control.Completed || !o.run {
+			if ev.Kind == control.Completed || !o.started {
 				delete(in, ev.RPC)
 			}
 		}
 	}
 }
 
-func verdict(d control.ActionKind) bool {
+func isVerdict(d control.ActionKind) bool {
 	return d == control.Run || d == control.Reject || d == control.Abort || d == control.Join
 }
 
-func (s *Settings) open(nth int, now float64, ev *control.Event, token uint64) *open {
+func (s *Settings) newRPC(nth int, now float64, ev *control.Event, token uint64) *rpcState {
 	m := &s.Methods[min(ev.Method, len(s.Methods)-1)]
-	o := &open{nth: nth, method: ev.Method, arrived: now - ev.Age, token: token}
+	o := &rpcState{arrivalIndex: nth, method: ev.Method, arrived: now - ev.Age, token: token}
 	o.target, o.due = o.arrived+m.LatencyObjective+m.ObjectiveStretch*ev.CostHint, o.arrived+m.Deadline
 	return o
 }
 
-func (o *open) ok(now float64) Verdict {
+func (o *rpcState) okVerdict(now float64) Verdict {
 	if now <= o.target {
 		return OK
 	}
 	return Late
 }
 
-func (o *open) end(tell func(Final), rpc uint32, now float64, v Verdict) {
-	if !o.final {
-		o.final = true
-		tell(Final{o.nth, rpc, o.method, o.arrived, now, v})
+func (o *rpcState) complete(tell func(Completion), rpc uint32, now float64, v Verdict) {
+	if !o.completed {
+		o.completed = true
+		tell(Completion{o.arrivalIndex, rpc, o.method, o.arrived, now, v})
 	}
 }
 
 // Machine is what does the work in a Model: cores that all runs share evenly, with what the runs were seen to take.
-type machine struct {
-	cores float64
-	now   float64
-	done  float64 // work that a run on it since the beginning has had
-	runs  ends
-	use   float64 // share of the cores busy, of late
+type cpuModel struct {
+	cores       float64
+	now         float64
+	servedMS    float64 // work that a run on it since the beginning has had
+	runs        runHeap
+	utilization float64 // share of the cores busy, of late
 }
 
 // run ends once done has come to until.
-type run struct {
+type activeRun struct {
 	until float64
 	rpc   uint32
 }
 
-type ends []run
+type runHeap []activeRun
 
-func (h ends) Len() int           { return len(h) }
-func (h ends) Less(i, k int) bool { return h[i].until < h[k].until }
-func (h ends) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *ends) Push(x any)        { *h = append(*h, x.(run)) }
-func (h *ends) Pop() any {
+func (h runHeap) Len() int           { return len(h) }
+func (h runHeap) Less(i, k int) bool { return h[i].until < h[k].until }
+func (h runHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *runHeap) Push(x any)        { *h = append(*h, x.(activeRun)) }
+func (h *runHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -239,58 +239,58 @@
 }
 
 // useTime in ms is the time constant of the gauge, which stands for half a second.
-const useTime = 250.0
+const utilizationTimeConstant = 250.0
 
-func (m *machine) rate() float64 {
+func (m *cpuModel) rate() float64 {
 	return math.Min(1, m.cores/math.Max(1, float64(len(m.runs))))
 }
 
 // pass moves the machine's clock on; no run may end before.
-func (m *machine) pass(now float64) {
+func (m *cpuModel) advance(now float64) {
 	if now <= m.now {
 		return
 	}
 	busy := math.Min(1, float64(len(m.runs))/m.cores)
-	m.use += (1 - math.Exp(-(now-m.now)/useTime)) * (busy - m.use)
-	m.done += (now - m.now) * m.rate()
+	m.utilization += (1 - math.Exp(-(now-m.now)/utilizationTimeConstant)) * (busy - m.utilization)
+	m.servedMS += (now - m.now) * m.rate()
 	m.now = now
 }
 
 // next is when the first run ends.
-func (m *machine) next() float64 {
+func (m *cpuModel) nextCompletion() float64 {
 	if len(m.runs) == 0 {
 		return math.Inf(1)
 	}
-	return m.now + math.Max(0, m.runs[0].until-m.done)/m.rate()
+	return m.now + math.Max(0, m.runs[0].until-m.servedMS)/m.rate()
 }
 
 // remembered is a token of a Model.
-type remembered struct {
-	rpc   uint32
-	until float64
-	over  bool
-	ok    bool
-	joins []uint32
+type tokenEntry struct {
+	rpc       uint32
+	until     float64
+	completed bool
+	ok        bool
+	joined    []uint32
 }
 
 // model is one instance of Model at work.
-type model struct {
-	s       *Settings
-	c       *control.Controller
-	m       machine
-	in      map[uint32]*open
-	tokens  map[uint64]*remembered
-	wake    float64
-	label   uint64
-	end     func(Final)
-	todo    []control.Event
-	means   []mean // of the work of each method
-	expires []expiry
+type simulation struct {
+	settings      *Settings
+	decisions     *control.Controller
+	cpu           cpuModel
+	inFlight      map[uint32]*rpcState
+	tokens        map[uint64]*tokenEntry
+	timerAt       float64
+	timerLabel    uint64
+	onCompletion  func(Completion)
+	pendingEvents []control.Event
+	meanWork      []mean // of the work of each method
+	tokenExpiries []tokenExpiry
 }
 
 type mean struct{ sum, n float64 }
 
-type expiry struct {
+type tokenExpiry struct {
 	at    float64
 	token uint64
 }
@@ -298,13 +298,13 @@
 // Model takes the arrivals, the leaving callers and the notices of the steps, and tells the end of each RPC under the
 // settings. The work of a run is what was recorded for it, else its hint, else what its method took so far; where runs
 // shared cores, what was recorded is taken down by the crowd that the last gauge told. The error is that of next.
-func Model(s *Settings, next func() (Step, error), end func(Final)) error {
-	d := &model{
-		s: s, c: s.start(), m: machine{cores: math.Max(1, float64(s.Node.Cores))}, in: map[uint32]*open{},
-		tokens: map[uint64]*remembered{}, wake: math.Inf(1), end: end, means: make([]mean, len(s.Methods)),
+func Simulate(s *Settings, next func() (Step, error), end func(Completion)) error {
+	d := &simulation{
+		settings: s, decisions: s.newControl(), cpu: cpuModel{cores: math.Max(1, float64(s.Node.Cores))}, inFlight: map[uint32]*rpcState{},
+		tokens: map[uint64]*tokenEntry{}, timerAt: math.Inf(1), onCompletion: end, meanWork: make([]mean, len(s.Methods)),
 	}
 	spent := map[uint32]float64{} // recorded runs are only known at their end, so steps are read ahead by a while
-	ahead := newAhead(next, spent, d.m.cores)
+	ahead := newLookahead(next, spent, d.cpu.cores)
 	begun := false
 	nth := 0
 	for {
@@ -313,16 +313,16 @@
 			return err
 		}
 		if err == io.EOF { // what is in hand still ends
-			limit := d.m.now
-			for _, o := range d.in {
+			limit := d.cpu.now
+			for _, o := range d.inFlight {
 				limit = math.Max(limit, o.due)
 			}
-			d.until(limit + 1000)
+			d.advanceTo(limit + 1000)
 			return nil
 		}
 		if !begun {
 			begun = true
-			d.m.now = x.Now
+			d.cpu.now = x.Now
 			d.handle(x.Now, control.Event{Kind: control.Started})
 			if x.Event.Kind == control.Started {
 				continue
@@ -331,27 +331,27 @@
 		ev := x.Event
 		switch ev.Kind {
 		case control.Arrived, control.CallerGone, control.DrainNotice, control.DrainCancelled:
-			d.until(x.Now)
+			d.advanceTo(x.Now)
 		default:
 			continue
 		}
 		switch ev.Kind {
 		case control.Arrived:
-			o := s.open(nth, x.Now, &ev, x.Token)
+			o := s.newRPC(nth, x.Now, &ev, x.Token)
 			nth++
-			o.work = d.work(&ev, spent)
-			d.in[ev.RPC] = o
+			o.work = d.workOf(&ev, spent)
+			d.inFlight[ev.RPC] = o
 			ev.DuplicateOf = 0
 			if k := d.tokens[x.Token]; x.Token != 0 && k != nil && o.arrived < k.until {
 				ev.DuplicateOf = k.rpc
 			}
 			d.handle(x.Now, ev)
 		case control.CallerGone:
-			if o := d.in[ev.RPC]; o != nil && !o.final {
-				o.end(end, ev.RPC, x.Now, Gone)
+			if o := d.inFlight[ev.RPC]; o != nil && !o.completed {
+				o.complete(end, ev.RPC, x.Now, CallerLeft)
 				d.handle(x.Now, ev)
-				if !o.run && !o.joined {
-					delete(d.in, ev.RPC)
+				if !o.started && !o.joined {
+					delete(d.inFlight, ev.RPC)
 				}
 			}
 		case control.DrainNotice, control.DrainCancelled:
@@ -361,115 +361,115 @@
 }
 
 // work is what a run of an RPC takes on one core.
-func (d *model) work(ev *control.Event, spent map[uint32]float64) float64 {
-	m := min(ev.Method, len(d.means)-1)
+func (d *simulation) workOf(ev *control.Event, spent map[uint32]float64) float64 {
+	m := min(ev.Method, len(d.meanWork)-1)
 	w, seen := spent[ev.RPC]
 	delete(spent, ev.RPC)
 	switch {
 	case seen:
-		d.means[m].sum += w
-		d.means[m].n++
+		d.meanWork[m].sum += w
+		d.meanWork[m].n++
 	case ev.CostHint > 0:
 		w = ev.CostHint
-	case d.means[m].n > 0:
-		w = d.means[m].sum / d.means[m].n
+	case d.meanWork[m].n > 0:
+		w = d.meanWork[m].sum / d.meanWork[m].n
 	default:
-		w = d.s.Methods[m].LatencyObjective / 6 // as the decisions begin
+		w = d.settings.Methods[m].LatencyObjective / 6 // as the decisions begin
 	}
 	return math.Max(0.001, w)
 }
 
 // until lives through the ends of runs and the timers before now.
-func (d *model) until(now float64) {
+func (d *simulation) advanceTo(now float64) {
 	for {
-		at := math.Min(d.m.next(), d.wake)
+		at := math.Min(d.cpu.nextCompletion(), d.timerAt)
 		if at > now {
 			break
 		}
-		if at = math.Max(at, d.m.now); d.wake < d.m.next() {
-			d.m.pass(at)
-			ev := control.Event{Kind: control.TimerFired, Label: d.label}
-			ev.Gauges.CPUUtilization, ev.Gauges.Runnable = d.m.use, float64(len(d.m.runs))
-			d.wake = math.Inf(1)
+		if at = math.Max(at, d.cpu.now); d.timerAt < d.cpu.nextCompletion() {
+			d.cpu.advance(at)
+			ev := control.Event{Kind: control.TimerFired, Label: d.timerLabel}
+			ev.Gauges.CPUUtilization, ev.Gauges.Runnable = d.cpu.utilization, float64(len(d.cpu.runs))
+			d.timerAt = math.Inf(1)
 			d.handle(at, ev)
-			for len(d.expires) > 0 && d.expires[0].at < at {
-				if k := d.tokens[d.expires[0].token]; k != nil && k.until <= d.expires[0].at && (k.over || d.in[k.rpc] == nil) {
-					delete(d.tokens, d.expires[0].token)
+			for len(d.tokenExpiries) > 0 && d.tokenExpiries[0].at < at {
+				if k := d.tokens[d.tokenExpiries[0].token]; k != nil && k.until <= d.tokenExpiries[0].at && (k.completed || d.inFlight[k.rpc] == nil) {
+					delete(d.tokens, d.tokenExpiries[0].token)
 				}
-				d.expires = d.expires[1:]
+				d.tokenExpiries = d.tokenExpiries[1:]
 			}
 			continue
 		}
-		d.m.pass(at)
-		r := heap.Pop(&d.m.runs).(run)
-		d.ended(r.rpc, at, control.OutcomeOK)
+		d.cpu.advance(at)
+		r := heap.Pop(&d.cpu.runs).(activeRun)
+		d.completeRun(r.rpc, at, control.OutcomeOK)
 	}
-	d.m.pass(now)
+	d.cpu.advance(now)
 }
 
 // ended is the end of a run, and of those that joined it.
-func (d *model) ended(rpc uint32, now float64, how control.Outcome) {
-	o := d.in[rpc]
+func (d *simulation) completeRun(rpc uint32, now float64, how control.Outcome) {
+	o := d.inFlight[rpc]
 	if o == nil {
 		return
 	}
-	delete(d.in, rpc)
+	delete(d.inFlight, rpc)
 	if how == control.OutcomeOK {
-		o.end(d.end, rpc, now, o.ok(now))
+		o.complete(d.onCompletion, rpc, now, o.okVerdict(now))
 	} else {
-		o.end(d.end, rpc, now, Aborted)
+		o.complete(d.onCompletion, rpc, now, Aborted)
 	}
 	d.handle(now, control.Event{Kind: control.Completed, RPC: rpc, Outcome: how, Elapsed: o.work})
 	if k := d.tokens[o.token]; o.token != 0 && k != nil && k.rpc == rpc {
-		k.over, k.ok = true, how == control.OutcomeOK
-		joins := k.joins
-		k.joins = nil
+		k.completed, k.ok = true, how == control.OutcomeOK
+		joins := k.joined
+		k.joined = nil
 		for _, j := range joins {
-			d.ended(j, now, how)
+			d.completeRun(j, now, how)
 		}
 	}
 }
 
 // handle gives the decisions an event and carries out what they say.
-func (d *model) handle(now float64, ev control.Event) {
-	d.todo = append(d.todo, ev)
-	if len(d.todo) > 1 {
+func (d *simulation) handle(now float64, ev control.Event) {
+	d.pendingEvents = append(d.pendingEvents, ev)
+	if len(d.pendingEvents) > 1 {
 		return
 	}
-	for i := 0; i < len(d.todo); i++ {
-		for _, a := range append([]control.Action(nil), d.c.Handle(now, d.todo[i])...) {
+	for i := 0; i < len(d.pendingEvents); i++ {
+		for _, a := range append([]control.Action(nil), d.decisions.Handle(now, d.pendingEvents[i])...) {
 			d.carryOut(now, a)
 		}
 	}
-	d.todo = d.todo[:0]
+	d.pendingEvents = d.pendingEvents[:0]
 }
 
-func (d *model) carryOut(now float64, a control.Action) {
+func (d *simulation) carryOut(now float64, a control.Action) {
 	if a.Kind == control.SetTimer {
-		d.wake, d.label = a.Time, a.Label
+		d.timerAt, d.timerLabel = a.Time, a.Label
 		return
 	}
-	o := d.in[a.RPC]
+	o := d.inFlight[a.RPC]
 	if o == nil {
 		return
 	}
 	switch a.Kind {
 	case control.Run:
-		o.run = true
-		heap.Push(&d.m.runs, run{d.m.done + o.work, a.RPC})
+		o.started = true
+		heap.Push(&d.cpu.runs, activeRun{d.cpu.servedMS + o.work, a.RPC})
 	case control.Reject:
-		o.end(d.end, a.RPC, now, PushedBack)
-		delete(d.in, a.RPC)
+		o.complete(d.onCompletion, a.RPC, now, Rejected)
+		delete(d.inFlight, a.RPC)
 	case control.Abort:
-		o.end(d.end, a.RPC, now, Aborted)
-		if !o.run {
-			delete(d.in, a.RPC)
+		o.complete(d.onCompletion, a.RPC, now, Aborted)
+		if !o.started {
+			delete(d.inFlight, a.RPC)
 		}
 	case control.CacheToken:
 		if o.token != 0 {
-			until := math.Max(now+a.Time, o.arrived+d.s.Methods[o.method].DedupWindow)
-			d.tokens[o.token] = &remembered{rpc: a.RPC, until: until}
-			d.expires = append(d.expires, expiry{until, o.token})
+			until := math.Max(now+a.Time, o.arrived+d.settings.Methods[o.method].DedupWindow)
+			d.tokens[o.token] = &tokenEntry{rpc: a.RPC, until: until}
+			d.tokenExpiries = append(d.tokenExpiries, tokenExpiry{until, o.token})
 		}
 	case control.EvictToken:
 		if k := d.tokens[o.token]; k != nil && k.rpc == a.RPC {
@@ -480,50 +480,50 @@
 		k := d.tokens[o.token]
 		switch {
 		case k == nil:
-			d.joinOver(now, a.RPC, control.OutcomeError)
-		case k.over && k.ok:
-			d.joinOver(now, a.RPC, control.OutcomeOK)
-		case k.over:
-			d.joinOver(now, a.RPC, control.OutcomeError)
+			d.completeJoin(now, a.RPC, control.OutcomeError)
+		case k.completed && k.ok:
+			d.completeJoin(now, a.RPC, control.OutcomeOK)
+		case k.completed:
+			d.completeJoin(now, a.RPC, control.OutcomeError)
 		default:
-			k.joins = append(k.joins, a.RPC)
+			k.joined = append(k.joined, a.RPC)
 		}
 	}
 }
 
-func (d *model) joinOver(now float64, rpc uint32, how control.Outcome) {
-	o := d.in[rpc]
-	delete(d.in, rpc)
+func (d *simulation) completeJoin(now float64, rpc uint32, how control.Outcome) {
+	o := d.inFlight[rpc]
+	delete(d.inFlight, rpc)
 	if how == control.OutcomeOK {
-		o.end(d.end, rpc, now, o.ok(now))
+		o.complete(d.onCompletion, rpc, now, o.okVerdict(now))
 	} else {
-		o.end(d.end, rpc, now, Aborted)
+		o.complete(d.onCompletion, rpc, now, Aborted)
 	}
-	d.todo = append(d.todo, control.Event{Kind: control.Completed, RPC: rpc, Outcome: how})
+	d.pendingEvents = append(d.pendingEvents, control.Event{Kind: control.Completed, RPC: rpc, Outcome: how})
 }
 
 // ahead reads steps so far before they are played that the end of nearly every run is known.
-type ahead struct {
-	next  func() (Step, error)
-	spent map[uint32]float64
-	cores float64
-	crowd float64
-	queue []Step
-	err   error
+type lookahead struct {
+	next    func() (Step, error)
+	spent   map[uint32]float64
+	cores   float64
+	onCores float64
+	queue   []Step
+	err     error
 }
 
 // reach in ms is how far steps are read ahead, and mostAhead how many: runs longer than that count by their hint.
 const (
-	reach     = 10e3
-	mostAhead = 200000
+	lookaheadMS  = 10e3
+	maxLookahead = 200000
 )
 
-func newAhead(next func() (Step, error), spent map[uint32]float64, cores float64) *ahead {
-	return &ahead{next: next, spent: spent, cores: cores}
+func newLookahead(next func() (Step, error), spent map[uint32]float64, cores float64) *lookahead {
+	return &lookahead{next: next, spent: spent, cores: cores}
 }
 
-func (a *ahead) step() (Step, error) {
-	for a.err == nil && (len(a.queue) < 2 || len(a.queue) < mostAhead && a.queue[len(a.queue)-1].Now-a.queue[0].Now < reach) {
+func (a *lookahead) step() (Step, error) {
+	for a.err == nil && (len(a.queue) < 2 || len(a.queue) < maxLookahead && a.queue[len(a.queue)-1].Now-a.queue[0].Now < lookaheadMS) {
 		x, err := a.next()
 		if err != nil {
 			a.err = err
@@ -532,11 +532,11 @@
 		ev := &x.Event
 		switch ev.Kind {
 		case control.TimerFired:
-			a.crowd = ev.Gauges.Runnable
+			a.onCores = ev.Gauges.Runnable
 			continue // not played
 		case control.Completed:
 			if ev.Outcome == control.OutcomeOK && ev.Elapsed > 0 {
-				a.spent[ev.RPC] = ev.Elapsed / math.Max(1, a.crowd/a.cores)
+				a.spent[ev.RPC] = ev.Elapsed / math.Max(1, a.onCores/a.cores)
 			}
 			continue
 		}
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -63,9 +63,9 @@
 	away := map[float64]float64{}
 	for _, load := range []float64{0.5, 1.2, 2} {
 		steps := arrivals(load, 30, 7)
-		var runs [2][]Final
+		var runs [2][]Completion
 		for k := range runs {
-			if err := Model(settings(), feed(steps), func(f Final) { runs[k] = append(runs[k], f) }); err != nil {
+			if err := Simulate(settings(), feed(steps), func(f Completion) { runs[k] = append(runs[k], f) }); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -76,18 +76,18 @@
 			}
 		}
 		for i, f := range runs[0] {
-			if seen[f.Nth] {
-				t.Fatalf("RPC %d ended twice", f.Nth)
+			if seen[f.ArrivalIndex] {
+				t.Fatalf("RPC %d ended twice", f.ArrivalIndex)
 			}
-			seen[f.Nth] = true
+			seen[f.ArrivalIndex] = true
 			if f != runs[1][i] {
 				t.Fatalf("end %d differs: %+v and %+v", i, f, runs[1][i])
 			}
-			if f.Verdict.TurnedAway() {
+			if f.Verdict.NoResult() {
 				away[load]++
 			}
-			if f.At > f.Arrived+1000+1 {
-				t.Errorf("RPC %d ended %g ms after its arrival", f.Nth, f.At-f.Arrived)
+			if f.CompletedMS > f.ArrivedMS+1000+1 {
+				t.Errorf("RPC %d ended %g ms after its arrival", f.ArrivalIndex, f.CompletedMS-f.ArrivedMS)
 			}
 		}
 		if len(seen) != n {
@@ -103,13 +103,13 @@
 // What an instance said is what another says to the same events; a changed event, setting or verdict is found.
 func TestExact(t *testing.T) {
 	s := settings()
-	c := s.start()
+	c := s.newControl()
 	var steps []Step
 	rec := func(now float64, ev control.Event) []control.Action {
 		x := Step{Now: now, Event: ev}
 		all := append([]control.Action(nil), c.Handle(now, ev)...)
 		for _, a := range all {
-			if verdict(a.Kind) {
+			if isVerdict(a.Kind) {
 				x.Actions = append(x.Actions, a)
 			}
 		}
@@ -147,13 +147,13 @@
 			s, own := settings(), append([]Step(nil), steps...)
 			c.change(own, s)
 			parts, ends := 0, 0
-			n, err := Exact(s, feed(own), func(Parting) { parts++ }, func(Final) { ends++ })
+			n, err := Verify(s, feed(own), func(Divergence) { parts++ }, func(Completion) { ends++ })
 			if err != nil || n != len(steps) || (parts > 0) != c.parts || ends == 0 {
 				t.Errorf("%d of %d steps, %d partings, %d ends, error %v", n, len(steps), parts, ends, err)
 			}
 		})
 	}
-	if _, err := Exact(settings(), feed(steps[5:]), func(Parting) {}, func(Final) {}); err != ErrBegin {
+	if _, err := Verify(settings(), feed(steps[5:]), func(Divergence) {}, func(Completion) {}); err != ErrNoBeginning {
 		t.Errorf("error %v of a trace without its beginning", err)
 	}
 }
@@ -162,7 +162,7 @@
 	steps := arrivals(1.2, 60, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		Model(settings(), feed(steps), func(Final) {})
+		Simulate(settings(), feed(steps), func(Completion) {})
 	}
 	b.ReportMetric(float64(len(steps))*float64(b.N)/b.Elapsed().Seconds(), "steps/s")
 }
@@ -187,7 +187,7 @@
 	}
 	var m runtime.MemStats
 	ends, most := 0, uint64(0)
-	if err := Model(settings(), next, func(Final) {
+	if err := Simulate(settings(), next, func(Completion) {
 		if ends++; ends%50000 == 0 {
 			runtime.GC()
 			runtime.ReadMemStats(&m)
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -22,6 +22,6 @@
 }
 
 // TraceBounds are those that an operator's file sets.
-func TraceBounds(t *operator.Trace) trace.Bounds {
-	return trace.Bounds{FileBytes: int64(t.MaxFileMB * (1 << 20)), Files: t.MaxFiles}
+func TraceBounds(t *operator.Trace) trace.FileLimits {
+	return trace.FileLimits{MaxFileBytes: int64(t.MaxFileMB * (1 << 20)), MaxFiles: t.MaxFiles}
 }
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -50,12 +50,12 @@
 }
 
 // figures are rates over the minutes that are known.
-func (c *carried) figures(now time.Time) *configure.Carried {
+func (c *carried) figures(now time.Time) *configure.Throughput {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	from, is := c.all[0], c.of()
 	s := now.Sub(c.at[0]).Seconds()
-	f := &configure.Carried{Methods: map[string]configure.Method{}, Customers: map[string]map[string]float64{}}
+	f := &configure.Throughput{Methods: map[string]configure.MethodLoad{}, Customers: map[string]map[string]float64{}}
 	if s < 1 { // too short to tell a rate
 		return f
 	}
@@ -66,9 +66,9 @@
 	for i := range c.told.Methods {
 		m := &c.told.Methods[i]
 		n := float64(is[i].OK - from[i].OK)
-		x := configure.Method{Guarded: m.Idempotency == control.IdempotencyKeyed || m.Criticality >= top, Rate: n / s}
+		x := configure.MethodLoad{Protected: m.Idempotency == control.IdempotencyKeyed || m.Criticality >= top, Rate: n / s}
 		if n > 0 {
-			x.Run = (is[i].RunMs - from[i].RunMs) / n
+			x.MeanRunMS = (is[i].RunMs - from[i].RunMs) / n
 		}
 		f.Methods[m.Name] = x
 		for k := range c.told.Customers {
@@ -86,11 +86,11 @@
 
 // limitsOf are the parts of a file that can starve a method.
 func limitsOf(f *operator.File, cores float64) *configure.Limits {
-	l := &configure.Limits{Quotas: f.Limits.Quotas, Pools: map[string]configure.Pool{}, Runs: f.Limits.RunsPerCore * cores}
+	l := &configure.Limits{Quotas: f.Limits.Quotas, Pools: map[string]configure.Pool{}, MaxRuns: f.Limits.RunsPerCore * cores}
 	for name, m := range f.Methods {
 		if m.Pool != "" {
 			p := f.Pools[m.Pool]
-			l.Pools[name] = configure.Pool{Name: m.Pool, Places: float64(p.MaxConnections * len(p.Members))}
+			l.Pools[name] = configure.Pool{Name: m.Pool, Connections: float64(p.MaxConnections * len(p.Members))}
 		}
 	}
 	return l
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -26,7 +26,7 @@
 
 // extras are the parts that an operator's file sets.
 type extras struct {
-	core  *configure.Core // of the reload's goroutine
+	core  *configure.Store // of the reload's goroutine
 	log   *logrus.Entry
 	pools *pools.Backends
 	run   gate.Runner
@@ -51,7 +51,7 @@
 	}
 	set, known := f.Descriptors(), operator.KnownNames(t.Config)
 	x := &extras{log: log, pools: pools.New(t.Config.Node.Seed, log), file: t.Operator.Hash, own: f, carried: newCarried(g, t.Config)}
-	x.core, err = configure.New(configure.Version{Number: 1, At: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Fault {
+	x.core, err = configure.New(configure.Version{Number: 1, CommittedMS: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Violation {
 		return wrong(t, known, set)
 	}, func(was, is configure.Tree) []string {
 		a, errA := operator.FromTree(was)
@@ -93,16 +93,16 @@
 const versionsKept = 20
 
 // wrong names what is wrong with settings for this process, of which so many descriptors were set aside.
-func wrong(t configure.Tree, known route.Catalog, set int) (faults []configure.Fault) {
+func wrong(t configure.Tree, known route.Catalog, set int) (faults []configure.Violation) {
 	f, err := operator.FromTree(t)
 	if err != nil {
-		return []configure.Fault{{Text: err.Error()}}
+		return []configure.Violation{{Text: err.Error()}}
 	}
 	for _, x := range operator.Check(f, known) {
-		faults = append(faults, configure.Fault{Path: configure.Path{x.Path}, Text: x.Message})
+		faults = append(faults, configure.Violation{Path: configure.Path{x.Path}, Text: x.Message})
 	}
 	if n := f.Descriptors(); n > set {
-		faults = append(faults, configure.Fault{Path: configure.Path{"pools"}, Text: fmt.Sprintf(
+		faults = append(faults, configure.Violation{Path: configure.Path{"pools"}, Text: fmt.Sprintf(
 			"they may take %d descriptors with the rest, and %d were set aside at the start; more need a new start", n, set)})
 	}
 	return faults
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -46,7 +46,7 @@
 	}
 	defer r.Close()
 	h := &r.Header
-	fmt.Printf("build %s, cold %v, %d methods, %d customers, %d cores\n", h.Build, h.Cold, len(h.Told.Methods), len(h.Told.Customers), h.Told.Node.Cores)
+	fmt.Printf("build %s, cold %v, %d methods, %d customers, %d cores\n", h.Build, h.SlowStart, len(h.Startup.Methods), len(h.Startup.Customers), h.Startup.Node.Cores)
 	for n := 0; c.Limit == 0 || n < c.Limit; n++ {
 		e, err := r.Next()
 		if err == io.EOF {
@@ -83,7 +83,7 @@
 	return replay.Step{Now: e.Now, Event: e.Event, Token: e.Token, Actions: e.Actions}, err
 }
 
-func (s *steps) settings() *replay.Settings { return settingsOf(&s.Header.Told, s.Header.Cold) }
+func (s *steps) settings() *replay.Settings { return settingsOf(&s.Header.Startup, s.Header.SlowStart) }
 
 func settingsOf(o *startup.Config, cold bool) *replay.Settings {
 	s := &replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
@@ -114,18 +114,18 @@
 	set := s.settings()
 	tallies := make([]replay.Tally, len(set.Methods))
 	parts := 0
-	n, err := replay.Exact(set, s.next, func(p replay.Parting) {
+	n, err := replay.Verify(set, s.next, func(p replay.Divergence) {
 		if parts++; parts <= 20 {
-			fmt.Printf("at %.3f ms (event %d): was %s, is %s\n", p.Now, p.Step, verdictName(p.Was.RPC, int(p.Was.Kind)), verdictName(p.Is.RPC, int(p.Is.Kind)))
+			fmt.Printf("at %.3f ms (event %d): was %s, is %s\n", p.Now, p.Step, verdictName(p.Recorded.RPC, int(p.Recorded.Kind)), verdictName(p.Replayed.RPC, int(p.Replayed.Kind)))
 		}
-	}, func(f replay.Final) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) })
+	}, func(f replay.Completion) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) })
 	if err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(os.Stdout, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "method\tRPCs\tok\tlate\tpushed back\taborted\tgone")
 	for i, t := range tallies {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", set.Methods[i].Name, t.N, t.OK, t.Late, t.PushedBack, t.Aborted, t.Gone)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", set.Methods[i].Name, t.Total, t.OK, t.Late, t.Rejected, t.Aborted, t.CallerLeft)
 	}
 	w.Flush()
 	fmt.Printf("%d events, %d verdicts part\n", n, parts)
@@ -201,19 +201,19 @@
 		return nil, nil, err
 	}
 	defer s.close()
-	o := s.Header.Told
+	o := s.Header.Startup
 	if change != nil {
 		if err := change(&o); err != nil {
 			return nil, nil, err
 		}
 	}
-	set := settingsOf(&o, s.Header.Cold)
+	set := settingsOf(&o, s.Header.SlowStart)
 	e := &ends{}
-	err = replay.Model(set, s.next, func(f replay.Final) {
-		for len(e.verdict) <= f.Nth {
-			e.verdict, e.method, e.second = append(e.verdict, replay.Gone), append(e.method, 0), append(e.second, 0)
+	err = replay.Simulate(set, s.next, func(f replay.Completion) {
+		for len(e.verdict) <= f.ArrivalIndex {
+			e.verdict, e.method, e.second = append(e.verdict, replay.CallerLeft), append(e.method, 0), append(e.second, 0)
 		}
-		e.verdict[f.Nth], e.method[f.Nth], e.second[f.Nth] = f.Verdict, uint8(f.Method), uint32(max(0, f.Arrived)/1000)
+		e.verdict[f.ArrivalIndex], e.method[f.ArrivalIndex], e.second[f.ArrivalIndex] = f.Verdict, uint8(f.Method), uint32(max(0, f.ArrivedMS)/1000)
 	})
 	var names []methodName
 	for _, m := range set.Methods {
@@ -241,9 +241,9 @@
 			if b <= replay.Late {
 				r.okIs++
 			}
-			if a.TurnedAway() && !b.TurnedAway() {
+			if a.NoResult() && !b.NoResult() {
 				r.onlyWas++
-			} else if b.TurnedAway() && !a.TurnedAway() {
+			} else if b.NoResult() && !a.NoResult() {
 				r.onlyIs++
 			}
 		}
--- a/internal/experiment/permit_servers.go
+++ b/internal/experiment/permit_servers.go
@@ -27,11 +27,11 @@
 func PermitServer(name, dir string, fresh bool, peers []string) error {
 	logger := logrus.New()
 	logger.SetLevel(logrus.WarnLevel)
-	options := permitserver.Options{Name: name, Dir: dir, New: fresh, Log: logrus.NewEntry(logger)}
+	options := permitserver.Options{Name: name, DataDir: dir, Bootstrap: fresh, Log: logrus.NewEntry(logger)}
 	listen := ""
 	for _, peer := range peers {
 		fields := strings.Split(peer, ",")
-		options.Peers = append(options.Peers, permitserver.Peer{Name: fields[0], Raft: fields[1], HTTP: fields[2]})
+		options.Peers = append(options.Peers, permitserver.Peer{Name: fields[0], RaftAddr: fields[1], HTTPAddr: fields[2]})
 		if fields[0] == name {
 			listen = fields[2]
 		}
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -37,7 +37,7 @@
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	k, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", Raft: free()}}, Dir: t.TempDir(), New: true, Log: logrus.NewEntry(log)})
+	k, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", RaftAddr: free()}}, DataDir: t.TempDir(), Bootstrap: true, Log: logrus.NewEntry(log)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	*testing.T
 	*permitclient.Client
 	addrs []string
-	all   []*permitserver.Keeper
+	all   []*permitserver.Server
 	peers []permitserver.Peer
 	dirs  []string
 }
@@ -155,12 +155,12 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	for i, p := range k.peers {
-		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: k.peers, Dir: k.dirs[i], Log: logrus.NewEntry(log)})
+		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: k.peers, DataDir: k.dirs[i], Log: logrus.NewEntry(log)})
 		if err != nil {
 			k.Fatal(err)
 		}
 		k.Cleanup(x.Close)
-		ln, err := net.Listen("tcp", p.HTTP)
+		ln, err := net.Listen("tcp", p.HTTPAddr)
 		if err != nil {
 			k.Fatal(err)
 		}
@@ -188,11 +188,11 @@
 		both[0].Close()
 		lns = append(lns, both[1])
 		k.addrs = append(k.addrs, both[1].Addr().String())
-		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), Raft: both[0].Addr().String(), HTTP: both[1].Addr().String()})
+		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), RaftAddr: both[0].Addr().String(), HTTPAddr: both[1].Addr().String()})
 	}
 	for i, p := range peers {
 		k.dirs = append(k.dirs, t.TempDir())
-		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: peers, Dir: k.dirs[i], New: true, Log: logrus.NewEntry(log)})
+		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: peers, DataDir: k.dirs[i], Bootstrap: true, Log: logrus.NewEntry(log)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -121,7 +121,7 @@
 	}
 	phase(release.Running)
 	for _, x := range k.all {
-		if x.Leads() {
+		if x.IsLeader() {
 			x.Close()
 			break
 		}
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -19,10 +19,10 @@
 )
 
 //go:embed sorrelvalve.yang
-var text string
+var schema string
 
 // Text is the model's own.
-func Text() string { return text }
+func Schema() string { return schema }
 
 // Model is the parsed one. It is not changed after Load and may be used by many goroutines.
 type Model struct {
@@ -33,7 +33,7 @@
 // Load parses the model.
 func Load() (*Model, error) {
 	ms := yang.NewModules()
-	if err := ms.Parse(text, "sorrelvalve.yang"); err != nil {
+	if err := ms.Parse(schema, "sorrelvalve.yang"); err != nil {
 		return nil, err
 	}
 	if errs := ms.Process(); len(errs) > 0 {
@@ -75,38 +75,38 @@
 
 // Check names all in a tree of settings that the model does not allow, in the order of paths. Lists are tables by their
 // key, as in the operator's file.
-func (m *Model) Check(t configure.Tree) []configure.Fault {
-	c := &checker{m: m, root: t}
+func (m *Model) Check(t configure.Tree) []configure.Violation {
+	c := &checker{model: m, root: t}
 	c.table(nil, m.Config, t)
 	return c.faults
 }
 
 type checker struct {
-	m      *Model
+	model  *Model
 	root   configure.Tree
-	faults []configure.Fault
+	faults []configure.Violation
 }
 
-func (c *checker) bad(at configure.Path, format string, a ...any) {
-	c.faults = append(c.faults, configure.Fault{Path: at, Text: fmt.Sprintf(format, a...)})
+func (c *checker) report(at configure.Path, format string, a ...any) {
+	c.faults = append(c.faults, configure.Violation{Path: at, Text: fmt.Sprintf(format, a...)})
 }
 
-func down(at configure.Path, key string) configure.Path { return append(slices.Clone(at), key) }
+func childPath(at configure.Path, key string) configure.Path { return append(slices.Clone(at), key) }
 
 // table checks a container, or one entry of a list.
 func (c *checker) table(at configure.Path, e *yang.Entry, t configure.Tree) {
 	for _, key := range slices.Sorted(maps.Keys(t)) {
 		child := e.Dir[key]
 		if child == nil || e.IsList() && key == e.Key {
-			c.bad(down(at, key), "the model has no such key")
+			c.report(childPath(at, key), "the model has no such key")
 			continue
 		}
-		c.value(down(at, key), child, t[key])
+		c.value(childPath(at, key), child, t[key])
 	}
 	for _, key := range slices.Sorted(maps.Keys(e.Dir)) {
 		child := e.Dir[key]
 		if _, has := t[key]; !has && child.Mandatory == yang.TSTrue && !(e.IsList() && key == e.Key) {
-			c.bad(down(at, key), "it must be set")
+			c.report(childPath(at, key), "it must be set")
 		}
 	}
 }
@@ -116,30 +116,30 @@
 	case e.IsList():
 		t, is := v.(configure.Tree)
 		if !is {
-			c.bad(at, "a table by %s expected", e.Key)
+			c.report(at, "a table by %s expected", e.Key)
 			return
 		}
 		for _, name := range slices.Sorted(maps.Keys(t)) {
-			c.leaf(down(at, name), e.Dir[e.Key], name)
+			c.leaf(childPath(at, name), e.Dir[e.Key], name)
 			if entry, is := t[name].(configure.Tree); is {
-				c.table(down(at, name), e, entry)
+				c.table(childPath(at, name), e, entry)
 			} else if plain := e.Dir["value"]; plain != nil && len(e.Dir) == 2 {
-				c.leaf(down(at, name), plain, t[name])
+				c.leaf(childPath(at, name), plain, t[name])
 			} else {
-				c.bad(down(at, name), "a table expected")
+				c.report(childPath(at, name), "a table expected")
 			}
 		}
 	case e.IsLeafList():
 		l, is := v.([]any)
 		if !is {
-			c.bad(at, "a list expected")
+			c.report(at, "a list expected")
 			return
 		}
 		if n := uint64(len(l)); e.ListAttr != nil && (n < e.ListAttr.MinElements || n > e.ListAttr.MaxElements) {
-			c.bad(at, "%d to %d items expected, %d there", e.ListAttr.MinElements, e.ListAttr.MaxElements, n)
+			c.report(at, "%d to %d items expected, %d there", e.ListAttr.MinElements, e.ListAttr.MaxElements, n)
 		}
 		for i, x := range l {
-			c.leaf(down(at, fmt.Sprint(i)), e, x)
+			c.leaf(childPath(at, fmt.Sprint(i)), e, x)
 		}
 	case e.IsLeaf():
 		c.leaf(at, e, v)
@@ -147,7 +147,7 @@
 		if t, is := v.(configure.Tree); is {
 			c.table(at, e, t)
 		} else {
-			c.bad(at, "a table expected")
+			c.report(at, "a table expected")
 		}
 	}
 }
@@ -157,53 +157,53 @@
 	switch t.Kind {
 	case yang.Ybool:
 		if _, is := v.(bool); !is {
-			c.bad(at, "true or false expected")
+			c.report(at, "true or false expected")
 		}
 	case yang.Yenum:
 		if s, is := v.(string); !is || !slices.Contains(t.Enum.Names(), s) {
-			c.bad(at, "one of %s expected", strings.Join(t.Enum.Names(), ", "))
+			c.report(at, "one of %s expected", strings.Join(t.Enum.Names(), ", "))
 		}
 	case yang.Yuint32, yang.Yuint64, yang.Ydecimal64:
 		x, is := v.(float64)
 		if !is || math.IsNaN(x) || math.IsInf(x, 0) {
-			c.bad(at, "a number expected")
+			c.report(at, "a number expected")
 			return
 		}
 		if t.Kind != yang.Ydecimal64 && x != math.Trunc(x) {
-			c.bad(at, "a whole number expected, %g there", x)
+			c.report(at, "a whole number expected, %g there", x)
 			return
 		}
-		if !within(t.Range, x) {
-			c.bad(at, "%s expected, %g there", t.Range, x)
+		if !inRange(t.Range, x) {
+			c.report(at, "%s expected, %g there", t.Range, x)
 		}
 	case yang.Yleafref:
 		s, is := v.(string)
 		if !is {
-			c.bad(at, "a name expected")
+			c.report(at, "a name expected")
 			return
 		}
-		if !c.refers(t.Path, s) {
-			c.bad(at, "%.40q is none of %s", s, t.Path)
+		if !c.referenceExists(t.Path, s) {
+			c.report(at, "%.40q is none of %s", s, t.Path)
 		}
 	default:
 		s, is := v.(string)
 		if !is {
-			c.bad(at, "a text expected")
+			c.report(at, "a text expected")
 			return
 		}
-		if len(t.Length) > 0 && !within(t.Length, float64(len(s))) {
-			c.bad(at, "%s bytes expected, %d there", t.Length, len(s))
+		if len(t.Length) > 0 && !inRange(t.Length, float64(len(s))) {
+			c.report(at, "%s bytes expected, %d there", t.Length, len(s))
 		}
 		for _, p := range t.Pattern {
-			if !c.m.patterns[p].MatchString(s) {
-				c.bad(at, "a text like %s expected, %.40q there", p, s)
+			if !c.model.patterns[p].MatchString(s) {
+				c.report(at, "a text like %s expected, %.40q there", p, s)
 			}
 		}
 	}
 }
 
 // within tells whether a number lies in one of some ranges.
-func within(r yang.YangRange, x float64) bool {
+func inRange(r yang.YangRange, x float64) bool {
 	for _, part := range r {
 		if x >= number(part.Min) && x <= number(part.Max) {
 			return true
@@ -222,7 +222,7 @@
 
 // refers tells whether the key of some list has a value. References in this model are absolute and lead to the key of a
 // list below config.
-func (c *checker) refers(path, name string) bool {
+func (c *checker) referenceExists(path, name string) bool {
 	var at any = c.root
 	for _, step := range strings.Split(strings.Trim(path, "/"), "/")[1:] {
 		if _, plain, has := strings.Cut(step, ":"); has {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -129,7 +129,7 @@
 		{func(f *File) { f.Queue.SettledMs = 20 }, "/hold/settled_ms: only a new start"},
 		{func(f *File) { f.Store = &Store{Dir: "/x"} }, "/store/"},
 	} {
-		x, err := configure.New(configure.Version{Number: 1, Tree: tree}, func(configure.Tree) []configure.Fault { return nil }, nil, RestartOnly, 3)
+		x, err := configure.New(configure.Version{Number: 1, Tree: tree}, func(configure.Tree) []configure.Violation { return nil }, nil, RestartOnly, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/permitserver/compat_test.go
+++ b/internal/permitserver/compat_test.go
@@ -34,7 +34,7 @@
 func TestReadsDiskOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	copyTree(t, filepath.Join("testdata", "b631b89"), dir)
-	k, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", free(t), free(t)}}, Dir: dir, Log: quiet()})
+	k, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", free(t), free(t)}}, DataDir: dir, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/permitserver/disk.go
+++ b/internal/permitserver/disk.go
@@ -23,11 +23,11 @@
 )
 
 // openWait is for the lock on the file, which another process holds while it serves from the folder.
-const openWait = time.Second
+const openTimeout = time.Second
 
 // whole walks all that a log's file holds, so that one that was torn or cut short is found here and not by whoever reads it later. A
 // file that is not there is whole.
-func whole(path string) (err error) {
+func verifyLog(path string) (err error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -37,7 +37,7 @@
 			err = fmt.Errorf("%s: the log is torn: %v", path, x)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openWait, PreLoadFreelist: true})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: openTimeout, PreLoadFreelist: true})
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -64,7 +64,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // errEntry is an entry of the log that is not as it was written.
-var errEntry = errors.New("an entry of the log is not what was written")
+var errCorruptEntry = errors.New("an entry of the log is not what was written")
 
 // entry is one of the log: a command on permits, or one on releases.
 type entry struct {
@@ -78,44 +78,47 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(b) >= packedFrom {
-		b = packer.EncodeAll(b, []byte{packed})
+	if len(b) >= compressFrom {
+		b = compressor.EncodeAll(b, []byte{encodingZstd})
 	} else {
-		b = append([]byte{plain}, b...)
+		b = append([]byte{encodingPlain}, b...)
 	}
 	return append(binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli)), b...), nil
 }
 
 // What a leader saw of 300 servers is 60 KB each 1.5 s of a release, and packs to an eighth.
 const (
-	plain, packed = byte(0), byte(1)
-	packedFrom    = 2048
-	mostEntry     = 64 << 20
+	encodingPlain, encodingZstd = byte(0), byte(1)
+	compressFrom                = 2048
+	maxEntryBytes               = 64 << 20
 )
 
 var (
-	packer, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(1<<17))
-	unpacker, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostEntry))
+	compressor, _   = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(1<<17))
+	decompressor, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxEntryBytes))
 )
 
 func unseal(b []byte) (e entry, err error) {
 	if len(b) < 5 || crc32.Checksum(b[4:], castagnoli) != binary.LittleEndian.Uint32(b) {
-		return e, errEntry
+		return e, errCorruptEntry
 	}
 	text := b[5:]
-	if b[4] == packed {
-		if text, err = unpacker.DecodeAll(text, nil); err != nil {
-			return e, errEntry
+	if b[4] == encodingZstd {
+		if text, err = decompressor.DecodeAll(text, nil); err != nil {
+			return e, errCorruptEntry
 		}
 	}
 	return e, json.Unmarshal(text, &e)
 }
 
 // late is a log on a slow disk, for tests: each write takes so much longer.
-type late struct {
+type delayedLog struct {
 	raft.LogStore
-	by time.Duration
+	delay time.Duration
 }
 
-func (l late) StoreLog(e *raft.Log) error    { return l.StoreLogs([]*raft.Log{e}) }
-func (l late) StoreLogs(e []*raft.Log) error { time.Sleep(l.by); return l.LogStore.StoreLogs(e) }
+func (l delayedLog) StoreLog(e *raft.Log) error { return l.StoreLogs([]*raft.Log{e}) }
+func (l delayedLog) StoreLogs(e []*raft.Log) error {
+	time.Sleep(l.delay)
+	return l.LogStore.StoreLogs(e)
+}
--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -23,7 +23,7 @@
 	*testing.T
 	net   *testbed.Network
 	peers []Peer
-	all   []*Keeper
+	all   []*Server
 	dirs  []string
 	slow  time.Duration // of the first
 }
@@ -37,7 +37,7 @@
 	}
 	x := &trio{T: t, net: n, slow: slow}
 	for _, name := range names {
-		x.peers, x.dirs = append(x.peers, Peer{Name: name, Raft: n.Endpoint(name).AdvertiseAddr()}), append(x.dirs, t.TempDir())
+		x.peers, x.dirs = append(x.peers, Peer{Name: name, RaftAddr: n.Endpoint(name).AdvertiseAddr()}), append(x.dirs, t.TempDir())
 	}
 	for i := range names {
 		x.all = append(x.all, nil)
@@ -57,9 +57,9 @@
 }
 
 func (x *trio) start(i int, fresh, join bool) (err error) {
-	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.net.Endpoint(x.peers[i].Name).ListenAddr(), Dir: x.dirs[i], New: fresh, Join: join, Log: quiet(), snapEvery: 40}
+	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.net.Endpoint(x.peers[i].Name).ListenAddr(), DataDir: x.dirs[i], Bootstrap: fresh, Join: join, Log: quiet(), snapshotThreshold: 40}
 	if i == 0 {
-		o.slow = x.slow
+		o.writeDelay = x.slow
 	}
 	if x.all[i], err = Start(o); err != nil {
 		x.all[i] = nil
@@ -72,7 +72,7 @@
 	x.Helper()
 	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, i := range among {
-			if k := x.all[i]; k != nil && k.Leads() {
+			if k := x.all[i]; k != nil && k.IsLeader() {
 				if _, _, err := k.State(); err == nil {
 					return i
 				}
@@ -84,9 +84,9 @@
 }
 
 // hear has a keeper hear all servers.
-func hear(k *Keeper, n int) {
+func hear(k *Server, n int) {
 	for i := range n {
-		k.Here(permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
+		k.Heartbeat(permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
 	}
 }
 
@@ -217,8 +217,8 @@
 	}
 	// A new one in its place, with an empty disk.
 	dir := t.TempDir()
-	peer := Peer{Name: "k3", Raft: x.peers[lost].Raft}
-	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: x.net.Endpoint(x.peers[lost].Name).ListenAddr(), Dir: dir, Join: true, Log: quiet(), snapEvery: 40})
+	peer := Peer{Name: "k3", RaftAddr: x.peers[lost].RaftAddr}
+	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: x.net.Endpoint(x.peers[lost].Name).ListenAddr(), DataDir: dir, Join: true, Log: quiet(), snapshotThreshold: 40})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -227,9 +227,9 @@
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(soon); ; time.Sleep(20 * time.Millisecond) {
-		fresh.fsm.mu.Lock()
-		_, has := fresh.fsm.s.Permits["n1"]
-		fresh.fsm.mu.Unlock()
+		fresh.machine.mu.Lock()
+		_, has := fresh.machine.permits.Permits["n1"]
+		fresh.machine.mu.Unlock()
 		if has {
 			break
 		}
@@ -239,15 +239,15 @@
 	}
 	// With it, one of the old ones may go.
 	for i, old := range x.all {
-		if old != nil && !old.Leads() {
+		if old != nil && !old.IsLeader() {
 			old.Close()
 			x.all[i] = nil
 			break
 		}
 	}
 	for end := time.Now().Add(soon); ; time.Sleep(50 * time.Millisecond) {
-		for _, k := range append([]*Keeper{fresh}, x.all...) {
-			if k != nil && k.Leads() {
+		for _, k := range append([]*Server{fresh}, x.all...) {
+			if k != nil && k.IsLeader() {
 				if a, err := k.Do(permit.Command{ID: "unused", Kind: permit.Free, Subject: "n1", Actor: "x", Reason: "test"}); err == nil && a.OK {
 					return
 				}
@@ -308,7 +308,7 @@
 	go func() { over <- x.all[lost].Serve(ln) }()
 	select {
 	case err := <-over:
-		if !errors.Is(err, ErrBroken) {
+		if !errors.Is(err, ErrCorruptLog) {
 			t.Errorf("error %v", err)
 		}
 	case <-time.After(soon):
@@ -328,7 +328,7 @@
 		hear(k, 3)
 		began := time.Now()
 		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i%3), Actor: "x", Incarnation: 1})
-		if took := time.Since(began); took > applyWait+2*time.Second {
+		if took := time.Since(began); took > applyTimeout+2*time.Second {
 			t.Errorf("an answer after %s", took)
 		}
 		if err == nil && a.OK {
--- a/internal/permitserver/http.go
+++ b/internal/permitserver/http.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	bodyBytes   = 4 << 20 // a roster of 4,096 servers takes about 300 KB
-	mostClients = 256
-	clientTime  = 5 * time.Second
+	maxBodyBytes   = 4 << 20 // a roster of 4,096 servers takes about 300 KB
+	maxRequests    = 256
+	requestTimeout = 5 * time.Second
 )
 
 // Serve answers clients on ln until it is closed, or until the keeper ends: with ErrBroken if that was by itself.
-func (k *Keeper) Serve(ln net.Listener) error {
-	places := make(chan struct{}, mostClients)
+func (k *Server) Serve(ln net.Listener) error {
+	places := make(chan struct{}, maxRequests)
 	answer := func(w http.ResponseWriter, v any, err error) {
-		var other *ErrLeader
+		var other *NotLeaderError
 		switch {
 		case errors.As(err, &other):
 			w.Header().Set(permitclient.LeaderHeader, other.Addr)
@@ -40,7 +40,7 @@
 		}
 	}
 	read := func(w http.ResponseWriter, r *http.Request, v any) bool {
-		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyBytes))
+		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		d.DisallowUnknownFields()
 		if err := d.Decode(v); err != nil {
 			http.Error(w, "no message: "+err.Error(), http.StatusBadRequest)
@@ -59,15 +59,15 @@
 	mux.HandleFunc("POST /v1/here", func(w http.ResponseWriter, r *http.Request) {
 		var h permitclient.Heartbeat
 		if read(w, r, &h) {
-			if !k.Leads() {
-				answer(w, nil, k.elsewhere())
+			if !k.IsLeader() {
+				answer(w, nil, k.notLeader())
 				return
 			}
 			if len(h.MembersOut) > permitclient.MaxMembers || len(h.MemberDrains) > permitclient.MaxMembers {
 				http.Error(w, "too many members", http.StatusBadRequest)
 				return
 			}
-			answer(w, k.Here(h), nil)
+			answer(w, k.Heartbeat(h), nil)
 		}
 	})
 	mux.HandleFunc("POST /v1/release", func(w http.ResponseWriter, r *http.Request) {
@@ -87,8 +87,8 @@
 			http.Error(w, "number: one expected", http.StatusBadRequest)
 			return
 		}
-		if !k.Leads() { // a copy may not have it yet; what is kept under a number never changes
-			answer(w, nil, k.elsewhere())
+		if !k.IsLeader() { // a copy may not have it yet; what is kept under a number never changes
+			answer(w, nil, k.notLeader())
 			return
 		}
 		if v := k.version(release.Settings, number); v != nil {
@@ -100,23 +100,23 @@
 	mux.HandleFunc("POST /v1/keepers", func(w http.ResponseWriter, r *http.Request) {
 		var x permitclient.Replacement
 		if read(w, r, &x) {
-			answer(w, struct{}{}, k.Replace(x.Removed, Peer{Name: x.Added, Raft: x.AddedRaftAddr}))
+			answer(w, struct{}{}, k.Replace(x.Removed, Peer{Name: x.Added, RaftAddr: x.AddedRaftAddr}))
 		}
 	})
 	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, r *http.Request) {
 		s, seen, err := k.State()
-		x := permitclient.Status{Leader: k.o.Name, Observations: seen, State: s}
+		x := permitclient.Status{Leader: k.options.Name, Observations: seen, State: s}
 		if err == nil {
-			x.SettingsReleases, err = k.releases(release.Settings)
+			x.SettingsReleases, err = k.releaseState(release.Settings)
 			if err == nil {
-				x.ProgramReleases, err = k.releases(release.Program)
+				x.ProgramReleases, err = k.releaseState(release.Program)
 			}
-			words, pushed := k.words()
+			words, pushed := k.drainReports()
 			x.RejectedShare, x.Drains = pushed, s.DrainProgress(words)
 		}
 		answer(w, x, err)
 	})
-	srv := &http.Server{ReadTimeout: clientTime, WriteTimeout: clientTime, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
+	srv := &http.Server{ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case places <- struct{}{}:
@@ -127,16 +127,16 @@
 			}
 		})}
 	go func() {
-		<-k.over
+		<-k.closed
 		srv.Close()
 	}()
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
-	k.fsm.mu.Lock()
-	defer k.fsm.mu.Unlock()
-	if k.fsm.broken {
-		return ErrBroken
+	k.machine.mu.Lock()
+	defer k.machine.mu.Unlock()
+	if k.machine.corrupt {
+		return ErrCorruptLog
 	}
 	return nil
 }
--- a/internal/permitserver/link.go
+++ b/internal/permitserver/link.go
@@ -12,38 +12,38 @@
 
 // link is a raft.StreamLayer. Where a keeper listens elsewhere than the others reach it, it calls from where it listens, so that what is
 // between them knows whose stream it is.
-type link struct {
+type streamLayer struct {
 	net.Listener
-	reach net.Addr
-	from  *net.TCPAddr // nil: as the system has it
+	advertised net.Addr
+	dialFrom   *net.TCPAddr // nil: as the system has it
 }
 
-func listen(bind, reach string) (*link, error) {
-	l := &link{}
+func listen(bind, reach string) (*streamLayer, error) {
+	l := &streamLayer{}
 	addr, err := net.ResolveTCPAddr("tcp", reach)
 	if err != nil {
 		return nil, err
 	}
-	l.reach = addr
+	l.advertised = addr
 	if bind == "" {
 		bind = reach
 	} else if at, err := net.ResolveTCPAddr("tcp", bind); err != nil {
 		return nil, err
 	} else {
-		l.from = &net.TCPAddr{IP: at.IP}
+		l.dialFrom = &net.TCPAddr{IP: at.IP}
 	}
 	l.Listener, err = net.Listen("tcp", bind)
 	return l, err
 }
 
 // Addr is where the others reach this keeper.
-func (l *link) Addr() net.Addr { return l.reach }
+func (l *streamLayer) Addr() net.Addr { return l.advertised }
 
 // Dial calls another.
-func (l *link) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
-	if l.from != nil {
-		d.LocalAddr = l.from
+	if l.dialFrom != nil {
+		d.LocalAddr = l.dialFrom
 	}
 	return d.Dial("tcp", string(to))
 }
--- a/internal/permitserver/server_test.go
+++ b/internal/permitserver/server_test.go
@@ -28,7 +28,7 @@
 // TestMain is a keeper if it was started as one: the processes of these tests are their own program.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 3 && os.Args[1] == "keep" {
-		o := Options{Name: os.Args[2], Dir: os.Args[3], New: os.Args[4] == "new", Log: logrus.NewEntry(logrus.New()), snapEvery: 40}
+		o := Options{Name: os.Args[2], DataDir: os.Args[3], Bootstrap: os.Args[4] == "new", Log: logrus.NewEntry(logrus.New()), snapshotThreshold: 40}
 		listen := ""
 		for _, s := range os.Args[5:] {
 			f := strings.Split(s, ",")
@@ -82,7 +82,7 @@
 	var addrs []string
 	for i := range 3 {
 		p := Peer{fmt.Sprint("k", i), free(t), free(t)}
-		s.peers, addrs = append(s.peers, p), append(addrs, p.HTTP)
+		s.peers, addrs = append(s.peers, p), append(addrs, p.HTTPAddr)
 	}
 	s.Client = permitclient.New(addrs)
 	t.Cleanup(func() {
@@ -100,7 +100,7 @@
 func (s *set) run(name, how string) {
 	args := []string{"keep", name, filepath.Join(s.dir, name), how}
 	for _, p := range s.peers {
-		args = append(args, p.Name+","+p.Raft+","+p.HTTP)
+		args = append(args, p.Name+","+p.RaftAddr+","+p.HTTPAddr)
 	}
 	c := exec.Command(os.Args[0], args...)
 	if err := c.Start(); err != nil {
@@ -265,20 +265,20 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	peers := []Peer{{"k0", free(t), free(t)}}
 	dir := t.TempDir()
-	if _, err := Start(Options{Name: "k0", Peers: peers, Dir: dir, Log: quiet()}); !errors.Is(err, errEmpty) {
+	if _, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: quiet()}); !errors.Is(err, errNoLog) {
 		t.Errorf("error %v", err)
 	}
-	k, err := Start(Options{Name: "k0", Peers: peers, Dir: dir, New: true, Log: quiet()})
+	k, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Bootstrap: true, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(soon); !k.Leads() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(soon); !k.IsLeader() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 	}
 	if a, err := k.Do(permit.Command{ID: "1", Kind: permit.Halt, Actor: "me", Reason: "test"}); err != nil || !a.OK {
 		t.Errorf("%+v %v", a, err)
 	}
 	k.Close()
-	if k, err = Start(Options{Name: "k0", Peers: peers, Dir: dir, Log: quiet()}); err != nil {
+	if k, err = Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: quiet()}); err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -28,14 +28,14 @@
 	file    *os.File
 	packed  []byte
 	raw     []byte
-	left    []byte // of raw
+	unread  []byte // of raw
 	actions []control.Action
 }
 
 // Open reads the files of one trace, the oldest first.
 func Open(files ...string) (*Reader, error) {
 	r := &Reader{files: files}
-	if err := r.next(); err != nil {
+	if err := r.openNext(); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -50,7 +50,7 @@
 }
 
 // next opens the next file.
-func (r *Reader) next() error {
+func (r *Reader) openNext() error {
 	if len(r.files) == 0 {
 		return io.EOF
 	}
@@ -82,18 +82,18 @@
 	if magic[7] != Version {
 		return fmt.Errorf("%w: %d, this build reads %d", ErrVersion, magic[7], Version)
 	}
-	if err := r.block(); err != nil {
+	if err := r.readBlock(); err != nil {
 		return err
 	}
 	found := false
-	err := fields(r.left, func(f protowire.Number, _ uint64, b []byte) error {
-		if f != fHeader {
+	err := fields(r.unread, func(f protowire.Number, _ uint64, b []byte) error {
+		if f != fieldHeader {
 			return ErrDamaged
 		}
 		found = true
 		return json.Unmarshal(b, &r.Header)
 	})
-	r.left = nil
+	r.unread = nil
 	if err == nil && !found {
 		err = ErrDamaged
 	}
@@ -101,15 +101,15 @@
 }
 
 // block reads the next block.
-func (r *Reader) block() error {
-	head := make([]byte, blockHead)
+func (r *Reader) readBlock() error {
+	head := make([]byte, blockHeaderBytes)
 	if _, err := io.ReadFull(r.in, head); err == io.EOF {
 		return io.EOF
 	} else if err != nil {
 		return ErrTorn
 	}
 	packed, raw := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[8:])
-	if binary.LittleEndian.Uint32(head) != blockMagic || raw > maxBlock || packed > 2*maxBlock {
+	if binary.LittleEndian.Uint32(head) != blockMagic || raw > maxBlockBytes || packed > 2*maxBlockBytes {
 		return ErrDamaged
 	}
 	if cap(r.packed) < int(packed) {
@@ -119,7 +119,7 @@
 	if _, err := io.ReadFull(r.in, r.packed); err != nil {
 		return ErrTorn
 	}
-	if crc32.Checksum(r.packed, table) != binary.LittleEndian.Uint32(head[12:]) {
+	if crc32.Checksum(r.packed, castagnoli) != binary.LittleEndian.Uint32(head[12:]) {
 		return ErrDamaged
 	}
 	if n, err := s2.DecodedLen(r.packed); err != nil || n != int(raw) {
@@ -129,17 +129,17 @@
 	if err != nil {
 		return ErrDamaged
 	}
-	r.raw, r.left = b, b
+	r.raw, r.unread = b, b
 	return nil
 }
 
 // Next returns the next entry, which is valid until the one after; io.EOF at the end. ErrTorn and ErrDamaged tell that
 // the trace ends early: what was returned before is whole.
 func (r *Reader) Next() (Entry, error) {
-	for len(r.left) == 0 {
-		err := r.block()
+	for len(r.unread) == 0 {
+		err := r.readBlock()
 		if err == io.EOF && len(r.files) > 0 {
-			if err = r.next(); err == nil {
+			if err = r.openNext(); err == nil {
 				continue
 			}
 		}
@@ -147,15 +147,15 @@
 			return Entry{}, err
 		}
 	}
-	f, kind, n := protowire.ConsumeTag(r.left)
-	if n < 0 || kind != protowire.BytesType || f != fEntry {
+	f, kind, n := protowire.ConsumeTag(r.unread)
+	if n < 0 || kind != protowire.BytesType || f != fieldEntry {
 		return Entry{}, ErrDamaged
 	}
-	m, k := protowire.ConsumeBytes(r.left[n:])
+	m, k := protowire.ConsumeBytes(r.unread[n:])
 	if k < 0 {
 		return Entry{}, ErrDamaged
 	}
-	r.left = r.left[n+k:]
+	r.unread = r.unread[n+k:]
 	e, err := parseEntry(m, r.actions[:0])
 	r.actions = e.Actions
 	return e, err
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -13,10 +13,10 @@
 
 // Recorder is a gate.Tracer that writes a trace.
 type Recorder struct {
-	path   string
-	bounds Bounds
-	build  string
-	fail   func(error)
+	path      string
+	limits    FileLimits
+	build     string
+	onFailure func(error)
 
 	mu     sync.Mutex
 	w      *Writer
@@ -24,17 +24,17 @@
 }
 
 // NewRecorder returns a recorder; fail hears, once, that its file can't be written.
-func NewRecorder(path string, b Bounds, build string, fail func(error)) *Recorder {
-	return &Recorder{path: path, bounds: b, build: build, fail: fail}
+func NewRecorder(path string, b FileLimits, build string, fail func(error)) *Recorder {
+	return &Recorder{path: path, limits: b, build: build, onFailure: fail}
 }
 
 // Begin opens the file.
 func (r *Recorder) Begin(told *startup.Config, cold bool, origin time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w, err := Create(r.path, &Header{Told: *told, Cold: cold, Origin: float64(origin.UnixNano()) / 1e6, Build: r.build}, r.bounds)
+	w, err := Create(r.path, &Header{Startup: *told, SlowStart: cold, OriginMS: float64(origin.UnixNano()) / 1e6, Build: r.build}, r.limits)
 	if err != nil {
-		r.fail(err)
+		r.onFailure(err)
 		return
 	}
 	r.w = w
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -30,10 +30,10 @@
 
 // Header is what a trace begins with: all that the decisions were made from.
 type Header struct {
-	Told   startup.Config `json:"told"`
-	Cold   bool           `json:"cold"`
-	Origin float64        `json:"origin"` // Unix ms of the module's zero
-	Build  string         `json:"build"`
+	Startup   startup.Config `json:"told"`
+	SlowStart bool           `json:"cold"`
+	OriginMS  float64        `json:"origin"` // Unix ms of the module's zero
+	Build     string         `json:"build"`
 }
 
 // Entry is one thing that happened, and what the decisions said to it.
@@ -46,21 +46,21 @@
 }
 
 // Keeps tells whether an action is one that traces bear: verdicts and joins; the rest follows from the events.
-func Keeps(a control.Action) bool {
+func Recorded(a control.Action) bool {
 	return a.Kind == control.Run || a.Kind == control.Reject || a.Kind == control.Abort || a.Kind == control.Join
 }
 
 // The fields of the messages, as in trace.proto.
 const (
-	fHeader = 1
-	fEntry  = 2
+	fieldHeader = 1
+	fieldEntry  = 2
 
-	fNow, fKind, fRPC, fMethod, fCustomer, fCaller, fSubject, fOriginal = 1, 2, 3, 4, 5, 6, 7, 8
-	fTime, fWaited, fHint, fHeldKB, fRetry, fOutcome, fSpent, fLabel    = 9, 10, 11, 12, 13, 14, 15, 16
-	fCoreUse, fOnCores, fStale, fToken, fAction, fDropped               = 17, 18, 19, 20, 21, 22
-	fBudget, fAgain                                                     = 23, 24
+	fieldNow, fieldKind, fieldRPC, fieldMethod, fieldCustomer, fieldCaller, fieldSubject, fieldOriginal = 1, 2, 3, 4, 5, 6, 7, 8
+	fieldTime, fieldWaited, fieldHint, fieldHeldKB, fieldRetry, fieldOutcome, fieldSpent, fieldLabel    = 9, 10, 11, 12, 13, 14, 15, 16
+	fieldCoreUse, fieldOnCores, fieldStale, fieldToken, fieldAction, fieldDropped                       = 17, 18, 19, 20, 21, 22
+	fieldBudget, fieldAgain                                                                             = 23, 24
 
-	fDo, fActionRPC, fActionTime, fLast = 1, 2, 3, 4
+	fieldDo, fieldActionRPC, fieldActionTime, fieldLast = 1, 2, 3, 4
 )
 
 func appendNumber(b []byte, field protowire.Number, v float64) []byte {
@@ -88,47 +88,47 @@
 func appendEntry(b []byte, e *Entry, scratch *[]byte) []byte {
 	m := (*scratch)[:0]
 	ev := &e.Event
-	m = appendNumber(m, fNow, e.Now)
-	m = appendUint(m, fKind, uint64(ev.Kind)+1) // so that Begin is told, too
-	m = appendUint(m, fRPC, uint64(ev.RPC))
-	m = appendUint(m, fMethod, uint64(ev.Method))
-	m = appendUint(m, fCustomer, uint64(ev.Customer))
-	m = appendUint(m, fCaller, uint64(ev.Caller))
-	m = appendUint(m, fSubject, ev.Subject)
-	m = appendUint(m, fOriginal, uint64(ev.DuplicateOf))
-	m = appendNumber(m, fTime, ev.Remaining)
-	m = appendNumber(m, fWaited, ev.Age)
-	m = appendNumber(m, fHint, ev.CostHint)
-	m = appendNumber(m, fHeldKB, ev.QueuedKB)
-	m = appendBool(m, fRetry, ev.Retry)
-	m = appendUint(m, fOutcome, uint64(ev.Outcome))
-	m = appendNumber(m, fSpent, ev.Elapsed)
-	m = appendUint(m, fLabel, ev.Label)
-	m = appendNumber(m, fCoreUse, ev.Gauges.CPUUtilization)
-	m = appendNumber(m, fOnCores, ev.Gauges.Runnable)
-	m = appendBool(m, fStale, ev.Gauges.Stale)
-	m = appendUint(m, fToken, e.Token)
-	m = appendUint(m, fDropped, uint64(e.Dropped))
-	m = appendUint(m, fBudget, uint64(ev.Quota))
-	m = appendNumber(m, fAgain, ev.RetryAfter)
+	m = appendNumber(m, fieldNow, e.Now)
+	m = appendUint(m, fieldKind, uint64(ev.Kind)+1) // so that Begin is told, too
+	m = appendUint(m, fieldRPC, uint64(ev.RPC))
+	m = appendUint(m, fieldMethod, uint64(ev.Method))
+	m = appendUint(m, fieldCustomer, uint64(ev.Customer))
+	m = appendUint(m, fieldCaller, uint64(ev.Caller))
+	m = appendUint(m, fieldSubject, ev.Subject)
+	m = appendUint(m, fieldOriginal, uint64(ev.DuplicateOf))
+	m = appendNumber(m, fieldTime, ev.Remaining)
+	m = appendNumber(m, fieldWaited, ev.Age)
+	m = appendNumber(m, fieldHint, ev.CostHint)
+	m = appendNumber(m, fieldHeldKB, ev.QueuedKB)
+	m = appendBool(m, fieldRetry, ev.Retry)
+	m = appendUint(m, fieldOutcome, uint64(ev.Outcome))
+	m = appendNumber(m, fieldSpent, ev.Elapsed)
+	m = appendUint(m, fieldLabel, ev.Label)
+	m = appendNumber(m, fieldCoreUse, ev.Gauges.CPUUtilization)
+	m = appendNumber(m, fieldOnCores, ev.Gauges.Runnable)
+	m = appendBool(m, fieldStale, ev.Gauges.Stale)
+	m = appendUint(m, fieldToken, e.Token)
+	m = appendUint(m, fieldDropped, uint64(e.Dropped))
+	m = appendUint(m, fieldBudget, uint64(ev.Quota))
+	m = appendNumber(m, fieldAgain, ev.RetryAfter)
 	for _, a := range e.Actions {
-		if !Keeps(a) {
+		if !Recorded(a) {
 			continue
 		}
 		var own [32]byte
-		x := appendUint(own[:0], fDo, uint64(a.Kind)+1)
-		x = appendUint(x, fActionRPC, uint64(a.RPC))
-		x = appendNumber(x, fActionTime, a.Time)
-		x = appendBool(x, fLast, a.NoRetry)
-		m = protowire.AppendBytes(protowire.AppendTag(m, fAction, protowire.BytesType), x)
+		x := appendUint(own[:0], fieldDo, uint64(a.Kind)+1)
+		x = appendUint(x, fieldActionRPC, uint64(a.RPC))
+		x = appendNumber(x, fieldActionTime, a.Time)
+		x = appendBool(x, fieldLast, a.NoRetry)
+		m = protowire.AppendBytes(protowire.AppendTag(m, fieldAction, protowire.BytesType), x)
 	}
 	*scratch = m
-	return protowire.AppendBytes(protowire.AppendTag(b, fEntry, protowire.BytesType), m)
+	return protowire.AppendBytes(protowire.AppendTag(b, fieldEntry, protowire.BytesType), m)
 }
 
 func appendHeader(b []byte, h *Header) ([]byte, error) {
 	text, err := json.Marshal(h)
-	return protowire.AppendBytes(protowire.AppendTag(b, fHeader, protowire.BytesType), text), err
+	return protowire.AppendBytes(protowire.AppendTag(b, fieldHeader, protowire.BytesType), text), err
 }
 
 // fields walks over a message; each gets a number as it stood, or the bytes.
@@ -169,72 +169,72 @@
 	err = fields(m, func(f protowire.Number, v uint64, b []byte) error {
 		x := math.Float64frombits(v)
 		switch f {
-		case fNow:
+		case fieldNow:
 			e.Now = x
-		case fKind:
+		case fieldKind:
 			if v == 0 || v > uint64(control.DrainCancelled)+1 {
 				return ErrDamaged
 			}
 			ev.Kind = control.EventKind(v - 1)
-		case fRPC:
+		case fieldRPC:
 			ev.RPC = uint32(v)
-		case fMethod:
+		case fieldMethod:
 			ev.Method = int(v)
-		case fCustomer:
+		case fieldCustomer:
 			ev.Customer = int(v)
-		case fCaller:
+		case fieldCaller:
 			ev.Caller = uint16(v)
-		case fSubject:
+		case fieldSubject:
 			ev.Subject = v
-		case fOriginal:
+		case fieldOriginal:
 			ev.DuplicateOf = uint32(v)
-		case fTime:
+		case fieldTime:
 			ev.Remaining = x
-		case fWaited:
+		case fieldWaited:
 			ev.Age = x
-		case fHint:
+		case fieldHint:
 			ev.CostHint = x
-		case fHeldKB:
+		case fieldHeldKB:
 			ev.QueuedKB = x
-		case fRetry:
+		case fieldRetry:
 			ev.Retry = v != 0
-		case fOutcome:
+		case fieldOutcome:
 			if v > uint64(control.OutcomeNotStarted) {
 				return ErrDamaged
 			}
 			ev.Outcome = control.Outcome(v)
-		case fSpent:
+		case fieldSpent:
 			ev.Elapsed = x
-		case fLabel:
+		case fieldLabel:
 			ev.Label = v
-		case fCoreUse:
+		case fieldCoreUse:
 			ev.Gauges.CPUUtilization = x
-		case fOnCores:
+		case fieldOnCores:
 			ev.Gauges.Runnable = x
-		case fStale:
+		case fieldStale:
 			ev.Gauges.Stale = v != 0
-		case fBudget:
+		case fieldBudget:
 			if v > uint64(control.OverQuota) {
 				return ErrDamaged
 			}
 			ev.Quota = control.QuotaStatus(v)
-		case fAgain:
+		case fieldAgain:
 			ev.RetryAfter = x
-		case fToken:
+		case fieldToken:
 			e.Token = v
-		case fDropped:
+		case fieldDropped:
 			e.Dropped = int(v)
-		case fAction:
+		case fieldAction:
 			a := control.Action{}
 			err := fields(b, func(f protowire.Number, v uint64, _ []byte) error {
 				switch f {
-				case fDo:
+				case fieldDo:
 					a.Kind = control.ActionKind(v - 1)
-				case fActionRPC:
+				case fieldActionRPC:
 					a.RPC = uint32(v)
-				case fActionTime:
+				case fieldActionTime:
 					a.Time = math.Float64frombits(v)
-				case fLast:
+				case fieldLast:
 					a.NoRetry = v != 0
 				}
 				return nil
@@ -256,21 +256,21 @@
 
 // A block is its magic, the sizes of what is in it as it stands and unpacked, and a checksum; then the packed bytes.
 const (
-	blockHead = 16
-	maxBlock  = 256 << 10 // unpacked: what a reader sets aside for one
+	blockHeaderBytes = 16
+	maxBlockBytes    = 256 << 10 // unpacked: what a reader sets aside for one
 )
 
 var (
 	fileMagic  = []byte("SVTRACE\x01")
 	blockMagic = uint32(0x5356424b)
-	table      = crc32.MakeTable(crc32.Castagnoli)
+	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-func appendBlockHead(b []byte, packed []byte, raw int) []byte {
+func appendBlockHeader(b []byte, packed []byte, raw int) []byte {
 	b = binary.LittleEndian.AppendUint32(b, blockMagic)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(packed)))
 	b = binary.LittleEndian.AppendUint32(b, uint32(raw))
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(packed, table))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(packed, castagnoli))
 }
 
 // Hash is how a token stands in a trace.
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -17,7 +17,7 @@
 )
 
 func header() *Header {
-	return &Header{Told: startup.Config{Methods: []control.Method{{Name: "view", LatencyObjective: 100}}, Gauges: []string{"core_use"}}, Cold: true, Origin: 5, Build: "b"}
+	return &Header{Startup: startup.Config{Methods: []control.Method{{Name: "view", LatencyObjective: 100}}, Gauges: []string{"core_use"}}, SlowStart: true, OriginMS: 5, Build: "b"}
 }
 
 func entry(i int) Entry {
@@ -35,7 +35,7 @@
 	return e
 }
 
-func record(t *testing.T, path string, n int, b Bounds) {
+func record(t *testing.T, path string, n int, b FileLimits) {
 	t.Helper()
 	w, err := Create(path, header(), b)
 	if err != nil {
@@ -44,15 +44,15 @@
 	for i := range n {
 		e := entry(i)
 		w.Event(e.Now, e.Event, append(e.Actions, control.Action{Kind: control.SetTimer}), e.Token)
-		for len(w.full) > waiting/2 { // the disk keeps up in this test
+		for len(w.fullBlocks) > maxQueuedBlocks/2 { // the disk keeps up in this test
 			time.Sleep(time.Millisecond)
 		}
 	}
 	w.Close()
 	w.Event(1, control.Event{}, nil, 0) // does nothing
 	w.Close()
-	if w.Dropped.Load()+w.Failed.Load() > 0 {
-		t.Fatalf("%d dropped, %d failed", w.Dropped.Load(), w.Failed.Load())
+	if w.Dropped.Load()+w.FailedBlocks.Load() > 0 {
+		t.Fatalf("%d dropped, %d failed", w.Dropped.Load(), w.FailedBlocks.Load())
 	}
 }
 
@@ -70,7 +70,7 @@
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	const n = 5000
-	record(t, path, n, Bounds{FileBytes: 1 << 30, Files: 1})
+	record(t, path, n, FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1})
 	r, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 // Files are rotated, so many are kept, and read as one.
 func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
-	record(t, path, 20000, Bounds{FileBytes: 100 << 10, Files: 3})
+	record(t, path, 20000, FileLimits{MaxFileBytes: 100 << 10, MaxFiles: 3})
 	files := Files(path)
 	if len(files) != 3 || files[2] != path {
 		t.Fatalf("files %v", files)
@@ -116,7 +116,7 @@
 // Whatever is wrong with a file: it is told, and what was whole before is read.
 func TestDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
-	record(t, path, 5000, Bounds{FileBytes: 1 << 30, Files: 1})
+	record(t, path, 5000, FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1})
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -186,7 +186,7 @@
 	var mu sync.Mutex
 	buf := &bytes.Buffer{}
 	opened := 0
-	w, err := create("t", header(), Bounds{FileBytes: 1 << 30, Files: 1}, func(string) (File, error) {
+	w, err := create("t", header(), FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1}, func(string) (File, error) {
 		if opened++; opened > 1 {
 			return nil, errors.New("no space")
 		}
@@ -198,12 +198,12 @@
 	for i := range 20000 {
 		e := entry(i)
 		w.Event(e.Now, e.Event, e.Actions, 0)
-		for len(w.full) == waiting {
+		for len(w.fullBlocks) == maxQueuedBlocks {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	w.Close()
-	if w.Failed.Load() == 0 {
+	if w.FailedBlocks.Load() == 0 {
 		t.Error("nothing failed")
 	}
 	r := &Reader{}
@@ -220,7 +220,7 @@
 	var mu sync.Mutex
 	buf := &bytes.Buffer{}
 	d := &disk{room: 1 << 30, buf: buf, mu: &mu}
-	w, err := create("t", header(), Bounds{FileBytes: 1 << 30, Files: 1}, func(string) (File, error) { return d, nil })
+	w, err := create("t", header(), FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1}, func(string) (File, error) { return d, nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 		t.Fatal("nothing dropped")
 	}
 	close(block)
-	for len(w.full) > 0 {
+	for len(w.fullBlocks) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w.Event(1, control.Event{}, nil, 0) // which says how many were dropped before it
@@ -256,7 +256,7 @@
 
 func FuzzReader(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "t")
-	w, err := Create(path, header(), Bounds{FileBytes: 1 << 30, Files: 1})
+	w, err := Create(path, header(), FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -295,7 +295,7 @@
 }
 
 func BenchmarkEvent(b *testing.B) {
-	w, err := create("t", header(), Bounds{FileBytes: 1 << 40, Files: 1}, func(string) (File, error) {
+	w, err := create("t", header(), FileLimits{MaxFileBytes: 1 << 40, MaxFiles: 1}, func(string) (File, error) {
 		return &disk{room: 1 << 62, buf: &bytes.Buffer{}, mu: &sync.Mutex{}}, nil
 	})
 	if err != nil {
--- a/internal/trace/writer.go
+++ b/internal/trace/writer.go
@@ -16,40 +16,40 @@
 )
 
 // Bounds are those of a recorder.
-type Bounds struct {
-	FileBytes int64 // a file is full then, and the next begins
-	Files     int   // that are kept, the one that is written included
+type FileLimits struct {
+	MaxFileBytes int64 // a file is full then, and the next begins
+	MaxFiles     int   // that are kept, the one that is written included
 }
 
 const (
-	blockBytes = 64 << 10    // of entries: about a thousand; a block is packed in some tens of microseconds
-	waiting    = 8           // blocks that may wait for the disk; what comes beyond is dropped
-	everyFlush = time.Second // a block that is not full is written after that
+	targetBlockBytes = 64 << 10    // of entries: about a thousand; a block is packed in some tens of microseconds
+	maxQueuedBlocks  = 8           // blocks that may wait for the disk; what comes beyond is dropped
+	flushInterval    = time.Second // a block that is not full is written after that
 )
 
 // Writer records to a file. Event may be called by one goroutine at a time; the rest by any.
 type Writer struct {
 	path   string
-	bounds Bounds
+	limits FileLimits
 	header []byte
 
-	mu      sync.Mutex
-	block   []byte
-	count   int
-	scratch []byte
-	dropped int // since the last entry that was taken
-	closed  bool
-
-	full  chan []byte
-	spare sync.Pool
-	over  sync.WaitGroup
-	stop  chan struct{}
-
-	Dropped atomic.Uint64 // entries, in all
-	Failed  atomic.Uint64 // blocks that the disk did not take
-	size    int64
-	file    File
-	open    func(path string) (File, error)
+	mu           sync.Mutex
+	block        []byte
+	blockEntries int
+	scratch      []byte
+	dropped      int // since the last entry that was taken
+	closed       bool
+
+	fullBlocks chan []byte
+	blockPool  sync.Pool
+	running    sync.WaitGroup
+	stop       chan struct{}
+
+	Dropped      atomic.Uint64 // entries, in all
+	FailedBlocks atomic.Uint64 // blocks that the disk did not take
+	size         int64
+	file         File
+	open         func(path string) (File, error)
 }
 
 // File is what a recorder writes to.
@@ -59,24 +59,24 @@
 }
 
 // Create begins a trace at path; what stood there is kept as path.1 and so on, as far as the bounds allow.
-func Create(path string, h *Header, b Bounds) (*Writer, error) {
+func Create(path string, h *Header, b FileLimits) (*Writer, error) {
 	return create(path, h, b, func(path string) (File, error) { return os.Create(path) })
 }
 
-func create(path string, h *Header, b Bounds, open func(string) (File, error)) (*Writer, error) {
+func create(path string, h *Header, b FileLimits, open func(string) (File, error)) (*Writer, error) {
 	header, err := appendHeader(nil, h)
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{path: path, bounds: b, header: header, full: make(chan []byte, waiting), stop: make(chan struct{}), open: open}
-	w.spare.New = func() any { return make([]byte, 0, blockBytes+4096) }
-	w.block = w.spare.Get().([]byte)
+	w := &Writer{path: path, limits: b, header: header, fullBlocks: make(chan []byte, maxQueuedBlocks), stop: make(chan struct{}), open: open}
+	w.blockPool.New = func() any { return make([]byte, 0, targetBlockBytes+4096) }
+	w.block = w.blockPool.Get().([]byte)
 	if err := w.rotate(); err != nil {
 		return nil, err
 	}
-	w.over.Add(2)
-	go w.write()
-	go w.flushes()
+	w.running.Add(2)
+	go w.writeBlocks()
+	go w.flushPeriodically()
 	return w, nil
 }
 
@@ -89,32 +89,32 @@
 	}
 	e := Entry{Now: now, Event: ev, Token: token, Actions: actions, Dropped: w.dropped}
 	w.block = appendEntry(w.block, &e, &w.scratch)
-	w.count++
+	w.blockEntries++
 	w.dropped = 0
-	if len(w.block) >= blockBytes {
-		w.hand()
+	if len(w.block) >= targetBlockBytes {
+		w.enqueueBlock()
 	}
 }
 
 // hand gives the block to the disk, or drops it if that does not keep up. It is called with the lock held.
-func (w *Writer) hand() {
-	if w.count == 0 {
+func (w *Writer) enqueueBlock() {
+	if w.blockEntries == 0 {
 		return
 	}
 	select {
-	case w.full <- w.block:
-		w.block = w.spare.Get().([]byte)[:0]
+	case w.fullBlocks <- w.block:
+		w.block = w.blockPool.Get().([]byte)[:0]
 	default:
-		w.dropped += w.count
-		w.Dropped.Add(uint64(w.count))
+		w.dropped += w.blockEntries
+		w.Dropped.Add(uint64(w.blockEntries))
 		w.block = w.block[:0]
 	}
-	w.count = 0
+	w.blockEntries = 0
 }
 
-func (w *Writer) flushes() {
-	defer w.over.Done()
-	t := time.NewTicker(everyFlush)
+func (w *Writer) flushPeriodically() {
+	defer w.running.Done()
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -122,35 +122,35 @@
 			return
 		case <-t.C:
 			w.mu.Lock()
-			w.hand()
+			w.enqueueBlock()
 			w.mu.Unlock()
 		}
 	}
 }
 
-func (w *Writer) write() {
-	defer w.over.Done()
+func (w *Writer) writeBlocks() {
+	defer w.running.Done()
 	var packed, out []byte
-	for raw := range w.full {
-		if w.size >= w.bounds.FileBytes {
+	for raw := range w.fullBlocks {
+		if w.size >= w.limits.MaxFileBytes {
 			if err := w.rotate(); err != nil {
-				w.Failed.Add(1)
+				w.FailedBlocks.Add(1)
 			}
 		}
 		packed = s2.Encode(packed[:cap(packed)], raw)
-		out = append(appendBlockHead(out[:0], packed, len(raw)), packed...)
+		out = append(appendBlockHeader(out[:0], packed, len(raw)), packed...)
 		if w.file == nil {
-			w.Failed.Add(1)
+			w.FailedBlocks.Add(1)
 		} else if n, err := w.file.Write(out); err != nil { // a block is never written on behind a torn one: the file ends here
 			w.size += int64(n)
-			w.Failed.Add(1)
+			w.FailedBlocks.Add(1)
 			w.file.Close()
 			w.file = nil
-			w.size = w.bounds.FileBytes // the next block tries a new file
+			w.size = w.limits.MaxFileBytes // the next block tries a new file
 		} else {
 			w.size += int64(n)
 		}
-		w.spare.Put(raw[:0])
+		w.blockPool.Put(raw[:0])
 	}
 	if w.file != nil {
 		w.file.Close()
@@ -163,8 +163,8 @@
 		w.file.Close()
 		w.file = nil
 	}
-	if w.bounds.Files > 1 {
-		for n := w.bounds.Files - 1; n > 1; n-- {
+	if w.limits.MaxFiles > 1 {
+		for n := w.limits.MaxFiles - 1; n > 1; n-- {
 			os.Rename(fmt.Sprintf("%s.%d", w.path, n-1), fmt.Sprintf("%s.%d", w.path, n))
 		}
 		os.Rename(w.path, w.path+".1")
@@ -174,7 +174,7 @@
 		return err
 	}
 	packed := s2.Encode(nil, w.header)
-	out := append(append([]byte(nil), fileMagic...), appendBlockHead(nil, packed, len(w.header))...)
+	out := append(append([]byte(nil), fileMagic...), appendBlockHeader(nil, packed, len(w.header))...)
 	if _, err := f.Write(append(out, packed...)); err != nil {
 		f.Close()
 		return err
@@ -191,11 +191,11 @@
 		return
 	}
 	w.closed = true
-	if w.count > 0 {
-		w.full <- w.block // the writer still runs
+	if w.blockEntries > 0 {
+		w.fullBlocks <- w.block // the writer still runs
 	}
 	w.mu.Unlock()
 	close(w.stop)
-	close(w.full)
-	w.over.Wait()
+	close(w.fullBlocks)
+	w.running.Wait()
 }
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -230,7 +230,7 @@
 		if failed == nil {
 			failed = func(error) {}
 		}
-		v.rec = trace.NewRecorder(t.Path, trace.Bounds{FileBytes: positive(t.FileBytes, 64<<20), Files: positive(t.Files, 4)}, "library", failed)
+		v.rec = trace.NewRecorder(t.Path, trace.FileLimits{MaxFileBytes: positive(t.FileBytes, 64<<20), MaxFiles: positive(t.Files, 4)}, "library", failed)
 	}
 	if o.Observe != nil || v.rec != nil {
 		v.g.Trace(&watch{see: o.Observe, rec: v.rec})
