--- a/decision/pool/balance.go
+++ b/decision/pool/balance.go
@@ -5,20 +5,24 @@
 	"slices"
 )
 
-// Place is the outcome of Ask: a member granted at once, a place in the wait queue, or neither.
+// Placement is the result of Acquire.
 type Placement int
 
+// The placements.
 const (
-	Granted    Placement = iota // a member was granted
-	Queued                      // End or Look will grant it, or Expire or Cancel end the wait
-	NoCapacity                  // no room, in the pool and in its line
+	// Granted: a member was assigned at once.
+	Granted Placement = iota
+	// Queued: Complete or Update will grant a member, or ExpireQueued or CancelQueued ends the wait.
+	Queued
+	// NoCapacity: neither a member nor the queue has capacity.
+	NoCapacity
 )
 
-// Ask asks for a place for an RPC. id is the caller's name for it in the line. Members in avoid, which have failed it,
-// are chosen only if there is no other that could ever do. caller is a hash of whose RPC it is.
-func (p *Pool) Acquire(now float64, id uint64, avoid []int, caller uint64) (member int, got Placement) {
+// Acquire asks for a member for a request. id names the request while it is queued. Members in avoid, which have
+// failed it before, are chosen only if no other member could ever serve it. caller is a hash of the request's caller.
+func (p *Pool) Acquire(now float64, id uint64, avoid []int, caller uint64) (member int, placement Placement) {
 	p.updateEjections(now)
-	if len(p.queue) == 0 { // who waits goes first
+	if len(p.queue) == 0 { // queued requests come first
 		if m := p.choose(now, avoid, caller); m != nil {
 			p.assign(now, m)
 			return m.id, Granted
@@ -27,14 +31,21 @@
 	if len(p.queue) >= p.config.MaxQueued {
 		return 0, NoCapacity
 	}
-	p.queue = append(p.queue, queuedRequest{id, now + p.config.QueueTimeout, avoid, caller})
+	p.queue = append(p.queue, queuedRequest{
+		id:       id,
+		deadline: now + p.config.QueueTimeout,
+		avoid:    avoid,
+		caller:   caller,
+	})
 	return 0, Queued
 }
 
-// Probe is a place at a member that is out, for one RPC that tells how it is.
-func (p *Pool) AcquireEjected(now float64, addr string) (member int, got bool) {
+// AcquireEjected assigns a request to the ejected member at addr, as a trial of its health. It reports false if the
+// member is not ejected, is draining or has no spare connection.
+func (p *Pool) AcquireEjected(now float64, addr string) (member int, granted bool) {
 	for _, m := range p.members {
-		if m.addr == addr && !m.removed && m.ejection != NotEjected && !m.draining && m.inFlight < p.config.MaxConnections {
+		onTrial := m.addr == addr && !m.removed && m.ejection != NotEjected && !m.draining
+		if onTrial && m.inFlight < p.config.MaxConnections {
 			p.assign(now, m)
 			return m.id, true
 		}
@@ -50,15 +61,15 @@
 	m.requests++
 }
 
-// part is how much of its full load a member may have: all, but for one that has just returned.
+// loadShare returns the fraction of its connection limit that a member may use: 1, but for one in slow start.
 func (p *Pool) loadShare(now float64, m *member) float64 {
-	if p.config.SlowStart <= 0 || p.fleetAdmits != nil { // judged: it is full for those callers that it takes
+	if p.config.SlowStart <= 0 || p.fleetAdmits != nil { // the fleet limits the callers of a returning member instead
 		return 1
 	}
 	return math.Min(1, math.Max(initialLoadShare, (now-m.returnedAt)/p.config.SlowStart))
 }
 
-// open tells whether a member gets RPCs of a caller.
+// admits reports whether a member may get requests of a caller.
 func (p *Pool) admits(m *member, caller uint64) bool {
 	return m.usable() && (p.fleetAdmits == nil || p.fleetAdmits(m.addr, caller, m.callerShare))
 }
@@ -67,57 +78,65 @@
 	return p.admits(m, caller) && m.inFlight < p.connectionLimit(now, m)
 }
 
-// places is how many RPCs a member may have in flight from here. What is not whole is rounded by chance, the same for the
-// whole return: a member hears from all servers of a fleet, and were each to round up, the sum would be many times the part that it is
-// to have while each is to send less than one. The mean over the servers is that part, without any contact between them.
+// connectionLimit returns how many requests a member may have in flight from here. The fraction is rounded by a draw
+// that holds for the whole slow start. A member gets requests from all servers of a fleet: if each rounded up, the sum
+// would be many times its share while each sends less than one. With the draw the mean over the servers is that share,
+// without any communication between them.
 func (p *Pool) connectionLimit(now float64, m *member) int {
-	return min(p.config.MaxConnections, int(float64(p.config.MaxConnections)*p.loadShare(now, m)+m.roundingDraw))
+	share := float64(p.config.MaxConnections) * p.loadShare(now, m)
+	return min(p.config.MaxConnections, int(share+m.roundingDraw))
 }
 
-// choose takes the better of two members drawn by chance, each by its part.
+// choose returns the better of two members drawn at random, each weighted by its load share; nil if none has capacity.
 func (p *Pool) choose(now float64, avoid []int, caller uint64) *member {
-	free := make([]*member, 0, 16)
+	candidates := make([]*member, 0, 16)
 	for _, m := range p.members {
 		if p.hasCapacity(now, m, caller) && !slices.Contains(avoid, m.id) {
-			free = append(free, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(free) == 0 && len(avoid) > 0 && !slices.ContainsFunc(p.members, func(m *member) bool {
-		return p.admits(m, caller) && !slices.Contains(avoid, m.id)
-	}) { // all that are left have failed it
-		return p.choose(now, nil, caller)
-	}
-	if len(free) == 0 {
+	if len(candidates) == 0 {
+		if len(avoid) > 0 && !p.anyAdmits(avoid, caller) { // all that are left have failed the request
+			return p.choose(now, nil, caller)
+		}
 		return nil
 	}
 	if p.config.RoundRobin {
 		p.roundRobinIndex++
-		return free[p.roundRobinIndex%len(free)]
+		return candidates[p.roundRobinIndex%len(candidates)]
 	}
-	a, b := p.drawWeighted(now, free), p.drawWeighted(now, free)
-	if p.expectedWait(now, b) < p.expectedWait(now, a) {
-		return b
+	first := p.drawWeighted(now, candidates)
+	second := p.drawWeighted(now, candidates)
+	if p.expectedWait(now, second) < p.expectedWait(now, first) {
+		return second
 	}
-	return a
+	return first
+}
+
+// anyAdmits reports whether a member outside avoid takes the caller's requests, now or once it has capacity.
+func (p *Pool) anyAdmits(avoid []int, caller uint64) bool {
+	return slices.ContainsFunc(p.members, func(m *member) bool {
+		return p.admits(m, caller) && !slices.Contains(avoid, m.id)
+	})
 }
 
-// draw takes one by chance, each by its part.
-func (p *Pool) drawWeighted(now float64, free []*member) *member {
-	sum := 0.0
-	for _, m := range free {
-		sum += p.loadShare(now, m)
+// drawWeighted draws one candidate at random, weighted by load share.
+func (p *Pool) drawWeighted(now float64, candidates []*member) *member {
+	total := 0.0
+	for _, m := range candidates {
+		total += p.loadShare(now, m)
 	}
-	x := p.random.Float64() * sum
-	for _, m := range free {
+	x := p.random.Float64() * total
+	for _, m := range candidates {
 		if x -= p.loadShare(now, m); x < 0 {
 			return m
 		}
 	}
-	return free[len(free)-1]
+	return candidates[len(candidates)-1]
 }
 
-// load is the expected time at a member: RPCs in flight, this one included, by their latency of late, and by the
-// part that a returning one may have.
+// expectedWait estimates the time of one more request at a member: requests in flight, this one included, times the
+// recent latency, over the member's load share.
 func (p *Pool) expectedWait(now float64, m *member) float64 {
 	latency := m.meanLatency
 	if m.samples < minSamples {
@@ -126,38 +145,36 @@
 	return float64(m.inFlight+1) * math.Max(1, latency) / p.loadShare(now, m)
 }
 
-// How is the outcome of a request at a member, as End records it.
+// Outcome is how a request at a member ended.
 type Outcome int
 
+// The outcomes.
 const (
-	Succeeded Outcome = iota // a response that counts as success; its latency is recorded
-	Failed                   // an answer that says so, a broken connection, none in time
-	Canceled                 // its caller gave up: nothing is said of the member
+	// Succeeded: a response that counts as success; its latency is recorded.
+	Succeeded Outcome = iota
+	// Failed: an error response, a broken connection, or no response in time.
+	Failed
+	// Canceled: the caller gave up, which says nothing about the member.
+	Canceled
 )
 
-// Grant is a member granted to a queued request: ID is the caller's name of the request, Member the member's id.
+// Grant is a member granted to a queued request.
 type Grant struct {
-	ID     uint64
+	ID     uint64 // of the request, as Acquire was given it
 	Member int
 }
 
-// End books the end of an RPC at a member after latency ms, and grants what room there is to those that wait.
-func (p *Pool) Complete(now float64, member int, how Outcome, latency float64) []Grant {
+// Complete records the end of a request at a member after latency ms, and grants the freed capacity to queued requests.
+func (p *Pool) Complete(now float64, member int, outcome Outcome, latency float64) []Grant {
 	m := p.member(member)
 	if m == nil || m.inFlight == 0 {
 		return nil
 	}
 	m.inFlight--
-	switch how {
+	switch outcome {
 	case Succeeded:
-		m.failuresInARow, m.silentSince = 0, now
-		if m.samples == 0 {
-			m.meanLatency = latency
-		} else { // a rise counts at once in part, so that a member that turns slow is left to itself soon
-			m.meanLatency += latencyWeight * (latency - m.meanLatency)
-		}
-		m.samples++
-	case Failed: // its latency says nothing: one that fails fast must not look quick
+		m.recordSuccess(now, latency)
+	case Failed: // its latency is not learnt: a member that fails fast must not look quick
 		m.failuresInARow++
 		m.silentSince = now
 		if m.ejection == NotEjected && p.config.ConsecutiveFailures > 0 && m.failuresInARow >= p.config.ConsecutiveFailures {
@@ -167,6 +184,17 @@
 	if m.inFlight == 0 {
 		m.silentSince = now
 	}
-	p.removeIdleDeleted()
+	p.deleteRemoved()
 	return p.Update(now)
 }
+
+func (m *member) recordSuccess(now, latency float64) {
+	m.failuresInARow = 0
+	m.silentSince = now
+	if m.samples == 0 {
+		m.meanLatency = latency
+	} else { // part of a rise counts at once, so that a member that turns slow soon gets less
+		m.meanLatency += latencyWeight * (latency - m.meanLatency)
+	}
+	m.samples++
+}
--- a/decision/pool/ejection.go
+++ b/decision/pool/ejection.go
@@ -1,41 +1,49 @@
 package pool
 
-import (
-	"math"
-)
+import "math"
 
-// Why is the reason a member is out of use; Sound means it is in use.
+// EjectionReason is why a member gets no new requests; NotEjected means that it is in use.
 type EjectionReason int
 
+// The reasons.
 const (
-	NotEjected        EjectionReason = iota // in use
-	FailuresInARow                          // consecutive failures
-	HighLatency                             // far slower than the rest
-	Unresponsive                            // work in hand and no answer
-	HealthCheckFailed                       // active checks
-	EjectedByFleet                          // by the fleet
-	Draining                                // an operator has it drained
+	// NotEjected: the member is in use.
+	NotEjected EjectionReason = iota
+	// FailuresInARow: consecutive requests failed.
+	FailuresInARow
+	// HighLatency: its latency is far above the other members' median.
+	HighLatency
+	// Unresponsive: it has requests in flight and has not responded for long.
+	Unresponsive
+	// HealthCheckFailed: consecutive active health checks failed.
+	HealthCheckFailed
+	// EjectedByFleet: the fleet decided so; see UseFleetDecisions.
+	EjectedByFleet
+	// Draining: an operator drains it; see SetDraining.
+	Draining
 )
 
 // String returns the reason as logs and status pages print it; out-of-range values print as the nearest reason.
-func (w EjectionReason) String() string {
-	return [...]string{"sound", "failing", "slow", "silent", "checked", "judged by the fleet", "drained"}[min(max(w, 0), Draining)]
+func (r EjectionReason) String() string {
+	names := [...]string{"sound", "failing", "slow", "silent", "checked", "judged by the fleet", "drained"}
+	return names[min(max(r, 0), Draining)]
 }
 
-// Event is an ejection or a return of a member, for logs and counters. For is the ejection duration in ms, 0 for a
-// return or a fleet ejection.
+// Event is an ejection or a return of a member, for logs and counters.
 type Event struct {
 	Addr     string
-	Reason   EjectionReason // Sound: it returned
-	Duration float64
+	Reason   EjectionReason // NotEjected: it returned
+	Duration float64        // of the ejection in ms; 0 for a return, a drain or an ejection by the fleet
 }
 
+// updateEjections ends the ejections that are over and ejects members that are slow or unresponsive now.
 func (p *Pool) updateEjections(now float64) {
 	if p.fleetAdmits != nil {
 		return
 	}
 	for _, m := range p.members {
-		if m.ejection != NotEjected && now >= m.ejectedUntil && (p.config.HealthCheckInterval == 0 || m.passedHealthCheck) {
+		checked := p.config.HealthCheckInterval == 0 || m.passedHealthCheck
+		if m.ejection != NotEjected && now >= m.ejectedUntil && checked {
 			p.restore(now, m)
 		}
 	}
@@ -48,87 +56,112 @@
 			continue
 		}
 		switch {
-		case p.config.LatencyFactor > 0 && m.samples >= minSamples && m.meanLatency > p.config.LatencyFactor*usual:
+		case p.isSlow(m, usual):
 			p.eject(now, m, HighLatency)
-		case p.config.ConsecutiveFailures > 0 && m.inFlight > 1 && now-m.silentSince > math.Max(minSilence, silenceFactor*math.Max(usual, m.meanLatency)):
+		case p.isUnresponsive(now, m, usual):
 			p.eject(now, m, Unresponsive)
 		}
 	}
 }
 
+func (p *Pool) isSlow(m *member, usual float64) bool {
+	return p.config.LatencyFactor > 0 && m.samples >= minSamples && m.meanLatency > p.config.LatencyFactor*usual
+}
+
+// isUnresponsive goes by two requests in flight at least: a single one may just be long.
+func (p *Pool) isUnresponsive(now float64, m *member, usual float64) bool {
+	if p.config.ConsecutiveFailures <= 0 || m.inFlight <= 1 {
+		return false
+	}
+	limit := math.Max(minSilence, silenceFactor*math.Max(usual, m.meanLatency))
+	return now-m.silentSince > limit
+}
+
 // eject takes a member out of use, unless too few would be left.
-func (p *Pool) eject(now float64, m *member, why EjectionReason) {
+func (p *Pool) eject(now float64, m *member, reason EjectionReason) {
 	if p.fleetAdmits != nil {
 		return
 	}
-	in, all := 0, 0
-	for _, o := range p.members {
-		if !o.removed {
-			all++
-			if o.ejection == NotEjected && !o.draining {
-				in++
-			}
+	inUse, configured := 0, 0
+	for _, other := range p.members {
+		if other.removed {
+			continue
+		}
+		configured++
+		if other.usable() {
+			inUse++
 		}
 	}
-	share := p.config.MinHealthyShare
-	if why == HighLatency || why == Unresponsive {
-		share = math.Max(share, minInUseForWeakEvidence)
+	minShare := p.config.MinHealthyShare
+	if reason == HighLatency || reason == Unresponsive {
+		minShare = math.Max(minShare, minInUseForWeakEvidence)
 	}
-	if float64(in-1) < share*float64(all) {
+	if float64(inUse-1) < minShare*float64(configured) {
 		return
 	}
-	if now-m.returnedAt > ejectionResetFactor*m.ejectionDuration { // it had been sound for a while
+	if now-m.returnedAt > ejectionResetFactor*m.ejectionDuration { // it had been healthy for a while
 		m.ejectionDuration = 0
 	}
-	m.ejectionDuration = math.Min(maxEjectionFactor*p.config.BaseEjection, math.Max(p.config.BaseEjection, 2*m.ejectionDuration))
-	m.ejection, m.ejectedUntil, m.passedHealthCheck, m.nextHealthCheck = why, now+m.ejectionDuration, false, now+m.ejectionDuration
-	p.events = append(p.events, Event{m.addr, why, m.ejectionDuration})
+	longest := maxEjectionFactor * p.config.BaseEjection
+	m.ejectionDuration = math.Min(longest, math.Max(p.config.BaseEjection, 2*m.ejectionDuration))
+	m.ejection = reason
+	m.ejectedUntil = now + m.ejectionDuration
+	m.passedHealthCheck = false
+	m.nextHealthCheck = m.ejectedUntil
+	p.events = append(p.events, Event{Addr: m.addr, Reason: reason, Duration: m.ejectionDuration})
 }
 
-// refill takes ejected members back, the one first that would return first, where members that went have left too few.
+// restoreMinHealthy returns ejected members to use, the one due first before others, while fewer than the minimum
+// share are in use, as after members were removed or drained.
 func (p *Pool) restoreMinHealthy(now float64) {
 	if p.fleetAdmits != nil {
 		return
 	}
 	for {
-		var first *member
-		in, all := 0, 0
+		var next *member
+		inUse, configured := 0, 0
 		for _, m := range p.members {
-			switch {
-			case m.removed:
+			if m.removed {
 				continue
+			}
+			configured++
+			switch {
 			case m.draining:
 			case m.ejection == NotEjected:
-				in++
-			case first == nil || m.ejectedUntil < first.ejectedUntil:
-				first = m
+				inUse++
+			case next == nil || m.ejectedUntil < next.ejectedUntil:
+				next = m
 			}
-			all++
 		}
-		if first == nil || float64(in) >= p.config.MinHealthyShare*float64(all) {
+		if next == nil || float64(inUse) >= p.config.MinHealthyShare*float64(configured) {
 			return
 		}
-		p.restore(now, first)
+		p.restore(now, next)
 	}
 }
 
-// restore takes an ejected member back. What it has done before is no longer held against it.
+// restore returns a member to use, in slow start and with its record of failures and latency cleared.
 func (p *Pool) restore(now float64, m *member) {
-	m.ejection, m.returnedAt, m.failuresInARow, m.samples, m.silentSince = NotEjected, now, 0, 0, now
+	m.ejection = NotEjected
+	m.returnedAt = now
+	m.failuresInARow = 0
+	m.samples = 0
+	m.silentSince = now
 	m.roundingDraw = p.random.Float64()
 	p.events = append(p.events, Event{Addr: m.addr})
 }
 
-// Soonest is the ms until an ejected member may return, 0 if none is ejected: what to tell one that found no room.
+// UntilNextReturn returns the ms until the next ejected member may return, 0 if none is ejected: the Retry-After of a
+// request that found no capacity.
 func (p *Pool) UntilNextReturn(now float64) float64 {
-	least := math.Inf(1)
+	soonest := math.Inf(1)
 	for _, m := range p.members {
 		if !m.removed && m.ejection != NotEjected {
-			least = math.Min(least, m.ejectedUntil-now)
+			soonest = math.Min(soonest, m.ejectedUntil-now)
 		}
 	}
-	if math.IsInf(least, 1) {
+	if math.IsInf(soonest, 1) {
 		return 0
 	}
-	return math.Max(0, least)
+	return math.Max(0, soonest)
 }
--- a/decision/pool/fleet.go
+++ b/decision/pool/fleet.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Verdict is what the fleet says of a member.
+// FleetDecision is what the fleet has decided about one member.
 type FleetDecision struct {
 	Addr        string
 	Ejected     bool
-	CallerShare float64 // of the callers that it gets RPCs of, if it is not out; takes says whose
+	CallerShare float64 // fraction of the callers whose requests it gets, if it is not ejected
 }
 
-// Takes tells whether the pool goes by the fleet's verdicts.
+// FollowsFleet reports whether the pool follows the fleet's decisions.
 func (p *Pool) FollowsFleet() bool { return p.fleetAdmits != nil }
 
-// Alone has the pool judge for itself again, as without a fleet. What it did on hearsay is taken back.
+// UseLocalDetection makes the pool detect outliers by itself, as without a fleet. Ejections by the fleet end.
 func (p *Pool) UseLocalDetection(now float64) {
 	if p.fleetAdmits == nil {
 		return
@@ -28,43 +28,45 @@
 	}
 }
 
-// Judge has the pool go by the fleet's verdicts from now on: it ejects and takes back nobody by itself. takes tells whether a
-// member with a share gets a caller's RPCs. A member without a verdict is in use.
-func (p *Pool) UseFleetDecisions(now float64, all []FleetDecision, takes func(member string, caller uint64, share float64) bool) {
-	p.fleetAdmits = takes
+// UseFleetDecisions makes the pool follow the fleet's decisions: it ejects and returns no member by itself. A member
+// without a decision is in use. admits reports whether a member with a caller share takes a caller's requests.
+func (p *Pool) UseFleetDecisions(now float64, decisions []FleetDecision, admits func(member string, caller uint64, share float64) bool) {
+	p.fleetAdmits = admits
 	for _, m := range p.members {
-		out, share := false, 1.0
-		for i := range all {
-			if all[i].Addr == m.addr {
-				out, share = all[i].Ejected, all[i].CallerShare
+		decision := FleetDecision{CallerShare: 1}
+		for i := range decisions {
+			if decisions[i].Addr == m.addr {
+				decision = decisions[i]
 			}
 		}
 		switch {
-		case out && m.ejection == NotEjected:
-			m.ejection, m.ejectedUntil = EjectedByFleet, math.Inf(1)
+		case decision.Ejected && m.ejection == NotEjected:
+			m.ejection = EjectedByFleet
+			m.ejectedUntil = math.Inf(1)
 			p.events = append(p.events, Event{Addr: m.addr, Reason: EjectedByFleet})
-		case !out && m.ejection != NotEjected:
+		case !decision.Ejected && m.ejection != NotEjected:
 			p.restore(now, m)
-			m.meanLatency = p.medianOfAnswering(m) // its own is of another time: its load is to be its part of the callers
+			// Its own latency is of another time, and its load is to follow from its share of the callers.
+			m.meanLatency = p.medianOfResponding(m)
 		}
-		m.callerShare = share
+		m.callerShare = decision.CallerShare
 	}
 }
 
-// Aside leaves members alone that are being drained, and no others: they get nothing new, neither first tries nor probes, and use
-// up what the pool may spare before any is ejected. One that is no longer drained returns by its ramp. Where all are drained
-// none is left alone: that is nobody's intent, and names come back as what could not be done.
-func (p *Pool) SetDraining(now float64, addrs []string) (cannot []string) {
-	in := 0
+// SetDraining marks the members at addrs as drained by an operator, and no others: they get no requests and no trials,
+// and count against the share that ejection may take out of use. One that is no longer drained returns in slow start.
+// If all members are listed none is drained, as nobody intends that; refused then holds their addresses.
+func (p *Pool) SetDraining(now float64, addrs []string) (refused []string) {
+	remaining := 0
 	for _, m := range p.members {
 		if !m.removed && !slices.Contains(addrs, m.addr) {
-			in++
+			remaining++
 		}
 	}
 	for _, m := range p.members {
 		drained := !m.removed && slices.Contains(addrs, m.addr)
-		if drained && in == 0 {
-			cannot = append(cannot, m.addr)
+		if drained && remaining == 0 {
+			refused = append(refused, m.addr)
 			drained = false
 		}
 		switch {
@@ -76,5 +78,5 @@
 		m.draining = drained
 	}
 	p.restoreMinHealthy(now)
-	return cannot
+	return refused
 }
--- a/decision/pool/healthcheck.go
+++ b/decision/pool/healthcheck.go
@@ -1,6 +1,7 @@
 package pool
 
-// Checks are the members whose active check is due. Each is to be told by Checked.
+// DueHealthChecks returns the members whose active health check is due now. The caller runs each check and reports it
+// by RecordHealthCheck, before which the member is not returned again.
 func (p *Pool) DueHealthChecks(now float64) (ids []int) {
 	if p.config.HealthCheckInterval <= 0 {
 		return nil
@@ -14,22 +15,25 @@
 	return ids
 }
 
-// Checked is the end of an active check.
-func (p *Pool) RecordHealthCheck(now float64, id int, good bool) {
+// RecordHealthCheck records the result of an active health check. Consecutive failures eject the member; an ejected one
+// needs a success before it returns.
+func (p *Pool) RecordHealthCheck(now float64, id int, healthy bool) {
 	m := p.member(id)
 	if m == nil {
 		return
 	}
-	// Spread by chance, so that a fleet of servers does not check a member all at once.
-	m.healthCheckInFlight, m.nextHealthCheck = false, now+p.config.HealthCheckInterval*(0.75+0.5*p.random.Float64())
-	switch {
-	case m.ejection != NotEjected:
-		m.passedHealthCheck = m.passedHealthCheck || good
-	case good:
-		// A check is no traffic: what RPCs say of the member counts for more.
-	default:
-		if m.failuresInARow++; p.config.ConsecutiveFailures > 0 && m.failuresInARow >= p.config.ConsecutiveFailures {
-			p.eject(now, m, HealthCheckFailed)
-		}
+	jitter := 1 - healthCheckJitter + 2*healthCheckJitter*p.random.Float64()
+	m.healthCheckInFlight = false
+	m.nextHealthCheck = now + p.config.HealthCheckInterval*jitter
+	if m.ejection != NotEjected {
+		m.passedHealthCheck = m.passedHealthCheck || healthy
+		return
+	}
+	if healthy { // resets no failures: real requests say more about a member than a check
+		return
+	}
+	m.failuresInARow++
+	if p.config.ConsecutiveFailures > 0 && m.failuresInARow >= p.config.ConsecutiveFailures {
+		p.eject(now, m, HealthCheckFailed)
 	}
 }
--- a/decision/pool/pool_test.go
+++ b/decision/pool/pool_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-var usual = Config{MaxConnections: 8, MaxQueued: 16, QueueTimeout: 100, ConsecutiveFailures: 3, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 1000, SlowStart: 5000}
+var testConfig = Config{MaxConnections: 8, MaxQueued: 16, QueueTimeout: 100, ConsecutiveFailures: 3, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 1000, SlowStart: 5000}
 
 func addrs(n int) (all []string) {
 	for i := range n {
@@ -18,8 +18,8 @@
 	return all
 }
 
-// warmed is a pool of which each member has answered often enough for its latency to tell.
-func warmed(r Config, n int) *Pool {
+// newWarmPool returns a pool of n members, each with enough samples for its mean latency to count.
+func newWarmPool(r Config, n int) *Pool {
 	p := New(r, addrs(n), 1, 0)
 	for _, m := range p.members {
 		for range minSamples {
@@ -30,8 +30,8 @@
 	return p
 }
 
-// grab asks until the member is the one named, and gives the others back.
-func grab(t *testing.T, p *Pool, now float64, addr string) int {
+// acquireFrom acquires until the member is the one at addr, and completes the others.
+func acquireFrom(t *testing.T, p *Pool, now float64, addr string) int {
 	t.Helper()
 	for range 1000 {
 		id, got := p.Acquire(now, 0, nil, 0)
@@ -47,7 +47,7 @@
 	return 0
 }
 
-func out(p *Pool, now float64) (n int) {
+func ejectedCount(p *Pool, now float64) (n int) {
 	p.Update(now)
 	for _, s := range p.MemberStates(now) {
 		if s.Ejection != NotEjected {
@@ -66,54 +66,54 @@
 	}{
 		{"failures in a row", nil, func(t *testing.T, p *Pool) float64 {
 			for range 3 {
-				p.Complete(10, grab(t, p, 10, "m0"), Failed, 1)
+				p.Complete(10, acquireFrom(t, p, 10, "m0"), Failed, 1)
 			}
 			return 10
 		}, FailuresInARow},
 		{"failures with an answer between", nil, func(t *testing.T, p *Pool) float64 {
 			for _, how := range []Outcome{Failed, Failed, Succeeded, Failed, Failed} {
-				p.Complete(10, grab(t, p, 10, "m0"), how, 20)
+				p.Complete(10, acquireFrom(t, p, 10, "m0"), how, 20)
 			}
 			return 10
 		}, NotEjected},
 		{"callers that withdraw say nothing", nil, func(t *testing.T, p *Pool) float64 {
 			for range 9 {
-				p.Complete(10, grab(t, p, 10, "m0"), Canceled, 1)
+				p.Complete(10, acquireFrom(t, p, 10, "m0"), Canceled, 1)
 			}
 			return 10
 		}, NotEjected},
 		{"ten times slower than the rest", nil, func(t *testing.T, p *Pool) float64 {
 			for range 8 {
-				if out(p, 10) == 0 {
-					p.Complete(10, grab(t, p, 10, "m0"), Succeeded, 200)
+				if ejectedCount(p, 10) == 0 {
+					p.Complete(10, acquireFrom(t, p, 10, "m0"), Succeeded, 200)
 				}
 			}
 			return 10
 		}, HighLatency},
 		{"all slow alike", nil, func(t *testing.T, p *Pool) float64 {
 			for i := range 40 {
-				p.Complete(10, grab(t, p, 10, fmt.Sprint("m", i%4)), Succeeded, 20+float64(i)*5)
+				p.Complete(10, acquireFrom(t, p, 10, fmt.Sprint("m", i%4)), Succeeded, 20+float64(i)*5)
 			}
 			return 10
 		}, NotEjected},
 		{"work in hand and no answer", nil, func(t *testing.T, p *Pool) float64 {
-			grab(t, p, 10, "m0")
-			grab(t, p, 10, "m0")
+			acquireFrom(t, p, 10, "m0")
+			acquireFrom(t, p, 10, "m0")
 			return 250
 		}, Unresponsive},
 		{"the same while another is out: under the load of both it proves nothing", nil, func(t *testing.T, p *Pool) float64 {
 			for range 3 {
-				p.Complete(10, grab(t, p, 10, "m1"), Failed, 1)
+				p.Complete(10, acquireFrom(t, p, 10, "m1"), Failed, 1)
 			}
-			grab(t, p, 10, "m0")
-			grab(t, p, 10, "m0")
+			acquireFrom(t, p, 10, "m0")
+			acquireFrom(t, p, 10, "m0")
 			return 250
 		}, NotEjected},
 		{"one long work is no silence", nil, func(t *testing.T, p *Pool) float64 {
-			grab(t, p, 10, "m0")
+			acquireFrom(t, p, 10, "m0")
 			return 250
 		}, NotEjected},
-		{"checks that fail", func(r *Config) { r.HealthCheckInterval = 100 }, func(t *testing.T, p *Pool) float64 {
+		{"checks that fail", func(r *Config) { r.HealthCheckInterval = 100 }, func(_ *testing.T, p *Pool) float64 {
 			for now := 0.0; now < 1000; now += 50 {
 				for _, id := range p.DueHealthChecks(now) {
 					p.RecordHealthCheck(now, id, p.Addr(id) != "m0")
@@ -123,18 +123,18 @@
 		}, HealthCheckFailed},
 		{"not below the share that stays", func(r *Config) { r.MinHealthyShare = 1 }, func(t *testing.T, p *Pool) float64 {
 			for range 9 {
-				p.Complete(10, grab(t, p, 10, "m0"), Failed, 1)
+				p.Complete(10, acquireFrom(t, p, 10, "m0"), Failed, 1)
 			}
 			return 10
 		}, NotEjected},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := usual
+			r := testConfig
 			if c.rules != nil {
 				c.rules(&r)
 			}
-			p := warmed(r, 4)
+			p := newWarmPool(r, 4)
 			now := c.do(t, p)
 			p.Update(now)
 			if got := p.MemberStates(now)[0]; got.Ejection != c.want {
@@ -144,17 +144,17 @@
 	}
 }
 
-// A member that returns gets a tenth of its places at first, and all in the time told; ejected again soon, it is out
-// for twice as long.
-func TestReturn(t *testing.T) {
-	p := warmed(usual, 4)
+// A returning member gets a tenth of its connections at first and all of them after the slow start; ejected again soon,
+// it stays out for twice as long.
+func TestSlowStart(t *testing.T) {
+	p := newWarmPool(testConfig, 4)
 	fail := func(now float64) {
 		for range 3 {
-			p.Complete(now, grab(t, p, now, "m0"), Failed, 1)
+			p.Complete(now, acquireFrom(t, p, now, "m0"), Failed, 1)
 		}
 	}
 	fail(0)
-	if out(p, 999) != 1 || out(p, 1000) != 0 {
+	if ejectedCount(p, 999) != 1 || ejectedCount(p, 1000) != 0 {
 		t.Fatal("not back after its ejection")
 	}
 	places := func(now float64) int {
@@ -181,11 +181,11 @@
 		}
 	}
 	fail(2000)
-	if out(p, 3999) != 1 || out(p, 4000) != 0 {
+	if ejectedCount(p, 3999) != 1 || ejectedCount(p, 4000) != 0 {
 		t.Error("the second ejection is not twice as long")
 	}
 	fail(60000)
-	if out(p, 60999) != 1 || out(p, 61000) != 0 {
+	if ejectedCount(p, 60999) != 1 || ejectedCount(p, 61000) != 0 {
 		t.Error("after a calm time it is not a first one again")
 	}
 	if e := p.Events(); len(e) != 6 || e[0].Reason != FailuresInARow || e[1].Reason != NotEjected {
@@ -193,14 +193,14 @@
 	}
 }
 
-// All of them bad: with no share that must stay all go, and the wait is told; with one, some are still asked.
+// All members fail: with no minimum share all are ejected, and the time until the first return is known.
 func TestAllBad(t *testing.T) {
-	r := usual
+	r := testConfig
 	r.MinHealthyShare = 0
-	p := warmed(r, 3)
+	p := newWarmPool(r, 3)
 	for i := range 3 {
 		for range 3 {
-			p.Complete(0, grab(t, p, 0, fmt.Sprint("m", i)), Failed, 1)
+			p.Complete(0, acquireFrom(t, p, 0, fmt.Sprint("m", i)), Failed, 1)
 		}
 	}
 	if _, got := p.Acquire(1, 1, nil, 0); got != Queued || p.UntilNextReturn(1) != 999 {
@@ -209,13 +209,13 @@
 	if ids := p.ExpireQueued(101); len(ids) != 1 || ids[0] != 1 {
 		t.Errorf("expired %v", ids)
 	}
-	if got := p.Update(1000); len(got) != 0 || out(p, 1000) != 0 {
+	if got := p.Update(1000); len(got) != 0 || ejectedCount(p, 1000) != 0 {
 		t.Errorf("granted %v", got)
 	}
 }
 
-func TestLine(t *testing.T) {
-	r := usual
+func TestQueue(t *testing.T) {
+	r := testConfig
 	r.MaxConnections, r.MaxQueued = 1, 2
 	p := New(r, addrs(1), 1, 0)
 	id, _ := p.Acquire(0, 1, nil, 0)
@@ -232,11 +232,11 @@
 	}
 }
 
-// A new set of members: what stays keeps its state, what goes ends when its last RPC has, what comes begins slowly.
+// A new set of members: those that stay keep their state, removed ones go with their last request, new ones start slowly.
 func TestSet(t *testing.T) {
-	p := warmed(usual, 3)
-	old := grab(t, p, 0, "m0")
-	p.Set(0, usual, []string{"m1", "m9"})
+	p := newWarmPool(testConfig, 3)
+	old := acquireFrom(t, p, 0, "m0")
+	p.Set(0, testConfig, []string{"m1", "m9"})
 	if p.Addr(old) != "m0" {
 		t.Error("a member in use is forgotten")
 	}
@@ -254,7 +254,7 @@
 }
 
 func TestAvoid(t *testing.T) {
-	p := warmed(usual, 2)
+	p := newWarmPool(testConfig, 2)
 	for range 100 {
 		id, got := p.Acquire(0, 0, []int{0}, 0)
 		if got != Granted || id != 1 {
@@ -267,11 +267,11 @@
 	}
 }
 
-// Whatever comes: no member has more in flight than it has places, the share that must stay stays, who waits is
-// granted once or expires once, and nobody waits while there is room.
+// Under random operations no member exceeds its connection limit, some member stays in use if there is a minimum share,
+// and each queued request is granted once or expires once.
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := usual
+		r := testConfig
 		r.MaxConnections, r.MaxQueued = rapid.IntRange(1, 3).Draw(t, "connections"), rapid.IntRange(0, 4).Draw(t, "waiting")
 		r.MinHealthyShare = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "share")
 		r.HealthCheckInterval = rapid.SampledFrom([]float64{0, 200}).Draw(t, "check")
@@ -342,14 +342,14 @@
 	})
 }
 
-// One member of five serves at a tenth of the speed: how much of the traffic it still gets, by way of choosing.
+// One member of five serves at a tenth of the speed: the share of the traffic that it still gets, by balancing policy.
 func BenchmarkChoose(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		turn bool
 	}{{"power of two", false}, {"round robin", true}} {
 		b.Run(c.name, func(b *testing.B) {
-			r := usual
+			r := testConfig
 			r.LatencyFactor, r.ConsecutiveFailures, r.RoundRobin, r.MaxConnections = 0, 0, c.turn, 64
 			p := New(r, addrs(5), 1, 0)
 			type run struct {
@@ -357,7 +357,7 @@
 				end    float64
 			}
 			var flying []run
-			chance, now, slow, n := rand.New(rand.NewSource(1)), 0.0, 0.0, 0.0
+			random, now, slow, n := rand.New(rand.NewSource(1)), 0.0, 0.0, 0.0
 			for b.Loop() {
 				now++
 				for k := 0; k < len(flying); k++ {
@@ -368,7 +368,7 @@
 					}
 				}
 				if id, got := p.Acquire(now, 0, nil, 0); got == Granted {
-					took := 10 * chance.ExpFloat64()
+					took := 10 * random.ExpFloat64()
 					if n++; id == 0 {
 						took *= 10
 						slow++
@@ -381,8 +381,9 @@
 	}
 }
 
-// Judged by the fleet, the pool ejects nobody by itself; who is out gets probes only; one that returns gets its callers' RPCs.
-func TestJudged(t *testing.T) {
+// Under the fleet's decisions the pool ejects nobody by itself; an ejected member gets trials only; a returning one gets
+// the requests of its callers.
+func TestFleetDecisions(t *testing.T) {
 	p := New(Config{MaxConnections: 4, MaxQueued: 4, QueueTimeout: 100, ConsecutiveFailures: 2, LatencyFactor: 2, MinHealthyShare: 0.5, BaseEjection: 1000, SlowStart: 1000}, []string{"a", "b"}, 1, 0)
 	odd := func(_ string, caller uint64, share float64) bool { return share >= 1 || caller%2 == 1 }
 	p.UseFleetDecisions(0, nil, odd)
@@ -420,9 +421,10 @@
 	}
 }
 
-// Drained members get nothing, use up what the pool may spare, and return by their ramp; where all would go, none does.
-func TestAside(t *testing.T) {
-	p := warmed(usual, 4)
+// Drained members get no requests, count against the share that may be out, and return in slow start; where all would
+// drain, none does.
+func TestDraining(t *testing.T) {
+	p := newWarmPool(testConfig, 4)
 	if cannot := p.SetDraining(0, []string{"m1"}); len(cannot) != 0 {
 		t.Fatal(cannot)
 	}
@@ -437,17 +439,17 @@
 		t.Error("a probe of a drained member")
 	}
 	bad := func(addr string) {
-		for range usual.ConsecutiveFailures {
-			p.Complete(20, grab(t, p, 20, addr), Failed, 1)
+		for range testConfig.ConsecutiveFailures {
+			p.Complete(20, acquireFrom(t, p, 20, addr), Failed, 1)
 		}
 	}
 	bad("m2") // two of four may be out: the drained one and this
-	for range usual.ConsecutiveFailures {
+	for range testConfig.ConsecutiveFailures {
 		if id, got := p.Acquire(20, 0, nil, 0); got == Granted {
 			p.Complete(20, id, Failed, 1)
 		}
 	}
-	if n := out(p, 30); n != 2 {
+	if n := ejectedCount(p, 30); n != 2 {
 		t.Errorf("%d of 4 out, 2 may be", n)
 	}
 	p.SetDraining(40, nil)
@@ -462,8 +464,8 @@
 	}
 }
 
-// What all processes together have in flight at a member that has returned to each of them stays within its part, and what
-// chance adds to that: over N by 2 roots of N and 2 at no moment, whatever they want, and each may take up its part.
+// What all processes together have in flight at a returning member stays within the sum N of its load shares, plus
+// 2 √N + 2 for the random rounding, at every moment and whatever they ask for; and each can use its share.
 func TestReturnOfManyProcesses(t *testing.T) {
 	const cases = 60 // of each row
 	for _, c := range []struct {
@@ -475,30 +477,30 @@
 		{3, 8, true, 0.3}, {20, 4, true, 0.3}, {30, 4, true, 0.3}, {30, 1, true, 1}, {30, 8, false, 1},
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			chance := rand.New(rand.NewSource(int64(c.processes*100 + c.connections)))
-			rules := usual
-			rules.MaxConnections = c.connections
+			random := rand.New(rand.NewSource(int64(c.processes*100 + c.connections)))
+			config := testConfig
+			config.MaxConnections = c.connections
 			used, most := 0.0, 0.0
 			for n := range cases {
 				pools := make([]*Pool, c.processes)
 				for i := range pools {
-					p := New(rules, addrs(2), uint64(n*1000+i), 0)
-					p.restore(c.apart*rules.SlowStart*chance.Float64(), p.members[0]) // each saw its end at another time
+					p := New(config, addrs(2), uint64(n*1000+i), 0)
+					p.restore(c.apart*config.SlowStart*random.Float64(), p.members[0]) // each saw its end at another time
 					pools[i] = p
 				}
-				for now := c.apart * rules.SlowStart; now < 3*rules.SlowStart; now += rules.SlowStart / 50 {
+				for now := c.apart * config.SlowStart; now < 3*config.SlowStart; now += config.SlowStart / 50 {
 					all, inFlight := 0.0, 0
 					for i, p := range pools {
 						m := p.members[0]
 						all += float64(c.connections) * p.loadShare(now, m)
-						if c.skewed && i%5 > 0 && chance.Intn(4) > 0 {
+						if c.skewed && i%5 > 0 && random.Intn(4) > 0 {
 							continue // wants nothing just now
 						}
 						for p.hasCapacity(now, m, 0) { // first tries, retries and hedges alike
 							p.assign(now, m)
 						}
 						inFlight += m.inFlight
-						if chance.Intn(2) == 0 && m.inFlight > 0 {
+						if random.Intn(2) == 0 && m.inFlight > 0 {
 							p.Complete(now, m.id, Succeeded, 20)
 						}
 					}
--- a/decision/pool/queue.go
+++ b/decision/pool/queue.go
@@ -1,9 +1,8 @@
 package pool
 
-import (
-	"slices"
-)
+import "slices"
 
+// queuedRequest is a request that waits for capacity.
 type queuedRequest struct {
 	id       uint64
 	deadline float64
@@ -11,43 +10,45 @@
 	caller   uint64
 }
 
-// Look ejects and takes back members as the time asks for, and grants room to those that wait.
+// Update ends and starts ejections as the time requires, and grants capacity to queued requests. Call it regularly;
+// Complete calls it as well.
 func (p *Pool) Update(now float64) (grants []Grant) {
 	p.updateEjections(now)
-	for n := 0; n < len(p.queue); {
-		w := p.queue[n]
-		m := p.choose(now, w.avoid, w.caller)
+	for i := 0; i < len(p.queue); {
+		request := p.queue[i]
+		m := p.choose(now, request.avoid, request.caller)
 		if m == nil {
-			if len(w.avoid) > 0 { // another, that avoids nobody, may still find one
-				n++
+			if len(request.avoid) > 0 { // a later request that avoids nobody may still find a member
+				i++
 				continue
 			}
 			break
 		}
 		p.assign(now, m)
-		p.queue = slices.Delete(p.queue, n, n+1)
-		grants = append(grants, Grant{w.id, m.id})
+		p.queue = slices.Delete(p.queue, i, i+1)
+		grants = append(grants, Grant{ID: request.id, Member: m.id})
 	}
 	return grants
 }
 
-// Expire ends the waits that have taken too long and returns whose they were.
+// ExpireQueued ends the waits that have reached their timeout and returns the ids of their requests.
 func (p *Pool) ExpireQueued(now float64) (ids []uint64) {
-	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool {
-		if now >= w.deadline {
-			ids = append(ids, w.id)
+	p.queue = slices.DeleteFunc(p.queue, func(request queuedRequest) bool {
+		expired := now >= request.deadline
+		if expired {
+			ids = append(ids, request.id)
 		}
-		return now >= w.deadline
+		return expired
 	})
 	return ids
 }
 
-// Cancel ends a wait. It tells whether there was one.
+// CancelQueued ends the wait of one request and reports whether it was queued.
 func (p *Pool) CancelQueued(id uint64) bool {
-	n := len(p.queue)
-	p.queue = slices.DeleteFunc(p.queue, func(w queuedRequest) bool { return w.id == id })
-	return len(p.queue) < n
+	before := len(p.queue)
+	p.queue = slices.DeleteFunc(p.queue, func(request queuedRequest) bool { return request.id == id })
+	return len(p.queue) < before
 }
 
-// Waiting is the length of the line.
+// Queued returns the number of queued requests.
 func (p *Pool) Queued() int { return len(p.queue) }
