--- a/control/completion.go
+++ b/control/completion.go
@@ -1,57 +1,32 @@
 package control
 
-import "math"
-
-// left hears that a caller no longer waits. A connection that broke and what is withdrawn at once show no
-// habit: taken for one, they would have all of that caller's RPCs pushed back, with none left to unlearn it.
-func (c *Controller) left(i int, broke bool) {
-	r := &c.in.rpc[i]
-	if age := c.now - r.arrived; !broke && age > c.tightest/10 { // no try is given up in less
-		c.habits[r.caller] = c.habits[r.caller].left(age)
+// onCallerGone handles a caller that no longer waits. A broken connection and an immediate withdrawal say nothing about
+// the caller's timeout: taken for one, they would have all of that caller's RPCs rejected, with none left to correct it.
+func (c *Controller) onCallerGone(i int, connectionBroke bool) {
+	r := &c.rpcs.slots[i]
+	minAge := c.tightestObjective / 10 // no attempt times out in less
+	if age := c.now - r.arrivedAt; !connectionBroke && age > minAge {
+		c.callerTimeouts[r.caller] = c.callerTimeouts[r.caller].observe(age)
 	}
 	r.answered = true
-	c.forget(r)
+	c.evictToken(r)
 	c.abort(i)
 }
 
-// ended books the end of a run or join.
-func (c *Controller) ended(i int, ev *Event) {
-	r := &c.in.rpc[i]
+// onCompleted accounts for the end of a run or a join.
+func (c *Controller) onCompleted(i int, ev *Event) {
+	const longer = 1.3 // times the caller's estimated timeout
+	r := &c.rpcs.slots[i]
 	if r.state == calling {
-		c.calls.done(c.now, c.now-r.stood, OutcomeTimedOut)
+		c.calls.release(c.now, c.now-r.awaitingSince, OutcomeTimedOut)
 	}
-	c.tries.ends++
-	if !r.answered && c.now-r.arrived > 1.3*c.habits[r.caller].mean {
-		delete(c.habits, r.caller) // this one waited longer
+	c.retries.completions++
+	if !r.answered && c.now-r.arrivedAt > longer*c.callerTimeouts[r.caller].mean {
+		delete(c.callerTimeouts, r.caller) // this time it waited longer
 	}
 	if ev.Outcome == OutcomeOK && r.state == running {
-		spent := ev.Elapsed - r.below
-		c.learn(r, spent)
-		c.pressure.learn(r.method, c.now-r.arrived, c.methods[r.method].LatencyObjective)
-	}
-	c.drop(i)
-}
-
-// habit is how long a caller waits for one try where nothing tells it. An impatient caller is gone before
-// heavy work ends, which then runs for nobody and runs again elsewhere; it is better sent on at once to a
-// server that may be quicker. A client that left once for its own reasons shows no habit.
-type habit struct {
-	mean, deviation float64
-}
-
-func (h habit) left(age float64) habit {
-	const weight = 0.4 // three tries left alike make a habit, and it is soon unlearnt
-	if h.mean == 0 {
-		h.mean, h.deviation = age, age/2
-	}
-	h.mean += weight * (age - h.mean)
-	h.deviation += weight * (math.Abs(age-h.mean) - h.deviation)
-	return h
-}
-
-func (h habit) wait() float64 {
-	if h.mean == 0 || h.deviation > 0.2*h.mean {
-		return math.Inf(1)
+		c.learnRunTime(r, ev.Elapsed-r.dependencyTime)
+		c.pressure.observe(r.method, c.now-r.arrivedAt, c.methods[r.method].LatencyObjective)
 	}
-	return h.mean
+	c.remove(i)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -31,10 +31,10 @@
 				if c.callers < 400 {
 					caller, subject = uint16(i%c.callers), uint64(i)
 				}
-				if p.takes(0, caller, subject, 1) && !p.takes(c.at, caller, subject, 1) {
+				if p.admits(0, caller, subject, 1) && !p.admits(c.at, caller, subject, 1) {
 					t.Errorf("caller %d was in and is out", i)
 				}
-				if p.takes(c.at, caller, subject, 1) {
+				if p.admits(c.at, caller, subject, 1) {
 					in++
 				}
 			}
@@ -64,7 +64,7 @@
 	w.until(12000, Gauges{})
 	w.arrive(99, Event{})
 	w.until(15000, Gauges{})
-	notes := []string{"ramp: begins, a share of callers taken", "ramp: over, all callers taken"}
+	notes := []string{"slow_start.started", "slow_start.completed"}
 	if n < 45 || n > 48 || !reflect.DeepEqual(w.notes, notes) {
 		t.Errorf("%d of 50 pushed back at the start of a cold server; logged %q", n, w.notes)
 	}
@@ -78,9 +78,9 @@
 	w.until(2000, Gauges{})
 	w.now = 12000
 	w.ev(Event{Kind: TimerFired})
-	w.c.slowStart.takes(w.now, 1, 0, 1)
-	if w.c.slowStart.most > 35 {
-		t.Errorf("ramp at %v%% after 2 s of 7 and a stall of 10 s", w.c.slowStart.most)
+	w.c.slowStart.admits(w.now, 1, 0, 1)
+	if w.c.slowStart.admittedPercent > 35 {
+		t.Errorf("ramp at %v%% after 2 s of 7 and a stall of 10 s", w.c.slowStart.admittedPercent)
 	}
 }
 
@@ -97,21 +97,21 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := pressure{share: 1, late: make([]float64, 1)}
+			p := admissionLoop{admitFraction: 1, lateness: make([]float64, 1)}
 			for range 20 {
-				p.learn(0, c.latency, 1000)
+				p.observe(0, c.latency, 1000)
 				p.step(&Gauges{CPUUtilization: c.busy})
 			}
-			share := p.share
-			if p.step(&Gauges{Stale: true}); !c.want(share) || p.share != share {
-				t.Errorf("share %v, and %v after a gauge that is not of now", share, p.share)
+			share := p.admitFraction
+			if p.step(&Gauges{Stale: true}); !c.want(share) || p.admitFraction != share {
+				t.Errorf("share %v, and %v after a gauge that is not of now", share, p.admitFraction)
 			}
 			for range 100 {
-				p.learn(0, 100, 1000)
+				p.observe(0, 100, 1000)
 				p.step(&Gauges{CPUUtilization: 1})
 			}
-			if p.share != 1 {
-				t.Errorf("share %v long after", p.share)
+			if p.admitFraction != 1 {
+				t.Errorf("share %v long after", p.admitFraction)
 			}
 		})
 	}
@@ -138,8 +138,8 @@
 				t.Errorf("answer %v, %v", got, ok)
 			}
 			w.end(1, OutcomeOK, c.at)
-			if w.c.used != 0 || w.c.active != 0 {
-				t.Errorf("memory %v, runs %d after the end", w.c.used, w.c.active)
+			if w.c.usedKB != 0 || w.c.runningCount != 0 {
+				t.Errorf("memory %v, runs %d after the end", w.c.usedKB, w.c.runningCount)
 			}
 		})
 	}
@@ -162,19 +162,19 @@
 
 // While all that arrives is too old when read, the level keeps everything away, and falls back at once after.
 func TestLevelWhileFlooded(t *testing.T) {
-	s := signal{say: FeedbackLevel, callers: 4}
+	s := loadFeedback{kind: FeedbackLevel, callers: 4}
 	for _, c := range []struct{ unread, want float64 }{{0.1, 0}, {1.5, 1}, {0.1, 0}} {
-		if s.step(10, c.unread); s.notified != c.want {
-			t.Errorf("level %v with a wait of %v unread, want %v", s.notified, c.unread, c.want)
+		if s.step(10, c.unread); s.announced != c.want {
+			t.Errorf("level %v with a wait of %v unread, want %v", s.announced, c.unread, c.want)
 		}
 	}
 }
 
 func TestCustomerOverShareCountsLess(t *testing.T) {
-	s := share{rate: 0.01}
-	first, burst := s.within(0, 0, false), 1.0
+	s := quotaMeter{rate: 0.01}
+	first, burst := s.fractionWithin(0, 0, false), 1.0
 	for i := range 400 {
-		burst = s.within(float64(i)*10, 0, false) // 100 a second against 10
+		burst = s.fractionWithin(float64(i)*10, 0, false) // 100 a second against 10
 	}
 	if first != 1 || burst > 0.2 {
 		t.Errorf("%v of the first and %v of a tenfold stream within the share", first, burst)
@@ -284,7 +284,7 @@
 	w := start(t, s)
 	for id := uint32(1); id <= 40; id++ {
 		w.arrive(id, Event{QueuedKB: 20})
-		if need := w.c.used + w.c.keys.used(w.now); need > s.node.MemoryKB {
+		if need := w.c.usedKB + w.c.tokens.usedKB(w.now); need > s.node.MemoryKB {
 			t.Fatalf("%v kB in use of %v", need, s.node.MemoryKB)
 		}
 	}
@@ -307,11 +307,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			l := runLimit{cores: 2, cold: c.cold, start: 0.2, warmBy: 20000, ceiling: 8, onCore: 1}
+			l := runLimit{cores: 2, warmingUp: c.cold, initialSpeed: 0.2, warmUpTime: 20000, maxPerCore: 8, runnableFraction: 1}
 			for i := range 100 {
-				l.step(float64(i)*period, &c.gauge, 2)
+				l.step(float64(i)*tickPeriod, &c.gauge, 2)
 			}
-			if n := l.runs(); n > c.most || n < c.most/2 {
+			if n := l.maxRuns(); n > c.most || n < c.most/2 {
 				t.Errorf("%d runs on 2 cores, want at most %d", n, c.most)
 			}
 		})
@@ -338,19 +338,19 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := tries{marks: c.marks, notified: 20000, most: 20000}
+			p := retryMonitor{marksRetries: c.marks, announcedTimeout: 20000, maxIdleTimeout: 20000}
 			for range 200 {
 				for range c.firsts {
-					p.read(false)
+					p.observe(false)
 				}
 				for range c.again {
-					p.read(true)
+					p.observe(true)
 				}
-				p.ends++
-				p.step(c.unread, false)
+				p.completions++
+				p.updateIdleTimeout(c.unread, false)
 			}
-			if p.idle != c.idle || p.everywhere() != c.everywhere {
-				t.Errorf("idle limit %v, pushed back everywhere %v", p.idle, p.everywhere())
+			if p.idleTimeout != c.idle || p.fleetOverloaded() != c.everywhere {
+				t.Errorf("idle limit %v, pushed back everywhere %v", p.idleTimeout, p.fleetOverloaded())
 			}
 		})
 	}
@@ -364,7 +364,7 @@
 	for id := uint32(1); id <= 50; id++ {
 		w.arrive(id, Event{})
 	}
-	all := w.c.wait(1e9, 0) // callers told to stay away for so long would leave the cores idle
+	all := w.c.expectedWait(1e9, 0) // callers told to stay away for so long would leave the cores idle
 	if a := w.last[0]; a.Kind != Reject || a.Time >= all || a.Time < slowStartRetryAfter {
 		t.Errorf("pushed back with %+v while the hold takes %v", a, all)
 	}
@@ -387,7 +387,7 @@
 		w.until(w.now+40, Gauges{Runnable: 4, CPUUtilization: 1})
 		id++
 		w.arrive(id, Event{Age: 2900, Remaining: 100})
-		if !w.c.health.good {
+		if !w.c.health.healthy {
 			off += 40
 		}
 	}
@@ -406,7 +406,7 @@
 		w.until(w.now+1200, Gauges{Runnable: 2, CPUUtilization: 1})
 		w.end(id, OutcomeCancelled, 1100)
 	}
-	if e := w.c.expectedRunTime(&rpc{work: w.c.pace[0].prior}); e < 800 {
+	if e := w.c.expectedRunTime(&rpc{cost: w.c.runTimes[0].prior}); e < 800 {
 		t.Errorf("run time of %v expected after 40 that were given up at 1000", e)
 	}
 	w.until(w.now+30000, Gauges{})
@@ -494,8 +494,8 @@
 				}
 			}
 			w.until(w.now+4000, Gauges{})
-			if len(w.c.in.byID) != 0 || s.node.WarmingUp && w.runs[60] != 1 {
-				t.Errorf("%d in hand long after, %d run", len(w.c.in.byID), len(w.runs))
+			if len(w.c.rpcs.byID) != 0 || s.node.WarmingUp && w.runs[60] != 1 {
+				t.Errorf("%d in hand long after, %d run", len(w.c.rpcs.byID), len(w.runs))
 			}
 		})
 	}
@@ -513,12 +513,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPace(1000)
+			p := newRunTimeModel(1000)
 			for i := range 300 {
 				hint := 100 + 200*float64(i%2)
-				p.learn(c.took(hint), hint, 0)
+				p.observe(c.took(hint), hint, 0)
 			}
-			if e := p.run(400, 1); e < c.low || e > c.most {
+			if e := p.predict(400, 1); e < c.low || e > c.most {
 				t.Errorf("%v expected", e)
 			}
 		})
@@ -528,16 +528,16 @@
 // One run with a short hint must not make all others seem endless, and a change of speed shows in a few runs.
 func TestFewRuns(t *testing.T) {
 	c := start(t, plain()).c
-	usual := rpc{work: 200}
-	c.learn(&rpc{work: 4}, 6)
+	usual := rpc{cost: 200}
+	c.learnRunTime(&rpc{cost: 4}, 6)
 	if e := c.expectedRunTime(&usual); e < 100 || e > 500 {
 		t.Errorf("%v expected after one short run", e)
 	}
 	for range 30 {
-		c.learn(&usual, 200)
+		c.learnRunTime(&usual, 200)
 	}
 	for range 8 {
-		c.learn(&usual, 600)
+		c.learnRunTime(&usual, 600)
 	}
 	if e := c.expectedRunTime(&usual); e < 450 || e > 700 {
 		t.Errorf("%v expected after eight runs three times as long", e)
@@ -581,22 +581,22 @@
 }
 
 func TestSharedCallsStayWithinTheShare(t *testing.T) {
-	k := calls{share: 3.7, most: 3.7, linger: 200, over: 5000}
+	k := callLimiter{share: 3.7, limit: 3.7, linger: 200, window: 5000}
 	n := 0
-	for k.take(0, 1000) > 0 {
+	for k.acquire(0, 1000) > 0 {
 		n++
 	}
 	if n != 3 {
 		t.Errorf("%d calls in hand", n)
 	}
-	k.done(100, 100, OutcomeTimedOut)
-	if k.take(299, 1000) > 0 {
+	k.release(100, 100, OutcomeTimedOut)
+	if k.acquire(299, 1000) > 0 {
 		t.Error("an abandoned call no longer counts while it lingers")
 	}
-	for k.inHand > 0 {
-		k.done(300, 1, OutcomeOK)
+	for k.inFlight > 0 {
+		k.release(300, 1, OutcomeOK)
 	}
-	if k.take(300, 1000) != 1000 {
+	if k.acquire(300, 1000) != 1000 {
 		t.Error("it counts after that")
 	}
 }
@@ -608,21 +608,21 @@
 	for seed := range int64(200) {
 		r := rand.New(rand.NewSource(seed))
 		share := 0.1 + 0.89*r.Float64()
-		k := calls{share: share, most: share, linger: linger, over: over}
+		k := callLimiter{share: share, limit: share, linger: linger, window: over}
 		slowFrom, times := 20000*r.Float64(), 2+20*r.Float64()
 		var busy []span
 		until, began, how := 0.0, 0.0, OutcomeOK
 		for now := 0.0; now < 40000; now += 5 {
-			if k.inHand > 0 && now >= until {
-				k.done(now, now-began, how)
+			if k.inFlight > 0 && now >= until {
+				k.release(now, now-began, how)
 				end := now
 				if how != OutcomeOK {
 					end += linger
 				}
 				busy = append(busy, span{began, end})
 			}
-			if k.inHand == 0 {
-				if left := k.take(now, 200+2000*r.Float64()); left > 0 {
+			if k.inFlight == 0 {
+				if left := k.acquire(now, 200+2000*r.Float64()); left > 0 {
 					took := 40 + 200*r.Float64()
 					if now > slowFrom {
 						took *= times
@@ -637,7 +637,7 @@
 			for _, s := range busy {
 				sum += math.Max(0, math.Min(s.to, now)-math.Max(s.from, now-over))
 			}
-			if k.inHand > 0 {
+			if k.inFlight > 0 {
 				sum += now - began
 			}
 			if sum > share*over+1e-6 {
@@ -656,13 +656,13 @@
 
 // A crowded dependency stays crowded; fewer calls stand there until it is quick again.
 func TestCallsMakeWayForASlowDependency(t *testing.T) {
-	k := calls{share: 20, most: 20, linger: 200}
+	k := callLimiter{share: 20, limit: 20, linger: 200}
 	play := func(n int, spent float64) float64 {
 		for range n {
-			k.take(0, 1000)
-			k.done(0, spent, OutcomeOK)
+			k.acquire(0, 1000)
+			k.release(0, spent, OutcomeOK)
 		}
-		return k.most
+		return k.limit
 	}
 	if m := play(50, 40); m != 20 {
 		t.Errorf("%v calls while it is quick", m)
@@ -742,8 +742,8 @@
 	}
 	w.end(1, OutcomeCancelled, 5)
 	w.end(2, OutcomeCancelled, 5)
-	if len(w.final) != 0 || w.c.used != 0 || len(w.c.in.byID) != 0 {
-		t.Errorf("answered %v, memory %v, in hand %d", w.final, w.c.used, len(w.c.in.byID))
+	if len(w.final) != 0 || w.c.usedKB != 0 || len(w.c.rpcs.byID) != 0 {
+		t.Errorf("answered %v, memory %v, in hand %d", w.final, w.c.usedKB, len(w.c.rpcs.byID))
 	}
 }
 
@@ -849,8 +849,8 @@
 	w.ev(Event{Kind: Completed, RPC: 1, Outcome: OutcomeCancelled, Elapsed: 400})
 	w.ev(Event{Kind: CallCompleted, RPC: 2, Outcome: OutcomeTimedOut, Elapsed: 400})
 	w.ev(Event{Kind: Completed, RPC: 2, Outcome: OutcomeCancelled, Elapsed: 400})
-	if w.c.calls.inHand != 1 || w.c.active != 0 {
-		t.Errorf("%d calls in hand, %d running", w.c.calls.inHand, w.c.active)
+	if w.c.calls.inFlight != 1 || w.c.runningCount != 0 {
+		t.Errorf("%d calls in hand, %d running", w.c.calls.inFlight, w.c.runningCount)
 	}
 }
 
@@ -890,12 +890,12 @@
 			s.fleet.IdleTimeout = 30000
 			w := start(t, s)
 			for range 2000 {
-				w.c.tries.pushed = c.pushed
+				w.c.retries.rejectFraction = c.pushed
 				w.now = w.armed
 				w.ev(Event{Kind: TimerFired, Gauges: c.gauges})
 			}
-			if kept := w.c.tries.idle == 30000; kept != c.kept {
-				t.Errorf("idle limit %v", w.c.tries.idle)
+			if kept := w.c.retries.idleTimeout == 30000; kept != c.kept {
+				t.Errorf("idle limit %v", w.c.retries.idleTimeout)
 			}
 		})
 	}
--- a/control/dependency.go
+++ b/control/dependency.go
@@ -5,129 +5,181 @@
 	"slices"
 )
 
-// call makes, puts off or goes without the call that an RPC stands at.
-func (c *Controller) call(i int) {
-	r := &c.in.rpc[i]
-	if r.answered || r.state != standing {
+const (
+	// maxCallAttempts bounds the calls that an RPC makes for one response, and maxOptionalCallAttempts the calls of one
+	// that may go on without.
+	maxCallAttempts         = 3
+	maxOptionalCallAttempts = 2
+)
+
+// onAwaitingCall handles a running RPC that has come to its dependency call.
+func (c *Controller) onAwaitingCall(i int) {
+	r := &c.rpcs.slots[i]
+	if r.state != running {
 		return
 	}
-	m := &c.methods[r.method]
-	left := r.target - c.now - c.expectedRunTime(r)/3 // what its run still needs after the call is not told
-	if m.LateFraction > 0 || c.now > r.target {
-		left += r.due - r.target
+	c.runningCount--
+	r.state = awaitingCall
+	r.awaitingSince = c.now
+	r.callAttempts = 0
+	c.startCall(i)
+}
+
+// startCall makes, defers or skips the call that an RPC awaits.
+func (c *Controller) startCall(i int) {
+	const optionalCallTime = 0.7 // of the time left, for a call that can be skipped: the rest is to go on without it
+	r := &c.rpcs.slots[i]
+	if r.answered || r.state != awaitingCall {
+		return
 	}
-	if m.DegradedFraction > 0 && (left < c.calls.usual || r.tries >= 2) {
-		c.do(Action{Kind: SkipCall, RPC: r.id})
-		c.resume(r)
+	method := &c.methods[r.method]
+	optional := method.DegradedFraction > 0
+	left := r.objective - c.now - c.expectedRunTime(r)/3 // what its run still needs after the call is not known
+	if method.LateFraction > 0 || c.now > r.objective {
+		left += r.deadline - r.objective
+	}
+	if optional && (left < c.calls.meanTime || r.callAttempts >= maxOptionalCallAttempts) {
+		c.skipCall(r)
 		return
 	}
-	if left <= 0 || r.tries >= 3 {
+	if left <= 0 || r.callAttempts >= maxCallAttempts {
 		c.abort(i)
 		return
 	}
-	if m.DegradedFraction > 0 {
-		left *= 0.7 // leaves time to go on without it
+	if optional {
+		left *= optionalCallTime
 	}
-	if left = c.calls.take(c.now, left); left == 0 {
-		if m.DegradedFraction > 0 { // the room is for those that can't go without; this one would hold a run while it waits
-			c.do(Action{Kind: SkipCall, RPC: r.id})
-			c.resume(r)
+	timeout := c.calls.acquire(c.now, left)
+	if timeout == 0 {
+		if optional { // the capacity is for those that can't skip; this one would occupy a run while it waits
+			c.skipCall(r)
 		}
 		return
 	}
-	r.tries++
+	r.callAttempts++
 	r.state = calling
-	c.do(Action{Kind: Call, RPC: r.id, Time: left})
+	c.emit(Action{Kind: Call, RPC: r.id, Time: timeout})
+}
+
+// skipCall has an RPC go on without its dependency call.
+func (c *Controller) skipCall(r *rpc) {
+	c.emit(Action{Kind: SkipCall, RPC: r.id})
+	c.resume(r)
 }
 
-// resume books that an RPC is back from its call.
+// resume accounts for an RPC that runs again after its call.
 func (c *Controller) resume(r *rpc) {
-	r.below += c.now - r.stood
+	r.dependencyTime += c.now - r.awaitingSince
 	r.state = running
-	c.active++
+	c.runningCount++
 }
 
-// called hears the end of a call.
-func (c *Controller) called(i int, ev *Event) {
-	r := &c.in.rpc[i]
-	c.calls.done(c.now, ev.Elapsed, ev.Outcome)
-	r.state = standing
+// onCallCompleted handles the end of a dependency call.
+func (c *Controller) onCallCompleted(i int, ev *Event) {
+	r := &c.rpcs.slots[i]
+	if r.state != calling {
+		return
+	}
+	c.calls.release(c.now, ev.Elapsed, ev.Outcome)
+	r.state = awaitingCall
+	neverRan := ev.Outcome == OutcomeRejected || ev.Outcome == OutcomeUnreachable
 	switch {
-	case r.answered: // it ends here
+	case r.answered: // its run ends here
 	case ev.Outcome == OutcomeOK:
 		c.resume(r)
-	case c.methods[r.method].Idempotency != Idempotent && ev.Outcome != OutcomeRejected && ev.Outcome != OutcomeUnreachable:
-		c.abort(i) // an effect below is not asked for again unless the call before is known not to have run
+	case c.methods[r.method].Idempotency != Idempotent && !neverRan:
+		c.abort(i) // the call may have had its effect, so it must not be made again
 	}
-	for i := range c.in.rpc {
-		c.call(i) // those that had to wait
+	for k := range c.rpcs.slots {
+		c.startCall(k) // those that were deferred
 	}
 }
 
-// calls are the calls in hand below. A shared dependency limits them to this node's share at every moment,
-// so that the mean is kept whatever the others do.
-type calls struct {
-	share        float64 // 0 where nothing is shared
-	most         float64 // of that, what keeps it quick
-	linger       float64
-	inHand       int
-	ghosts       []float64 // until when abandoned calls stay there
-	usual, quick float64   // time that a call takes, and when it is not crowded
-	over         float64   // what the share is a mean of
-	begun        float64   // the latest call
-	times        []span    // of the calls that ended within that, where the share is under one call
+// callLimiter bounds the concurrent calls to a shared dependency to this node's share at every moment, so that the mean
+// over the fleet holds whatever the other nodes do. All times are ms.
+type callLimiter struct {
+	share          float64   // concurrent calls that this node may have; 0 if nothing is shared
+	limit          float64   // what of the share is used, to keep the dependency fast
+	linger         float64   // as in Dependency
+	window         float64   // as in Dependency
+	inFlight       int       // calls
+	abandonedUntil []float64 // clock values until which abandoned calls linger
+	meanTime       float64   // recent duration of a call
+	baseline       float64   // that duration when the dependency is not crowded
+	startedAt      float64   // clock value at which the latest call began
+	history        []span    // the calls that ended within window, if the share is under one call
 }
 
+// span is a period of the clock.
 type span struct{ from, to float64 }
 
-// take books a call if there is room for it, and returns how long it may last, up to left; 0 for no room. A share
-// under one call is kept in the mean: the call ends before any window holds more than that, however slow the
+func newCallLimiter(d *Dependency) callLimiter {
+	return callLimiter{share: d.ConcurrencyShare, limit: d.ConcurrencyShare, linger: d.Linger, window: d.AveragingWindow}
+}
+
+// fractional tells whether the share is less than one call at any time.
+func (k *callLimiter) fractional() bool { return k.share > 0 && k.share < 1 }
+
+// acquire takes capacity for a call and returns how long the call may last, up to left; 0 if there is no capacity. A
+// share under one call is kept in the mean: the call ends before any window holds more than that, however slow the
 // dependency becomes meanwhile, which all servers meet at the same time.
-func (k *calls) take(now, left float64) float64 {
-	const worth = 1.5 // times the usual call, below which one is not begun
-	k.ghosts = slices.DeleteFunc(k.ghosts, func(until float64) bool { return until <= now })
-	if k.share > 0 && float64(k.inHand+len(k.ghosts)) >= math.Max(1, math.Floor(k.most)) {
+func (k *callLimiter) acquire(now, left float64) float64 {
+	const minTimes = 1.5 // times the usual duration, below which a call is not begun
+	k.abandonedUntil = slices.DeleteFunc(k.abandonedUntil, func(until float64) bool { return until <= now })
+	if k.share > 0 && float64(k.inFlight+len(k.abandonedUntil)) >= math.Max(1, math.Floor(k.limit)) {
 		return 0
 	}
-	if k.share > 0 && k.share < 1 {
-		k.times = slices.DeleteFunc(k.times, func(s span) bool { return s.to <= now-k.over })
-		room := k.most*k.over - k.linger
-		for _, s := range k.times {
-			room -= s.to - math.Max(s.from, now-k.over)
+	if k.fractional() {
+		k.history = slices.DeleteFunc(k.history, func(s span) bool { return s.to <= now-k.window })
+		capacity := k.limit*k.window - k.linger
+		for _, s := range k.history {
+			capacity -= s.to - math.Max(s.from, now-k.window)
 		}
-		if room < math.Min(left, math.Max(1, worth*k.usual)) {
+		if capacity < math.Min(left, math.Max(1, minTimes*k.meanTime)) {
 			return 0
 		}
-		left = math.Min(left, room)
+		left = math.Min(left, capacity)
 	}
-	k.inHand, k.begun = k.inHand+1, now
+	k.inFlight++
+	k.startedAt = now
 	return left
 }
 
-// done books the end of a call. One that we gave up on stays in hand below for a while.
-func (k *calls) done(now, spent float64, how Outcome) {
-	k.inHand--
-	if how == OutcomeTimedOut || how == OutcomeReset {
+// release returns the capacity of a call that took elapsed ms. A call that we gave up on lingers at the dependency.
+//
+// A crowded dependency slows all callers and stays crowded: callers wait longer, so more calls are in flight there. Fewer
+// calls let it recover whatever slowed it; where it is slow for another reason, this costs the RPCs that are queued here
+// instead.
+func (k *callLimiter) release(now, elapsed float64, outcome Outcome) {
+	const (
+		slow       = 2.5   // times the baseline: above the spread of single calls
+		meanWeight = 0.1   // ten calls of memory
+		drift      = 1.001 // growth of the baseline per call
+		decrease   = 0.95  // factor of the limit per call while the dependency is slow
+		increase   = 0.1   // calls that the limit grows by per call
+	)
+	k.inFlight--
+	if outcome == OutcomeTimedOut || outcome == OutcomeReset {
 		now += k.linger
-		k.ghosts = append(k.ghosts, now)
-	}
-	if k.share > 0 && k.share < 1 {
-		k.times = append(k.times, span{k.begun, now}) // it may be told late
-	}
-	// A crowded dependency slows all and stays crowded: callers wait longer, so more calls stand there. Fewer
-	// calls in hand let it recover whatever slowed it; where it is slow for another reason this costs what
-	// queues here instead.
-	const slow = 2.5 // times as long as when quick: above the spread of single calls
-	if how == OutcomeOK {
-		if k.quick == 0 {
-			k.usual, k.quick = spent, spent
+		k.abandonedUntil = append(k.abandonedUntil, now)
+	}
+	if k.fractional() {
+		k.history = append(k.history, span{k.startedAt, now}) // its end may be reported late
+	}
+	if outcome == OutcomeOK {
+		if k.baseline == 0 {
+			k.meanTime = elapsed
+			k.baseline = elapsed
 		}
-		k.usual += 0.1 * (spent - k.usual) // ten calls of memory
-		k.quick = math.Min(k.usual, 1.001*k.quick)
+		k.meanTime += meanWeight * (elapsed - k.meanTime)
+		k.baseline = math.Min(k.meanTime, drift*k.baseline)
 	}
-	if k.usual > slow*k.quick || how == OutcomeTimedOut {
-		k.most = math.Max(math.Min(1, k.share), math.Min(k.most, float64(k.inHand+1))*0.95)
+	if k.meanTime > slow*k.baseline || outcome == OutcomeTimedOut {
+		k.limit = math.Max(math.Min(1, k.share), math.Min(k.limit, float64(k.inFlight+1))*decrease)
 	} else {
-		k.most = math.Min(k.share, k.most+0.1)
+		k.limit = math.Min(k.share, k.limit+increase)
 	}
 }
+
+// reduced tells whether the limit is at less than half of the share.
+func (k *callLimiter) reduced() bool { return 2*k.limit < k.share }
--- a/control/drain.go
+++ b/control/drain.go
@@ -2,16 +2,33 @@
 
 import "math"
 
-// drain is the time to leave.
+// drain is the state of a graceful shutdown. Its times are clock values in ms.
 type drain struct {
-	on          bool
-	since, stop float64
+	active    bool
+	noticedAt float64
+	stopAt    float64
 }
 
-// bound lets an RPC be answered before the stop, by a look at what falls due to spare.
-func (d *drain) bound(r *rpc) {
-	if d.on {
-		r.due = math.Min(r.due, d.stop-period)
-		r.target = math.Min(r.target, r.due)
+// clampDeadline has an RPC answered before the stop, with one timer to spare.
+func (d *drain) clampDeadline(r *rpc) {
+	if d.active {
+		r.deadline = math.Min(r.deadline, d.stopAt-tickPeriod)
+		r.objective = math.Min(r.objective, r.deadline)
 	}
 }
+
+// onDrainNotice begins a drain.
+func (c *Controller) onDrainNotice(ev *Event) {
+	noticedAt := c.now - ev.Age
+	c.drain = drain{active: true, noticedAt: noticedAt, stopAt: noticedAt + ev.Remaining}
+	for i := range c.rpcs.slots {
+		c.drain.clampDeadline(&c.rpcs.slots[i])
+	}
+	c.emit(Action{Kind: SetHealth}, Action{Kind: LogEvent, Message: "drain.notice_received"})
+}
+
+// onDrainCancelled ends a drain. RPCs in flight keep the deadlines that it gave them.
+func (c *Controller) onDrainCancelled() {
+	c.drain = drain{}
+	c.emit(Action{Kind: SetHealth, Healthy: c.health.healthy}, Action{Kind: LogEvent, Message: "drain.notice_cancelled"})
+}
--- a/control/hash.go
+++ b/control/hash.go
@@ -1,6 +1,7 @@
 package control
 
-// mix spreads a number over 64 bits: the finalizer of splitmix64.
+// mix hashes a 64-bit number: the finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number
+// Generators, OOPSLA 2014).
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/control/health.go
+++ b/control/health.go
@@ -1,26 +1,31 @@
 package control
 
-// health is what checks are told. It says no while all that arrives waits unread until it is too old, as
-// only staying away lets such a server catch up, and while this server alone pushes back much. It stays for
-// a third of the time at least on the list, lest a fleet flooded as a whole be gone from it.
+// health is what health checks are told. A server is unhealthy while all that arrives waits unread until it is too old,
+// as only a pause without traffic lets it catch up, and while it alone rejects a large part of its traffic. It stays on
+// the endpoint list for at least a third of the time, so that a fleet that is flooded as a whole does not vanish from it.
 type health struct {
-	good  bool
-	since float64
+	healthy   bool
+	changedAt float64 // clock value in ms
 }
 
-func (h *health) step(now, unread float64, alone bool) bool {
+// update takes the wait of arrivals before they are read, in tightest latency objectives, and whether this server alone
+// is overloaded. It reports whether the state changed.
+func (h *health) update(now, unreadWait float64, overloadedAlone bool) bool {
 	const (
-		flooded = 1.0    // waits unread, in tightest latency targets: all that is read is too old
-		least   = 1000.0 // about what the hold takes to drain; longer, callers find it idle and then all come back
-		longest = 4000.0 // enough to read what has piled up; a fleet flooded as a whole must not be gone
-		between = 3000.0 // alone: three quarters of the time on the list, as only a part is too much
+		flooded        = 1.0    // all that is read is too old
+		minUnhealthy   = 1000.0 // ms, about what the queue takes to drain; after longer, callers find it idle and all come back
+		maxUnhealthy   = 4000.0 // ms, enough to read what has piled up; a fleet flooded as a whole must not be gone
+		healthyAlone   = 3000.0 // ms: three quarters of the time on the list, as only a part of the traffic is too much
+		healthyFlooded = 2 * minUnhealthy
 	)
-	turn := alone && now > h.since+between || unread > flooded && now > h.since+2*least
-	if !h.good {
-		turn = now > h.since+least && unread < flooded || now > h.since+longest
+	change := overloadedAlone && now > h.changedAt+healthyAlone ||
+		unreadWait > flooded && now > h.changedAt+healthyFlooded
+	if !h.healthy {
+		change = now > h.changedAt+minUnhealthy && unreadWait < flooded || now > h.changedAt+maxUnhealthy
 	}
-	if turn {
-		h.good, h.since = !h.good, now
+	if change {
+		h.healthy = !h.healthy
+		h.changedAt = now
 	}
-	return turn
+	return change
 }
--- /dev/null
+++ b/control/log.go
@@ -0,0 +1,44 @@
+package control
+
+// condition is a state of the server whose begin and end are logged.
+type condition int
+
+const (
+	conditionSlowStart condition = iota
+	conditionAdmissionReduced
+	conditionUnhealthy
+	conditionMemoryShort
+	conditionCallsReduced
+	conditionCount
+)
+
+// conditionEvents are the names of the log events at the begin and at the end of each condition.
+var conditionEvents = [conditionCount]struct{ begin, end string }{
+	conditionSlowStart:        {"slow_start.started", "slow_start.completed"},
+	conditionAdmissionReduced: {"admission.reduced", "admission.restored"},
+	conditionUnhealthy:        {"health.unhealthy", "health.healthy"},
+	conditionMemoryShort:      {"memory.exhausted", "memory.available"},
+	conditionCallsReduced:     {"dependency.calls_reduced", "dependency.calls_restored"},
+}
+
+// logConditions logs the conditions that have begun or ended since the last timer.
+func (c *Controller) logConditions() {
+	holds := [conditionCount]bool{
+		conditionSlowStart:        !c.slowStart.complete,
+		conditionAdmissionReduced: c.pressure.admitFraction < 1,
+		conditionUnhealthy:        !c.health.healthy,
+		conditionMemoryShort:      c.memoryShort,
+		conditionCallsReduced:     c.calls.reduced(),
+	}
+	for i, held := range holds {
+		if c.logged[i] == held {
+			continue
+		}
+		c.logged[i] = held
+		event := conditionEvents[i].end
+		if held {
+			event = conditionEvents[i].begin
+		}
+		c.emit(Action{Kind: LogEvent, Message: event})
+	}
+}
--- a/control/quota.go
+++ b/control/quota.go
@@ -2,22 +2,28 @@
 
 import "math"
 
-// share measures how much of a customer's traffic lies within this server's part of its quota.
-type share struct {
-	rate        float64 // RPCs a millisecond within the share
-	count, last float64 // first tries of late, older ones weighing less; when the last came
+// quotaMeter measures how much of a customer's traffic lies within this server's part of its quota.
+type quotaMeter struct {
+	rate   float64 // RPCs per ms within the quota; 0 for no quota
+	count  float64 // recent first attempts, decaying exponentially
+	lastAt float64 // clock value in ms at the latest RPC
 }
 
-// within counts an RPC and returns the part of such RPCs that lies within the share.
-func (s *share) within(now, begin float64, again bool) float64 {
-	const memory = 4000.0 // long enough to count some tens of RPCs, short enough to see a burst
-	if s.rate == 0 {
+// fractionWithin counts an RPC and returns the fraction of such RPCs that lies within the quota. startedAt is the clock
+// value at the start of the server.
+func (m *quotaMeter) fractionWithin(now, startedAt float64, retry bool) float64 {
+	const (
+		memory  = 4000.0 // ms, long enough to count some tens of RPCs, short enough to see a burst
+		headway = 1000   // ms: the first second is too short to measure a rate
+	)
+	if m.rate == 0 {
 		return 1
 	}
-	age := now - begin + 1000 // the first second is too short to tell a rate
-	s.count, s.last = s.count*math.Exp((s.last-now)/memory), now
-	if !again {
-		s.count++
+	age := now - startedAt + headway
+	m.count *= math.Exp((m.lastAt - now) / memory)
+	m.lastAt = now
+	if !retry {
+		m.count++
 	}
-	return math.Min(1, s.rate*memory*(1-math.Exp(-age/memory))/s.count)
+	return math.Min(1, m.rate*memory*(1-math.Exp(-age/memory))/m.count)
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -2,72 +2,93 @@
 
 import "math"
 
-const oneTry = 1.0 / 32 // its weight in the parts of tries: thirty of memory, some seconds of traffic
+// attemptWeight is the weight of one attempt in the fractions of a retryMonitor: thirty of memory, some seconds of
+// traffic.
+const attemptWeight = 1.0 / 32
 
-// tries tells from what has been read of late whether servers push back all over the fleet, and sets after
-// what time idle connections are closed. Where further tries are not marked all count as first ones.
-type tries struct {
-	marks                bool
-	firsts, ends         float64 // first tries read and runs ended, two seconds' worth
-	marked, pushed       float64 // parts of the latest tries that were marked, and pushed back on arrival
-	reach                float64 // for how long callers heed what they hear, in seconds, over their number
-	idle, notified, most float64 // after what time idle connections are closed
+// retryMonitor infers from recent attempts whether servers reject all over the fleet, and sets the timeout of idle
+// connections. Where callers do not mark retries, every attempt counts as a first one.
+type retryMonitor struct {
+	marksRetries     bool    // as in Fleet
+	firstAttempts    float64 // read in the last two seconds or so
+	completions      float64 // runs ended in that time
+	retryFraction    float64 // of the latest attempts: marked as retries
+	rejectFraction   float64 // of the latest attempts: rejected on arrival
+	feedbackReach    float64 // seconds for which callers act on load feedback, over their number
+	idleTimeout      float64 // ms after which idle connections are closed
+	announcedTimeout float64 // the one that was last put in force
+	maxIdleTimeout   float64 // ms
 }
 
-func (t *tries) read(again bool) {
-	t.marked -= oneTry * t.marked
-	t.pushed -= oneTry * t.pushed
-	if again {
-		t.marked += oneTry
+func newRetryMonitor(fleet *Fleet) retryMonitor {
+	return retryMonitor{
+		marksRetries:     fleet.MarksRetries,
+		announcedTimeout: fleet.IdleTimeout,
+		maxIdleTimeout:   fleet.IdleTimeout,
+		feedbackReach:    fleet.FeedbackTTL / 1000 / float64(fleet.Callers),
+	}
+}
+
+// observe counts an attempt that was read.
+func (m *retryMonitor) observe(retry bool) {
+	m.retryFraction -= attemptWeight * m.retryFraction
+	m.rejectFraction -= attemptWeight * m.rejectFraction
+	if retry {
+		m.retryFraction += attemptWeight
 	} else {
-		t.firsts++
+		m.firstAttempts++
 	}
 }
 
-// everywhere tells whether a pushback would most likely meet the next. Each costs the fleet a read and
-// often a connection, a fifth of a run together; where all are full it gains but the place of another RPC.
-// A server slow by itself reads few marked tries, so those it can't take go on; unmarked, it looks like a
-// flood.
-func (t *tries) everywhere() bool {
+// fleetOverloaded tells whether the next server would most likely reject as well. Each rejection costs the fleet a read
+// and often a connection, a fifth of a run together; where all are full it gains but the place of another RPC. A server
+// that is slow by itself reads few marked retries, so those that it can't take are retried elsewhere; if retries are not
+// marked, it looks like a flood.
+func (m *retryMonitor) fleetOverloaded() bool {
 	const (
-		marked = 0.15 // of the tries were pushed back elsewhere: a fleet with room for most has under a tenth
-		lost   = 0.5  // unmarked: of first and further tries, two for each run that ends
+		manyRetries = 0.15 // of attempts were rejected elsewhere: a fleet with capacity for most has under a tenth
+		lost        = 0.5  // unmarked: of all attempts, two for each run that ends
 	)
-	return t.marked > marked || !t.marks && t.firsts > t.ends/(1-lost)
+	return m.retryFraction > manyRetries || !m.marksRetries && m.firstAttempts > m.completions/(1-lost)
 }
 
-// alone tells whether this server pushes back much and others do not, and its callers hear from it too
-// seldom to heed what it says: it is slower than the rest or draws more, and the list has to tell them. It
-// guards against slow machines and hot subjects; where nobody tries again, a full fleet looks the same.
-func (t *tries) alone() bool {
+// overloadedAlone tells whether this server rejects much and others do not, and its callers hear from it too seldom to
+// act on its load feedback: it is slower than the rest or draws more traffic, and the endpoint list has to tell them. It
+// guards against slow machines and hot subjects; where nobody retries, a full fleet looks the same.
+func (m *retryMonitor) overloadedAlone() bool {
 	const (
-		much = 0.3  // pushed back: a server of the usual load has half of that by chance
-		few  = 0.17 // marked: about the same; off a list that then fails to follow, a server stays idle
+		manyRejections = 0.3  // a server of the usual load has half of that by chance
+		fewRetries     = 0.17 // about the same; off a list that then fails to follow, a server stays idle
 	)
-	return t.marks && t.pushed > much && t.marked < few && t.firsts*t.reach < 1
+	return m.marksRetries && m.rejectFraction > manyRejections && m.retryFraction < fewRetries &&
+		m.firstAttempts*m.feedbackReach < 1
 }
 
-// step sets the idle limit. Most callers of a large fleet come back to one server long after: what they
-// leave open fills the table, which slows the cores and shuts others out, so connections are closed soon.
-// In a flood of first tries that fills the cores with reading and opening, the full table is the one way to
-// turn away what costs nothing to read: they are kept longer the longer it lasts.
-func (t *tries) step(unread float64, calm bool) bool {
+// updateIdleTimeout adapts the idle timeout and tells whether it changed enough to be put in force. Most callers of a
+// large fleet come back to one server long after: the connections that they leave open fill the table, which slows the
+// cores and shuts others out, so they are closed soon. In a flood of first attempts that fills the cores with reading and
+// opening connections, a full table is the one way to turn traffic away at no cost: connections are kept longer the
+// longer the flood lasts.
+func (m *retryMonitor) updateIdleTimeout(unreadWait float64, calm bool) bool {
 	const (
-		least  = 1000.0 // at a few callers each comes back sooner
-		flood  = 3.0    // first tries for each run that ends: reading them takes half the cores or so
-		unseen = 0.3    // of the tightest latency target waited unread: connections queue what is too old when read
-		grow   = 1.15   // from a second to ten in three
-		fall   = 0.95   // and back in nine
+		decay          = 0.9    // of the counters
+		minIdleTimeout = 1000.0 // ms: with few callers each comes back sooner
+		flood          = 3.0    // first attempts for each run that ends: reading them takes half the cores or so
+		maxUnreadWait  = 0.3    // of the tightest latency objective: connections queue what is too old when read
+		grow           = 1.15   // from a second to ten in three
+		shrink         = 0.95   // and back in nine
+		minChange      = 0.1    // of the timeout: smaller changes are not put in force
 	)
-	t.firsts, t.ends = 0.9*t.firsts, 0.9*t.ends
-	change := fall
-	if calm || t.firsts > flood*math.Max(1, t.ends) || unread > unseen {
-		change = grow
+	m.firstAttempts *= decay
+	m.completions *= decay
+	factor := shrink
+	if calm || m.firstAttempts > flood*math.Max(1, m.completions) || unreadWait > maxUnreadWait {
+		factor = grow
 	}
-	t.idle = math.Min(t.most, math.Max(least, t.idle*change))
-	if math.Abs(t.idle-t.notified) <= 0.1*t.notified {
-		return false // too small a change to tell
+	m.idleTimeout = math.Min(m.maxIdleTimeout, math.Max(minIdleTimeout, m.idleTimeout*factor))
+	if math.Abs(m.idleTimeout-m.announcedTimeout) <= minChange*m.announcedTimeout {
+		return false
 	}
-	t.notified = t.idle
+	m.announcedTimeout = m.idleTimeout
 	return true
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -193,9 +193,10 @@
 		}
 	case Abort:
 		m.answer(t, "is aborted")
-		if t.state == isHeld || t.state == isPaused || t.state == isJoined {
+		switch t.state {
+		case isHeld, isPaused, isJoined:
 			m.drop(t)
-		} else if t.state == isStanding { // a call goes on until its own end
+		case isStanding: // a call goes on until its own end
 			t.until = m.now
 		}
 	case Preempt:
@@ -441,9 +442,10 @@
 				continue
 			}
 			t.over = true
-			if t.state == isHeld || t.state == isPaused || t.state == isJoined {
+			switch t.state {
+			case isHeld, isPaused, isJoined:
 				m.drop(t)
-			} else if t.state == isStanding {
+			case isStanding:
 				t.until = m.now
 			}
 			m.give(Event{Kind: CallerGone, RPC: id, Outcome: []Outcome{OutcomeError, OutcomeReset}[m.chance.Intn(2)]})
--- a/control/runqueue.go
+++ b/control/runqueue.go
@@ -1,117 +1,88 @@
 package control
 
-import (
-	"math"
-	"slices"
-)
+import "slices"
 
-// pump runs what the run limit and the memory have room for.
-func (c *Controller) pump() {
-	const share = 0.95 // of the memory; the rest is for reads that nobody can turn away unread
-	for c.hold.n > 0 {
-		runs := c.limit.runs()
-		longRuns, stuck := c.crowd()
-		if c.active+stuck >= runs {
+// startRuns starts queued RPCs for which the run limit and the memory have capacity.
+func (c *Controller) startRuns() {
+	const runFraction = 0.95 // of the memory; the rest is for arrivals that nobody can reject before they are read
+	for c.queue.length > 0 {
+		maxRuns := c.runLimit.maxRuns()
+		longRuns, blocked := c.occupancy()
+		if c.runningCount+blocked >= maxRuns {
 			return
 		}
-		i := c.hold.next(c.in.rpc, longRuns, runs)
-		r := &c.in.rpc[i]
-		more := r.queuedKB * (c.node.RunMemoryFactor - 1)
-		if c.used+more+c.keys.used(c.now) > share*c.node.MemoryKB {
-			c.short = true
+		i := c.queue.next(c.rpcs.slots, longRuns, maxRuns)
+		r := &c.rpcs.slots[i]
+		growthKB := r.queuedKB * (c.node.RunMemoryFactor - 1)
+		if c.usedKB+growthKB+c.tokens.usedKB(c.now) > runFraction*c.node.MemoryKB {
+			c.memoryShort = true
 			return
 		}
-		c.hold.remove(i, r.line)
-		c.used += more
-		r.kb += more
-		r.began = c.now
+		c.queue.remove(i, r.lane)
+		c.usedKB += growthKB
+		r.memoryKB += growthKB
+		r.startedAt = c.now
 		r.state = running
-		c.active++
-		c.do(Action{Kind: Run, RPC: r.id})
+		c.runningCount++
+		c.emit(Action{Kind: Run, RPC: r.id})
 	}
 }
 
-// crowd counts long runs, and the RPCs that wait for room below. These take the places of runs: what is
-// started beside them would only come to stand there too, its work on the cores lost.
-func (c *Controller) crowd() (longRuns, stuck int) {
-	for i := range c.in.rpc {
-		if r := &c.in.rpc[i]; r.state == running && r.line == long {
+// occupancy counts long runs, and the RPCs that are blocked for lack of capacity at the dependency. These count against
+// the run limit: what is started beside them would only come to be blocked there too, its work on the cores lost.
+func (c *Controller) occupancy() (longRuns, blocked int) {
+	for i := range c.rpcs.slots {
+		r := &c.rpcs.slots[i]
+		if r.state == running && r.lane == longLane {
 			longRuns++
-		} else if r.state == standing && !r.answered {
-			stuck++
+		} else if r.state == awaitingCall && !r.answered {
+			blocked++
 		}
 	}
-	return longRuns, stuck
+	return longRuns, blocked
 }
 
-// hold keeps the RPCs that wait, in two lines by the time their answers are wanted.
-type hold struct {
-	line [2][]int
-	n    int
-}
+// lane is one of the two lanes of the queue.
+type lane int
 
-func (h *hold) add(in []rpc, i int) {
-	l := &h.line[in[i].line]
-	*l = append(*l, i)
-	h.n++
-	for k := len(*l) - 1; k > 0 && in[(*l)[k]].target < in[(*l)[k-1]].target; k-- {
-		(*l)[k], (*l)[k-1] = (*l)[k-1], (*l)[k]
-	}
-}
+// The lanes: runs expected to be of usual length, and those above longRunFactor times the mean.
+const (
+	shortLane lane = iota
+	longLane
+	laneCount
+)
 
-func (h *hold) remove(i, line int) {
-	l := &h.line[line]
-	*l = slices.DeleteFunc(*l, func(j int) bool { return j == i }) // one just read stands in none
-	h.n = len(h.line[short]) + len(h.line[long])
+// runQueue holds the indexes of the queued RPCs in two lanes, each ordered by latency objective, the earliest first.
+type runQueue struct {
+	lanes  [laneCount][]int
+	length int // of both lanes
 }
 
-// next is the RPC to run next. Long work gets at most half of the runs while short work waits.
-func (h *hold) next(in []rpc, longRuns, runs int) int {
-	light, heavy := h.line[short], h.line[long]
-	switch {
-	case len(light) == 0:
-		return heavy[0]
-	case len(heavy) > 0 && 2*longRuns < runs && in[heavy[0]].target < in[light[0]].target:
-		return heavy[0]
+// add inserts the RPC at index i of slots into its lane.
+func (q *runQueue) add(slots []rpc, i int) {
+	members := append(q.lanes[slots[i].lane], i)
+	q.lanes[slots[i].lane] = members
+	q.length++
+	for k := len(members) - 1; k > 0 && slots[members[k]].objective < slots[members[k-1]].objective; k-- {
+		members[k], members[k-1] = members[k-1], members[k]
 	}
-	return light[0]
 }
 
-// runLimit is how many RPCs run at once, calls not counted: just enough to keep the cores busy.
-type runLimit struct {
-	cold                 bool
-	cores, ceiling       float64
-	begin, start, warmBy float64
-	onCore               float64 // share of the runs that want a core, the others wait for disk
-	unread               float64 // wait of arrivals before they were read, over the tightest latency target
-	now                  float64
+// remove takes the RPC at index i out of a lane. An RPC that was just read may be in none.
+func (q *runQueue) remove(i int, l lane) {
+	q.lanes[l] = slices.DeleteFunc(q.lanes[l], func(member int) bool { return member == i })
+	q.length = len(q.lanes[shortLane]) + len(q.lanes[longLane])
 }
 
-// read hears how long an arrival waited unread; about ten arrivals are remembered.
-func (l *runLimit) read(waited float64) { l.unread += 0.1 * (waited - l.unread) }
-
-func (l *runLimit) step(now float64, g *Gauges, active int) {
-	const weight = 0.02 // two seconds of memory at the usual period
-	l.now = now
-	if !g.Stale && active > 0 && float64(active) >= l.cores/2 {
-		l.onCore += weight * (math.Min(1, g.Runnable/float64(active)) - l.onCore)
-	}
-}
-
-// runs is the limit. The crowd that kills is told; it is kept to well under that, the less while cold.
-func (l *runLimit) runs() int {
-	const (
-		most = 0.7 // part of the crowd that kills: all may come back from disk at once, and some from calls
-		busy = 1.3 // runs on the cores for each core where others wait for disk: these come back in bunches
-	)
-	speed := 1.0
-	if l.cold {
-		speed = math.Min(1, l.start+(1-l.start)*(l.now-l.begin)/l.warmBy)
-	}
-	per := 1.0
-	if l.onCore < 0.95 {
-		per = busy / l.onCore
+// next is the index of the RPC to run next. Long runs get at most half of the run limit while short ones wait. The queue
+// must not be empty.
+func (q *runQueue) next(slots []rpc, longRuns, maxRuns int) int {
+	short, long := q.lanes[shortLane], q.lanes[longLane]
+	switch {
+	case len(short) == 0:
+		return long[0]
+	case len(long) > 0 && 2*longRuns < maxRuns && slots[long[0]].objective < slots[short[0]].objective:
+		return long[0]
 	}
-	per = math.Min(per, most*(1+(l.ceiling-1)*speed))
-	return int(math.Max(1, math.Round(per*l.cores)))
+	return short[0]
 }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -2,44 +2,56 @@
 
 import "math"
 
-// slowStart is the rising share of callers that a cold server takes.
+const (
+	// minShares is the least number of shares in which slow start admits traffic: its steps are a twentieth of the
+	// traffic at most.
+	minShares = 20
+	// durationFraction is the duration of slow start over the longest warm-up: most servers are warm well before its
+	// end, and what slow start rejects the rest of a fleet that is being replaced must run.
+	durationFraction = 0.35
+	// slowStartStep is the time in ms between two rises of the admitted share.
+	slowStartStep = 1000
+)
+
+// slowStart is the rising share of callers that a cold server admits, after the AppOptics post "Zero-Downtime AWS ALB
+// Deployments": percentEnabled rises linearly with the whole seconds since the start, and a caller is admitted if the
+// hash of its number modulo 100 is not above it.
 type slowStart struct {
-	warm          bool
-	begin, length float64
-	parts, salt   uint64 // few callers are split in so many parts each
-	most          float64
+	complete        bool
+	startedAt       float64 // clock value in ms
+	duration        float64 // ms
+	subjectParts    uint64  // few callers are split by subject into so many parts each
+	salt            uint64  // of the hash
+	admittedPercent float64
 }
 
-// finest is the least number of shares: the ramp's steps are a twentieth of the traffic at most.
-const finest = 20
-
-// slowest makes the ramp's length of the longest warm-up told: most servers are warm well before, and what
-// the ramp pushes back the rest of a fleet that is being replaced must run.
-const slowest = 0.35
-
-func newSlowStart(cold bool, warmBy float64, callers int, salt uint64) slowStart {
-	parts := uint64((finest + callers - 1) / callers)
-	return slowStart{warm: !cold, length: slowest * warmBy, parts: parts, salt: salt}
+func newSlowStart(warmingUp bool, warmUpTime float64, callers int, salt uint64) slowStart {
+	return slowStart{
+		complete:     !warmingUp,
+		duration:     durationFraction * warmUpTime,
+		subjectParts: uint64((minShares + callers - 1) / callers),
+		salt:         salt,
+	}
 }
 
-// takes tells whether the ramp lets a caller in. The share never falls, so a caller once in stays in. Where
-// callers are few, each is split by subject: a hashed share of three callers is no share of the traffic.
-func (p *slowStart) takes(now float64, caller uint16, subject uint64, id uint32) bool {
-	if p.warm {
+// admits tells whether slow start admits a caller. The share never falls, so a caller that was admitted stays so. Where
+// callers are few, each is split by the subject of its RPCs: a hashed share of three callers is no share of the traffic.
+func (s *slowStart) admits(now float64, caller uint16, subject uint64, id uint32) bool {
+	if s.complete {
 		return true
 	}
-	percent := math.Floor((now-p.begin)/1000) * 1000 / p.length * 100
-	p.most = math.Max(p.most, percent)
-	if p.most >= 100 {
-		p.warm = true
+	percent := math.Floor((now-s.startedAt)/slowStartStep) * slowStartStep / s.duration * 100
+	s.admittedPercent = math.Max(s.admittedPercent, percent)
+	if s.admittedPercent >= 100 {
+		s.complete = true
 		return true
 	}
-	h := mix(uint64(caller) ^ p.salt) // salted, lest successors all shut out the same callers
-	if p.parts > 1 {
+	h := mix(uint64(caller) ^ s.salt) // salted, or successive servers would all reject the same callers
+	if s.subjectParts > 1 {
 		if subject == 0 {
 			subject = uint64(id)
 		}
-		h = mix(h + mix(subject)%p.parts)
+		h = mix(h + mix(subject)%s.subjectParts)
 	}
-	return float64(h%100) <= p.most
+	return float64(h%100) <= s.admittedPercent
 }
