--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -336,15 +336,15 @@
 	loansTold = 16
 )
 
-// BudgetStatus is how the parts stand.
+// BudgetStatus is the state of this server's budget quotas.
 type BudgetStatus struct {
-	Parts []quota.Named `json:",omitempty"` // those with most to tell
-	Table int           // parts that are not idle
-	Full  uint64        // RPCs for which the table had no room
-	Sent  uint64        // packets about loans
-	Steps int           // of the wall clock beside the own one, at which loans were dropped
-	Wrong int           // packets that made no sense
-	Sums  []Sum         `json:",omitempty"`
+	Parts []quota.Named `json:"Parts,omitempty"` // the quotas with the most activity
+	Table int           `json:"Table"`           // quotas that are not idle
+	Full  uint64        `json:"Full"`            // RPCs for which the table had no room
+	Sent  uint64        `json:"Sent"`            // lease packets
+	Steps int           `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
+	Wrong int           `json:"Wrong"`           // malformed packets
+	Sums  []Sum         `json:"Sums,omitempty"`
 }
 
 func (b *Budgets) status() *BudgetStatus {
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -76,14 +76,14 @@
 	wasAt   time.Time
 }
 
-// DrainStatus is how a server stands with the keepers.
+// DrainStatus is how a server stands with the permit servers.
 type DrainStatus struct {
-	Keepers bool     // they answered the last word
-	Permit  uint64   `json:",omitempty"` // held
-	Halted  string   `json:",omitempty"`
-	Aside   []string `json:",omitempty"` // members that are left alone
+	Keepers bool     `json:"Keepers"`          // the last report was answered
+	Permit  uint64   `json:",omitempty"`       // held; 0 for none
+	Halted  string   `json:"Halted,omitempty"` // why nothing new may begin; "" for no halt
+	Aside   []string `json:"Aside,omitempty"`  // members of pools that are drained, as pool/address
 	Version *VersionStatus
-	Last    string `json:",omitempty"` // what the last drain came to
+	Last    string `json:"Last,omitempty"` // outcome of the last drain
 }
 
 // Drains has a server tell the keepers at some addresses how it is, drain by their permits, and leave drained members alone.
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -319,23 +319,24 @@
 	return s, ok
 }
 
-// JudgeStatus is how the members of a pool stand.
+// JudgeStatus is the outlier state of one pool.
 type JudgeStatus struct {
 	Pool    string
 	Members []MemberStatus
 }
 
-// MemberStatus is how one does.
+// MemberStatus is the outlier state of one member of a pool.
 type MemberStatus struct {
-	Name, Why string
-	Out       bool
-	Share     float64 // of the callers
-	ForMs     float64 // out, or back; negative for as long as this server runs
-	UntilMs   float64 // out: left, before it may come back
-	Weight    float64 // of the evidence
-	Against   float64 // share of it
-	By        []string
-	Probes    bool // this server asks after it
+	Name    string
+	Why     string   `json:"Why"`
+	Out     bool     `json:"Out"`   // ejected
+	Share   float64  `json:"Share"` // of the callers that may use it, from 0 to 1
+	ForMs   float64  // ejected, or back; negative for as long as this server runs
+	UntilMs float64  // ejected: time left before it may return
+	Weight  float64  // of the evidence
+	Against float64  `json:"Against"` // share of the evidence that is bad
+	By      []string `json:"By"`      // servers that saw it fail
+	Probes  bool     `json:"Probes"`  // this server sends it health checks
 }
 
 func (j *Judges) status() (all []JudgeStatus) {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -269,8 +269,8 @@
 type VersionStatus struct {
 	Version uint64 // 0: the own file's
 	Hash    string `json:",omitempty"`
-	Refused string `json:",omitempty"` // the one that it would not take, and why
-	Program uint64 `json:",omitempty"` // of the program; 0: what it is started with by itself
+	Refused string `json:"Refused,omitempty"` // the version that was rejected, and why
+	Program uint64 `json:",omitempty"`        // of the program; 0: what it is started with by itself
 }
 
 func (v *versions) status() *VersionStatus {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -24,55 +24,79 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// Status is one server's view. Times are ms; ages count from when this server heard.
+// Status is one server's view of the fleet, as the status socket serves it. The JSON names are part of that interface and do not change.
+// Durations are in milliseconds; ages count from when this server last received something.
 type Status struct {
-	Name, Zone, Version, Settings string
-	Start                         uint64
-	Life                          string // hex
-	Phase                         string
-	Ramp                          float64
-	Hears                         string // alone, part or whole
-	Listening                     bool
-	ForMs                         float64
-	Roster, Heard                 int
-	AtLeast, AtMost               int
-	Blind                         bool
-	Zones                         []health.Zone
-	Peers                         []PeerStatus
-	Twins                         []string `json:",omitempty"`
-	Refused                       string   `json:",omitempty"`
-	Stalls                        int      // times that this server found that it had stalled
-	Lost                          uint64   // times that the detector lost a peer
-	Changes                       int      // of Hears
-	Records                       RecordStatus
-	Traffic                       Traffic
-	Budgets                       *BudgetStatus `json:",omitempty"`
-	Judged                        []JudgeStatus `json:",omitempty"`
-	Drain                         *DrainStatus  `json:",omitempty"`
+	Name     string
+	Zone     string
+	Version  string // of the program
+	Settings string // hash of the operator's record
+	Start    uint64
+	Life     string `json:"Life"` // incarnation, hexadecimal
+	Phase    string
+	Ramp     float64 `json:"Ramp"`  // warm-up progress from 0 to 1
+	Hears    string  `json:"Hears"` // alone, part or whole
+	// Listening tells that this server has just started or stalled, and reports nothing about others yet.
+	Listening bool
+	ForMs     float64 // in this connectivity state
+	Roster    int     // members of the fleet, this server included
+	Heard     int     `json:"Heard"` // of these, reachable
+	AtLeast   int
+	AtMost    int
+	Blind     bool // never in contact, nor given the fleet's expected size
+	Zones     []health.Zone
+	Peers     []PeerStatus
+	Twins     []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
+	Refused   string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
+	Stalls    int      // times that this server found that it had stalled
+	Lost      uint64   `json:"Lost"` // times that the failure detector lost a peer
+	Changes   int      // of the connectivity state
+	Records   RecordStatus
+	Traffic   Traffic
+	Budgets   *BudgetStatus `json:",omitempty"`
+	Judged    []JudgeStatus `json:"Judged,omitempty"`
+	Drain     *DrainStatus  `json:",omitempty"`
 }
 
-// PeerStatus is what is heard of one other.
+// PeerStatus is what this server knows of one other.
 type PeerStatus struct {
-	Name, Zone, Version, Settings, Phase string
-	Addr                                 string
-	Start                                uint64
-	Ramp                                 float64
-	Heard, Damped, Twin                  bool
-	Contact, Through                     string
-	AgeMs, ForMs                         float64
-	Losses                               int
-	Away                                 string `json:",omitempty"`
+	Name     string
+	Zone     string
+	Version  string
+	Settings string
+	Phase    string
+	Addr     string
+	Start    uint64
+	Ramp     float64 `json:"Ramp"`  // warm-up progress from 0 to 1
+	Heard    bool    `json:"Heard"` // reachable
+	Damped   bool    // flapped, and counts as unreachable for a while
+	Twin     bool    `json:"Twin"` // two servers bear the name
+	Contact  string  // direct, one way, through others or none
+	Through  string  `json:"Through"` // the peer that relayed its last record
+	AgeMs    float64 // since the last sign of it
+	ForMs    float64 // in its present state
+	Losses   int
+	Away     string `json:"Away,omitempty"` // left or declared gone
 }
 
-// RecordStatus is the table of records.
+// RecordStatus is the state of the table of gossiped records.
 type RecordStatus struct {
-	Origins, Records, Bytes int
+	Origins int
+	Records int
+	Bytes   int
 	gossip.Counts
 }
 
-// Traffic is counted since the start.
+// Traffic counts packets, bytes and streams since the start.
 type Traffic struct {
-	PacketsIn, PacketsOut, BytesIn, BytesOut, Dropped, Damaged, Streams, Complaints uint64
+	PacketsIn  uint64
+	PacketsOut uint64
+	BytesIn    uint64
+	BytesOut   uint64
+	Dropped    uint64 // over a limit, or while this server had stalled
+	Damaged    uint64 // with a wrong checksum
+	Streams    uint64
+	Complaints uint64 `json:"Complaints"` // errors and warnings of memberlist
 }
 
 // Status tells the view as it is now.
