--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -40,7 +40,7 @@
 
 type serveCmd struct{ daemon.Command }
 
-func (c serveCmd) Run() error { return c.Command.Run(fleet.Beside) }
+func (c serveCmd) Run() error { return c.Command.Run(fleet.StartWithDaemon) }
 
 type versionCmd struct{}
 
@@ -63,7 +63,7 @@
 	ctx, end := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer end()
 	for {
-		views, failed := fleet.AskAll(ctx, c.Sockets, askWait)
+		views, failed := fleet.FetchStatuses(ctx, c.Sockets, askWait)
 		if c.JSON {
 			if err := fleet.WriteJSON(os.Stdout, views); err != nil {
 				return err
@@ -129,7 +129,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), askWait)
 	defer end()
-	return fleet.Declare(ctx, c.Socket, url.Values{"name": {c.Name}, "who": {who}, "why": {c.Why}}.Encode())
+	return fleet.RequestRemoval(ctx, c.Socket, url.Values{"name": {c.Name}, "who": {who}, "why": {c.Why}}.Encode())
 }
 
 // operation is what all commands by way of a server's socket to the keepers are told.
@@ -162,7 +162,7 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), drainWait)
 	defer end()
-	return fleet.Drain(ctx, c.Socket, url.Values{"what": {what}, "subject": {subject}, "who": {who}, "why": {c.Why}}.Encode())
+	return fleet.RequestDrain(ctx, c.Socket, url.Values{"what": {what}, "subject": {subject}, "who": {who}, "why": {c.Why}}.Encode())
 }
 
 func (c drainCmd) Run() error  { return c.do("drain", c.Subject) }
@@ -178,7 +178,7 @@
 func (c permitsCmd) Run() error {
 	ctx, end := context.WithTimeout(context.Background(), drainWait)
 	defer end()
-	s, err := fleet.Permits(ctx, c.Socket)
+	s, err := fleet.FetchPermits(ctx, c.Socket)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -325,7 +325,7 @@
 	}
 	packets, bytes := 0.0, 0.0
 	for name := range now {
-		packets = max(packets, float64(now[name].status.Budgets.Sent-before[name].status.Budgets.Sent)/rest.Seconds())
+		packets = max(packets, float64(now[name].status.Budgets.PacketsSent-before[name].status.Budgets.PacketsSent)/rest.Seconds())
 		bytes = max(bytes, float64(now[name].status.Traffic.BytesOut-before[name].status.Traffic.BytesOut)/rest.Seconds())
 	}
 	r.AddRow("8 processes: most that ran in any second over bound and burst, all phases", len(times), most(times), "")
@@ -443,15 +443,15 @@
 func budgetCost(o Options, r *Report) error {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	mesh := fleet.NewMesh()
+	mesh := fleet.NewMemoryNetwork()
 	defer mesh.Close()
-	place := mesh.Place("n0")
+	place := mesh.AddServer("n0")
 	place.Log = logger.WithField("node", "n0")
 	f, err := fleet.Start(place)
 	if err != nil {
 		return err
 	}
-	defer f.Drop()
+	defer f.Crash()
 	const customers, calls = 10000, 2000000
 	all := map[string]operator.Budget{}
 	names := make([]string, customers)
@@ -459,7 +459,7 @@
 		names[i] = fmt.Sprint("customer-", i)
 		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, MaxLeaseMs: quota.UsualLongest}
 	}
-	b := f.Share(&operator.Budgets{Servers: 300, ClockDrift: quota.UsualDrift, Customers: all})
+	b := f.ShareBudgets(&operator.Budgets{Servers: 300, ClockDrift: quota.UsualDrift, Customers: all})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/experiment/drain_faults.go
+++ b/internal/experiment/drain_faults.go
@@ -141,7 +141,7 @@
 		if !f.Processes.Running(name) {
 			continue
 		}
-		if fleet.Drain(ctx, f.Socket(name), "what=halt&who=lab&why=look") != nil {
+		if fleet.RequestDrain(ctx, f.Socket(name), "what=halt&who=lab&why=look") != nil {
 			continue // its permit servers or itself were lost meanwhile: asked again in a while
 		}
 		began := time.Now()
@@ -151,7 +151,7 @@
 		x.halts.knownAfter = append(x.halts.knownAfter, time.Since(began).Seconds())
 		time.Sleep(time.Second)
 		resumed := time.Now()
-		for ctx.Err() == nil && fleet.Drain(ctx, f.Socket(f.Names[i%drainServers]), "what=resume&who=lab&why=seen") != nil {
+		for ctx.Err() == nil && fleet.RequestDrain(ctx, f.Socket(f.Names[i%drainServers]), "what=resume&who=lab&why=seen") != nil {
 			time.Sleep(100 * time.Millisecond)
 		}
 		x.halts.periods = append(x.halts.periods, period{began, resumed})
@@ -162,7 +162,7 @@
 // them learns of it before its next drain.
 func (x *drainExperiment) missesHalt(name string) bool {
 	status, err := x.drained.Status(name)
-	return err == nil && status.Drain != nil && status.Drain.Keepers && status.Drain.Halted != "look"
+	return err == nil && status.Drain != nil && status.Drain.PermitServersReachable && status.Drain.HaltReason != "look"
 }
 
 // drainMembers drains a member of the pool now and then, and takes it back.
@@ -184,7 +184,7 @@
 func (x *drainExperiment) orderForMember(ctx context.Context, order, subject string) error {
 	for _, name := range x.drained.Names {
 		if x.drained.Processes.Running(name) {
-			return fleet.Drain(ctx, x.drained.Socket(name), "who=lab&why=disk&what="+order+"&subject="+subject)
+			return fleet.RequestDrain(ctx, x.drained.Socket(name), "who=lab&why=disk&what="+order+"&subject="+subject)
 		}
 	}
 	return errors.New("no server runs")
--- a/internal/experiment/failure_detection.go
+++ b/internal/experiment/failure_detection.go
@@ -298,7 +298,7 @@
 func declaredLost(b *testbed.Bed) (count uint64) {
 	for _, name := range b.Names {
 		if status, err := b.Status(name); err == nil {
-			count += status.Lost
+			count += status.PeersLost
 		}
 	}
 	return count
--- a/internal/experiment/fleet_load.go
+++ b/internal/experiment/fleet_load.go
@@ -13,7 +13,7 @@
 
 // FleetServer serves as valvefleet does; it is the process of the fleet's experiments.
 func FleetServer(record string) error {
-	return daemon.Command{Operator: record}.Run(fleet.Beside)
+	return daemon.Command{Operator: record}.Run(fleet.StartWithDaemon)
 }
 
 // fleetServerProcess is the command that starts a FleetServer.
--- a/internal/experiment/judge_processes.go
+++ b/internal/experiment/judge_processes.go
@@ -100,11 +100,11 @@
 		if err != nil {
 			continue
 		}
-		for _, p := range s.Judged {
+		for _, p := range s.Outliers {
 			for _, m := range p.Members {
-				if m.Out && m.Name == member {
+				if m.Ejected && m.Name == member {
 					out++
-				} else if m.Out && !slices.Contains(troubled, m.Name) {
+				} else if m.Ejected && !slices.Contains(troubled, m.Name) {
 					others++
 				}
 			}
--- a/internal/experiment/membership_cost.go
+++ b/internal/experiment/membership_cost.go
@@ -15,7 +15,7 @@
 
 // mesh is a fleet of members in this process, over loopback.
 type mesh struct {
-	addresses *fleet.Mesh
+	addresses *fleet.MemoryNetwork
 	members   []*fleet.Fleet
 	began     time.Time
 }
@@ -24,10 +24,10 @@
 func startMesh(n int) (*mesh, error) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	m := &mesh{addresses: fleet.NewMesh()}
+	m := &mesh{addresses: fleet.NewMemoryNetwork()}
 	options := make([]fleet.Options, n)
 	for i := range options {
-		options[i] = m.addresses.Place(fmt.Sprintf("n%03d", i))
+		options[i] = m.addresses.AddServer(fmt.Sprintf("n%03d", i))
 	}
 	m.began = time.Now()
 	for i, o := range options {
@@ -47,7 +47,7 @@
 func (m *mesh) close() {
 	var closing sync.WaitGroup
 	for _, member := range m.members {
-		closing.Go(member.Drop)
+		closing.Go(member.Crash)
 	}
 	closing.Wait()
 	m.addresses.Close()
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -22,48 +22,48 @@
 	"sorrelvalve/internal/operator"
 )
 
-// wallStep is by how much wall and own clock may part between two looks before what is borrowed is dropped: a machine that was
+// maxClockStep is by how much wall and own clock may part between two looks before what is borrowed is dropped: a machine that was
 // suspended has a monotonic clock that did not go on. Clocks that are set right slowly part by 0.5 ms a second.
-const wallStep = 50 * time.Millisecond
+const maxClockStep = 50 * time.Millisecond
 
 // Budgets are one server's parts. Its methods may be called by many goroutines.
 type Budgets struct {
-	f      *Fleet
-	origin time.Time
-	rules  atomic.Pointer[map[string]quota.Rules]
-	linger atomic.Pointer[map[string]float64] // ms, by pool
-
-	mu     sync.Mutex
-	book   *quota.Book
-	parted time.Duration // of the wall clock from the own one, at the last look
-	steps  int
-	wrong  int // packets that could not be read
-	sent   atomic.Uint64
-	late   []given // calls that were given up, and count until they can't be gone on with
-	counts counts
-	names  map[named]*names // so that an RPC makes none
+	fleet     *Fleet
+	startedAt time.Time
+	rules     atomic.Pointer[map[string]quota.Rules]
+	lingerMs  atomic.Pointer[map[string]float64] // ms, by pool
+
+	mu          sync.Mutex
+	ledger      *quota.Book
+	clockOffset time.Duration // of the wall clock from the own one, at the last look
+	clockSteps  int
+	malformed   int // packets that could not be read
+	packetsSent atomic.Uint64
+	abandoned   []abandonedCall // calls that were given up, and count until they can't be gone on with
+	counts      localCounts
+	names       map[nameKey]*cachedNames // so that an RPC makes none
 }
 
-// given is a call that the own side has ended.
-type given struct {
-	pool string
-	at   float64
+// abandonedCall is a call that the own side has ended.
+type abandonedCall struct {
+	pool      string
+	expiresAt float64
 }
 
-// Share has a server share budgets with its fleet. It must be called once, before anybody asks for anything.
-func (f *Fleet) Share(b *operator.Budgets) *Budgets {
-	x := &Budgets{f: f, origin: time.Now(), names: map[named]*names{}, counts: newCounts()}
-	x.take(b)
+// ShareBudgets has a server share budgets with its fleet. It must be called once, before anybody asks for anything.
+func (f *Fleet) ShareBudgets(b *operator.Budgets) *Budgets {
+	x := &Budgets{fleet: f, startedAt: time.Now(), names: map[nameKey]*cachedNames{}, counts: newLocalCounts()}
+	x.storeRules(b)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.book = quota.NewBook(f.self.Life, int64(f.self.Life), x.now(), func(key string) (quota.Rules, bool) {
+	x.ledger = quota.NewBook(f.identity.Life, int64(f.identity.Life), x.nowMs(), func(key string) (quota.Rules, bool) {
 		r, is := (*x.rules.Load())[key]
 		return r, is
 	})
-	if f.refused != nil {
-		x.book.Mute()
+	if f.exclusion != nil {
+		x.ledger.Mute()
 	}
-	f.shared = x
+	f.budgets = x
 	return x
 }
 
@@ -71,11 +71,11 @@
 func (b *Budgets) Set(o *operator.Budgets) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.take(o)
-	b.book.Set(b.now())
+	b.storeRules(o)
+	b.ledger.Set(b.nowMs())
 }
 
-func (b *Budgets) take(o *operator.Budgets) {
+func (b *Budgets) storeRules(o *operator.Budgets) {
 	rules, linger := o.Rules(), map[string]float64{}
 	if o != nil {
 		for pool, x := range o.Calls {
@@ -83,46 +83,46 @@
 		}
 	}
 	b.rules.Store(&rules)
-	b.linger.Store(&linger)
+	b.lingerMs.Store(&linger)
 }
 
-// now is the own clock in ms. What is borrowed is dropped first if the clock can't have seen its end.
-func (b *Budgets) now() float64 {
+// nowMs is the own clock in ms. What is borrowed is dropped first if the clock can't have seen its end.
+func (b *Budgets) nowMs() float64 {
 	t := time.Now()
-	own := t.Sub(b.origin)
-	parted := t.Round(0).Sub(b.origin.Round(0)) - own
-	if step := parted - b.parted; step > wallStep || step < -wallStep {
-		if b.steps++; b.book != nil {
-			b.book.Void(float64(own) / 1e6)
+	own := t.Sub(b.startedAt)
+	parted := t.Round(0).Sub(b.startedAt.Round(0)) - own
+	if step := parted - b.clockOffset; step > maxClockStep || step < -maxClockStep {
+		if b.clockSteps++; b.ledger != nil {
+			b.ledger.Void(float64(own) / 1e6)
 		}
 	}
-	b.parted = parted
+	b.clockOffset = parted
 	return float64(own) / 1e6
 }
 
-// named is what an RPC goes by: of a customer and its method, or of a pool.
-type named struct{ of, counted, prefix string }
+// nameKey is what an RPC goes by: of a customer and its method, or of a pool.
+type nameKey struct{ of, counted, prefix string }
 
-// names are those of a budget and of a count, made once for as many as there is room.
-type names struct{ budget, counted string }
+// cachedNames are those of a budget and of a count, made once for as many as there is room.
+type cachedNames struct{ budget, counted string }
 
-// failedAt is what failures are counted under, beside a pool's name.
-const failedAt = "failed"
+// failedCalls is what failures are counted under, beside a pool's name.
+const failedCalls = "failed"
 
-// name returns them. The lock is held.
-func (b *Budgets) name(of, counted, prefix string) *names {
-	k := named{of, counted, prefix}
+// cachedName returns them. The lock is held.
+func (b *Budgets) cachedName(of, counted, prefix string) *cachedNames {
+	k := nameKey{of, counted, prefix}
 	n := b.names[k]
 	if n == nil {
-		if n = (&names{prefix + of, of + "|" + counted}); len(b.names) < mostNames {
+		if n = (&cachedNames{prefix + of, of + "|" + counted}); len(b.names) < maxCachedNames {
 			b.names[k] = n
 		}
 	}
 	return n
 }
 
-// mostNames: beyond so many, names are made anew each time.
-const mostNames = 1 << 16
+// maxCachedNames: beyond so many, names are made anew each time.
+const maxCachedNames = 1 << 16
 
 // Arrives is gate.Budgets: it tells whether an RPC lies within this server's part of its customer's quota.
 func (b *Budgets) Arrives(method, customer string, criticality float64) (control.QuotaStatus, float64) {
@@ -131,10 +131,10 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.now()
-	n := b.name(customer, method, operator.QuotaPrefix)
-	b.counts.own.Add(now, n.counted, 1)
-	ok, bound, again := b.book.Take(now, n.budget, criticality, 0)
+	now := b.nowMs()
+	n := b.cachedName(customer, method, operator.QuotaPrefix)
+	b.counts.counter.Add(now, n.counted, 1)
+	ok, bound, again := b.ledger.Take(now, n.budget, criticality, 0)
 	switch {
 	case !bound:
 		return control.QuotaUnknown, 0
@@ -148,7 +148,7 @@
 func (b *Budgets) AllowRetry(pool string, worth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok, _, _ := b.book.Take(b.now(), b.name(pool, "", operator.RetriesPrefix).budget, worth, 0)
+	ok, _, _ := b.ledger.Take(b.nowMs(), b.cachedName(pool, "", operator.RetriesPrefix).budget, worth, 0)
 	return ok
 }
 
@@ -156,11 +156,11 @@
 func (b *Budgets) AllowCall(pool string, worth, longest float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.now()
-	b.ended(now)
-	ok, _, _ := b.book.Take(now, b.name(pool, failedAt, operator.CallsPrefix).budget, worth, longest+(*b.linger.Load())[pool])
+	now := b.nowMs()
+	b.endExpiredCalls(now)
+	ok, _, _ := b.ledger.Take(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).budget, worth, longest+(*b.lingerMs.Load())[pool])
 	if ok {
-		b.counts.inHand[pool]++
+		b.counts.inFlight[pool]++
 	}
 	return ok
 }
@@ -169,97 +169,97 @@
 func (b *Budgets) CompleteCall(pool string, failed, silent bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now := b.now()
+	now := b.nowMs()
 	if failed {
-		b.counts.own.Add(now, b.name(pool, failedAt, operator.CallsPrefix).counted, 1)
+		b.counts.counter.Add(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).counted, 1)
 	}
-	if wait := (*b.linger.Load())[pool]; silent && wait > 0 {
-		b.late = append(b.late, given{pool, now + wait})
+	if wait := (*b.lingerMs.Load())[pool]; silent && wait > 0 {
+		b.abandoned = append(b.abandoned, abandonedCall{pool, now + wait})
 		return
 	}
-	b.gives(pool)
+	b.endCall(pool)
 }
 
-func (b *Budgets) gives(pool string) {
-	b.book.Give(b.name(pool, failedAt, operator.CallsPrefix).budget)
-	b.counts.inHand[pool] = max(0, b.counts.inHand[pool]-1)
+func (b *Budgets) endCall(pool string) {
+	b.ledger.Give(b.cachedName(pool, failedCalls, operator.CallsPrefix).budget)
+	b.counts.inFlight[pool] = max(0, b.counts.inFlight[pool]-1)
 }
 
-// ended gives back calls that can't be gone on with any more. They are no more than may be in hand.
-func (b *Budgets) ended(now float64) {
-	b.late = slices.DeleteFunc(b.late, func(g given) bool {
-		if g.at <= now {
-			b.gives(g.pool)
+// endExpiredCalls gives back calls that can't be gone on with any more. They are no more than may be in hand.
+func (b *Budgets) endExpiredCalls(now float64) {
+	b.abandoned = slices.DeleteFunc(b.abandoned, func(g abandonedCall) bool {
+		if g.expiresAt <= now {
+			b.endCall(g.pool)
 		}
-		return g.at <= now
+		return g.expiresAt <= now
 	})
 }
 
 // tick says what is to be said, to those that are heard.
 func (b *Budgets) tick(peers []string) {
 	b.mu.Lock()
-	now := b.now()
-	b.ended(now)
-	out := b.book.Tick(now, peers)
-	said := b.counts.due(now)
+	now := b.nowMs()
+	b.endExpiredCalls(now)
+	out := b.ledger.Tick(now, peers)
+	said := b.counts.dueRecord(now)
 	b.mu.Unlock()
 	b.send(out)
 	if said != nil {
-		b.f.Say(keyCounts, said)
+		b.fleet.Publish(keyCounts, said)
 	}
 }
 
-// void drops what is borrowed: this server has stalled.
-func (b *Budgets) void() {
+// dropLeases drops what is borrowed: this server has stalled.
+func (b *Budgets) dropLeases() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Void(b.now())
+	b.ledger.Void(b.nowMs())
 }
 
-// mute ends the use of any part: another process bears this server's name.
-func (b *Budgets) mute() {
+// disable ends the use of any part: another process bears this server's name.
+func (b *Budgets) disable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Mute()
+	b.ledger.Mute()
 }
 
-// hears takes a packet that a peer sent to this server alone, and answers it.
-func (b *Budgets) hears(from string, raw []byte) {
-	all, ok := parseLoans(raw)
+// receive takes a packet that a peer sent to this server alone, and answers it.
+func (b *Budgets) receive(from string, raw []byte) {
+	all, ok := parseLeases(raw)
 	b.mu.Lock()
 	if !ok {
-		b.wrong++
+		b.malformed++
 	}
 	var out []quota.Keyed
 	for _, m := range all {
-		out = append(out, b.book.Receive(b.now(), from, m)...)
+		out = append(out, b.ledger.Receive(b.nowMs(), from, m)...)
 	}
 	b.mu.Unlock()
 	b.send(out)
 }
 
-// packetBytes of messages go in one packet, so that with memberlist's own it fits one frame.
-const packetBytes = 1100
+// maxPacketBytes of messages go in one packet, so that with memberlist's own it fits one frame.
+const maxPacketBytes = 1100
 
 // send packs what goes to one peer together.
 func (b *Budgets) send(all []quota.Keyed) {
 	slices.SortStableFunc(all, func(x, y quota.Keyed) int { return cmp.Compare(x.To, y.To) })
 	var raw []byte
 	for i := range all {
-		raw = appendLoan(raw, &all[i])
-		if i+1 == len(all) || all[i+1].To != all[i].To || len(raw) > packetBytes {
-			b.sent.Add(1)
-			b.f.direct(all[i].To, channelLoans, raw)
+		raw = appendLease(raw, &all[i])
+		if i+1 == len(all) || all[i+1].To != all[i].To || len(raw) > maxPacketBytes {
+			b.packetsSent.Add(1)
+			b.fleet.sendDirect(all[i].To, channelLeases, raw)
 			raw = nil
 		}
 	}
 }
 
-// mostInPacket bounds what a packet brings.
-const mostInPacket = 256
+// maxPacketMessages bounds what a packet brings.
+const maxPacketMessages = 256
 
-// appendLoan writes a message as fleet.proto has it.
-func appendLoan(b []byte, m *quota.Keyed) []byte {
+// appendLease writes a message as fleet.proto has it.
+func appendLease(b []byte, m *quota.Keyed) []byte {
 	var x []byte
 	number := func(f protowire.Number, v uint64) {
 		if v != 0 {
@@ -271,7 +271,7 @@
 			x = protowire.AppendFixed64(protowire.AppendTag(x, f, protowire.Fixed64Type), math.Float64bits(v))
 		}
 	}
-	x = appendText(x, 1, m.Key)
+	x = appendStringField(x, 1, m.Key)
 	number(2, uint64(m.Kind))
 	number(3, m.Number)
 	x = protowire.AppendFixed64(protowire.AppendTag(x, 4, protowire.Fixed64Type), m.Life)
@@ -284,15 +284,15 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, 1, protowire.BytesType), x)
 }
 
-// parseLoans reads a packet of them; what makes no sense is left out, and told.
-func parseLoans(raw []byte) (all []quota.Keyed, ok bool) {
+// parseLeases reads a packet of them; what makes no sense is left out, and told.
+func parseLeases(raw []byte) (all []quota.Keyed, ok bool) {
 	sense := true
-	whole := fields(raw, func(num protowire.Number, v []byte, _ uint64) {
-		if num != 1 || len(all) >= mostInPacket {
+	whole := eachField(raw, func(num protowire.Number, v []byte, _ uint64) {
+		if num != 1 || len(all) >= maxPacketMessages {
 			return
 		}
 		var m quota.Keyed
-		good := fields(v, func(num protowire.Number, v []byte, n uint64) {
+		good := eachField(v, func(num protowire.Number, v []byte, n uint64) {
 			x := math.Float64frombits(n)
 			switch num {
 			case 1:
@@ -332,67 +332,67 @@
 
 // How much of the parts and loans is told.
 const (
-	partsTold = 64
-	loansTold = 16
+	maxReportedQuotas = 64
+	maxReportedLeases = 16
 )
 
 // BudgetStatus is the state of this server's budget quotas.
 type BudgetStatus struct {
-	Parts []quota.Named `json:"Parts,omitempty"` // the quotas with the most activity
-	Table int           `json:"Table"`           // quotas that are not idle
-	Full  uint64        `json:"Full"`            // RPCs for which the table had no room
-	Sent  uint64        `json:"Sent"`            // lease packets
-	Steps int           `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
-	Wrong int           `json:"Wrong"`           // malformed packets
-	Sums  []Sum         `json:"Sums,omitempty"`
+	Quotas           []quota.Named `json:"Parts,omitempty"` // the quotas with the most activity
+	ActiveQuotas     int           `json:"Table"`           // quotas that are not idle
+	TableFull        uint64        `json:"Full"`            // RPCs for which the table had no room
+	PacketsSent      uint64        `json:"Sent"`            // lease packets
+	ClockSteps       int           `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
+	MalformedPackets int           `json:"Wrong"`           // malformed packets
+	FleetCounts      []CountRange  `json:"Sums,omitempty"`
 }
 
 func (b *Budgets) status() *BudgetStatus {
 	b.mu.Lock()
-	now := b.now()
-	s := &BudgetStatus{Parts: b.book.States(now, b.f.o.Name, partsTold, loansTold), Table: b.book.Size(), Full: b.book.Full, Sent: b.sent.Load(), Steps: b.steps, Wrong: b.wrong}
+	now := b.nowMs()
+	s := &BudgetStatus{Quotas: b.ledger.States(now, b.fleet.options.Name, maxReportedQuotas, maxReportedLeases), ActiveQuotas: b.ledger.Size(), TableFull: b.ledger.Full, PacketsSent: b.packetsSent.Load(), ClockSteps: b.clockSteps, MalformedPackets: b.malformed}
 	b.mu.Unlock()
 	return s
 }
 
-// Sum is what a fleet's servers count under a key: at least and at most so many a second, or in hand.
-type Sum struct {
+// CountRange is what a fleet's servers count under a key: at least and at most so many a second, or in hand.
+type CountRange struct {
 	Key             string
 	AtLeast, AtMost float64
 }
 
-// counts is what this server counts for the others.
-type counts struct {
-	own    *count.Own
-	inHand map[string]int // calls, by pool
-	at     float64        // when they were last said
+// localCounts is what this server counts for the others.
+type localCounts struct {
+	counter     *count.Own
+	inFlight    map[string]int // calls, by pool
+	publishedAt float64        // when they were last said
 }
 
 const (
-	keyCounts   = "counts"
-	countsEvery = 2000.0
-	mostSaid    = 12 // keys of a record, which has 1 KB
+	keyCounts          = "counts"
+	countsIntervalMs   = 2000.0
+	maxPublishedCounts = 12 // keys of a record, which has 1 KB
 )
 
-func newCounts() counts {
-	return counts{own: count.NewOwn(count.Usual), inHand: map[string]int{}}
+func newLocalCounts() localCounts {
+	return localCounts{counter: count.NewOwn(count.Usual), inFlight: map[string]int{}}
 }
 
-// due is the record that is to be said now; nil for none yet.
-func (c *counts) due(now float64) []byte {
-	if now-c.at < countsEvery {
+// dueRecord is the record that is to be said now; nil for none yet.
+func (c *localCounts) dueRecord(now float64) []byte {
+	if now-c.publishedAt < countsIntervalMs {
 		return nil
 	}
-	c.at = now
-	items := c.own.Items(now, mostSaid)
+	c.publishedAt = now
+	items := c.counter.Items(now, maxPublishedCounts)
 	rest := 0.0
-	if len(items) == mostSaid {
-		rest = items[mostSaid-1].Value
+	if len(items) == maxPublishedCounts {
+		rest = items[maxPublishedCounts-1].Value
 	}
 	items = slices.DeleteFunc(items, func(x count.Item) bool { return x.Value < 0.05 })
-	for _, pool := range slices.Sorted(maps.Keys(c.inHand)) {
-		if len(items) < mostSaid+4 {
-			items = append(items, count.Item{Key: "in hand|" + pool, Value: float64(c.inHand[pool])})
+	for _, pool := range slices.Sorted(maps.Keys(c.inFlight)) {
+		if len(items) < maxPublishedCounts+4 {
+			items = append(items, count.Item{Key: "in hand|" + pool, Value: float64(c.inFlight[pool])})
 		}
 	}
 	if len(items) == 0 {
@@ -407,7 +407,7 @@
 		if len(b)+len(x.Key)+16 > 900 {
 			break
 		}
-		b = appendText(b, 2, x.Key)
+		b = appendStringField(b, 2, x.Key)
 		float(3, x.Value)
 		float(4, x.Err)
 	}
@@ -416,7 +416,7 @@
 
 // parseCounts reads such a record.
 func parseCounts(raw []byte) (items []count.Item, rest float64, ok bool) {
-	ok = fields(raw, func(num protowire.Number, v []byte, n uint64) {
+	ok = eachField(raw, func(num protowire.Number, v []byte, n uint64) {
 		x := float64(math.Float32frombits(uint32(n)))
 		if !(x >= 0 && x < 1e12) {
 			x = 0
@@ -425,7 +425,7 @@
 		case num == 1:
 			rest = x
 		case num == 2:
-			items = append(items, count.Item{Key: clean(string(v))})
+			items = append(items, count.Item{Key: sanitize(string(v))})
 		case num == 3 && len(items) > 0:
 			items[len(items)-1].Value = x
 		case num == 4 && len(items) > 0:
@@ -435,24 +435,24 @@
 	return items, rest, ok
 }
 
-// sums are over the roster, as ranges that widen for those not heard. The lock of the fleet is held.
-func (f *Fleet) sums(now float64, most int) (all []Sum) {
+// countRanges are over the roster, as ranges that widen for those not heard. The lock of the fleet is held.
+func (f *Fleet) countRanges(now float64, most int) (all []CountRange) {
 	sum := count.NewFleet(count.Usual)
-	roster := []string{f.o.Name}
-	for _, p := range f.hear.Peers(now) {
+	roster := []string{f.options.Name}
+	for _, p := range f.detector.Peers(now) {
 		if p.Away == 0 {
 			roster = append(roster, p.Name)
 		}
 	}
-	f.table.Each(now, keyCounts, func(r *gossip.Record, age float64) {
+	f.records.Each(now, keyCounts, func(r *gossip.Record, age float64) {
 		if items, rest, ok := parseCounts(r.Body); ok {
 			sum.Take(now-age, r.Origin, r.Start, r.Seq, items, rest)
 		}
 	})
 	for _, key := range sum.Keys() {
 		r := sum.Sum(now, key, roster)
-		all = append(all, Sum{key, r.AtLeast, r.AtMost})
+		all = append(all, CountRange{key, r.AtLeast, r.AtMost})
 	}
-	slices.SortStableFunc(all, func(a, b Sum) int { return cmp.Compare(b.AtLeast, a.AtLeast) })
+	slices.SortStableFunc(all, func(a, b CountRange) int { return cmp.Compare(b.AtLeast, a.AtLeast) })
 	return all[:min(most, len(all))]
 }
--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -21,7 +21,7 @@
 func TestQuotaOfProcesses(t *testing.T) {
 	const bound, burst = 80.0, 12.0
 	rules := standin.NewInvariantChecker("view")
-	n := names(4)
+	n := cachedNames(4)
 	customerQuota := func(bound float64) *operator.Budgets {
 		return &operator.Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, MaxLeaseMs: 1000}}}
 	}
@@ -34,7 +34,7 @@
 	}
 	pour("n0", 120, 3*time.Second, 1) // the start is over, and loans are made
 	await(t, b, n[:1], func(p *testbed.Observation) bool {
-		if p.Budgets == nil || len(p.Budgets.Parts) == 0 || p.Budgets.Parts[0].Borrowed < 40 {
+		if p.Budgets == nil || len(p.Budgets.Quotas) == 0 || p.Budgets.Quotas[0].Borrowed < 40 {
 			pour("n0", 120, 500*time.Millisecond, 2)
 			return false
 		}
@@ -91,7 +91,7 @@
 		if p.Budgets == nil {
 			return false
 		}
-		for _, x := range p.Budgets.Parts {
+		for _, x := range p.Budgets.Quotas {
 			if x.Own != 5 || x.Part > 20 {
 				return false
 			}
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -23,25 +23,25 @@
 	}
 	var raw []byte
 	for i := range all {
-		raw = appendLoan(raw, &all[i])
+		raw = appendLease(raw, &all[i])
 	}
-	if got, ok := parseLoans(raw); !ok || !reflect.DeepEqual(got, all) {
+	if got, ok := parseLeases(raw); !ok || !reflect.DeepEqual(got, all) {
 		t.Errorf("%+v %v", got, ok)
 	}
-	if got, ok := parseLoans(appendLoan(raw, &quota.Keyed{Key: "x"})); ok || len(got) != len(all) {
+	if got, ok := parseLeases(appendLease(raw, &quota.Keyed{Key: "x"})); ok || len(got) != len(all) {
 		t.Errorf("one that makes no sense beside others: %d taken, %v", len(got), ok)
 	}
 	for _, m := range []quota.Keyed{{Key: "", Message: quota.Message{Kind: quota.Ask}}, {Key: "x"}, {Key: "x", Message: quota.Message{Kind: quota.Ask, Amount: -1}}} {
-		if got, ok := parseLoans(appendLoan(nil, &m)); ok || len(got) != 0 {
+		if got, ok := parseLeases(appendLease(nil, &m)); ok || len(got) != 0 {
 			t.Errorf("%+v was taken", got)
 		}
 	}
 }
 
 func FuzzLoans(f *testing.F) {
-	f.Add(appendLoan(nil, &quota.Keyed{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 3, Amount: 12.5}}))
+	f.Add(appendLease(nil, &quota.Keyed{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 3, Amount: 12.5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		all, _ := parseLoans(raw)
+		all, _ := parseLeases(raw)
 		b := quota.NewBook(1, 1, 0, func(string) (quota.Rules, bool) {
 			return quota.Rules{Kind: quota.Rate, Bound: 100, Burst: 10, Servers: 2, Floor: 5, Longest: 1000}, true
 		})
@@ -91,7 +91,7 @@
 		}
 		defer f.Close()
 		fleet = append(fleet, f)
-		parts = append(parts, f.Share(customerQuota(300, 3)))
+		parts = append(parts, f.ShareBudgets(customerQuota(300, 3)))
 	}
 	for _, f := range fleet {
 		wait(t, "whole", hears(f, health.Whole, 3))
@@ -104,12 +104,12 @@
 		t.Errorf("%g a second of 300", got)
 	}
 	s := fleet[0].Status()
-	if len(s.Budgets.Parts) != 1 || s.Budgets.Parts[0].Borrowed < 150 || len(s.Budgets.Parts[0].Loans) < 2 {
+	if len(s.Budgets.Quotas) != 1 || s.Budgets.Quotas[0].Borrowed < 150 || len(s.Budgets.Quotas[0].Loans) < 2 {
 		t.Errorf("status: %+v", s.Budgets)
 	}
 	wait(t, "counts", func() bool {
 		s := fleet[2].Status()
-		return len(s.Budgets.Sums) > 0 && s.Budgets.Sums[0].Key == "acme|view" && s.Budgets.Sums[0].AtLeast > 50
+		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].AtLeast > 50
 	})
 	var text strings.Builder
 	WriteViews(&text, []Status{s})
@@ -125,7 +125,7 @@
 	}
 	// Cut off from all it has its own part at the least, and asks nobody.
 	for _, f := range fleet[1:] {
-		f.Drop()
+		f.Crash()
 	}
 	time.Sleep(1200 * time.Millisecond) // a loan's length
 	if got := pour(parts[0], 400, time.Second); got < 2 || got > 20+12 {
@@ -133,7 +133,7 @@
 	}
 	// Another process of the name: nothing is used any more.
 	fleet[0].mu.Lock()
-	fleet[0].refuse(fmt.Errorf("taken"))
+	fleet[0].exclude(fmt.Errorf("taken"))
 	fleet[0].mu.Unlock()
 	wait(t, "mute", func() bool { stands, _ := parts[0].Arrives("view", "acme", 1); return stands == control.OverQuota })
 }
@@ -142,17 +142,17 @@
 func TestClockStepVoids(t *testing.T) {
 	listen := free(t)
 	f := open(t, &listen, Options{Name: "n0"})
-	b := f.Share(customerQuota(300, 3))
+	b := f.ShareBudgets(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.book.Receive(b.now(), "p", quota.Keyed{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
-	b.parted -= time.Minute // as if the machine had slept for one
-	b.now()
-	if b.steps != 1 {
-		t.Errorf("%d steps", b.steps)
+	b.ledger.Receive(b.nowMs(), "p", quota.Keyed{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
+	b.clockOffset -= time.Minute // as if the machine had slept for one
+	b.nowMs()
+	if b.clockSteps != 1 {
+		t.Errorf("%d steps", b.clockSteps)
 	}
-	if b.now(); b.steps != 1 {
-		t.Errorf("%d steps by one", b.steps)
+	if b.nowMs(); b.clockSteps != 1 {
+		t.Errorf("%d steps by one", b.clockSteps)
 	}
 }
 
@@ -160,7 +160,7 @@
 func TestCallsLinger(t *testing.T) {
 	listen := free(t)
 	f := open(t, &listen, Options{Name: "n0"})
-	b := f.Share(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
+	b := f.ShareBudgets(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
 	if !b.AllowCall("p", 1, 100) || !b.AllowCall("p", 1, 100) || b.AllowCall("p", 1, 100) {
 		t.Fatal("two of two expected")
 	}
@@ -181,7 +181,7 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	x := f.Share(customerQuota(1e9, 1))
+	x := f.ShareBudgets(customerQuota(1e9, 1))
 	b.ReportAllocs()
 	for b.Loop() {
 		x.Arrives("view", "acme", 1)
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -56,25 +56,25 @@
 		}
 	}
 	var taken, origin string
-	s := Settle{Build: "build-2", Folder: dir, Flow: func() gate.Flow { return gate.Flow{} }, Mark: func() {},
-		Take: func(r *operator.Record, from string) error { taken, origin = r.File.Version, from; return nil }}
-	v := newVersions(s, quiet())
+	s := RolloutHooks{ProgramName: "build-2", Dir: dir, Throughput: func() gate.Flow { return gate.Flow{} }, Sample: func() {},
+		Apply: func(r *operator.Record, from string) error { taken, origin = r.File.Version, from; return nil }}
+	v := newVersionManager(s, quiet())
 	if taken != "two" || origin != "release of version 2" {
 		t.Errorf("put in force: %q by %q", taken, origin)
 	}
 	const hash = "b5fdce653d39cc0110b0cbdc1a90ee9bdc30a1480d1ffefc9723fc2bffba9c60"
-	if st := v.status(); st.Version != 2 || st.Hash != hash || st.Program != 3 || st.Refused != "" {
+	if st := v.status(); st.Version != 2 || st.Hash != hash || st.Program != 3 || st.Rejected != "" {
 		t.Errorf("status %+v", st)
 	}
-	if v.wants(&permitclient.Directives{ProgramVersion: 4, Index: 57}) || !v.wants(&permitclient.Directives{ProgramVersion: 4, Index: 58}) {
+	if v.wantsProgram(&permitclient.Directives{ProgramVersion: 4, Index: 57}) || !v.wantsProgram(&permitclient.Directives{ProgramVersion: 4, Index: 58}) {
 		t.Error("the program's word is not the 57th")
 	}
-	if v.follow(t.Context(), nil, &permitclient.Directives{SettingsVersion: 9, SettingsHash: "x", Index: 41}) {
+	if v.applyOrders(t.Context(), nil, &permitclient.Directives{SettingsVersion: 9, SettingsHash: "x", Index: 41}) {
 		t.Error("an older word about the settings is followed")
 	}
 	// What is written again is what was there.
-	v.keep()
-	if err := v.wanted(3, "build-2", 57); err != nil {
+	v.persist()
+	if err := v.recordProgram(3, "build-2", 57); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"version.json", "program.json", "program"} {
@@ -96,29 +96,29 @@
 			t.Errorf("%s: written again as %x, was %x", name, got, old)
 		}
 	}
-	server := Server{Zone: "z1", Version: "v1", Settings: "0123456789ab", Phase: Draining, Ramp: 0.25, Addr: "10.0.0.4:7801"}
+	server := ServerRecord{Zone: "z1", Version: "v1", SettingsHash: "0123456789ab", Phase: Draining, WarmupProgress: 0.25, Addr: "10.0.0.4:7801"}
 	if got, ok := parseServer(written(t, "server.bin")); !ok || got != server {
 		t.Errorf("server: %+v %v", got, ok)
 	}
-	same("server.bin", server.append(nil))
+	same("server.bin", server.appendTo(nil))
 
-	away := gone{name: "n17", start: 7, who: "me", why: "scrapped"}
-	if got, ok := parseGone(written(t, "gone.bin")); !ok || got != away {
+	away := removal{name: "n17", start: 7, operator: "me", reason: "scrapped"}
+	if got, ok := parseRemoval(written(t, "gone.bin")); !ok || got != away {
 		t.Errorf("gone: %+v %v", got, ok)
 	}
-	same("gone.bin", away.append(nil))
+	same("gone.bin", away.appendTo(nil))
 
 	loans := []quota.Keyed{
 		{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
 		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
 		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, Number: 9, Life: 2, Why: quota.Contends}},
 	}
-	if got, ok := parseLoans(written(t, "loans.bin")); !ok || !reflect.DeepEqual(got, loans) {
+	if got, ok := parseLeases(written(t, "loans.bin")); !ok || !reflect.DeepEqual(got, loans) {
 		t.Errorf("loans: %+v %v", got, ok)
 	}
 	var raw []byte
 	for i := range loans {
-		raw = appendLoan(raw, &loans[i])
+		raw = appendLease(raw, &loans[i])
 	}
 	same("loans.bin", raw)
 
@@ -127,19 +127,19 @@
 		{Member: "10.0.0.2:80", Run: 9, Age: 5, N: 64, SlowN: 7},
 	}
 	said := outlier.Said{Zone: "z1", Views: views, Out: []string{"10.0.0.1:80"}, Back: []outlier.Back{{Member: "10.0.0.3:80", For: 1500}}}
-	if got, ok := parseSeen(written(t, "seen.bin")); !ok || !reflect.DeepEqual(got, said) {
+	if got, ok := parseObservations(written(t, "seen.bin")); !ok || !reflect.DeepEqual(got, said) {
 		t.Errorf("seen: %+v %v", got, ok)
 	}
-	same("seen.bin", appendSeen(views, said.Zone, said.Out, said.Back))
+	same("seen.bin", appendObservations(views, said.Zone, said.Out, said.Back))
 
 	items, rest, ok := parseCounts(written(t, "counts.bin"))
 	counted := []count.Item{{Key: "acme|view", Value: 11.289106369018555}, {Key: "in hand|p", Value: 3}}
 	if !ok || rest != 0 || !reflect.DeepEqual(items, counted) {
 		t.Errorf("counts: %+v %v %v", items, rest, ok)
 	}
-	c := newCounts()
-	c.own.Add(0, "acme|view", 40)
-	c.own.Add(500, "acme|view", 40)
-	c.inHand["p"] = 3
-	same("counts.bin", c.due(countsEvery))
+	c := newLocalCounts()
+	c.counter.Add(0, "acme|view", 40)
+	c.counter.Add(500, "acme|view", 40)
+	c.inFlight["p"] = 3
+	same("counts.bin", c.dueRecord(countsIntervalMs))
 }
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -26,7 +26,7 @@
 // One of three may be out: a server that drains by a permit ends, another may not until the first is back and warm; a loss uses
 // up the allowance; without keepers, and while halted, nothing begins.
 func TestDrainsByPermit(t *testing.T) {
-	n := names(3)
+	n := cachedNames(3)
 	free := func() string {
 		ln, err := net.Listen("tcp", place())
 		if err != nil {
@@ -63,7 +63,7 @@
 	drain := func(name string) error {
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
-		return fleet.Drain(ctx, b.Socket(name), "who=me&why=test")
+		return fleet.RequestDrain(ctx, b.Socket(name), "who=me&why=test")
 	}
 	// until waits for a drain to begin: servers that the keeper has not heard since it leads count as out.
 	until := func(name string) {
@@ -250,7 +250,7 @@
 		t.Cleanup(a.Stop)
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
-	n := names(6)
+	n := cachedNames(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, PermitServers: k.addrs, SettingsJSON: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
@@ -277,7 +277,7 @@
 	op := func(name, query string) error {
 		ctx, end := context.WithTimeout(context.Background(), within)
 		defer end()
-		return fleet.Drain(ctx, b.Socket(name), query+"&who=me&why=test")
+		return fleet.RequestDrain(ctx, b.Socket(name), query+"&who=me&why=test")
 	}
 	until := func(name, query string) {
 		t.Helper()
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -17,46 +17,46 @@
 	"sorrelvalve/internal/operator"
 )
 
-// part is a fleet beside a daemon.
-type part struct {
-	f *Fleet
-	s *Socket
-	b *Budgets
-	d *Drains // nil without keepers
+// daemonFleet is a fleet beside a daemon.
+type daemonFleet struct {
+	fleet   *Fleet
+	socket  *Socket
+	budgets *Budgets
+	drains  *DrainCoordinator // nil without keepers
 }
 
 // Set takes what a new file has of it: the budgets.
-func (p *part) Set(f *operator.File) { p.b.Set(f.Budgets) }
+func (p *daemonFleet) Set(f *operator.File) { p.budgets.Set(f.Budgets) }
 
 // Close ends it.
-func (p *part) Close() {
-	if p.s != nil {
-		p.s.Close()
+func (p *daemonFleet) Close() {
+	if p.socket != nil {
+		p.socket.Close()
 	}
-	if p.d != nil {
-		p.d.Close()
+	if p.drains != nil {
+		p.drains.Close()
 	}
-	p.f.Close()
+	p.fleet.Close()
 }
 
-// Beside starts a server's part in the fleet of its operator's file, if that has one. It is a daemon.Extension.
-func Beside(p daemon.Parts) (daemon.Addition, error) {
+// StartWithDaemon starts a server's part in the fleet of its operator's file, if that has one. It is a daemon.Extension.
+func StartWithDaemon(p daemon.Parts) (daemon.Addition, error) {
 	if p.Config.Operator == nil || p.Config.Operator.File.Fleet == nil {
 		return nil, nil
 	}
 	x := p.Config.Operator.File.Fleet
 	o := Options{
-		Name: p.Config.Name, Zone: x.Zone, Listen: x.Listen, Advertise: x.Advertise, Fleet: x.Name, Seeds: x.Seeds,
-		Expect: x.ExpectedServers, Version: p.Build, Settings: p.Config.Operator.Hash[:min(12, len(p.Config.Operator.Hash))], Log: p.Log,
-		Phase: PhaseOf(p.Phase),
+		Name: p.Config.Name, Zone: x.Zone, Listen: x.Listen, Advertise: x.Advertise, FleetName: x.Name, Seeds: x.Seeds,
+		ExpectedServers: x.ExpectedServers, Version: p.Build, SettingsHash: p.Config.Operator.Hash[:min(12, len(p.Config.Operator.Hash))], Log: p.Log,
+		Phase: PhaseFunc(p.Phase),
 	}
 	if x.KeyFile != "" {
 		b, err := os.ReadFile(x.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("operator: fleet.key_file: %w", err)
 		}
-		if o.Key, err = base64.StdEncoding.DecodeString(strings.TrimSpace(string(b))); err == nil {
-			err = CheckKey(o.Key)
+		if o.EncryptionKey, err = base64.StdEncoding.DecodeString(strings.TrimSpace(string(b))); err == nil {
+			err = ValidateKey(o.EncryptionKey)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("operator: fleet.key_file: %s: base64 of 16, 24 or 32 bytes expected: %w", x.KeyFile, err)
@@ -66,22 +66,22 @@
 	if err != nil {
 		return nil, err
 	}
-	y := &part{f: f, b: f.Share(p.Config.Operator.File.Budgets)}
-	p.Gate.Share(y.b)
-	p.Pools.UseOutlierDetection(f.Judge())
+	y := &daemonFleet{fleet: f, budgets: f.ShareBudgets(p.Config.Operator.File.Budgets)}
+	p.Gate.Share(y.budgets)
+	p.Pools.UseOutlierDetection(f.DetectOutliers())
 	methods := p.Config.Config.Methods
-	p.Pools.UseBudgets(y.b, func(method string) float64 {
+	p.Pools.UseBudgets(y.budgets, func(method string) float64 {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
 		return methods[max(0, i)].Criticality
 	})
 	if len(x.PermitServers) > 0 {
-		y.d = f.Drains(x.PermitServers, Life{Leave: p.Leave, Stay: p.CancelDrain, Aside: p.Pools.SetDraining, Below: below(p.Pools), Flow: func() (arrived, pushed uint64) {
+		y.drains = f.CoordinateDrains(x.PermitServers, DrainHooks{StartDrain: p.Leave, CancelDrain: p.CancelDrain, SetDrainedMembers: p.Pools.SetDraining, MemberStates: memberStates(p.Pools), RequestCounts: func() (arrived, pushed uint64) {
 			n := p.Gate.Flow()
 			return n.All, n.PushedBack
-		}, Settle: Settle{Build: p.Build, Folder: x.DataDir, Take: p.Release, Flow: p.Gate.Flow, Mark: p.SampleLoad}})
+		}, Rollout: RolloutHooks{ProgramName: p.Build, Dir: x.DataDir, Apply: p.Release, Throughput: p.Gate.Flow, Sample: p.SampleLoad}})
 	}
 	if x.Socket != "" {
-		if y.s, err = f.ServeSocket(x.Socket); err != nil {
+		if y.socket, err = f.ServeSocket(x.Socket); err != nil {
 			y.Close()
 			return nil, err
 		}
@@ -90,29 +90,29 @@
 	return y, nil
 }
 
-// below tells how the members of pools stand.
-func below(b *pools.Backends) func() map[string]map[string]Below {
-	return func() map[string]map[string]Below {
-		all := map[string]map[string]Below{}
+// memberStates tells how the members of pools stand.
+func memberStates(b *pools.Backends) func() map[string]map[string]MemberState {
+	return func() map[string]map[string]MemberState {
+		all := map[string]map[string]MemberState{}
 		for _, s := range b.States() {
-			all[s.Name] = map[string]Below{}
+			all[s.Name] = map[string]MemberState{}
 			for _, m := range s.Members {
-				all[s.Name][m.Addr] = Below{Out: m.Ejection != pool.NotEjected, InHand: m.InFlight}
+				all[s.Name][m.Addr] = MemberState{Unavailable: m.Ejection != pool.NotEjected, InFlight: m.InFlight}
 			}
 		}
 		return all
 	}
 }
 
-// PhaseOf turns what a server tells of its ramp and drain into a phase.
-func PhaseOf(of func() (ramp float64, draining bool)) func() (Phase, float64) {
+// PhaseFunc turns what a server tells of its ramp and drain into a phase.
+func PhaseFunc(of func() (ramp float64, draining bool)) func() (Phase, float64) {
 	return func() (Phase, float64) {
 		ramp, draining := of()
 		switch {
 		case draining:
 			return Draining, ramp
 		case ramp < 1:
-			return Cold, ramp
+			return WarmingUp, ramp
 		}
 		return Warm, 1
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -54,8 +54,8 @@
 	return ln.Addr().String()
 }
 
-// startTries bounds how often start takes a fresh address.
-const startTries = 5
+// maxStartAttempts bounds how often start takes a fresh address.
+const maxStartAttempts = 5
 
 // start starts a fleet at *listen. free closes its socket before memberlist binds the port for streams and packets, so
 // another process may take it in between: then, and only then, start starts again at a fresh address, which it writes to
@@ -65,7 +65,7 @@
 	for try := 1; ; try++ {
 		o.Listen = *listen
 		f, err := Start(o)
-		if err == nil || try == startTries || !taken(*listen) {
+		if err == nil || try == maxStartAttempts || !taken(*listen) {
 			return f, err
 		}
 		t.Logf("%s was taken before the bind: %v", *listen, err)
@@ -111,10 +111,10 @@
 func TestFourOnLoopback(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	addrs := []string{free(t), free(t), free(t), free(t)}
-	phase := Cold
+	phase := WarmingUp
 	var fleet []*Fleet
 	for i := range addrs {
-		o := Options{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%2), Seeds: addrs, Key: []byte("0123456789abcdef"), Version: "v1", Log: quiet()}
+		o := Options{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%2), Seeds: addrs, EncryptionKey: []byte("0123456789abcdef"), Version: "v1", Log: quiet()}
 		if i == 1 {
 			o.Phase = func() (Phase, float64) { return phase, 0.25 }
 		}
@@ -126,13 +126,13 @@
 		defer f.Close()
 	}
 	for _, f := range fleet {
-		wait(t, f.o.Name+" hears all", hears(f, health.Whole, 4))
+		wait(t, f.options.Name+" hears all", hears(f, health.Whole, 4))
 	}
 	wait(t, "the phase of n1 is known", func() bool {
 		s := fleet[3].Status()
-		return s.Peers[1].Phase == "cold" && s.Peers[1].Ramp == 0.25 && s.Peers[1].Zone == "z1"
+		return s.Peers[1].Phase == "cold" && s.Peers[1].WarmupProgress == 0.25 && s.Peers[1].Zone == "z1"
 	})
-	if err := fleet[0].Say("x", []byte("word")); err != nil {
+	if err := fleet[0].Publish("x", []byte("word")); err != nil {
 		t.Fatal(err)
 	}
 	wait(t, "a record travels", func() (has bool) {
@@ -153,12 +153,12 @@
 		t.Fatal(err)
 	}
 	wait(t, "a hears b", hears(a, health.Whole, 2))
-	b.Say("x", []byte("old"))
+	b.Publish("x", []byte("old"))
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
-	b.Drop()
+	b.Crash()
 	b = open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	wait(t, "b raises its start", func() bool { return b.Status().Start == 2 })
-	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Start == 2 && s.Hears == "whole" })
+	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Start == 2 && s.Connectivity == "whole" })
 	if _, _, has := a.Get("b", "x"); has {
 		t.Error("what its former life said is still held")
 	}
@@ -172,9 +172,9 @@
 	wait(t, "whole", hears(a, health.Whole, 2))
 	wait(t, "whole", hears(b, health.Whole, 2))
 	twin := open(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
-	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().Refused, "the name b is") })
-	wait(t, "both are named", func() bool { return len(a.Status().Twins)+len(b.Status().Twins) > 0 })
-	if s := b.Status(); s.Refused != "" || s.Hears != "whole" {
+	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().ExclusionReason, "the name b is") })
+	wait(t, "both are named", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
+	if s := b.Status(); s.ExclusionReason != "" || s.Connectivity != "whole" {
 		t.Errorf("the first b: %+v", s)
 	}
 	if _, err := Start(Options{Name: "c", Listen: addrs[0], Log: quiet()}); err == nil || !strings.Contains(err.Error(), addrs[0]) {
@@ -198,22 +198,22 @@
 	}
 	wait(t, "whole", hears(a, health.Whole, 2))
 	ctx := context.Background()
-	if err := Declare(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
+	if err := RequestRemoval(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
 		t.Errorf("who is heard is declared gone: %v", err)
 	}
-	b.Drop()
+	b.Crash()
 	wait(t, "b silent, on the roster", func() bool {
-		st, err := Ask(ctx, path)
-		return err == nil && st.Hears == "alone" && st.Heard == 1 && st.Roster == 2 && !st.Peers[0].Heard
+		st, err := FetchStatus(ctx, path)
+		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Roster == 2 && !st.Peers[0].Reachable
 	})
-	if err := Declare(ctx, path, "name=b&who=me&why=scrapped"); err != nil {
+	if err := RequestRemoval(ctx, path, "name=b&who=me&why=scrapped"); err != nil {
 		t.Fatal(err)
 	}
-	if st, _ := Ask(ctx, path); st.Roster != 1 || st.Peers[0].Away != "declared gone" {
+	if st, _ := FetchStatus(ctx, path); st.Roster != 1 || st.Peers[0].Departed != "declared gone" {
 		t.Errorf("%+v", st)
 	}
 	// More readers than there are places, none of which reads on: the rest hear no at once, and all end.
-	for range 3 * mostReaders {
+	for range 3 * maxSocketRequests {
 		c, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
@@ -221,7 +221,7 @@
 		defer c.Close()
 		io.WriteString(c, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n")
 	}
-	if _, err := Ask(ctx, path); err != nil {
+	if _, err := FetchStatus(ctx, path); err != nil {
 		t.Errorf("slow readers keep others out: %v", err)
 	}
 }
@@ -233,14 +233,14 @@
 	a := open(t, &addrs[0], Options{Name: "a"})
 	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	wait(t, "whole", hears(a, health.Whole, 2))
-	b.Say("x", []byte("first"))
+	b.Publish("x", []byte("first"))
 	var old []byte
 	wait(t, "the record", func() bool {
 		r, _, has := a.Get("b", "x")
 		old = r.Append(nil)
 		return has
 	})
-	b.Say("x", []byte("second"))
+	b.Publish("x", []byte("second"))
 	wait(t, "the next record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
 	c, err := net.Dial("udp", addrs[0])
 	if err != nil {
@@ -270,10 +270,10 @@
 func TestMany(t *testing.T) {
 	t.Parallel()
 	n := 60
-	mesh := NewMesh()
+	mesh := NewMemoryNetwork()
 	places := make([]Options, n)
 	for i := range places {
-		places[i] = mesh.Place(fmt.Sprintf("n%03d", i))
+		places[i] = mesh.AddServer(fmt.Sprintf("n%03d", i))
 	}
 	var fleet []*Fleet
 	for i, o := range places {
@@ -287,13 +287,13 @@
 	defer func() {
 		var ends sync.WaitGroup
 		for _, f := range fleet {
-			ends.Go(f.Drop)
+			ends.Go(f.Crash)
 		}
 		ends.Wait()
 		mesh.Close()
 	}()
 	for _, f := range fleet {
-		wait(t, f.o.Name+" hears all", hears(f, health.Whole, n))
+		wait(t, f.options.Name+" hears all", hears(f, health.Whole, n))
 	}
 	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Heard != n/3 {
 		t.Errorf("zones %v", z)
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -23,57 +23,57 @@
 )
 
 const (
-	keySeen   = "seen/" // and the pool's name
-	lookEvery = 250.0   // ms between two looks at a pool
-	// sayBad is between two words on a pool with a member that is bad or out; what is good is said with every second own
+	keyObservations      = "seen/" // and the pool's name
+	evaluationIntervalMs = 250.0   // ms between two looks at a pool
+	// faultReportIntervalMs is between two words on a pool with a member that is bad or out; what is good is said with every second own
 	// record, since it only has to weigh against an accuser.
-	sayBad     = 1000.0
-	sayGood    = 2.0
-	mostJudged = 12  // pools: a record each, of the 16 that an origin may have
-	viewBytes  = 900 // of a record, which has 1 KB
+	faultReportIntervalMs  = 1000.0
+	reportsPerAnnouncement = 2.0
+	maxDetectedPools       = 12  // pools: a record each, of the 16 that an origin may have
+	maxViewBytes           = 900 // of a record, which has 1 KB
 )
 
-// Judges are one server's, a judge for each pool. Its methods may be called by many goroutines.
-type Judges struct {
-	f      *Fleet
-	origin time.Time
-	log    *logrus.Entry
+// OutlierDetectors are one server's, a judge for each pool. Its methods may be called by many goroutines.
+type OutlierDetectors struct {
+	fleet     *Fleet
+	startedAt time.Time
+	log       *logrus.Entry
 
 	mu     sync.Mutex
-	pools  map[string]*judged
-	chance *rand.Rand
+	pools  map[string]*poolDetector
+	random *rand.Rand
 }
 
-// judged is one pool.
-type judged struct {
-	seen     evidence.Own
-	j        *outlier.Judge
-	looked   float64
-	said     float64
-	bad      bool // something bad is to be said
-	verdicts atomic.Pointer[[]pool.FleetDecision]
-	together atomic.Bool // this server hears all; else it judges for itself
-	out      atomic.Bool // a member is, that this server may ask after
-	told     []outlier.Said
-	aside    []string // members that an operator drains
+// poolDetector is one pool.
+type poolDetector struct {
+	evidence     evidence.Own
+	detector     *outlier.Judge
+	evaluatedAt  float64
+	publishedAt  float64
+	faultPending bool // something bad is to be said
+	verdicts     atomic.Pointer[[]pool.FleetDecision]
+	fleetwide    atomic.Bool // this server hears all; else it judges for itself
+	checksNeeded atomic.Bool // a member is, that this server may ask after
+	reports      []outlier.Said
+	drained      []string // members that an operator drains
 }
 
-// Judge has a server judge members together with its fleet.
-func (f *Fleet) Judge() *Judges {
-	j := &Judges{f: f, origin: time.Now(), log: f.o.Log, pools: map[string]*judged{}, chance: rand.New(rand.NewPCG(f.self.Life, 5))}
+// DetectOutliers has a server judge members together with its fleet.
+func (f *Fleet) DetectOutliers() *OutlierDetectors {
+	j := &OutlierDetectors{fleet: f, startedAt: time.Now(), log: f.options.Log, pools: map[string]*poolDetector{}, random: rand.New(rand.NewPCG(f.identity.Life, 5))}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judges = j
+	f.outliers = j
 	return j
 }
 
-func (j *Judges) now() float64 { return float64(time.Since(j.origin)) / 1e6 }
+func (j *OutlierDetectors) nowMs() float64 { return float64(time.Since(j.startedAt)) / 1e6 }
 
 // Members is pools.Judges: whom there is to judge.
-func (j *Judges) SetMembers(all map[string][]string, rules func(string) pool.Config) {
+func (j *OutlierDetectors) SetMembers(all map[string][]string, rules func(string) pool.Config) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	now := j.now()
+	now := j.nowMs()
 	for name := range j.pools {
 		if _, stays := all[name]; !stays {
 			delete(j.pools, name)
@@ -84,23 +84,23 @@
 		set := outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}
 		p := j.pools[name]
 		if p == nil {
-			if len(j.pools) >= mostJudged {
+			if len(j.pools) >= maxDetectedPools {
 				j.log.WithField("pool", name).Warn("judge: too many pools, this one's members are judged by each server for itself")
 				continue
 			}
-			p = &judged{j: outlier.New(set, j.f.o.Name, j.f.o.Zone, members, now)}
+			p = &poolDetector{detector: outlier.New(set, j.fleet.options.Name, j.fleet.options.Zone, members, now)}
 			p.verdicts.Store(&[]pool.FleetDecision{})
 			j.pools[name] = p
 			continue
 		}
-		p.j.Set(set, members)
-		p.j.Aside(now, p.aside)
-		p.seen.Keep(members)
+		p.detector.Set(set, members)
+		p.detector.Aside(now, p.drained)
+		p.evidence.Keep(members)
 	}
 }
 
 // Saw is pools.Judges: the end of a try.
-func (j *Judges) RecordOutcome(name, member string, how pool.Outcome, latency float64) {
+func (j *OutlierDetectors) RecordOutcome(name, member string, how pool.Outcome, latency float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	p := j.pools[name]
@@ -109,62 +109,62 @@
 	}
 	switch how {
 	case pool.Succeeded:
-		p.seen.OK(j.now(), member, latency)
+		p.evidence.OK(j.nowMs(), member, latency)
 	case pool.Failed:
-		p.seen.Failed(j.now(), member)
-		p.looked = math.Inf(-1) // looked at with the next tick
-		p.bad = true
+		p.evidence.Failed(j.nowMs(), member)
+		p.evaluatedAt = math.Inf(-1) // looked at with the next tick
+		p.faultPending = true
 	}
 }
 
 // Busy is pools.Judges: a member's word that it is to be left alone.
-func (j *Judges) RecordRetryAfter(name, member string, away float64) {
+func (j *OutlierDetectors) RecordRetryAfter(name, member string, away float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if p := j.pools[name]; p != nil {
-		p.seen.Busy(j.now(), member, away)
-		p.looked = math.Inf(-1)
-		p.bad = true
+		p.evidence.Busy(j.nowMs(), member, away)
+		p.evaluatedAt = math.Inf(-1)
+		p.faultPending = true
 	}
 }
 
-// Aside has members out that an operator drains, by pool, and no others for that.
-func (j *Judges) Aside(drained map[string][]string) {
+// SetDrained has members out that an operator drains, by pool, and no others for that.
+func (j *OutlierDetectors) SetDrained(drained map[string][]string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for name, p := range j.pools {
-		p.aside = drained[name]
-		p.j.Aside(j.now(), p.aside)
-		p.looked = math.Inf(-1)
+		p.drained = drained[name]
+		p.detector.Aside(j.nowMs(), p.drained)
+		p.evaluatedAt = math.Inf(-1)
 	}
 }
 
 // Verdicts is pools.Judges.
-func (j *Judges) Decisions(name string) (all []pool.FleetDecision, is bool) {
+func (j *OutlierDetectors) Decisions(name string) (all []pool.FleetDecision, is bool) {
 	j.mu.Lock()
 	p := j.pools[name]
 	j.mu.Unlock()
-	if p == nil || !p.together.Load() {
+	if p == nil || !p.fleetwide.Load() {
 		return nil, false
 	}
 	return *p.verdicts.Load(), true
 }
 
 // Takes is pools.Judges.
-func (j *Judges) Admits(member string, caller uint64, share float64) bool {
+func (j *OutlierDetectors) Admits(member string, caller uint64, share float64) bool {
 	return outlier.Takes(member, caller, share)
 }
 
 // Probe is pools.Judges.
-func (j *Judges) TrialMember(name string) string {
+func (j *OutlierDetectors) TrialMember(name string) string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	p := j.pools[name]
-	if p == nil || !p.out.Load() {
+	if p == nil || !p.checksNeeded.Load() {
 		return ""
 	}
-	for _, m := range p.j.Members() {
-		if m.Out && m.Probes && p.j.Probe(j.now(), m.Name) {
+	for _, m := range p.detector.Members() {
+		if m.Out && m.Probes && p.detector.Probe(j.nowMs(), m.Name) {
 			return m.Name
 		}
 	}
@@ -172,41 +172,41 @@
 }
 
 // tick looks at pools whose time has come, and says what is to be said. peers are those that are heard.
-func (j *Judges) tick(peers []string, whole bool, pulse time.Duration) {
+func (j *OutlierDetectors) tick(peers []string, whole bool, pulse time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	now := j.now()
+	now := j.nowMs()
 	for name, p := range j.pools {
-		if now-p.looked < lookEvery {
+		if now-p.evaluatedAt < evaluationIntervalMs {
 			continue
 		}
-		p.looked = now
-		views := p.seen.Views(now)
-		p.told = p.told[:0]
-		j.f.Each(keySeen+name, func(r *gossip.Record, age float64) {
-			if r.Origin != j.f.o.Name {
-				if s, ok := parseSeen(r.Body); ok {
+		p.evaluatedAt = now
+		views := p.evidence.Views(now)
+		p.reports = p.reports[:0]
+		j.fleet.Each(keyObservations+name, func(r *gossip.Record, age float64) {
+			if r.Origin != j.fleet.options.Name {
+				if s, ok := parseObservations(r.Body); ok {
 					s.Origin, s.Age = r.Origin, age
-					p.told = append(p.told, s)
+					p.reports = append(p.reports, s)
 				}
 			}
 		})
-		p.told = slices.DeleteFunc(p.told, func(s outlier.Said) bool { return !slices.Contains(peers, s.Origin) })
-		p.j.Look(now, views, p.told, peers, whole)
+		p.reports = slices.DeleteFunc(p.reports, func(s outlier.Said) bool { return !slices.Contains(peers, s.Origin) })
+		p.detector.Look(now, views, p.reports, peers, whole)
 		verdicts, out := []pool.FleetDecision{}, false
-		bad := p.bad || outlier.Urgent(views) || p.j.Objects(views, j.chance.Float64(), len(peers)+1)
-		p.bad = false
-		for _, m := range p.j.Members() {
-			if m.Out || p.j.Part(now, m) < 1 {
-				verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: p.j.Part(now, m)})
+		bad := p.faultPending || outlier.Urgent(views) || p.detector.Objects(views, j.random.Float64(), len(peers)+1)
+		p.faultPending = false
+		for _, m := range p.detector.Members() {
+			if m.Out || p.detector.Part(now, m) < 1 {
+				verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: p.detector.Part(now, m)})
 				bad = true
 			}
 			out = out || m.Out && m.Probes
 		}
 		p.verdicts.Store(&verdicts)
-		p.together.Store(whole)
-		p.out.Store(out)
-		for _, e := range p.j.Events() {
+		p.fleetwide.Store(whole)
+		p.checksNeeded.Store(out)
+		for _, e := range p.detector.Events() {
 			line := j.log.WithFields(logrus.Fields{"pool": name, "member": e.Name, "by": strings.Join(e.By, " ")})
 			if e.Out {
 				line.WithField("why", e.Why.String()).Warn("judge: member out")
@@ -214,22 +214,22 @@
 				line.Info("judge: member back")
 			}
 		}
-		wait := sayGood * float64(pulse) / 1e6
+		wait := reportsPerAnnouncement * float64(pulse) / 1e6
 		if bad {
-			wait = sayBad
+			wait = faultReportIntervalMs
 		}
-		if now-p.said >= wait && len(views)+len(verdicts) > 0 {
-			p.said = now
-			out, back := p.j.Told(now)
-			j.f.Say(keySeen+name, appendSeen(views, j.f.o.Zone, out, back))
+		if now-p.publishedAt >= wait && len(views)+len(verdicts) > 0 {
+			p.publishedAt = now
+			out, back := p.detector.Told(now)
+			j.fleet.Publish(keyObservations+name, appendObservations(views, j.fleet.options.Zone, out, back))
 		} else if bad {
-			p.bad = true // said when its time has come
+			p.faultPending = true // said when its time has come
 		}
 	}
 }
 
-// appendSeen writes what is said of a pool, what is bad first, as far as there is room.
-func appendSeen(views []evidence.View, zone string, out []string, back []outlier.Back) []byte {
+// appendObservations writes what is said of a pool, what is bad first, as far as there is room.
+func appendObservations(views []evidence.View, zone string, out []string, back []outlier.Back) []byte {
 	views = slices.Clone(views)
 	slices.SortStableFunc(views, func(a, b evidence.View) int { return min(a.Run, 0) - min(b.Run, 0) })
 	var b []byte
@@ -239,22 +239,22 @@
 		}
 		return protowire.AppendFixed32(protowire.AppendTag(b, f, protowire.Fixed32Type), math.Float32bits(float32(v)))
 	}
-	b = appendText(b, 1, zone)
+	b = appendStringField(b, 1, zone)
 	for _, name := range out {
-		if len(b) < viewBytes/2 {
-			b = appendText(b, 3, name)
+		if len(b) < maxViewBytes/2 {
+			b = appendStringField(b, 3, name)
 		}
 	}
 	for _, x := range back {
-		if len(b) < viewBytes/2 {
-			b = protowire.AppendBytes(protowire.AppendTag(b, 4, protowire.BytesType), float(appendText(nil, 1, x.Member), 2, x.For))
+		if len(b) < maxViewBytes/2 {
+			b = protowire.AppendBytes(protowire.AppendTag(b, 4, protowire.BytesType), float(appendStringField(nil, 1, x.Member), 2, x.For))
 		}
 	}
 	for _, v := range views {
-		x := appendText(nil, 1, v.Member)
+		x := appendStringField(nil, 1, v.Member)
 		x = protowire.AppendVarint(protowire.AppendTag(x, 2, protowire.VarintType), protowire.EncodeZigZag(int64(v.Run)))
 		x = float(float(float(float(float(float(x, 3, v.Age), 4, v.N), 5, v.Bad), 6, v.Slow), 7, v.Busy), 8, v.SlowN)
-		if len(b)+len(x)+3 > viewBytes {
+		if len(b)+len(x)+3 > maxViewBytes {
 			break
 		}
 		b = protowire.AppendBytes(protowire.AppendTag(b, 2, protowire.BytesType), x)
@@ -262,8 +262,8 @@
 	return b
 }
 
-// parseSeen reads it. Figures out of their bounds are brought into them: who spreads nonsense weighs no more for it.
-func parseSeen(raw []byte) (s outlier.Said, ok bool) {
+// parseObservations reads it. Figures out of their bounds are brought into them: who spreads nonsense weighs no more for it.
+func parseObservations(raw []byte) (s outlier.Said, ok bool) {
 	number := func(n uint64, most float64) float64 {
 		x := float64(math.Float32frombits(uint32(n)))
 		if !(x >= 0) {
@@ -271,13 +271,13 @@
 		}
 		return math.Min(x, most)
 	}
-	ok = fields(raw, func(num protowire.Number, v []byte, n uint64) {
+	ok = eachField(raw, func(num protowire.Number, v []byte, n uint64) {
 		switch num {
 		case 1:
-			s.Zone = clean(string(v))
+			s.Zone = sanitize(string(v))
 		case 2:
 			var x evidence.View
-			fields(v, func(num protowire.Number, v []byte, n uint64) {
+			eachField(v, func(num protowire.Number, v []byte, n uint64) {
 				switch num {
 				case 1:
 					x.Member = string(v)
@@ -304,7 +304,7 @@
 			s.Out = append(s.Out, string(v))
 		case 4:
 			var x outlier.Back
-			fields(v, func(num protowire.Number, v []byte, n uint64) {
+			eachField(v, func(num protowire.Number, v []byte, n uint64) {
 				if num == 1 {
 					x.Member = string(v)
 				} else if num == 2 {
@@ -319,45 +319,45 @@
 	return s, ok
 }
 
-// JudgeStatus is the outlier state of one pool.
-type JudgeStatus struct {
+// OutlierStatus is the outlier state of one pool.
+type OutlierStatus struct {
 	Pool    string
 	Members []MemberStatus
 }
 
 // MemberStatus is the outlier state of one member of a pool.
 type MemberStatus struct {
-	Name    string
-	Why     string   `json:"Why"`
-	Out     bool     `json:"Out"`   // ejected
-	Share   float64  `json:"Share"` // of the callers that may use it, from 0 to 1
-	ForMs   float64  // ejected, or back; negative for as long as this server runs
-	UntilMs float64  // ejected: time left before it may return
-	Weight  float64  // of the evidence
-	Against float64  `json:"Against"` // share of the evidence that is bad
-	By      []string `json:"By"`      // servers that saw it fail
-	Probes  bool     `json:"Probes"`  // this server sends it health checks
+	Name         string
+	Reason       string   `json:"Why"`
+	Ejected      bool     `json:"Out"`   // ejected
+	CallerShare  float64  `json:"Share"` // of the callers that may use it, from 0 to 1
+	ForMs        float64  // ejected, or back; negative for as long as this server runs
+	UntilMs      float64  // ejected: time left before it may return
+	Weight       float64  // of the evidence
+	FaultShare   float64  `json:"Against"` // share of the evidence that is bad
+	ReportedBy   []string `json:"By"`      // servers that saw it fail
+	HealthChecks bool     `json:"Probes"`  // this server sends it health checks
 }
 
-func (j *Judges) status() (all []JudgeStatus) {
+func (j *OutlierDetectors) status() (all []OutlierStatus) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	now := j.now()
+	now := j.nowMs()
 	for name, p := range j.pools {
-		s := JudgeStatus{Pool: name}
-		for _, m := range p.j.Members() {
-			x := MemberStatus{Name: clean(m.Name), Why: m.Why.String(), Out: m.Out, Share: p.j.Part(now, m), ForMs: now - m.Since, Weight: m.Weight, Against: m.Badness,
-				By: slices.Clone(m.By), Probes: m.Probes}
+		s := OutlierStatus{Pool: name}
+		for _, m := range p.detector.Members() {
+			x := MemberStatus{Name: sanitize(m.Name), Reason: m.Why.String(), Ejected: m.Out, CallerShare: p.detector.Part(now, m), ForMs: now - m.Since, Weight: m.Weight, FaultShare: m.Badness,
+				ReportedBy: slices.Clone(m.By), HealthChecks: m.Probes}
 			if math.IsInf(m.Since, -1) {
 				x.ForMs = -1
 			}
 			if m.Out {
-				x.Share, x.UntilMs = 0, math.Max(0, m.Until-now)
+				x.CallerShare, x.UntilMs = 0, math.Max(0, m.Until-now)
 			}
 			s.Members = append(s.Members, x)
 		}
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b JudgeStatus) int { return strings.Compare(a.Pool, b.Pool) })
+	slices.SortFunc(all, func(a, b OutlierStatus) int { return strings.Compare(a.Pool, b.Pool) })
 	return all
 }
--- a/internal/fleet/judge_process_test.go
+++ b/internal/fleet/judge_process_test.go
@@ -34,7 +34,7 @@
 		t.Cleanup(a.Stop)
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
-	n := names(4)
+	n := cachedNames(4)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 4, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, SettingsJSON: judgedSettings,
@@ -54,15 +54,15 @@
 	}
 	holds := func(out ...int) func(*testbed.Observation) bool {
 		return func(p *testbed.Observation) bool {
-			if len(p.Judged) != 1 || len(p.Judged[0].Members) != len(addrs) {
+			if len(p.Outliers) != 1 || len(p.Outliers[0].Members) != len(addrs) {
 				return false
 			}
-			for _, m := range p.Judged[0].Members {
+			for _, m := range p.Outliers[0].Members {
 				wanted := false
 				for _, k := range out {
 					wanted = wanted || addrs[k] == m.Name
 				}
-				if m.Out != wanted {
+				if m.Ejected != wanted {
 					return false
 				}
 			}
@@ -110,7 +110,7 @@
 	}
 	apps, addrs := laid(5)
 	few, fewAddrs := laid(3)
-	n := names(6)
+	n := cachedNames(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	other := pool
@@ -133,10 +133,10 @@
 		})
 	}
 	outAt := func(p *testbed.Observation, pool string) (out []string) {
-		for _, j := range p.Judged {
+		for _, j := range p.Outliers {
 			if j.Pool == pool {
 				for _, m := range j.Members {
-					if m.Out {
+					if m.Ejected {
 						out = append(out, m.Name)
 					}
 				}
@@ -149,7 +149,7 @@
 			got := outAt(p, pool)
 			slices.Sort(got)
 			slices.Sort(out)
-			return len(p.Judged) == 2 && slices.Equal(got, out)
+			return len(p.Outliers) == 2 && slices.Equal(got, out)
 		}
 	}
 	marked := func(mark string) func([]byte) bool {
--- a/internal/fleet/mesh.go
+++ b/internal/fleet/mesh.go
@@ -10,39 +10,39 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Mesh is a network in memory. All its places are made before the first server starts.
-type Mesh struct {
-	net  memberlist.MockNetwork
-	over chan struct{}
+// MemoryNetwork is a network in memory. All its places are made before the first server starts.
+type MemoryNetwork struct {
+	network memberlist.MockNetwork
+	closed  chan struct{}
 }
 
-// NewMesh returns one without places.
-func NewMesh() *Mesh { return &Mesh{over: make(chan struct{})} }
+// NewMemoryNetwork returns one without places.
+func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{closed: make(chan struct{})} }
 
-// Place adds a name, and returns the options that a server of that name starts with.
-func (m *Mesh) Place(name string) Options {
-	mock := m.net.NewTransport(name)
+// AddServer adds a name, and returns the options that a server of that name starts with.
+func (m *MemoryNetwork) AddServer(name string) Options {
+	mock := m.network.NewTransport(name)
 	ip, port, _ := mock.FinalAdvertiseAddr("", 0)
-	return Options{Name: name, Listen: net.JoinHostPort(ip.String(), strconv.Itoa(port)), lower: func() (lower, error) { return &meshed{mock, m.over}, nil }}
+	return Options{Name: name, Listen: net.JoinHostPort(ip.String(), strconv.Itoa(port)), openTransport: func() (baseTransport, error) { return &memoryTransport{mock, m.closed}, nil }}
 }
 
 // Close ends the network, after all servers.
-func (m *Mesh) Close() { close(m.over) }
+func (m *MemoryNetwork) Close() { close(m.closed) }
 
-// meshed is the library's mock, which blocks whoever writes to a peer that has ended, but for that.
-type meshed struct {
+// memoryTransport is the library's mock, which blocks whoever writes to a peer that has ended, but for that.
+type memoryTransport struct {
 	*memberlist.MockTransport
-	over chan struct{}
+	networkClosed chan struct{}
 }
 
-func (d *meshed) Shutdown() error {
+func (d *memoryTransport) Shutdown() error {
 	go func() {
 		for {
 			select {
 			case <-d.PacketCh():
 			case c := <-d.StreamCh():
 				c.Close()
-			case <-d.over:
+			case <-d.networkClosed:
 				return
 			}
 		}
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// Drop ends a server without a word to the others, as a crash would.
-func (f *Fleet) Drop() {
-	f.muted.Store(true)
+// Crash ends a server without a word to the others, as a crash would.
+func (f *Fleet) Crash() {
+	f.silenced.Store(true)
 	f.mu.Lock()
-	if f.refused == nil {
-		f.refused = net.ErrClosed
+	if f.exclusion == nil {
+		f.exclusion = net.ErrClosed
 	}
 	f.mu.Unlock()
 	f.Close()
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -28,7 +28,7 @@
 			if name := os.Getenv("BED_PROGRAM"); name != "" {
 				p.Build = name
 			}
-			return fleet.Beside(p)
+			return fleet.StartWithDaemon(p)
 		}); err != nil {
 			var code daemon.ExitCode
 			if errors.As(err, &code) {
@@ -44,7 +44,7 @@
 
 func serve() testbed.Command { return testbed.Command{Path: os.Args[0], Args: []string{"serve"}} }
 
-func names(n int) (all []string) {
+func cachedNames(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprint("n", i))
 	}
@@ -114,7 +114,7 @@
 }
 
 func TestHalvesAndOneAlone(t *testing.T) {
-	n := names(6)
+	n := cachedNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 1, Zone: func(i int) string { return fmt.Sprint("z", i%2) }})
 	do(t, b, "0s split n0,n1,n2|n3,n4,n5")
 	await(t, b, n, testbed.ExpectView("part", 3))
@@ -134,12 +134,14 @@
 
 // A bridge: who is reached through another is there, and told from none.
 func TestBridgeAndOneWay(t *testing.T) {
-	n := names(3)
+	n := cachedNames(3)
 	b := started(t, testbed.Options{Names: n, Seed: 2, Seeds: n[1:2]})
 	do(t, b, "0s split n0|n2")
-	await(t, b, n[:1], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Peers[1].Contact == "through others" })
+	await(t, b, n[:1], func(p *testbed.Observation) bool {
+		return p.Connectivity == "whole" && p.Peers[1].Contact == "through others"
+	})
 	do(t, b, "0s heal\n0s cut n0>n2")
-	await(t, b, n[:1], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Peers[1].Contact == "one way" })
+	await(t, b, n[:1], func(p *testbed.Observation) bool { return p.Connectivity == "whole" && p.Peers[1].Contact == "one way" })
 	do(t, b, "0s heal\n0s cut n0>*") // it hears, and is heard by nobody
 	await(t, b, n[1:], testbed.ExpectView("part", 2))
 	do(t, b, "0s heal")
@@ -148,7 +150,7 @@
 
 // Loss, delay, doubled, overtaken and spoilt packets wrong nobody for good.
 func TestBadNetwork(t *testing.T) {
-	n := names(5)
+	n := cachedNames(5)
 	b := started(t, testbed.Options{Names: n, Seed: 3})
 	do(t, b, "0s loss *>* 0.3")
 	time.Sleep(3 * time.Second) // the fault's own length
@@ -164,12 +166,14 @@
 // A third is stopped for longer than any judgement takes: the rest see them silent and on the roster; they see on waking
 // that it was they who stalled, and hold nothing against anybody.
 func TestStopped(t *testing.T) {
-	n := names(6)
+	n := cachedNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 4})
 	w := b.Watch(20 * time.Millisecond)
 	defer w.Close()
 	do(t, b, "0s stop n1,n4")
-	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Observation) bool { return p.Hears == "part" && len(p.AliveNames) == 3 && p.Roster == 6 })
+	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Observation) bool {
+		return p.Connectivity == "part" && len(p.AliveNames) == 3 && p.Roster == 6
+	})
 	woke := w.Elapsed()
 	do(t, b, "0s cont n1,n4")
 	await(t, b, n, testbed.ExpectView("whole", 6))
@@ -179,8 +183,8 @@
 		if p.At < woke || p.Name != "n1" && p.Name != "n4" {
 			continue
 		}
-		if p.Stalls == 0 && p.Hears != "whole" {
-			t.Errorf("%s hears %s %v by what it knew before", p.Name, p.Hears, p.AliveNames)
+		if p.Stalls == 0 && p.Connectivity != "whole" {
+			t.Errorf("%s hears %s %v by what it knew before", p.Name, p.Connectivity, p.AliveNames)
 		}
 		if p.Stalls > 0 {
 			seen++
@@ -206,13 +210,13 @@
 
 func must(s fleet.Status, err error) fleet.Status {
 	if err != nil {
-		s.Refused = err.Error()
+		s.ExclusionReason = err.Error()
 	}
 	return s
 }
 
 func TestKilledAndTwin(t *testing.T) {
-	n := names(4)
+	n := cachedNames(4)
 	b := started(t, testbed.Options{Names: n, Seed: 5})
 	do(t, b, "0s kill n2\n0s start n2")
 	await(t, b, n, func(p *testbed.Observation) bool {
@@ -221,7 +225,7 @@
 				return false
 			}
 		}
-		return p.Hears == "whole" && len(p.AliveNames) == 3 && (p.Name != "n2" || p.Start == 2)
+		return p.Connectivity == "whole" && len(p.AliveNames) == 3 && (p.Name != "n2" || p.Start == 2)
 	})
 	do(t, b, "0s kill n0,n1,n2,n3\n0s start n0,n1,n2,n3") // all at once
 	await(t, b, n, testbed.ExpectView("whole", 4))
@@ -232,22 +236,22 @@
 	if how, err := b.Processes.WaitExit("n3", within); err != nil || how != "exit 0" {
 		t.Errorf("a server that is asked to stop: %s %v", how, err)
 	}
-	await(t, b, n[:3], func(p *testbed.Observation) bool { return p.Hears == "whole" && p.Roster == 3 })
+	await(t, b, n[:3], func(p *testbed.Observation) bool { return p.Connectivity == "whole" && p.Roster == 3 })
 }
 
 // Seeds that are down when all others start, and come later; before that, servers are alone and serve.
 func TestSeedsLate(t *testing.T) {
-	n := names(4)
+	n := cachedNames(4)
 	b := lay(t, testbed.Options{Names: n, Seed: 6, Seeds: n[:1]})
 	do(t, b, "0s start n1,n2,n3")
-	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Hears == "alone" && !p.Listening })
+	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Connectivity == "alone" && !p.Listening })
 	do(t, b, "0s start n0")
 	await(t, b, n, testbed.ExpectView("whole", 4))
 }
 
 // Two processes with one name: the second gives way, says why, and serves on.
 func TestTwinProcess(t *testing.T) {
-	n := names(3)
+	n := cachedNames(3)
 	b := started(t, testbed.Options{Names: n, Seed: 7})
 	e := b.Network.Endpoint("n1")
 	ln, err := net.Listen("tcp", net.JoinHostPort(e.ListenIP, "0"))
@@ -260,7 +264,7 @@
 	if err := b.StartDuplicate("twin", "n1", f); err != nil {
 		t.Fatal(err)
 	}
-	await(t, b, []string{"twin"}, func(p *testbed.Observation) bool { return strings.Contains(p.Refused, "the name n1 is") })
+	await(t, b, []string{"twin"}, func(p *testbed.Observation) bool { return strings.Contains(p.ExclusionReason, "the name n1 is") })
 	await(t, b, n, testbed.ExpectView("whole", 3))
 	if err := b.Processes.Signal("twin", syscall.Signal(0)); err != nil {
 		t.Errorf("the second process is gone: %v", err)
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/release_process_test.go
@@ -46,7 +46,7 @@
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
 	old, next, bad := app(standin.NoFault), app(standin.NoFault), app(standin.ServerError)
-	n := names(6)
+	n := cachedNames(6)
 	folders := t.TempDir()
 	first := file("bed", old)
 	b := started(t, testbed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, PermitServers: k.addrs, SettingsJSON: judgedSettings, Operator: first, VersionDir: folders})
@@ -199,7 +199,7 @@
 // crashes at its start stops at the canary, whose permit stays used, and nobody else meets it.
 func TestProgramByProcesses(t *testing.T) {
 	k := keep(t)
-	n := names(4)
+	n := cachedNames(4)
 	folders := t.TempDir()
 	program := func(name string) string {
 		text, _ := os.ReadFile(filepath.Join(folders, name, "program"))
@@ -309,7 +309,7 @@
 // versions that are none.
 func TestReleaseFaults(t *testing.T) {
 	k := keep(t)
-	n := names(6)
+	n := cachedNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 12, Cores: 2, PermitServers: k.addrs, VersionDir: t.TempDir()})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
@@ -407,7 +407,7 @@
 	}
 	time.Sleep(2 * time.Second)
 	for _, name := range n {
-		if s, err := b.Status(name); err != nil || s.Drain.Version.Version != before[name] || s.Drain.Keepers {
+		if s, err := b.Status(name); err != nil || s.Drain.Version.Version != before[name] || s.Drain.PermitServersReachable {
 			t.Errorf("%s without keepers: %v %+v, was on %d", name, err, s.Drain, before[name])
 		}
 	}
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -14,50 +14,50 @@
 type Phase int
 
 const (
-	Cold     Phase = iota + 1 // in its ramp
-	Warm                      // takes all
-	Draining                  // goes on for its grace, then takes nothing
-	Leaving                   // says good-bye
+	WarmingUp Phase = iota + 1 // in its ramp
+	Warm                       // takes all
+	Draining                   // goes on for its grace, then takes nothing
+	Leaving                    // says good-bye
 )
 
 func (p Phase) String() string {
-	if p < Cold || p > Leaving {
+	if p < WarmingUp || p > Leaving {
 		return fmt.Sprintf("phase %d", int(p)) // of a later build
 	}
 	return [...]string{"cold", "warm", "draining", "leaving"}[p-1]
 }
 
-// Server is what a server says of itself.
-type Server struct {
-	Zone     string
-	Version  string  // of the program
-	Settings string  // hash of the operator's record
-	Phase    Phase   //
-	Ramp     float64 // share of the ramp that is over, 1 when warm
-	Addr     string  // where its fleet port is reached
+// ServerRecord is what a server says of itself.
+type ServerRecord struct {
+	Zone           string
+	Version        string  // of the program
+	SettingsHash   string  // hash of the operator's record
+	Phase          Phase   //
+	WarmupProgress float64 // share of the ramp that is over, 1 when warm
+	Addr           string  // where its fleet port is reached
 }
 
 // The keys of records.
 const (
-	keyServer = "server"
-	keyGone   = "gone"
+	keyServer  = "server"
+	keyRemoval = "gone"
 )
 
-func (s *Server) append(b []byte) []byte {
-	b = appendText(b, 1, s.Zone)
-	b = appendText(b, 2, s.Version)
+func (s *ServerRecord) appendTo(b []byte) []byte {
+	b = appendStringField(b, 1, s.Zone)
+	b = appendStringField(b, 2, s.Version)
 	b = protowire.AppendVarint(protowire.AppendTag(b, 3, protowire.VarintType), uint64(s.Phase))
-	b = protowire.AppendFixed32(protowire.AppendTag(b, 4, protowire.Fixed32Type), math.Float32bits(float32(s.Ramp)))
-	b = appendText(b, 5, s.Addr)
-	return appendText(b, 6, s.Settings)
+	b = protowire.AppendFixed32(protowire.AppendTag(b, 4, protowire.Fixed32Type), math.Float32bits(float32(s.WarmupProgress)))
+	b = appendStringField(b, 5, s.Addr)
+	return appendStringField(b, 6, s.SettingsHash)
 }
 
-func appendText(b []byte, num protowire.Number, s string) []byte {
+func appendStringField(b []byte, num protowire.Number, s string) []byte {
 	return protowire.AppendString(protowire.AppendTag(b, num, protowire.BytesType), s)
 }
 
-// fields calls f for each field of a message: v holds a text's bytes, n a number's bits. false if it is no message.
-func fields(b []byte, f func(num protowire.Number, v []byte, n uint64)) bool {
+// eachField calls f for each field of a message: v holds a text's bytes, n a number's bits. false if it is no message.
+func eachField(b []byte, f func(num protowire.Number, v []byte, n uint64)) bool {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -89,8 +89,8 @@
 	return true
 }
 
-func parseServer(b []byte) (s Server, ok bool) {
-	ok = fields(b, func(num protowire.Number, v []byte, n uint64) {
+func parseServer(b []byte) (s ServerRecord, ok bool) {
+	ok = eachField(b, func(num protowire.Number, v []byte, n uint64) {
 		switch num {
 		case 1:
 			s.Zone = string(v)
@@ -99,43 +99,43 @@
 		case 3:
 			s.Phase = Phase(min(n, 255))
 		case 4:
-			s.Ramp = float64(math.Float32frombits(uint32(n)))
+			s.WarmupProgress = float64(math.Float32frombits(uint32(n)))
 		case 5:
 			s.Addr = string(v)
 		case 6:
-			s.Settings = string(v)
+			s.SettingsHash = string(v)
 		}
 	})
-	if !(s.Ramp >= 0 && s.Ramp <= 1) {
-		s.Ramp = 0 // not known: on the safe side
+	if !(s.WarmupProgress >= 0 && s.WarmupProgress <= 1) {
+		s.WarmupProgress = 0 // not known: on the safe side
 	}
 	return s, ok
 }
 
-// gone is an operator's word.
-type gone struct {
-	name     string
-	start    uint64
-	who, why string
+// removal is an operator's word.
+type removal struct {
+	name             string
+	start            uint64
+	operator, reason string
 }
 
-func (g *gone) append(b []byte) []byte {
-	b = appendText(b, 1, g.name)
+func (g *removal) appendTo(b []byte) []byte {
+	b = appendStringField(b, 1, g.name)
 	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), g.start)
-	return appendText(appendText(b, 3, g.who), 4, g.why)
+	return appendStringField(appendStringField(b, 3, g.operator), 4, g.reason)
 }
 
-func parseGone(b []byte) (g gone, ok bool) {
-	ok = fields(b, func(num protowire.Number, v []byte, n uint64) {
+func parseRemoval(b []byte) (g removal, ok bool) {
+	ok = eachField(b, func(num protowire.Number, v []byte, n uint64) {
 		switch num {
 		case 1:
 			g.name = string(v)
 		case 2:
 			g.start = n
 		case 3:
-			g.who = string(v)
+			g.operator = string(v)
 		case 4:
-			g.why = string(v)
+			g.reason = string(v)
 		}
 	})
 	return g, ok
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -27,56 +27,56 @@
 // Status is one server's view of the fleet, as the status socket serves it. The JSON names are part of that interface and do not change.
 // Durations are in milliseconds; ages count from when this server last received something.
 type Status struct {
-	Name     string
-	Zone     string
-	Version  string // of the program
-	Settings string // hash of the operator's record
-	Start    uint64
-	Life     string `json:"Life"` // incarnation, hexadecimal
-	Phase    string
-	Ramp     float64 `json:"Ramp"`  // warm-up progress from 0 to 1
-	Hears    string  `json:"Hears"` // alone, part or whole
+	Name           string
+	Zone           string
+	Version        string // of the program
+	Settings       string // hash of the operator's record
+	Start          uint64
+	Incarnation    string `json:"Life"` // incarnation, hexadecimal
+	Phase          string
+	WarmupProgress float64 `json:"Ramp"`  // warm-up progress from 0 to 1
+	Connectivity   string  `json:"Hears"` // alone, part or whole
 	// Listening tells that this server has just started or stalled, and reports nothing about others yet.
-	Listening bool
-	ForMs     float64 // in this connectivity state
-	Roster    int     // members of the fleet, this server included
-	Heard     int     `json:"Heard"` // of these, reachable
-	AtLeast   int
-	AtMost    int
-	Blind     bool // never in contact, nor given the fleet's expected size
-	Zones     []health.Zone
-	Peers     []PeerStatus
-	Twins     []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
-	Refused   string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
-	Stalls    int      // times that this server found that it had stalled
-	Lost      uint64   `json:"Lost"` // times that the failure detector lost a peer
-	Changes   int      // of the connectivity state
-	Records   RecordStatus
-	Traffic   Traffic
-	Budgets   *BudgetStatus `json:",omitempty"`
-	Judged    []JudgeStatus `json:"Judged,omitempty"`
-	Drain     *DrainStatus  `json:",omitempty"`
+	Listening       bool
+	ForMs           float64 // in this connectivity state
+	Roster          int     // members of the fleet, this server included
+	Reachable       int     `json:"Heard"` // of these, reachable
+	AtLeast         int
+	AtMost          int
+	Blind           bool // never in contact, nor given the fleet's expected size
+	Zones           []health.Zone
+	Peers           []PeerStatus
+	DuplicateNames  []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
+	ExclusionReason string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
+	Stalls          int      // times that this server found that it had stalled
+	PeersLost       uint64   `json:"Lost"` // times that the failure detector lost a peer
+	Changes         int      // of the connectivity state
+	Records         RecordStatus
+	Traffic         Traffic
+	Budgets         *BudgetStatus   `json:",omitempty"`
+	Outliers        []OutlierStatus `json:"Judged,omitempty"`
+	Drain           *DrainStatus    `json:",omitempty"`
 }
 
 // PeerStatus is what this server knows of one other.
 type PeerStatus struct {
-	Name     string
-	Zone     string
-	Version  string
-	Settings string
-	Phase    string
-	Addr     string
-	Start    uint64
-	Ramp     float64 `json:"Ramp"`  // warm-up progress from 0 to 1
-	Heard    bool    `json:"Heard"` // reachable
-	Damped   bool    // flapped, and counts as unreachable for a while
-	Twin     bool    `json:"Twin"` // two servers bear the name
-	Contact  string  // direct, one way, through others or none
-	Through  string  `json:"Through"` // the peer that relayed its last record
-	AgeMs    float64 // since the last sign of it
-	ForMs    float64 // in its present state
-	Losses   int
-	Away     string `json:"Away,omitempty"` // left or declared gone
+	Name           string
+	Zone           string
+	Version        string
+	Settings       string
+	Phase          string
+	Addr           string
+	Start          uint64
+	WarmupProgress float64 `json:"Ramp"`  // warm-up progress from 0 to 1
+	Reachable      bool    `json:"Heard"` // reachable
+	Damped         bool    // flapped, and counts as unreachable for a while
+	DuplicateName  bool    `json:"Twin"` // two servers bear the name
+	Contact        string  // direct, one way, through others or none
+	RelayedBy      string  `json:"Through"` // the peer that relayed its last record
+	AgeMs          float64 // since the last sign of it
+	ForMs          float64 // in its present state
+	Losses         int
+	Departed       string `json:"Away,omitempty"` // left or declared gone
 }
 
 // RecordStatus is the state of the table of gossiped records.
@@ -89,26 +89,26 @@
 
 // Traffic counts packets, bytes and streams since the start.
 type Traffic struct {
-	PacketsIn  uint64
-	PacketsOut uint64
-	BytesIn    uint64
-	BytesOut   uint64
-	Dropped    uint64 // over a limit, or while this server had stalled
-	Damaged    uint64 // with a wrong checksum
-	Streams    uint64
-	Complaints uint64 `json:"Complaints"` // errors and warnings of memberlist
+	PacketsIn        uint64
+	PacketsOut       uint64
+	BytesIn          uint64
+	BytesOut         uint64
+	Dropped          uint64 // over a limit, or while this server had stalled
+	Damaged          uint64 // with a wrong checksum
+	Streams          uint64
+	MemberlistErrors uint64 `json:"Complaints"` // errors and warnings of memberlist
 }
 
 // Status tells the view as it is now.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
-	shared, judges, drains := f.shared, f.judges, f.drains
+	shared, judges, drains := f.budgets, f.outliers, f.drains
 	f.mu.Unlock()
 	var drain *DrainStatus
 	if drains != nil {
 		drain = drains.status()
 	}
-	var judged []JudgeStatus
+	var judged []OutlierStatus
 	if judges != nil {
 		judged = judges.status()
 	}
@@ -118,57 +118,57 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.ms(time.Now())
-	v := f.hear.View(now)
-	phase, ramp := f.o.Phase()
+	now := f.elapsedMs(time.Now())
+	v := f.detector.View(now)
+	phase, ramp := f.options.Phase()
 	s := Status{
-		Name: f.o.Name, Zone: f.o.Zone, Version: f.o.Version, Settings: f.o.Settings, Start: f.self.Start,
-		Life: strconv.FormatUint(f.self.Life, 16), Phase: phase.String(), Ramp: ramp, Hears: v.State.String(),
-		Listening: v.Listening, ForMs: v.For, Roster: v.Roster, Heard: v.Heard, AtLeast: v.AtLeast, AtMost: v.AtMost, Blind: v.Blind,
-		Zones: v.Zones, Twins: append([]string(nil), f.twins...), Stalls: v.Stalls, Lost: f.lost, Changes: v.Changes,
+		Name: f.options.Name, Zone: f.options.Zone, Version: f.options.Version, Settings: f.options.SettingsHash, Start: f.identity.Start,
+		Incarnation: strconv.FormatUint(f.identity.Life, 16), Phase: phase.String(), WarmupProgress: ramp, Connectivity: v.State.String(),
+		Listening: v.Listening, ForMs: v.For, Roster: v.Roster, Reachable: v.Heard, AtLeast: v.AtLeast, AtMost: v.AtMost, Blind: v.Blind,
+		Zones: v.Zones, DuplicateNames: append([]string(nil), f.duplicateNames...), Stalls: v.Stalls, PeersLost: f.peersLost, Changes: v.Changes,
 	}
-	if f.refused != nil {
-		s.Refused = f.refused.Error()
+	if f.exclusion != nil {
+		s.ExclusionReason = f.exclusion.Error()
 	}
-	for _, p := range f.hear.Peers(now) {
+	for _, p := range f.detector.Peers(now) {
 		x := PeerStatus{
-			Name: clean(p.Name), Zone: clean(p.Zone), Start: p.Start, Heard: p.Heard, Damped: p.Damped, Twin: p.Twin,
-			Contact: p.Contact.String(), Through: clean(p.Through), AgeMs: p.Age, ForMs: p.For, Losses: p.Losses,
-			Away: [...]string{"", "left", "declared gone"}[p.Away],
+			Name: sanitize(p.Name), Zone: sanitize(p.Zone), Start: p.Start, Reachable: p.Heard, Damped: p.Damped, DuplicateName: p.Twin,
+			Contact: p.Contact.String(), RelayedBy: sanitize(p.Through), AgeMs: p.Age, ForMs: p.For, Losses: p.Losses,
+			Departed: [...]string{"", "left", "declared gone"}[p.Away],
 		}
-		if r, _, has := f.table.Get(now, p.Name, keyServer); has {
+		if r, _, has := f.records.Get(now, p.Name, keyServer); has {
 			if d, ok := parseServer(r.Body); ok {
-				x.Version, x.Settings, x.Phase, x.Ramp, x.Addr = clean(d.Version), clean(d.Settings), d.Phase.String(), d.Ramp, clean(d.Addr)
+				x.Version, x.Settings, x.Phase, x.WarmupProgress, x.Addr = sanitize(d.Version), sanitize(d.SettingsHash), d.Phase.String(), d.WarmupProgress, sanitize(d.Addr)
 			}
 		}
 		s.Peers = append(s.Peers, x)
 	}
-	s.Records.Origins, s.Records.Records, s.Records.Bytes = f.table.Size()
-	s.Records.Counts = f.table.Counts
-	c := &f.count
+	s.Records.Origins, s.Records.Records, s.Records.Bytes = f.records.Size()
+	s.Records.Counts = f.records.Counts
+	c := &f.traffic
 	s.Traffic = Traffic{
 		PacketsIn: c.packetsIn.Load(), PacketsOut: c.packetsOut.Load(), BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load(),
-		Dropped: c.dropped.Load(), Damaged: c.damaged.Load(), Streams: c.streams.Load(), Complaints: f.complaints.Load(),
+		Dropped: c.dropped.Load(), Damaged: c.damaged.Load(), Streams: c.streams.Load(), MemberlistErrors: f.memberlistErrors.Load(),
 	}
-	s.Judged, s.Drain = judged, drain
+	s.Outliers, s.Drain = judged, drain
 	if s.Budgets = budgets; budgets != nil {
-		budgets.Sums = f.sums(now, partsTold)
+		budgets.FleetCounts = f.countRanges(now, maxReportedQuotas)
 	}
 	return s
 }
 
 // The socket's bounds: operators and a watcher or two; a reader that does not take its answer within the time is cut off.
 const (
-	mostReaders = 8
-	readerTime  = 2 * time.Second
-	headBytes   = 8 << 10
+	maxSocketRequests = 8
+	socketTimeout     = 2 * time.Second
+	maxHeaderBytes    = 8 << 10
 )
 
 // Socket serves operators on a Unix socket.
 type Socket struct {
-	srv  *http.Server
-	path string
-	over chan struct{}
+	server *http.Server
+	path   string
+	done   chan struct{}
 }
 
 // ServeSocket listens on a path; what a former process left there is taken away, a living one's is not.
@@ -187,7 +187,7 @@
 		ln.Close()
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	places := make(chan struct{}, mostReaders)
+	places := make(chan struct{}, maxSocketRequests)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, r *http.Request) {
 		var b bytes.Buffer // whole before it is sent: no lock is held for a slow reader
@@ -201,7 +201,7 @@
 		q := r.URL.Query()
 		if q.Get("who") == "" || q.Get("name") == "" {
 			http.Error(w, "name and who expected", http.StatusBadRequest)
-		} else if err := f.Gone(q.Get("name"), q.Get("who"), q.Get("why")); err != nil {
+		} else if err := f.DeclareRemoved(q.Get("name"), q.Get("who"), q.Get("why")); err != nil {
 			http.Error(w, err.Error(), http.StatusConflict)
 		}
 	})
@@ -210,7 +210,7 @@
 		drains := f.drains
 		f.mu.Unlock()
 		q := r.URL.Query()
-		what, subject, who, why := cmp.Or(q.Get("what"), "drain"), cmp.Or(q.Get("subject"), f.o.Name), q.Get("who"), q.Get("why")
+		what, subject, who, why := cmp.Or(q.Get("what"), "drain"), cmp.Or(q.Get("subject"), f.options.Name), q.Get("who"), q.Get("why")
 		member := strings.Contains(subject, "/")
 		if drains == nil {
 			http.Error(w, "no keepers are set: fleet.keepers", http.StatusConflict)
@@ -223,13 +223,13 @@
 		var err error
 		switch ctx := r.Context(); {
 		case what == "drain" && member:
-			err = drains.Member(ctx, subject, who, why)
-		case what == "drain" && subject == f.o.Name:
+			err = drains.DrainMember(ctx, subject, who, why)
+		case what == "drain" && subject == f.options.Name:
 			err = drains.Drain(ctx, who, why)
 		case what == "drain":
 			err = drains.Command(ctx, permit.Command{Kind: permit.RequestDrain, Subject: subject, Actor: who, Reason: why})
-		case what == "back" && subject == f.o.Name && drains.leaving():
-			err = drains.Back(ctx, who)
+		case what == "back" && subject == f.options.Name && drains.isDraining():
+			err = drains.Cancel(ctx, who)
 		case what == "back":
 			err = drains.Command(ctx, permit.Command{Kind: permit.Recall, Subject: subject, Actor: who, Reason: why})
 		case what == "halt":
@@ -252,7 +252,7 @@
 			http.Error(w, "no keepers are set: fleet.keepers", http.StatusConflict)
 			return
 		}
-		s, err := drains.State(r.Context())
+		s, err := drains.PermitState(r.Context())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -260,7 +260,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(s)
 	})
-	s := &Socket{path: path, over: make(chan struct{}), srv: &http.Server{
+	s := &Socket{path: path, done: make(chan struct{}), server: &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
 			case places <- struct{}{}:
@@ -270,23 +270,23 @@
 				http.Error(w, "too many readers", http.StatusServiceUnavailable)
 			}
 		}),
-		ReadTimeout: readerTime, WriteTimeout: readerTime + 3*permitWait, IdleTimeout: readerTime, MaxHeaderBytes: headBytes,
+		ReadTimeout: socketTimeout, WriteTimeout: socketTimeout + 3*permitTimeout, IdleTimeout: socketTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}}
 	go func() {
-		defer close(s.over)
-		s.srv.Serve(ln)
+		defer close(s.done)
+		s.server.Serve(ln)
 	}()
 	return s, nil
 }
 
 // Close ends it at once.
 func (s *Socket) Close() {
-	s.srv.Close()
-	<-s.over
+	s.server.Close()
+	<-s.done
 }
 
-// ask does one exchange with a server's socket.
-func ask(ctx context.Context, path, verb, target string) ([]byte, error) {
+// socketRequest does one exchange with a server's socket.
+func socketRequest(ctx context.Context, path, verb, target string) ([]byte, error) {
 	client := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -309,33 +309,33 @@
 	return b, err
 }
 
-// Ask reads the status of the server whose socket is at path.
-func Ask(ctx context.Context, path string) (s Status, err error) {
-	b, err := ask(ctx, path, http.MethodGet, "/v1/status")
+// FetchStatus reads the status of the server whose socket is at path.
+func FetchStatus(ctx context.Context, path string) (s Status, err error) {
+	b, err := socketRequest(ctx, path, http.MethodGet, "/v1/status")
 	if err == nil {
 		err = json.Unmarshal(b, &s)
 	}
 	return s, err
 }
 
-// Drain has the server at path drain by the keepers' permit, or do by what, subject, who and why of the query: drain, back, halt or
+// RequestDrain has the server at path drain by the keepers' permit, or do by what, subject, who and why of the query: drain, back, halt or
 // resume; a server by its name, or pool/member.
-func Drain(ctx context.Context, path, query string) error {
-	_, err := ask(ctx, path, http.MethodPost, "/v1/drain?"+query)
+func RequestDrain(ctx context.Context, path, query string) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/drain?"+query)
 	return err
 }
 
-// Permits reads what keepers agree on, by way of the server at path.
-func Permits(ctx context.Context, path string) (s permitclient.Status, err error) {
-	b, err := ask(ctx, path, http.MethodGet, "/v1/permits")
+// FetchPermits reads what keepers agree on, by way of the server at path.
+func FetchPermits(ctx context.Context, path string) (s permitclient.Status, err error) {
+	b, err := socketRequest(ctx, path, http.MethodGet, "/v1/permits")
 	if err == nil {
 		err = json.Unmarshal(b, &s)
 	}
 	return s, err
 }
 
-// Declare tells the server at path that a name is gone.
-func Declare(ctx context.Context, path, query string) error {
-	_, err := ask(ctx, path, http.MethodPost, "/v1/gone?"+query)
+// RequestRemoval tells the server at path that a name is gone.
+func RequestRemoval(ctx context.Context, path, query string) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/gone?"+query)
 	return err
 }
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -23,86 +23,86 @@
 const (
 	sourceRate, sourceBurst = 50, 200
 	allRate, allBurst       = 1000, 2000
-	mostSources             = 1024
-	mostStreams             = 32
+	maxSources              = 1024
+	maxIncomingStreams      = 32
 )
 
-// lower is the transport that carries it all: memberlist's own on sockets, its mock in tests.
-type lower interface {
+// baseTransport is the transport that carries it all: memberlist's own on sockets, its mock in tests.
+type baseTransport interface {
 	memberlist.NodeAwareTransport
 }
 
 // Each packet ends with the CRC-32C of what stands before. memberlist sums only part of its packets, and one spoilt byte
 // in a name makes a server that never was, which would stay on the roster for good.
-const sumBytes = 4
+const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// traffic is counted by all transports that a fleet has in its life.
-type traffic struct {
+// trafficCounters is counted by all transports that a fleet has in its life.
+type trafficCounters struct {
 	packetsIn, packetsOut, bytesIn, bytesOut, dropped, damaged, streams atomic.Uint64
 }
 
 type transport struct {
-	lower
-	from    *net.TCPAddr // of outgoing streams; nil: the lower one dials
-	word    func(from string)
-	awake   func() bool // false: the server has stalled
-	count   *traffic
-	packets chan *memberlist.Packet
-	conns   chan net.Conn
-	ctx     context.Context // until it is shut down
-	end     context.CancelFunc
-	wg      sync.WaitGroup
-	open    atomic.Int64
+	baseTransport
+	localAddr   *net.TCPAddr // of outgoing streams; nil: the lower one dials
+	onPacket    func(from string)
+	awake       func() bool // false: the server has stalled
+	traffic     *trafficCounters
+	packets     chan *memberlist.Packet
+	streams     chan net.Conn
+	ctx         context.Context // until it is shut down
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	openStreams atomic.Int64
 }
 
 // newTransport wraps a transport. word hears where each packet came from; awake tells whether traffic may pass.
-func newTransport(l lower, from *net.TCPAddr, word func(string), awake func() bool, count *traffic) *transport {
+func newTransport(l baseTransport, from *net.TCPAddr, word func(string), awake func() bool, count *trafficCounters) *transport {
 	t := &transport{
-		lower: l, from: from, word: word, awake: awake, count: count,
-		packets: make(chan *memberlist.Packet), conns: make(chan net.Conn),
+		baseTransport: l, localAddr: from, onPacket: word, awake: awake, traffic: count,
+		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
 	}
-	t.ctx, t.end = context.WithCancel(context.Background())
+	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.wg.Add(2)
-	go t.takePackets()
-	go t.takeStreams()
+	go t.relayPackets()
+	go t.relayStreams()
 	return t
 }
 
-func (t *transport) takePackets() {
+func (t *transport) relayPackets() {
 	defer t.wg.Done()
 	all := rate.NewLimiter(allRate, allBurst)
 	sources := map[string]*rate.Limiter{}
 	for {
 		var p *memberlist.Packet
 		select {
-		case p = <-t.lower.PacketCh():
+		case p = <-t.baseTransport.PacketCh():
 		case <-t.ctx.Done():
 			return
 		}
 		from := p.From.String()
 		l := sources[from]
 		if l == nil {
-			if len(sources) >= mostSources { // a source that floods under many names meets the limit over all
+			if len(sources) >= maxSources { // a source that floods under many names meets the limit over all
 				clear(sources)
 			}
 			l = rate.NewLimiter(sourceRate, sourceBurst)
 			sources[from] = l
 		}
 		if !l.AllowN(p.Timestamp, 1) || !all.AllowN(p.Timestamp, 1) || !t.awake() {
-			t.count.dropped.Add(1)
+			t.traffic.dropped.Add(1)
 			continue
 		}
-		whole := len(p.Buf) - sumBytes
+		whole := len(p.Buf) - checksumBytes
 		if whole < 1 || binary.LittleEndian.Uint32(p.Buf[whole:]) != crc32.Checksum(p.Buf[:whole], castagnoli) {
-			t.count.damaged.Add(1)
+			t.traffic.damaged.Add(1)
 			continue
 		}
 		p.Buf = p.Buf[:whole]
-		t.count.packetsIn.Add(1)
-		t.count.bytesIn.Add(uint64(len(p.Buf)))
-		t.word(from)
+		t.traffic.packetsIn.Add(1)
+		t.traffic.bytesIn.Add(uint64(len(p.Buf)))
+		t.onPacket(from)
 		select {
 		case t.packets <- p:
 		case <-t.ctx.Done():
@@ -111,24 +111,24 @@
 	}
 }
 
-func (t *transport) takeStreams() {
+func (t *transport) relayStreams() {
 	defer t.wg.Done()
 	for {
 		var c net.Conn
 		select {
-		case c = <-t.lower.StreamCh():
+		case c = <-t.baseTransport.StreamCh():
 		case <-t.ctx.Done():
 			return
 		}
-		if t.open.Load() >= mostStreams || !t.awake() {
-			t.count.dropped.Add(1)
+		if t.openStreams.Load() >= maxIncomingStreams || !t.awake() {
+			t.traffic.dropped.Add(1)
 			c.Close()
 			continue
 		}
-		t.open.Add(1)
-		t.count.streams.Add(1)
+		t.openStreams.Add(1)
+		t.traffic.streams.Add(1)
 		select {
-		case t.conns <- newStream(t, c, true):
+		case t.streams <- newStream(t, c, true):
 		case <-t.ctx.Done():
 			c.Close()
 			return
@@ -138,7 +138,7 @@
 
 // PacketCh and StreamCh are what memberlist reads from.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.conns }
+func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
 // WriteTo and WriteToAddress send a packet, unless the server has stalled: then it is lost, as packets may be.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
@@ -147,14 +147,14 @@
 
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	if !t.awake() {
-		t.count.dropped.Add(1)
+		t.traffic.dropped.Add(1)
 		return time.Now(), nil
 	}
-	summed := make([]byte, 0, len(b)+sumBytes) // memberlist may send the same bytes to several
+	summed := make([]byte, 0, len(b)+checksumBytes) // memberlist may send the same bytes to several
 	summed = binary.LittleEndian.AppendUint32(append(summed, b...), crc32.Checksum(b, castagnoli))
-	t.count.packetsOut.Add(1)
-	t.count.bytesOut.Add(uint64(len(summed)))
-	return t.lower.WriteToAddress(summed, a)
+	t.traffic.packetsOut.Add(1)
+	t.traffic.bytesOut.Add(uint64(len(summed)))
+	return t.baseTransport.WriteToAddress(summed, a)
 }
 
 // DialTimeout and DialAddressTimeout open a stream from the server's own address.
@@ -168,37 +168,37 @@
 	}
 	var c net.Conn
 	var err error
-	if t.from != nil {
-		dialer := net.Dialer{Timeout: d, LocalAddr: t.from}
+	if t.localAddr != nil {
+		dialer := net.Dialer{Timeout: d, LocalAddr: t.localAddr}
 		c, err = dialer.DialContext(t.ctx, "tcp", a.Addr)
 	} else {
-		c, err = t.lower.DialAddressTimeout(a, d)
+		c, err = t.baseTransport.DialAddressTimeout(a, d)
 	}
 	if err != nil {
 		return nil, err
 	}
-	t.count.streams.Add(1)
+	t.traffic.streams.Add(1)
 	return newStream(t, c, false), nil
 }
 
 // Shutdown ends it and what carries it.
 func (t *transport) Shutdown() error {
-	t.end()
+	t.cancel()
 	over := make(chan struct{})
 	t.wg.Add(1)
 	go func() { // the lower one waits for its readers, which may be handing something over
 		defer t.wg.Done()
 		for {
 			select {
-			case <-t.lower.PacketCh():
-			case c := <-t.lower.StreamCh():
+			case <-t.baseTransport.PacketCh():
+			case c := <-t.baseTransport.StreamCh():
 				c.Close()
 			case <-over:
 				return
 			}
 		}
 	}()
-	err := t.lower.Shutdown()
+	err := t.baseTransport.Shutdown()
 	close(over)
 	t.wg.Wait()
 	return err
@@ -207,20 +207,20 @@
 // stream counts what passes, and stops with the server and with the transport.
 type stream struct {
 	net.Conn
-	t    *transport
-	in   bool
-	free func() bool
-	shut atomic.Bool
+	transport *transport
+	incoming  bool
+	stopWatch func() bool
+	closed    atomic.Bool
 }
 
 func newStream(t *transport, c net.Conn, in bool) *stream {
-	return &stream{Conn: c, t: t, in: in, free: context.AfterFunc(t.ctx, func() { c.Close() })}
+	return &stream{Conn: c, transport: t, incoming: in, stopWatch: context.AfterFunc(t.ctx, func() { c.Close() })}
 }
 
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
-	s.t.count.bytesIn.Add(uint64(n))
-	if !s.t.awake() {
+	s.transport.traffic.bytesIn.Add(uint64(n))
+	if !s.transport.awake() {
 		s.Conn.Close()
 		return 0, net.ErrClosed
 	}
@@ -228,20 +228,20 @@
 }
 
 func (s *stream) Write(b []byte) (int, error) {
-	if !s.t.awake() {
+	if !s.transport.awake() {
 		s.Conn.Close()
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
-	s.t.count.bytesOut.Add(uint64(n))
+	s.transport.traffic.bytesOut.Add(uint64(n))
 	return n, err
 }
 
 func (s *stream) Close() error {
-	if s.shut.CompareAndSwap(false, true) {
-		s.free()
-		if s.in {
-			s.t.open.Add(-1)
+	if s.closed.CompareAndSwap(false, true) {
+		s.stopWatch()
+		if s.incoming {
+			s.transport.openStreams.Add(-1)
 		}
 	}
 	return s.Conn.Close()
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// AskAll asks several servers at once; the errors of those that did not answer in time name their sockets.
-func AskAll(ctx context.Context, sockets []string, wait time.Duration) (views []Status, failed []error) {
+// FetchStatuses asks several servers at once; the errors of those that did not answer in time name their sockets.
+func FetchStatuses(ctx context.Context, sockets []string, wait time.Duration) (views []Status, failed []error) {
 	ctx, end := context.WithTimeout(ctx, wait)
 	defer end()
 	all, errs := make([]Status, len(sockets)), make([]error, len(sockets))
 	var asked sync.WaitGroup
 	for i, path := range sockets {
-		asked.Go(func() { all[i], errs[i] = Ask(ctx, path) })
+		asked.Go(func() { all[i], errs[i] = FetchStatus(ctx, path) })
 	}
 	asked.Wait()
 	for i, err := range errs {
@@ -55,35 +55,35 @@
 		for i, z := range v.Zones {
 			zones[i] = fmt.Sprintf("%s %d/%d", or(z.Name, "-"), z.Heard, z.Roster)
 		}
-		notes := slices.Clone(v.Twins)
+		notes := slices.Clone(v.DuplicateNames)
 		if v.Listening {
 			notes = append(notes, "listens, says nothing of others yet")
 		}
-		if v.Refused != "" {
-			notes = append(notes, v.Refused)
+		if v.ExclusionReason != "" {
+			notes = append(notes, v.ExclusionReason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s\n", v.Name, or(v.Zone, "-"), v.Start, phaseOf(v.Phase, v.Ramp), v.Hears,
-			v.Heard, v.Roster, strings.Join(zones, " "), seconds(v.ForMs), v.Stalls, strings.Join(notes, "; "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s\n", v.Name, or(v.Zone, "-"), v.Start, phaseText(v.Phase, v.WarmupProgress), v.Connectivity,
+			v.Reachable, v.Roster, strings.Join(zones, " "), secondsText(v.ForMs), v.Stalls, strings.Join(notes, "; "))
 	}
 	w.Flush()
 	if len(views) == 1 {
 		fmt.Fprintln(w, "\npeer\tzone\tstart\tphase\theard\tcontact\tlast word\tlosses\tversion\tsettings")
 		for _, p := range views[0].Peers {
-			heard := map[bool]string{true: "yes", false: "no"}[p.Heard]
+			heard := map[bool]string{true: "yes", false: "no"}[p.Reachable]
 			switch {
-			case p.Away != "":
-				heard = p.Away
+			case p.Departed != "":
+				heard = p.Departed
 			case p.Damped:
 				heard = "flaps"
-			case p.Twin:
+			case p.DuplicateName:
 				heard += ", two of the name"
 			}
 			how := p.Contact
-			if p.Through != "" {
-				how = "through " + p.Through
+			if p.RelayedBy != "" {
+				how = "through " + p.RelayedBy
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", p.Name, or(p.Zone, "-"), p.Start, phaseOf(p.Phase, p.Ramp), heard, how,
-				seconds(p.AgeMs), p.Losses, or(p.Version, "-"), or(p.Settings, "-"))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", p.Name, or(p.Zone, "-"), p.Start, phaseText(p.Phase, p.WarmupProgress), heard, how,
+				secondsText(p.AgeMs), p.Losses, or(p.Version, "-"), or(p.Settings, "-"))
 		}
 		w.Flush()
 	}
@@ -101,26 +101,26 @@
 // writeJudged writes how the members of pools stand.
 func writeJudged(out io.Writer, v *Status) {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	for i, p := range v.Judged {
+	for i, p := range v.Outliers {
 		if i == 0 {
 			fmt.Fprintln(w, "\npool\tmember\tverdict\tuse\tfor\tagainst\tof weight\tseen by\tends when")
 		}
 		for _, m := range p.Members {
 			use, ends := "in use", ""
 			switch {
-			case m.Out:
-				use, ends = "out", fmt.Sprintf("probed well, after %s", seconds(m.UntilMs))
-			case m.Share < 1:
-				use, ends = fmt.Sprintf("%.0f%% of callers", 100*m.Share), "its ramp is over"
+			case m.Ejected:
+				use, ends = "out", fmt.Sprintf("probed well, after %s", secondsText(m.UntilMs))
+			case m.CallerShare < 1:
+				use, ends = fmt.Sprintf("%.0f%% of callers", 100*m.CallerShare), "its ramp is over"
 			}
 			since := "-"
 			if m.ForMs >= 0 {
-				since = seconds(m.ForMs)
+				since = secondsText(m.ForMs)
 			}
-			if m.Probes {
+			if m.HealthChecks {
 				ends += "; this server asks"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s\n", p.Pool, m.Name, m.Why, use, since, m.Against, m.Weight, or(strings.Join(m.By, " "), "-"), ends)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s\n", p.Pool, m.Name, m.Reason, use, since, m.FaultShare, m.Weight, or(strings.Join(m.ReportedBy, " "), "-"), ends)
 		}
 	}
 	w.Flush()
@@ -130,24 +130,24 @@
 func writeBudgets(out io.Writer, v *Status) {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nbudget\town\tfloor\tpart now\tlent\tborrowed\tused\tturned away\tlast ask without a loan")
-	for _, p := range v.Budgets.Parts {
+	for _, p := range v.Budgets.Quotas {
 		refused := "-"
 		if p.Refused.By != "" {
-			refused = fmt.Sprintf("%s ago, %s: %s", seconds(p.Refused.Ago), p.Refused.By, p.Refused.Why)
+			refused = fmt.Sprintf("%s ago, %s: %s", secondsText(p.Refused.Ago), p.Refused.By, p.Refused.Why)
 		}
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", p.Key, p.Own, p.Floor, p.Part, p.Lent, p.Borrowed, p.Use, p.Need, refused)
 		for _, l := range p.Loans {
 			switch {
 			case l.To == "":
-				fmt.Fprintf(w, "  %.4g perhaps lent before the last start, for %s\n", l.Amount, seconds(l.For))
+				fmt.Fprintf(w, "  %.4g perhaps lent before the last start, for %s\n", l.Amount, secondsText(l.For))
 			case l.To == v.Name:
-				fmt.Fprintf(w, "  %.4g from %s for %s\n", l.Amount, l.From, seconds(l.For))
+				fmt.Fprintf(w, "  %.4g from %s for %s\n", l.Amount, l.From, secondsText(l.For))
 			default:
-				fmt.Fprintf(w, "  %.4g to %s for %s\n", l.Amount, l.To, seconds(l.For))
+				fmt.Fprintf(w, "  %.4g to %s for %s\n", l.Amount, l.To, secondsText(l.For))
 			}
 		}
 	}
-	for i, x := range v.Budgets.Sums {
+	for i, x := range v.Budgets.FleetCounts {
 		if i == 0 {
 			fmt.Fprintln(w, "\nover the fleet\tat least\tat most")
 		}
@@ -163,14 +163,14 @@
 	return s
 }
 
-func phaseOf(phase string, ramp float64) string {
-	if phase == Cold.String() {
+func phaseText(phase string, ramp float64) string {
+	if phase == WarmingUp.String() {
 		return fmt.Sprintf("cold %.0f%%", 100*ramp)
 	}
 	return or(phase, "-")
 }
 
-func seconds(ms float64) string { return fmt.Sprintf("%.1f s", ms/1000) }
+func secondsText(ms float64) string { return fmt.Sprintf("%.1f s", ms/1000) }
 
 // Differences names where two views differ: who is there, of which start, and in which settings. Servers that listen
 // first have no view yet.
@@ -188,10 +188,10 @@
 				s = &said{}
 				of[p.Name], starts[p.Name] = s, map[uint64][]string{}
 			}
-			if p.Heard {
+			if p.Reachable {
 				s.heard = append(s.heard, v.Name)
 				starts[p.Name][p.Start] = append(starts[p.Name][p.Start], v.Name)
-			} else if p.Away == "" {
+			} else if p.Departed == "" {
 				s.not = append(s.not, v.Name)
 			}
 		}
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -181,7 +181,7 @@
 func (b *Bed) Status(name string) (fleet.Status, error) {
 	ctx, end := context.WithTimeout(context.Background(), time.Second)
 	defer end()
-	return fleet.Ask(ctx, b.Socket(name))
+	return fleet.FetchStatus(ctx, b.Socket(name))
 }
 
 // Observation is one server's view at one time.
@@ -224,14 +224,14 @@
 					continue
 				}
 				asked, endAsk := context.WithTimeout(ctx, time.Second)
-				s, err := fleet.Ask(asked, b.Socket(name))
+				s, err := fleet.FetchStatus(asked, b.Socket(name))
 				endAsk()
 				if err != nil {
 					continue
 				}
 				p := Observation{At: time.Since(w.began), Name: name, Status: s}
 				for _, x := range s.Peers {
-					if x.Heard {
+					if x.Reachable {
 						p.AliveNames = append(p.AliveNames, x.Name)
 					}
 				}
@@ -300,14 +300,14 @@
 			}
 			p := Observation{Name: name, Status: s}
 			for _, x := range s.Peers {
-				if x.Heard {
+				if x.Reachable {
 					p.AliveNames = append(p.AliveNames, x.Name)
 				}
 			}
 			if wanted(&p) {
 				good++
 			} else {
-				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Hears, p.AliveNames, s.Listening, s.Stalls)
+				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Connectivity, p.AliveNames, s.Listening, s.Stalls)
 			}
 		}
 		if good == len(viewers) && good > 0 {
@@ -319,7 +319,7 @@
 
 // ExpectView is a wish for Await and Settled: a state, and so many heard, the server itself included.
 func ExpectView(state string, heard int) func(p *Observation) bool {
-	return func(p *Observation) bool { return p.Hears == state && len(p.AliveNames)+1 == heard }
+	return func(p *Observation) bool { return p.Connectivity == state && len(p.AliveNames)+1 == heard }
 }
 
 // JSON is a point as one line, for logs of a run.
--- a/internal/testbed/demo.go
+++ b/internal/testbed/demo.go
@@ -165,7 +165,7 @@
 			sockets = append(sockets, b.Socket(name))
 		}
 	}
-	views, _ := fleet.AskAll(ctx, sockets, 500*time.Millisecond)
+	views, _ := fleet.FetchStatuses(ctx, sockets, 500*time.Millisecond)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "\nsecond %d\tphase\thears\t%s\n", second, strings.Join(b.Names, "\t"))
 	for _, name := range b.Names {
@@ -181,11 +181,11 @@
 			for _, p := range v.Peers {
 				switch {
 				case p.Name != other:
-				case p.Away != "":
-					cells[k] = p.Away
+				case p.Departed != "":
+					cells[k] = p.Departed
 				case p.Damped:
 					cells[k] = "flaps"
-				case p.Heard:
+				case p.Reachable:
 					cells[k] = map[string]string{"both ways": "yes", "one way": "in", "through others": "via"}[p.Contact]
 				default:
 					cells[k] = "no"
@@ -195,11 +195,11 @@
 				cells[k] = "self"
 			}
 		}
-		state := fmt.Sprintf("%s %d/%d", v.Hears, v.Heard, v.Roster)
+		state := fmt.Sprintf("%s %d/%d", v.Connectivity, v.Reachable, v.Roster)
 		if v.Listening {
 			state = "listens"
 		}
-		fmt.Fprintf(w, "%s\t%s %.0f%%\t%s\t%s\n", name, v.Phase, 100*v.Ramp, state, strings.Join(cells, "\t"))
+		fmt.Fprintf(w, "%s\t%s %.0f%%\t%s\t%s\n", name, v.Phase, 100*v.WarmupProgress, state, strings.Join(cells, "\t"))
 	}
 	w.Flush()
 	n := counts.take()
--- a/valve/fleetvalve/fleetvalve.go
+++ b/valve/fleetvalve/fleetvalve.go
@@ -73,11 +73,11 @@
 	log := logrus.New()
 	log.SetOutput(o.Log)
 	in := fleet.Options{
-		Name: o.Name, Zone: o.Zone, Listen: o.Listen, Advertise: o.Advertise, Fleet: o.Fleet, Seeds: o.Seeds, Expect: o.Expect,
-		Key: o.Key, Version: o.Version, Log: log.WithField("node", o.Name),
+		Name: o.Name, Zone: o.Zone, Listen: o.Listen, Advertise: o.Advertise, FleetName: o.Fleet, Seeds: o.Seeds, ExpectedServers: o.Expect,
+		EncryptionKey: o.Key, Version: o.Version, Log: log.WithField("node", o.Name),
 	}
 	if o.Phase != nil {
-		in.Phase = fleet.PhaseOf(o.Phase)
+		in.Phase = fleet.PhaseFunc(o.Phase)
 	}
 	f, err := fleet.Start(in)
 	if err != nil {
