--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -1,5 +1,6 @@
-// Command valvectl is the operator's tool: it checks the operator's file and compiles it to the record that the daemon
-// reads. What is too heavy for the daemon is linked here. It must never be needed while a server runs.
+// Command valvectl is the operator's tool: it checks the operator's file (CUE), compiles it to the record that the daemon
+// reads, compares records, and plans settings over a recorded trace. It links what is too large for the daemon, and no
+// running server needs it.
 package main
 
 import (
@@ -26,6 +27,7 @@
 	Plan    planCmd    `cmd:"" help:"Search settings that would have served more over a trace."`
 }
 
+// source is the operator's file with the settings that it is checked against.
 type source struct {
 	Files    []string `arg:"" type:"existingfile" help:"The operator's file in CUE; several are taken together."`
 	Settings string   `type:"existingfile" help:"The platform's configuration, whose methods and customers the file may name; without it names are not checked."`
@@ -59,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	say(f)
+	summarize(f)
 	return nil
 }
 
@@ -77,11 +79,11 @@
 	if err != nil {
 		return err
 	}
-	beside := c.Out + ".new"
-	if err := os.WriteFile(beside, b, 0o644); err != nil {
+	temporary := c.Out + ".new"
+	if err := os.WriteFile(temporary, b, 0o644); err != nil {
 		return err
 	}
-	if err := os.Rename(beside, c.Out); err != nil {
+	if err := os.Rename(temporary, c.Out); err != nil {
 		return err
 	}
 	r, err := operator.Parse(b)
@@ -97,17 +99,26 @@
 }
 
 func (c *showCmd) Run() error {
-	b, err := os.ReadFile(c.Record)
+	r, err := readRecord(c.Record)
 	if err != nil {
 		return err
 	}
+	fmt.Println("hash", r.Hash)
+	summarize(&r.File)
+	return nil
+}
+
+// readRecord decodes a record without checking it against settings.
+func readRecord(path string) (*operator.Record, error) {
+	b, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
 	r, err := operator.Parse(b)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Record, err)
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Println("hash", r.Hash)
-	say(&r.File)
-	return nil
+	return r, nil
 }
 
 type diffCmd struct {
@@ -118,31 +129,33 @@
 func (c *diffCmd) Run() error {
 	var trees [2]configure.Tree
 	for i, path := range []string{c.Was, c.Is} {
-		b, err := os.ReadFile(path)
+		r, err := readRecord(path)
 		if err != nil {
 			return err
 		}
-		r, err := operator.Parse(b)
-		if err != nil {
-			return fmt.Errorf("%s: %w", path, err)
-		}
 		if trees[i], err = operator.Tree(&r.File); err != nil {
 			return err
 		}
 	}
-	for _, x := range configure.Diff(trees[0], trees[1]) {
-		fmt.Printf("%s: %s -> %s", x.Path, leaf(x.Before), leaf(x.After))
-		for _, top := range operator.RestartOnly {
-			if len(x.Path) >= len(top) && slices.Equal(x.Path[:len(top)], top) {
-				fmt.Print("  (needs a new start)")
-			}
+	for _, change := range configure.Diff(trees[0], trees[1]) {
+		fmt.Printf("%s: %s -> %s", change.Path, formatValue(change.Before), formatValue(change.After))
+		if needsRestart(change.Path) {
+			fmt.Print("  (needs a new start)")
 		}
 		fmt.Println()
 	}
 	return nil
 }
 
-func leaf(v any) string {
+// needsRestart tells whether a running process can't take a change at path.
+func needsRestart(path configure.Path) bool {
+	return slices.ContainsFunc(operator.RestartOnly, func(top configure.Path) bool {
+		return len(path) >= len(top) && slices.Equal(path[:len(top)], top)
+	})
+}
+
+// formatValue prints one value of a tree as JSON.
+func formatValue(v any) string {
 	if v == nil {
 		return "nothing"
 	}
@@ -157,7 +170,8 @@
 
 func (schemaCmd) Run() error { fmt.Print(cuefile.Schema()); return nil }
 
-func say(f *operator.File) {
+// summarize prints what a file sets, in one line.
+func summarize(f *operator.File) {
 	fmt.Printf("ok: version %s; %d routes, %d pools, %d methods beside the engine's; %d descriptors",
 		f.Version, len(f.Routes), len(f.Pools), len(f.Methods), f.Descriptors())
 	if f.UWSGI != nil {
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -1,8 +1,5 @@
 package main
 
-// This file owns the command that plans: it reads a trace in parts, has package plan search, and writes what it found as
-// an operator's file. It must never apply it.
-
 import (
 	"errors"
 	"fmt"
@@ -19,6 +16,7 @@
 	"sorrelvalve/internal/trace"
 )
 
+// planCmd searches settings over a trace (package plan) and writes what it found as an operator's file.
 type planCmd struct {
 	Trace  string `arg:"" type:"path" help:"A trace that a daemon or a library recorded."`
 	Out    string `short:"o" type:"path" help:"Where the operator's file is written; to standard output without it."`
@@ -28,39 +26,28 @@
 	Steps  int    `default:"2000000" help:"Events that are read at the most; later ones are left out."`
 }
 
+// minSpan, in milliseconds, keeps the division of a trace whose events all have one time defined.
+const minSpan = 1e-9
+
+// Run searches over the trace and writes the plan. It applies nothing.
 func (c *planCmd) Run() error {
 	r, err := trace.Open(trace.Files(c.Trace)...)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	var all []replay.Step
-	for len(all) < c.Steps {
-		e, err := r.Next()
-		if err == io.EOF || errors.Is(err, trace.ErrTorn) || errors.Is(err, trace.ErrDamaged) {
-			if err != io.EOF {
-				fmt.Fprintf(os.Stderr, "the trace ends early: %v\n", err)
-			}
-			break
-		} else if err != nil {
-			return err
-		}
-		all = append(all, replay.Step{Now: e.Now, Event: e.Event, Token: e.Token})
+	defer func() { _ = r.Close() }() // only read
+	steps, err := c.read(r)
+	if err != nil {
+		return err
 	}
-	if len(all) < 2*c.Parts || c.Parts < 2 {
-		return fmt.Errorf("%d events in %d parts: too few to plan by", len(all), c.Parts)
+	if len(steps) < 2*c.Parts || c.Parts < 2 {
+		return fmt.Errorf("%d events in %d parts: too few to plan by", len(steps), c.Parts)
 	}
 	o := &r.Header.Startup
 	s := replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
-	from, span := all[0].Now, (all[len(all)-1].Now-all[0].Now)/float64(c.Parts)
-	parts := make([][]replay.Step, c.Parts)
-	for _, x := range all {
-		i := min(c.Parts-1, int((x.Now-from)/max(span, 1e-9)))
-		parts[i] = append(parts[i], x)
-	}
-	p := plan.Search(s, parts, c.Budget, c.Seed)
+	p := plan.Search(s, split(steps, c.Parts), c.Budget, c.Seed)
 	text := c.file(&p, &s)
-	if err := accepted(text, func(f *operator.File) []operator.FieldError { return operator.Check(f, operator.KnownNames(o)) }); err != nil {
+	if err := validate(text, operator.KnownNames(o)); err != nil {
 		return fmt.Errorf("the plan does not pass its own check: %w", err)
 	}
 	if c.Out == "" {
@@ -70,7 +57,38 @@
 	return os.WriteFile(c.Out, []byte(text), 0o644)
 }
 
-// file is the plan as an operator's file.
+// read reads the events of a trace, as many as the command takes. A trace that is cut off or damaged ends there.
+func (c *planCmd) read(r *trace.Reader) ([]replay.Step, error) {
+	var steps []replay.Step
+	for len(steps) < c.Steps {
+		e, err := r.Next()
+		switch {
+		case errors.Is(err, io.EOF):
+			return steps, nil
+		case errors.Is(err, trace.ErrTorn) || errors.Is(err, trace.ErrDamaged):
+			fmt.Fprintf(os.Stderr, "the trace ends early: %v\n", err)
+			return steps, nil
+		case err != nil:
+			return nil, err
+		}
+		steps = append(steps, replay.Step{Now: e.Now, Event: e.Event, Token: e.Token})
+	}
+	return steps, nil
+}
+
+// split divides a trace into parts of equal time.
+func split(steps []replay.Step, n int) [][]replay.Step {
+	start := steps[0].Now
+	span := (steps[len(steps)-1].Now - start) / float64(n)
+	parts := make([][]replay.Step, n)
+	for _, step := range steps {
+		i := min(n-1, int((step.Now-start)/max(span, minSpan)))
+		parts[i] = append(parts[i], step)
+	}
+	return parts
+}
+
+// file returns the plan as an operator's file.
 func (c *planCmd) file(p *plan.Plan, s *replay.Settings) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "// Planned over a trace; applied by nobody. %d settings were tried.\n", p.Replays)
@@ -98,25 +116,25 @@
 	return b.String()
 }
 
-// accepted has a text checked as a file would be.
-func accepted(text string, check func(*operator.File) []operator.FieldError) error {
+// validate checks the text of an operator's file as `valvectl check` does, and returns the first error.
+func validate(text string, known route.Catalog) error {
 	f, err := os.CreateTemp("", "plan-*.cue")
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name())
+	defer func() { _ = os.Remove(f.Name()) }() // a temporary file left behind does no harm
 	if _, err := f.WriteString(text); err != nil {
 		return err
 	}
 	if err := f.Close(); err != nil {
 		return err
 	}
-	file, faults := cuefile.Compile([]string{f.Name()}, route.Catalog{})
-	for _, e := range faults {
-		return e
+	file, errs := cuefile.Compile([]string{f.Name()}, route.Catalog{})
+	if len(errs) > 0 {
+		return errs[0]
 	}
-	for _, x := range check(file) {
-		return x
+	if errs := operator.Check(file, known); len(errs) > 0 {
+		return errs[0]
 	}
 	return nil
 }
--- a/internal/cuefile/cuefile_test.go
+++ b/internal/cuefile/cuefile_test.go
@@ -89,12 +89,18 @@
 func TestSeveral(t *testing.T) {
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.cue"), filepath.Join(dir, "b.cue")
-	os.WriteFile(a, []byte("version: \"1\"\nuwsgi: listen: \"127.0.0.1:1\"\n"), 0o600)
-	os.WriteFile(b, []byte("\nuwsgi: keep: \"always\"\n"), 0o600)
+	if err := os.WriteFile(a, []byte("version: \"1\"\nuwsgi: listen: \"127.0.0.1:1\"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(b, []byte("\nuwsgi: keep: \"always\"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if f, errs := Compile([]string{a, b}, known); len(errs) > 0 || f.UWSGI.KeepAlive != "always" {
 		t.Errorf("file %+v, errors %v", f, errs)
 	}
-	os.WriteFile(b, []byte("\nuwsgi: keep: \"sometimes\"\n"), 0o600)
+	if err := os.WriteFile(b, []byte("\nuwsgi: keep: \"sometimes\"\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if _, errs := Compile([]string{a, b}, known); len(errs) == 0 || !strings.Contains(errs[0].Error(), "b.cue:2: uwsgi.keep") {
 		t.Errorf("errors %v", errs)
 	}
