--- a/decision/count/count_test.go
+++ b/decision/count/count_test.go
@@ -13,7 +13,7 @@
 func TestTop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 8).Draw(t, "room")
-		top, truth := NewTop(most), map[string]float64{}
+		top, truth := NewSpaceSaving(most), map[string]float64{}
 		for range rapid.IntRange(1, 200).Draw(t, "adds") {
 			if rapid.IntRange(0, 20).Draw(t, "fades") == 0 {
 				top.Scale(0.5)
@@ -26,16 +26,16 @@
 			truth[k] += n
 		}
 		held := map[string]bool{}
-		items := top.Items(100)
+		items := top.Largest(100)
 		for _, x := range items {
 			held[x.Key] = true
-			if v := truth[x.Key]; v > x.Value+1e-9 || v < x.Value-x.Err-1e-9 {
-				t.Fatalf("%s has %g, said %g less at most %g", x.Key, v, x.Value, x.Err)
+			if v := truth[x.Key]; v > x.Value+1e-9 || v < x.Value-x.MaxError-1e-9 {
+				t.Fatalf("%s has %g, said %g less at most %g", x.Key, v, x.Value, x.MaxError)
 			}
 		}
 		for k, v := range truth {
-			if !held[k] && v > top.Least()+1e-9 {
-				t.Fatalf("%s has %g and is not held, least is %g", k, v, top.Least())
+			if !held[k] && v > top.MaxUnlisted()+1e-9 {
+				t.Fatalf("%s has %g and is not held, least is %g", k, v, top.MaxUnlisted())
 			}
 		}
 		if len(items) > most || len(top.at) != len(items) {
@@ -46,7 +46,7 @@
 
 // A hundred thousand customers, a few of which make most of the load: those are found.
 func TestManyCustomers(t *testing.T) {
-	o := NewOwn(Usual)
+	o := NewLocal(DefaultConfig)
 	z := rand.NewZipf(rand.New(rand.NewSource(1)), 1.3, 1, 100000)
 	truth := map[string]int{}
 	for i := range 200000 {
@@ -54,7 +54,7 @@
 		truth[k]++
 		o.Add(float64(i)/100, k, 1)
 	}
-	items := o.Items(2000, 10)
+	items := o.Largest(2000, 10)
 	if len(items) != 10 || items[0].Key != "c0" || items[1].Key != "c1" || items[2].Key != "c2" {
 		t.Errorf("%v", items)
 	}
@@ -70,55 +70,55 @@
 	}
 	all := []rec{{"a", 1, 1, 10}, {"a", 1, 2, 20}, {"b", 1, 5, 7}, {"b", 2, 1, 3}, {"b", 1, 6, 9}}
 	for seed := range int64(30) {
-		f := NewFleet(Usual)
+		f := NewAggregate(DefaultConfig)
 		chance := rand.New(rand.NewSource(seed))
 		for range 3 {
 			for _, i := range chance.Perm(len(all)) {
 				r := all[i]
-				f.Take(1000, r.origin, r.start, r.seq, []Item{{Key: "k", Value: r.v}}, 0)
+				f.Merge(1000, r.origin, r.start, r.seq, []Counter{{Key: "k", Value: r.v}}, 0)
 			}
 		}
-		if got := f.Sum(1000, "k", roster[:2]); got != (Range{23, 23}) {
+		if got := f.Sum(1000, "k", roster[:2]); got != (Interval{23, 23}) {
 			t.Fatalf("%+v", got)
 		}
-		if got := f.Sum(1000, "k", roster); got != (Range{23, 23 + Usual.Most}) { // c was never heard
+		if got := f.Sum(1000, "k", roster); got != (Interval{23, 23 + DefaultConfig.MaxPerServer}) { // c was never heard
 			t.Fatalf("%+v", got)
 		}
-		last := Range{23, 23}
+		last := Interval{23, 23}
 		for now := 2000.0; now < 20e3; now += 500 {
 			got := f.Sum(now, "k", roster[:2])
-			if got.AtLeast > last.AtLeast || got.AtMost < last.AtMost {
+			if got.Min > last.Min || got.Max < last.Max {
 				t.Fatalf("at %g ms: %+v after %+v", now, got, last)
 			}
 			last = got
 		}
-		if last != (Range{0, 2 * Usual.Most}) {
+		if last != (Interval{0, 2 * DefaultConfig.MaxPerServer}) {
 			t.Fatalf("long unheard: %+v", last)
 		}
 	}
 }
 
 func TestRateFades(t *testing.T) {
-	o := NewOwn(Usual)
+	o := NewLocal(DefaultConfig)
 	for ms := range 30000 {
 		if ms%10 == 0 {
 			o.Add(float64(ms), "k", 1)
 		}
 	}
-	if v := o.Items(30000, 1)[0].Value; math.Abs(v-100) > 2 {
+	if v := o.Largest(30000, 1)[0].Value; math.Abs(v-100) > 2 {
 		t.Errorf("100 a second are counted as %g", v)
 	}
-	if v := o.Items(60000, 1)[0].Value; v > 1 {
+	if v := o.Largest(60000, 1)[0].Value; v > 1 {
 		t.Errorf("half a minute later still %g", v)
 	}
 	o.Add(1e8, "k", 1) // a day later the weights have begun anew
-	if v := o.Items(1e8, 1)[0].Value; math.Abs(v-0.2) > 1e-9 {
+	if v := o.Largest(1e8, 1)[0].Value; math.Abs(v-0.2) > 1e-9 {
 		t.Errorf("one count is %g", v)
 	}
 }
 
 func BenchmarkAdd(b *testing.B) {
-	o := NewOwn(Usual)
+	o := NewLocal(DefaultConfig)
 	keys := make([]string, 50) // with room for 64: the usual case
 	for i := range keys {
 		keys[i] = fmt.Sprint("customer-", i)
--- a/decision/count/top.go
+++ b/decision/count/top.go
@@ -14,20 +14,20 @@
 	value, err float64
 }
 
-// Top is one sketch. Any key's true value lies between value-err and value; one that is not held has at most Least.
-type Top struct {
+// SpaceSaving is one sketch. Any key's true value lies between value-err and value; one that is not held has at most Least.
+type SpaceSaving struct {
 	heap []counted // the smallest first
 	at   map[string]int
 	most int
 }
 
-// NewTop returns one with room for so many keys, at least one.
-func NewTop(most int) *Top {
-	return &Top{most: max(1, most), at: make(map[string]int, max(1, most)), heap: make([]counted, 0, max(1, most))}
+// NewSpaceSaving returns one with room for so many keys, at least one.
+func NewSpaceSaving(most int) *SpaceSaving {
+	return &SpaceSaving{most: max(1, most), at: make(map[string]int, max(1, most)), heap: make([]counted, 0, max(1, most))}
 }
 
 // Add counts n, which must not be negative, under a key.
-func (t *Top) Add(key string, n float64) {
+func (t *SpaceSaving) Add(key string, n float64) {
 	if i, has := t.at[key]; has {
 		t.heap[i].value += n
 		t.down(i)
@@ -48,37 +48,37 @@
 }
 
 // Scale multiplies all, as when they fade.
-func (t *Top) Scale(by float64) {
+func (t *SpaceSaving) Scale(by float64) {
 	for i := range t.heap {
 		t.heap[i].value *= by
 		t.heap[i].err *= by
 	}
 }
 
-// Least is what a key that is not held may have at the most.
-func (t *Top) Least() float64 {
+// MaxUnlisted is what a key that is not held may have at the most.
+func (t *SpaceSaving) MaxUnlisted() float64 {
 	if len(t.heap) < t.most {
 		return 0
 	}
 	return t.heap[0].value
 }
 
-// Items are the largest, at most so many, the largest first.
-func (t *Top) Items(most int) []Item {
-	all := make([]Item, len(t.heap))
+// Largest are the largest, at most so many, the largest first.
+func (t *SpaceSaving) Largest(most int) []Counter {
+	all := make([]Counter, len(t.heap))
 	for i, c := range t.heap {
-		all[i] = Item{c.key, c.value, c.err}
+		all[i] = Counter{c.key, c.value, c.err}
 	}
-	slices.SortFunc(all, func(a, b Item) int { return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Key, b.Key)) })
+	slices.SortFunc(all, func(a, b Counter) int { return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Key, b.Key)) })
 	return all[:min(most, len(all))]
 }
 
-func (t *Top) swap(i, k int) {
+func (t *SpaceSaving) swap(i, k int) {
 	t.heap[i], t.heap[k] = t.heap[k], t.heap[i]
 	t.at[t.heap[i].key], t.at[t.heap[k].key] = i, k
 }
 
-func (t *Top) up(i int) {
+func (t *SpaceSaving) up(i int) {
 	for i > 0 {
 		p := (i - 1) / 2
 		if t.heap[i].value >= t.heap[p].value {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (t *Top) down(i int) {
+func (t *SpaceSaving) down(i int) {
 	for {
 		c := 2*i + 1
 		if c >= len(t.heap) {
--- a/decision/evidence/evidence.go
+++ b/decision/evidence/evidence.go
@@ -19,17 +19,17 @@
 const (
 	// Half is the half-life of all evidence in ms: a member that has changed is seen as it is now within some seconds, and
 	// one that gets an RPC a second still has some behind it.
-	Half = 4000.0
+	HalfLife = 4000.0
 	// halfEnds is that of the share of bad ends: shorter, so that a member that has turned bad is soon mostly bad.
 	halfEnds = 2000.0
 	// LongestRun is where a run of like ends is no longer counted.
-	LongestRun = 20
+	MaxRun = 20
 	// mostBusy bounds how long a member's advice to stay away is heeded, in ms.
 	mostBusy = 10e3
 	// leastUsual answers stand behind the pool's usual latency.
 	leastUsual = 5.0
 	// forget is when nothing is left of a member that is not in use: 20 half-lives.
-	forget = 20 * Half
+	forget = 20 * HalfLife
 )
 
 // The histogram of answers: from 1 ms on, each bucket half as wide again as the one before; 28 reach over a minute.
@@ -49,33 +49,33 @@
 	busy   float64 // until then it asked to be left alone
 }
 
-// Own is what this server saw of the members of one pool.
-type Own struct {
+// Recorder is what this server saw of the members of one pool.
+type Recorder struct {
 	all  []*seen // by name
 	hist [buckets]float64
 	at   float64
 }
 
-// View is what is told of one member.
-type View struct {
-	Member string
-	Run    int     // of like ends: above 0 good, below 0 bad; -LongestRun to LongestRun
-	Age    float64 // ms since the last end
-	N      float64 // ends of late, decayed
-	Bad    float64 // share of them
-	Slow   float64 // mean logarithm of its latency over the pool's usual one
-	SlowN  float64 // answers behind that, decayed
-	Busy   float64 // ms for which it asked to be left alone
+// Summary is what is told of one member.
+type Summary struct {
+	Member          string
+	Run             int     // of like ends: above 0 good, below 0 bad; -LongestRun to LongestRun
+	Age             float64 // ms since the last end
+	Attempts        float64 // ends of late, decayed
+	FailureFraction float64 // share of them
+	LogLatencyRatio float64 // mean logarithm of its latency over the pool's usual one
+	LatencySamples  float64 // answers behind that, decayed
+	BusyRemaining   float64 // ms for which it asked to be left alone
 }
 
-func (o *Own) get(now float64, member string) *seen {
+func (o *Recorder) get(now float64, member string) *seen {
 	i, has := slices.BinarySearchFunc(o.all, member, func(s *seen, m string) int { return strings.Compare(s.name, m) })
 	if !has {
 		o.all = slices.Insert(o.all, i, &seen{name: member, at: now, last: math.Inf(-1), busy: math.Inf(-1)})
 	}
 	s := o.all[i]
 	if dt := now - s.at; dt > 0 {
-		keep := math.Exp2(-dt / Half)
+		keep := math.Exp2(-dt / HalfLife)
 		s.slow, s.slowN = s.slow*keep, s.slowN*keep
 		keep = math.Exp2(-dt / halfEnds)
 		s.n, s.bad = s.n*keep, s.bad*keep
@@ -84,12 +84,12 @@
 	return s
 }
 
-// OK is an answer after latency ms.
-func (o *Own) OK(now float64, member string, latency float64) {
+// RecordSuccess is an answer after latency ms.
+func (o *Recorder) RecordSuccess(now float64, member string, latency float64) {
 	s := o.get(now, member)
 	s.n++
-	if dt := now - o.at; dt > Half/8 { // in steps, which is as good and costs less
-		keep := math.Exp2(-dt / Half)
+	if dt := now - o.at; dt > HalfLife/8 { // in steps, which is as good and costs less
+		keep := math.Exp2(-dt / HalfLife)
 		for k := range o.hist {
 			o.hist[k] *= keep
 		}
@@ -100,20 +100,20 @@
 		s.slowN++
 	}
 	o.hist[bucket(latency)]++
-	s.run, s.last = min(max(s.run, 0)+1, LongestRun), now
+	s.run, s.last = min(max(s.run, 0)+1, MaxRun), now
 }
 
-// Failed is a try that has no answer.
-func (o *Own) Failed(now float64, member string) {
+// RecordFailure is a try that has no answer.
+func (o *Recorder) RecordFailure(now float64, member string) {
 	s := o.get(now, member)
 	s.n++
 	s.bad++
-	s.run, s.last = max(min(s.run, 0)-1, -LongestRun), now
+	s.run, s.last = max(min(s.run, 0)-1, -MaxRun), now
 }
 
-// Late is for how many ms a try may go without an answer before that is told of its member, by the pool's usual latency: no answer
+// LateThreshold is for how many ms a try may go without an answer before that is told of its member, by the pool's usual latency: no answer
 // yet from one that is asked now says as much as none at a deadline that is far off. 0: the usual is not known, and it is not told.
-func Late(usual float64) float64 {
+func LateThreshold(usual float64) float64 {
 	if usual <= 0 {
 		return 0
 	}
@@ -125,15 +125,15 @@
 	lateLeast = 200.0 // ms: a server that is short of processor time is late by as much itself
 )
 
-// Busy is a member's word that it is to be left alone for a while. That is no failure.
-func (o *Own) Busy(now float64, member string, away float64) {
+// RecordBusy is a member's word that it is to be left alone for a while. That is no failure.
+func (o *Recorder) RecordBusy(now float64, member string, away float64) {
 	s := o.get(now, member)
 	s.busy = now + math.Min(math.Max(away, 0), mostBusy)
 	s.last = now
 }
 
-// Keep forgets all but some members: those that are in use.
-func (o *Own) Keep(members []string) {
+// Retain forgets all but some members: those that are in use.
+func (o *Recorder) Retain(members []string) {
 	o.all = slices.DeleteFunc(o.all, func(s *seen) bool { return !slices.Contains(members, s.name) })
 }
 
@@ -162,19 +162,19 @@
 	return 0
 }
 
-// Views is what this server saw, by member; nothing of those of which nothing is left.
-func (o *Own) Views(now float64) (all []View) {
+// Summaries is what this server saw, by member; nothing of those of which nothing is left.
+func (o *Recorder) Summaries(now float64) (all []Summary) {
 	for _, s := range o.all {
 		o.get(now, s.name)
 		if now-s.last > forget {
 			continue
 		}
-		v := View{Member: s.name, Run: s.run, Age: now - s.last, N: s.n, Busy: math.Max(0, s.busy-now)}
+		v := Summary{Member: s.name, Run: s.run, Age: now - s.last, Attempts: s.n, BusyRemaining: math.Max(0, s.busy-now)}
 		if s.n > 0 {
-			v.Bad = s.bad / s.n
+			v.FailureFraction = s.bad / s.n
 		}
 		if s.slowN > 0 {
-			v.Slow, v.SlowN = s.slow/s.slowN, s.slowN
+			v.LogLatencyRatio, v.LatencySamples = s.slow/s.slowN, s.slowN
 		}
 		all = append(all, v)
 	}
--- a/decision/expect/expect.go
+++ b/decision/expect/expect.go
@@ -21,7 +21,7 @@
 	Method   string // that the message becomes
 	Customer string // "": not looked at
 	Pool     string // that does the work; "": not looked at
-	None     bool   // no route takes it
+	Unrouted bool   // no route takes it
 
 	First, Then string // RPCs of First are pushed back before those of Then
 	OverQuota   bool   // also where those of Then are beyond their customer's quota
@@ -29,27 +29,27 @@
 
 // Settings are what expectations are held against.
 type Settings struct {
-	Routes      []route.Rule
-	Pools       map[string]string  // by method; methods that are not here are the engine's
-	Methods     []string           // nil: not known here
-	Criticality map[string]float64 // by method; nil: not known here
-	OverShare   float64            // what an RPC over its quota keeps of its criticality
+	Routes          []route.Rule
+	Pools           map[string]string  // by method; methods that are not here are the engine's
+	Methods         []string           // nil: not known here
+	Criticality     map[string]float64 // by method; nil: not known here
+	OverQuotaFactor float64            // what an RPC over its quota keeps of its criticality
 }
 
-// Fault is an expectation that does not hold, or can't be tested.
-type Fault struct {
-	Name     string
-	Text     string
-	Untested bool // it can never be tested as it is written
+// Failure is an expectation that does not hold, or can't be tested.
+type Failure struct {
+	Name       string
+	Text       string
+	Untestable bool // it can never be tested as it is written
 }
 
 // Check returns those that do not hold, by name. What needs settings that are not known is left to whoever knows them.
-func Check(all map[string]Expectation, s Settings) (faults []Fault) {
+func Check(all map[string]Expectation, s Settings) (faults []Failure) {
 	table := route.New(s.Routes)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		x := all[name]
 		add := func(untested bool, format string, a ...any) {
-			faults = append(faults, Fault{name, fmt.Sprintf(format, a...), untested})
+			faults = append(faults, Failure{name, fmt.Sprintf(format, a...), untested})
 		}
 		message, order := x.Path != "" || x.Host != "" || x.Verb != "", x.First != "" || x.Then != ""
 		switch {
@@ -75,10 +75,10 @@
 		return
 	}
 	switch {
-	case x.None == (x.Method != ""):
+	case x.Unrouted == (x.Method != ""):
 		add(true, "either method or none expected")
 		return
-	case x.None && (x.Customer != "" || x.Pool != ""):
+	case x.Unrouted && (x.Customer != "" || x.Pool != ""):
 		add(true, "what no route takes has no customer and no pool")
 		return
 	case len(x.Path) == 0 || x.Path[0] != '/':
@@ -94,9 +94,9 @@
 		rule = s.Routes[found.Rule].Name
 	}
 	switch {
-	case x.None && err != nil:
+	case x.Unrouted && err != nil:
 		return
-	case x.None:
+	case x.Unrouted:
 		add(false, "route %s takes it as %s", rule, found.Method)
 	case err != nil:
 		add(false, "no RPC comes of it: %v", err)
@@ -134,7 +134,7 @@
 	case x.First == x.Then:
 		add(true, "a method is not pushed back before itself")
 		return
-	case x.Method != "" || x.Customer != "" || x.Pool != "" || x.None:
+	case x.Method != "" || x.Customer != "" || x.Pool != "" || x.Unrouted:
 		add(true, "an order of methods has no method, customer or pool of its own")
 		return
 	}
@@ -143,7 +143,7 @@
 	}
 	a, b := s.Criticality[x.First], s.Criticality[x.Then]
 	if x.OverQuota {
-		b *= s.OverShare
+		b *= s.OverQuotaFactor
 	}
 	if !(a < b) {
 		over := ""
--- a/decision/expect/expect_test.go
+++ b/decision/expect/expect_test.go
@@ -13,10 +13,10 @@
 			{Name: "buy", Path: "/buy/{key}", Verb: "POST", Method: "topup-buy", Customer: route.Source{Fixed: "kaipara"}, Token: route.Source{Segment: "key"}},
 			{Name: "view", Path: "/account/*", Method: "account-view", Customer: route.Source{Query: "c", Names: map[string]string{"k": "kaipara"}}},
 		},
-		Pools:       map[string]string{"account-view": "pages"},
-		Methods:     []string{"account-view", "settings-save", "topup-buy"},
-		Criticality: map[string]float64{"account-view": 1, "settings-save": 1, "topup-buy": 3},
-		OverShare:   0.1,
+		Pools:           map[string]string{"account-view": "pages"},
+		Methods:         []string{"account-view", "settings-save", "topup-buy"},
+		Criticality:     map[string]float64{"account-view": 1, "settings-save": 1, "topup-buy": 3},
+		OverQuotaFactor: 0.1,
 	}
 }
 
@@ -43,8 +43,8 @@
 		{"another pool", Expectation{Path: "/account/1", Verb: "GET", Query: "c=k", Method: "account-view", Pool: "old"}, nil, "pool pages", false},
 		{"the engine's", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Pool: "pages"}, nil, "the engine", false},
 		{"a value that its route does not take", Expectation{Path: "/account/1", Verb: "GET", Query: "c=x", Method: "account-view"}, nil, "no RPC comes of it", false},
-		{"taken by none", Expectation{Path: "/admin", Verb: "GET", None: true}, nil, "", false},
-		{"taken by one, and none wanted", Expectation{Path: "/buy/7", Verb: "POST", None: true}, nil, "route buy takes it", false},
+		{"taken by none", Expectation{Path: "/admin", Verb: "GET", Unrouted: true}, nil, "", false},
+		{"taken by one, and none wanted", Expectation{Path: "/buy/7", Verb: "POST", Unrouted: true}, nil, "route buy takes it", false},
 		{"nothing in it", Expectation{}, nil, "neither", true},
 		{"both", Expectation{Path: "/x", Verb: "GET", Method: "topup-buy", First: "a", Then: "b"}, nil, "at once", true},
 		{"no such method", Expectation{Path: "/x", Verb: "GET", Method: "topup"}, nil, "no method", true},
@@ -53,8 +53,8 @@
 		{"an order with a stranger", Expectation{First: "x", Then: "topup-buy"}, nil, "no method", true},
 		{"a path that is none", Expectation{Path: "buy", Verb: "POST", Method: "topup-buy"}, nil, "slash", true},
 		{"a verb that is none", Expectation{Path: "/buy/7", Verb: "BREW", Method: "topup-buy"}, nil, "no verb", true},
-		{"a method and none", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", None: true}, nil, "either", true},
-		{"none, and a pool", Expectation{Path: "/admin", Verb: "GET", None: true, Pool: "pages"}, nil, "no pool", true},
+		{"a method and none", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Unrouted: true}, nil, "either", true},
+		{"none, and a pool", Expectation{Path: "/admin", Verb: "GET", Unrouted: true, Pool: "pages"}, nil, "no pool", true},
 		{"settings that are not known here", Expectation{First: "account-view", Then: "topup-buy"}, func(s *Settings) { s.Methods, s.Criticality = nil, nil }, "", false},
 	} {
 		s := settings()
@@ -68,7 +68,7 @@
 			}
 			continue
 		}
-		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, c.want) || got[0].Untested != c.untested {
+		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, c.want) || got[0].Untestable != c.untested {
 			t.Errorf("%s: %+v, %q wanted", c.name, got, c.want)
 		}
 	}
--- a/decision/gossip/gossip.go
+++ b/decision/gossip/gossip.go
@@ -21,22 +21,22 @@
 
 // Record is one thing that one origin says.
 type Record struct {
-	Origin string
-	Key    string
-	Start  uint64 // of the origin: larger after each restart
-	Life   uint64 // drawn by the origin at its start; tells apart two that claim one start
-	Seq    uint64 // within the start
-	Body   []byte
+	Origin      string
+	Key         string
+	Generation  uint64 // of the origin: larger after each restart
+	Incarnation uint64 // drawn by the origin at its start; tells apart two that claim one start
+	Sequence    uint64 // within the start
+	Body        []byte
 }
 
 // newer tells whether r goes before o. Of two lives with one start the larger draw wins, everywhere alike.
 func (r *Record) newer(o *Record) bool {
-	return cmp.Or(cmp.Compare(r.Start, o.Start), cmp.Compare(r.Life, o.Life), cmp.Compare(r.Seq, o.Seq)) > 0
+	return cmp.Or(cmp.Compare(r.Generation, o.Generation), cmp.Compare(r.Incarnation, o.Incarnation), cmp.Compare(r.Sequence, o.Sequence)) > 0
 }
 
 var (
-	ErrDamaged = errors.New("a record is damaged")
-	ErrBounds  = errors.New("a record is over the bounds")
+	ErrCorrupt   = errors.New("a record is damaged")
+	ErrOverLimit = errors.New("a record is over the bounds")
 )
 
 // The fields of a record on the wire, as in internal/fleet/fleet.proto. Fields of later builds are passed over when read
@@ -61,10 +61,10 @@
 	from := len(b)
 	b = protowire.AppendString(protowire.AppendTag(b, fOrigin, protowire.BytesType), r.Origin)
 	b = protowire.AppendString(protowire.AppendTag(b, fKey, protowire.BytesType), r.Key)
-	b = protowire.AppendVarint(protowire.AppendTag(b, fStart, protowire.VarintType), r.Start)
-	b = protowire.AppendVarint(protowire.AppendTag(b, fSeq, protowire.VarintType), r.Seq)
+	b = protowire.AppendVarint(protowire.AppendTag(b, fStart, protowire.VarintType), r.Generation)
+	b = protowire.AppendVarint(protowire.AppendTag(b, fSeq, protowire.VarintType), r.Sequence)
 	b = protowire.AppendBytes(protowire.AppendTag(b, fBody, protowire.BytesType), r.Body)
-	b = protowire.AppendFixed64(protowire.AppendTag(b, fLife, protowire.Fixed64Type), r.Life)
+	b = protowire.AppendFixed64(protowire.AppendTag(b, fLife, protowire.Fixed64Type), r.Incarnation)
 	return appendSum(b, from)
 }
 
@@ -77,16 +77,16 @@
 // Parse reads a record. The body is a part of b.
 func Parse(b []byte) (r Record, err error) {
 	if len(b) <= sumBytes || b[len(b)-sumBytes] != fSum<<3|byte(protowire.Fixed32Type) {
-		return r, ErrDamaged
+		return r, ErrCorrupt
 	}
 	fields := b[:len(b)-sumBytes]
 	if sum, n := protowire.ConsumeFixed32(b[len(fields)+1:]); n < 0 || sum != crc32.Checksum(fields, castagnoli) {
-		return r, ErrDamaged
+		return r, ErrCorrupt
 	}
 	for len(fields) > 0 {
 		num, typ, n := protowire.ConsumeTag(fields)
 		if n < 0 {
-			return r, ErrDamaged
+			return r, ErrCorrupt
 		}
 		v := fields[n:]
 		switch {
@@ -95,40 +95,46 @@
 		case num == fKey && typ == protowire.BytesType:
 			r.Key, n = protowire.ConsumeString(v)
 		case num == fStart && typ == protowire.VarintType:
-			r.Start, n = protowire.ConsumeVarint(v)
+			r.Generation, n = protowire.ConsumeVarint(v)
 		case num == fSeq && typ == protowire.VarintType:
-			r.Seq, n = protowire.ConsumeVarint(v)
+			r.Sequence, n = protowire.ConsumeVarint(v)
 		case num == fBody && typ == protowire.BytesType:
 			r.Body, n = protowire.ConsumeBytes(v)
 		case num == fLife && typ == protowire.Fixed64Type:
-			r.Life, n = protowire.ConsumeFixed64(v)
+			r.Incarnation, n = protowire.ConsumeFixed64(v)
 		default:
 			n = protowire.ConsumeFieldValue(num, typ, v)
 		}
 		if n < 0 {
-			return r, ErrDamaged
+			return r, ErrCorrupt
 		}
 		fields = v[n:]
 	}
 	if r.Origin == "" || r.Key == "" {
-		return r, ErrDamaged
+		return r, ErrCorrupt
 	}
 	return r, nil
 }
 
-// Bounds are those of a Table. Bytes are those of records as written.
-type Bounds struct {
-	Origins     int // that are known at a time
-	Keys        int // of one origin
-	RecordBytes int // of one record
-	OriginBytes int // of one origin
+// Limits are those of a Table. Bytes are those of records as written.
+type Limits struct {
+	MaxOrigins       int // that are known at a time
+	MaxKeysPerOrigin int // of one origin
+	MaxRecordBytes   int // of one record
+	MaxOriginBytes   int // of one origin
 }
 
-// Usual bounds 4,096 servers to 64 MB in all, with a record small enough to travel in one packet beside others.
-var Usual = Bounds{Origins: 4096, Keys: 16, RecordBytes: 1024, OriginBytes: 16 << 10}
+// DefaultLimits bounds 4,096 servers to 64 MB in all, with a record small enough to travel in one packet beside others.
+var DefaultLimits = Limits{MaxOrigins: 4096, MaxKeysPerOrigin: 16, MaxRecordBytes: 1024, MaxOriginBytes: 16 << 10}
 
 // Counts are of what came since the table was made.
-type Counts struct{ News, Known, Old, Damaged, Over uint64 }
+type Counts struct {
+	Updated   uint64 `json:"News"`
+	Duplicate uint64 `json:"Known"`
+	Stale     uint64 `json:"Old"`
+	Corrupt   uint64 `json:"Damaged"`
+	OverLimit uint64 `json:"Over"`
+}
 
 // entry is a record as it came.
 type entry struct {
@@ -148,79 +154,79 @@
 
 // Table holds the records.
 type Table struct {
-	b       Bounds
+	b       Limits
 	origins map[string]*origin
 	Counts  Counts
 }
 
 // NewTable returns an empty one.
-func NewTable(b Bounds) *Table { return &Table{b: b, origins: map[string]*origin{}} }
+func NewTable(b Limits) *Table { return &Table{b: b, origins: map[string]*origin{}} }
 
 // What Put found.
-type Found int
+type PutResult int
 
 const (
-	News    Found = iota // newer than all that was known: to be passed on
-	Known                // the very one that is known
-	Old                  // something newer is known
-	Damaged              // not a record
-	Over                 // over the bounds; nothing was changed
+	Updated   PutResult = iota // newer than all that was known: to be passed on
+	Duplicate                  // the very one that is known
+	Stale                      // something newer is known
+	Corrupt                    // not a record
+	OverLimit                  // over the bounds; nothing was changed
 )
 
 // Put takes a record as written, at now in ms. The bytes are copied if they are kept.
-func (t *Table) Put(now float64, raw []byte) (Record, Found) {
+func (t *Table) Put(now float64, raw []byte) (Record, PutResult) {
 	r, err := Parse(raw)
 	if err != nil {
-		t.Counts.Damaged++
-		return r, Damaged
+		t.Counts.Corrupt++
+		return r, Corrupt
 	}
 	f := t.put(now, &r, raw)
 	switch f {
-	case News:
-		t.Counts.News++
-	case Known:
-		t.Counts.Known++
-	case Old:
-		t.Counts.Old++
-	case Over:
-		t.Counts.Over++
+	case Updated:
+		t.Counts.Updated++
+	case Duplicate:
+		t.Counts.Duplicate++
+	case Stale:
+		t.Counts.Stale++
+	case OverLimit:
+		t.Counts.OverLimit++
 	}
 	return r, f
 }
 
-func (t *Table) put(now float64, r *Record, raw []byte) Found {
-	if len(raw) > t.b.RecordBytes {
-		return Over
+func (t *Table) put(now float64, r *Record, raw []byte) PutResult {
+	if len(raw) > t.b.MaxRecordBytes {
+		return OverLimit
 	}
 	o := t.origins[r.Origin]
 	if o == nil {
-		if len(t.origins) >= t.b.Origins {
-			return Over
+		if len(t.origins) >= t.b.MaxOrigins {
+			return OverLimit
 		}
-		o = &origin{name: r.Origin, start: r.Start, life: r.Life, heard: now}
+		o = &origin{name: r.Origin, start: r.Generation, life: r.Incarnation, heard: now}
 	}
-	this := cmp.Or(cmp.Compare(r.Start, o.start), cmp.Compare(r.Life, o.life))
+	this := cmp.Or(cmp.Compare(r.Generation, o.start), cmp.Compare(r.Incarnation, o.life))
 	if this < 0 {
-		return Old
+		return Stale
 	}
 	if this > 0 { // another life of it: what the former one said is no longer said
-		o.keys, o.bytes, o.start, o.life = nil, 0, r.Start, r.Life
+		o.keys, o.bytes, o.start, o.life = nil, 0, r.Generation, r.Incarnation
 	}
 	i, has := slices.BinarySearchFunc(o.keys, r.Key, func(e entry, key string) int { return cmp.Compare(e.Key, key) })
 	grows := len(raw)
 	if has {
 		if e := &o.keys[i]; !r.newer(&e.Record) {
-			if r.Seq == e.Seq {
-				return Known
+			if r.Sequence == e.Sequence {
+				return Duplicate
 			}
-			return Old
+			return Stale
 		}
 		grows -= len(o.keys[i].raw)
-	} else if len(o.keys) >= t.b.Keys {
-		return Over
+	} else if len(o.keys) >= t.b.MaxKeysPerOrigin {
+		return OverLimit
 	}
-	if o.bytes+grows > t.b.OriginBytes {
-		return Over
+	if o.bytes+grows > t.b.MaxOriginBytes {
+		return OverLimit
 	}
 	e := entry{raw: slices.Clone(raw), at: now} // as it came, fields of later builds and all
 	e.Record, _ = Parse(e.raw)
@@ -232,7 +238,7 @@
 	o.bytes += grows
 	o.heard = now
 	t.origins[r.Origin] = o
-	return News
+	return Updated
 }
 
 // Get returns what an origin says under a key, and for how long in ms that has been known.
@@ -249,8 +255,8 @@
 	return r, 0, false
 }
 
-// Newest tells the newest life of an origin that is known.
-func (t *Table) Newest(name string) (start, life uint64, has bool) {
+// LatestIncarnation tells the newest life of an origin that is known.
+func (t *Table) LatestIncarnation(name string) (start, life uint64, has bool) {
 	if o := t.origins[name]; o != nil {
 		return o.start, o.life, true
 	}
@@ -281,9 +287,9 @@
 	}
 }
 
-// AppendAll writes every record, each behind its length, up to most bytes in all; those of origins that were heard
+// AppendState writes every record, each behind its length, up to most bytes in all; those of origins that were heard
 // last come first, so that what does not fit is what others are the likeliest to know.
-func (t *Table) AppendAll(b []byte, most int) []byte {
+func (t *Table) AppendState(b []byte, most int) []byte {
 	all := make([]*origin, 0, len(t.origins))
 	for _, o := range t.origins {
 		all = append(all, o)
@@ -304,8 +310,8 @@
 	return b
 }
 
-// Split calls f for each record in what AppendAll wrote, and tells whether all of it could be read.
-func Split(b []byte, f func(raw []byte)) bool {
+// SplitState calls f for each record in what AppendAll wrote, and tells whether all of it could be read.
+func SplitState(b []byte, f func(raw []byte)) bool {
 	for len(b) > 0 {
 		raw, n := protowire.ConsumeBytes(b)
 		if n < 0 {
--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -17,21 +17,21 @@
 	"slices"
 )
 
-// Rules are what an instance goes by. Times are ms of the server's own monotonic clock.
-type Rules struct {
-	Stall  float64 // between two ticks, from which on the server itself had stalled
-	Jump   float64 // by which the wall clock may part from the monotonic one between two ticks
-	Listen float64 // after a stall, before anything is said of others
-	Quiet  float64 // without a word from anybody, and nobody is heard
-	Settle float64 // for which a peer, or a better state, must hold until it counts
-	Direct float64 // within which a peer must have spoken to us to count as in contact; it grows with the roster
-	Peers  int     // names that are kept at the most
-	Expect int     // servers that there are, as an operator says; a smaller roster is not the whole. 0 for not told
-}
-
-// Usual are rules for a detector that asks somebody every 500 ms and needs two seconds at the least to call one silent: a
+// Config are what an instance goes by. Times are ms of the server's own monotonic clock.
+type Config struct {
+	StallThreshold      float64 // between two ticks, from which on the server itself had stalled
+	ClockJumpThreshold  float64 // by which the wall clock may part from the monotonic one between two ticks
+	GracePeriod         float64 // after a stall, before anything is said of others
+	SilenceTimeout      float64 // without a word from anybody, and nobody is heard
+	StabilizationPeriod float64 // for which a peer, or a better state, must hold until it counts
+	ContactWindow       float64 // within which a peer must have spoken to us to count as in contact; it grows with the roster
+	MaxPeers            int     // names that are kept at the most
+	ExpectedServers     int     // servers that there are, as an operator says; a smaller roster is not the whole. 0 for not told
+}
+
+// DefaultConfig are rules for a detector that asks somebody every 500 ms and needs two seconds at the least to call one silent: a
 // stall of half of that can't have made it do so.
-var Usual = Rules{Stall: 1000, Jump: 1000, Listen: 1500, Quiet: 1800, Settle: 1000, Direct: 5000, Peers: 4096}
+var DefaultConfig = Config{StallThreshold: 1000, ClockJumpThreshold: 1000, GracePeriod: 1500, SilenceTimeout: 1800, StabilizationPeriod: 1000, ContactWindow: 5000, MaxPeers: 4096}
 
 // directEach is added to Direct for each name on the roster: twice the time in which a detector that asks one peer every
 // 500 ms comes round to it.
@@ -50,31 +50,31 @@
 // one name.
 const twinWindow = 60e3
 
-// State is what a server hears of its fleet.
-type State int
+// ClusterState is what a server hears of its fleet.
+type ClusterState int
 
 const (
-	Alone State = iota // nobody
-	Part               // some of the roster
-	Whole              // all of it
+	Isolated    ClusterState = iota // nobody
+	Partitioned                     // some of the roster
+	Complete                        // all of it
 )
 
-func (s State) String() string {
-	return [...]string{"alone", "part", "whole"}[min(max(s, Alone), Whole)]
+func (s ClusterState) String() string {
+	return [...]string{"alone", "part", "whole"}[min(max(s, Isolated), Complete)]
 }
 
 // Contact is how a peer is heard.
 type Contact int
 
 const (
-	None    Contact = iota // not at all
-	Through                // others bring news of it
-	In                     // it speaks to us, and does not answer what we say: our way to it is cut
-	Both                   // it answers us
+	NoContact       Contact = iota // not at all
+	IndirectContact                // others bring news of it
+	InboundOnly                    // it speaks to us, and does not answer what we say: our way to it is cut
+	Bidirectional                  // it answers us
 )
 
 func (c Contact) String() string {
-	return [...]string{"none", "through others", "one way", "both ways"}[min(max(c, None), Both)]
+	return [...]string{"none", "through others", "one way", "both ways"}[min(max(c, NoContact), Bidirectional)]
 }
 
 type peer struct {
@@ -91,22 +91,22 @@
 	penalty     float64
 	penaltyAt   float64
 	losses      int
-	away        Away
+	away        Departure
 	awayAt      float64
 }
 
-// Away is why a name is off the roster.
-type Away int
+// Departure is why a name is off the roster.
+type Departure int
 
 const (
-	Here Away = iota
-	Left      // it said that it leaves
-	Gone      // an operator said so
+	Present      Departure = iota
+	Left                   // it said that it leaves
+	DeclaredDead           // an operator said so
 )
 
-// Hearing is one instance.
-type Hearing struct {
-	r          Rules
+// Detector is one instance.
+type Detector struct {
+	r          Config
 	self, zone string
 	peers      map[string]*peer
 	order      []*peer // by name, so that all that is told comes in one order
@@ -115,9 +115,9 @@
 	listens    float64 // until then nothing is said of others
 	word       float64 // last word from anybody
 	stalls     int
-	state      State
+	state      ClusterState
 	since      float64
-	better     State // what it would be but for Settle, and since when
+	better     ClusterState // what it would be but for Settle, and since when
 	betterAt   float64
 	changed    int  // states
 	met        bool // somebody, in this life
@@ -129,44 +129,44 @@
 }
 
 // New returns an instance that listens first. now is ms of the own clock and wall of the wall clock.
-func New(r Rules, self, zone string, now, wall float64) *Hearing {
-	h := &Hearing{r: r, self: self, zone: zone, peers: map[string]*peer{}, ticked: now, wall: wall, since: now, betterAt: now}
-	h.listens, h.word = now+r.Listen, math.Inf(-1)
+func New(r Config, self, zone string, now, wall float64) *Detector {
+	h := &Detector{r: r, self: self, zone: zone, peers: map[string]*peer{}, ticked: now, wall: wall, since: now, betterAt: now}
+	h.listens, h.word = now+r.GracePeriod, math.Inf(-1)
 	return h
 }
 
 // Tick is to be called many times within Stall. It tells whether the server itself had stalled or its clock jumped: then
 // all that was heard is void, and the owner must begin its detector anew.
-func (h *Hearing) Tick(now, wall float64) (stalled bool) {
+func (h *Detector) Tick(now, wall float64) (stalled bool) {
 	gap := now - h.ticked
 	jump := math.Abs(wall - h.wall - gap)
 	h.ticked, h.wall = now, wall
-	if gap >= h.r.Stall || jump >= h.r.Jump {
+	if gap >= h.r.StallThreshold || jump >= h.r.ClockJumpThreshold {
 		h.stalls++
-		h.Void(now)
+		h.Reset(now)
 		return true
 	}
 	h.settle(now)
 	return false
 }
 
-// Void forgets what was heard, not who there is: the roster stays.
-func (h *Hearing) Void(now float64) {
+// Reset forgets what was heard, not who there is: the roster stays.
+func (h *Detector) Reset(now float64) {
 	for _, p := range h.order {
 		h.mark(p, false, p.away)
 		p.since, p.in, p.acked, p.via, p.through = now, math.Inf(-1), math.Inf(-1), math.Inf(-1), ""
 	}
-	h.word, h.listens = math.Inf(-1), now+h.r.Listen
-	h.set(now, Alone)
+	h.word, h.listens = math.Inf(-1), now+h.r.GracePeriod
+	h.set(now, Isolated)
 }
 
-// Listening tells whether nothing may be said of others yet.
-func (h *Hearing) Listening(now float64) bool { return now < h.listens }
+// InGracePeriod tells whether nothing may be said of others yet.
+func (h *Detector) InGracePeriod(now float64) bool { return now < h.listens }
 
 // mark sets what the detector finds and whether the name is on the roster, and keeps the counts.
-func (h *Hearing) mark(p *peer, alive bool, away Away) {
+func (h *Detector) mark(p *peer, alive bool, away Departure) {
 	count := func(by int) {
-		if p.away == Here {
+		if p.away == Present {
 			h.here += by
 			if p.alive {
 				h.there += by
@@ -178,20 +178,20 @@
 	count(1)
 }
 
-func (h *Hearing) get(name string) (*peer, bool) {
+func (h *Detector) get(name string) (*peer, bool) {
 	p, has := h.peers[name]
 	return p, has
 }
 
-// Known puts a name on the roster, with its zone if that is known, and tells whether it stands there; the own one does not. A life that left or
+// AddMember puts a name on the roster, with its zone if that is known, and tells whether it stands there; the own one does not. A life that left or
 // was declared gone is not put back; a later one is.
-func (h *Hearing) Known(now float64, name, zone string, start, life uint64) bool {
+func (h *Detector) AddMember(now float64, name, zone string, start, life uint64) bool {
 	if name == h.self || name == "" {
 		return false
 	}
 	p, has := h.get(name)
 	if !has {
-		if len(h.order) >= h.r.Peers && !h.evict() {
+		if len(h.order) >= h.r.MaxPeers && !h.evict() {
 			return false
 		}
 		p = &peer{name: name, start: start, life: life, since: now, formerAt: math.Inf(-1)}
@@ -213,8 +213,8 @@
 		}
 		p.former, p.formerAt = p.life, now
 		p.start, p.life = start, life
-		if p.away != Here {
-			h.mark(p, p.alive, Here)
+		if p.away != Present {
+			h.mark(p, p.alive, Present)
 			p.awayAt = now
 		}
 	}
@@ -222,10 +222,10 @@
 }
 
 // evict drops the name that has been away for longest; false if none is.
-func (h *Hearing) evict() bool {
+func (h *Detector) evict() bool {
 	oldest := -1
 	for i, p := range h.order {
-		if p.away != Here && (oldest < 0 || p.awayAt < h.order[oldest].awayAt) {
+		if p.away != Present && (oldest < 0 || p.awayAt < h.order[oldest].awayAt) {
 			oldest = i
 		}
 	}
@@ -237,35 +237,35 @@
 	return true
 }
 
-// Alive is what the detector says of a name that it finds there.
-func (h *Hearing) Alive(now float64, name string) {
+// MarkAlive is what the detector says of a name that it finds there.
+func (h *Detector) MarkAlive(now float64, name string) {
 	p, has := h.get(name)
 	if !has {
-		if !h.Known(now, name, "", 0, 0) {
+		if !h.AddMember(now, name, "", 0, 0) {
 			return
 		}
 		p, _ = h.get(name)
 	}
-	if p.away != Here { // it is there, whatever was said
+	if p.away != Present { // it is there, whatever was said
 		p.awayAt = now
 	}
 	if !p.alive {
 		p.since = now
 	}
 	h.met = true
-	h.mark(p, true, Here)
+	h.mark(p, true, Present)
 	h.settle(now)
 }
 
-// Lost is what the detector says of a name that has fallen silent.
-func (h *Hearing) Lost(now float64, name string) {
+// MarkSuspect is what the detector says of a name that has fallen silent.
+func (h *Detector) MarkSuspect(now float64, name string) {
 	p, has := h.get(name)
 	if !has || !p.alive {
 		return
 	}
 	h.mark(p, false, p.away)
 	p.since = now
-	if !h.Listening(now) && now-h.word < h.r.Quiet { // else it is we who hear nothing
+	if !h.InGracePeriod(now) && now-h.word < h.r.SilenceTimeout { // else it is we who hear nothing
 		p.penalty, p.penaltyAt = p.faded(now)+1, now
 		p.losses++
 		if p.penalty >= flapFrom && !slices.Contains(h.flappers, p) {
@@ -275,12 +275,12 @@
 	h.settle(now)
 }
 
-// Leaves takes a name off the roster: it said itself that it leaves, or an operator declared it gone. A later life of it,
+// MarkDeparted takes a name off the roster: it said itself that it leaves, or an operator declared it gone. A later life of it,
 // or a sign of this one, brings it back.
-func (h *Hearing) Leaves(now float64, name string, start uint64, why Away) {
+func (h *Detector) MarkDeparted(now float64, name string, start uint64, why Departure) {
 	p, has := h.get(name)
 	if !has { // word of it came before anything else: kept, so that older news does not put it back
-		if !h.Known(now, name, "", start, 0) {
+		if !h.AddMember(now, name, "", start, 0) {
 			return
 		}
 		p, _ = h.get(name)
@@ -293,24 +293,24 @@
 	h.settle(now)
 }
 
-// Word is a direct word from a peer; the name may be "" if it is not known who spoke.
-func (h *Hearing) Word(now float64, name string) {
+// RecordMessage is a direct word from a peer; the name may be "" if it is not known who spoke.
+func (h *Detector) RecordMessage(now float64, name string) {
 	h.word = now
 	if p, has := h.get(name); has {
 		p.in = now
 	}
 }
 
-// Answered is a peer's direct answer to what we said to it.
-func (h *Hearing) Answered(now float64, name string) {
-	h.Word(now, name)
+// RecordAck is a peer's direct answer to what we said to it.
+func (h *Detector) RecordAck(now float64, name string) {
+	h.RecordMessage(now, name)
 	if p, has := h.get(name); has {
 		p.acked = now
 	}
 }
 
-// Via is news of a peer that another brought; not what a whole state held, which may be old.
-func (h *Hearing) Via(now float64, name, through string) {
+// RecordIndirect is news of a peer that another brought; not what a whole state held, which may be old.
+func (h *Detector) RecordIndirect(now float64, name, through string) {
 	if p, has := h.get(name); has && through != name && through != "" {
 		p.via, p.through = now, through
 	}
@@ -321,19 +321,19 @@
 }
 
 // counts tells whether a peer is heard, and for long enough.
-func (h *Hearing) counts(p *peer, now float64) bool {
-	if !p.alive || p.away != Here {
+func (h *Detector) counts(p *peer, now float64) bool {
+	if !p.alive || p.away != Present {
 		return false
 	}
 	least := 0.0
 	if x := p.faded(now); x >= flapFrom {
-		least = min(h.r.Settle*math.Exp2(2*x), longestSettle)
+		least = min(h.r.StabilizationPeriod*math.Exp2(2*x), longestSettle)
 	}
 	return now-p.since >= least
 }
 
 // census counts the roster and who of it is heard, the server itself included.
-func (h *Hearing) census(now float64) (roster, heard int) {
+func (h *Detector) census(now float64) (roster, heard int) {
 	roster, heard = 1+h.here, 1+h.there
 	keep := h.flappers[:0]
 	for _, p := range h.flappers {
@@ -341,7 +341,7 @@
 			continue
 		}
 		keep = append(keep, p)
-		if p.alive && p.away == Here && !h.counts(p, now) {
+		if p.alive && p.away == Present && !h.counts(p, now) {
 			heard--
 		}
 	}
@@ -351,18 +351,18 @@
 }
 
 // settle moves the state: down at once, up after Settle.
-func (h *Hearing) settle(now float64) {
-	to := Alone
+func (h *Detector) settle(now float64) {
+	to := Isolated
 	roster, heard := h.census(now)
 	switch {
-	case h.Listening(now):
-	case roster == 1 && len(h.order) > 0 && h.r.Expect <= 1: // all others have left: a fleet of one
-		to = Whole
-	case roster > 1 && now-h.word >= h.r.Quiet: // not even a word
-	case heard == roster && roster > 1 && roster >= h.r.Expect:
-		to = Whole
+	case h.InGracePeriod(now):
+	case roster == 1 && len(h.order) > 0 && h.r.ExpectedServers <= 1: // all others have left: a fleet of one
+		to = Complete
+	case roster > 1 && now-h.word >= h.r.SilenceTimeout: // not even a word
+	case heard == roster && roster > 1 && roster >= h.r.ExpectedServers:
+		to = Complete
 	case heard > 1:
-		to = Part
+		to = Partitioned
 	}
 	if to <= h.state {
 		h.better, h.betterAt = to, now
@@ -377,12 +377,12 @@
 		}
 		h.better = to
 	}
-	if now-h.betterAt >= h.r.Settle {
+	if now-h.betterAt >= h.r.StabilizationPeriod {
 		h.set(now, to)
 	}
 }
 
-func (h *Hearing) set(now float64, to State) {
+func (h *Detector) set(now float64, to ClusterState) {
 	if to != h.state {
 		h.state, h.since = to, now
 		h.changed++
@@ -392,68 +392,71 @@
 
 // Zone is what is heard of one.
 type Zone struct {
-	Name          string
-	Roster, Heard int
+	Name      string
+	Members   int `json:"Roster"` // on the membership list
+	Reachable int `json:"Heard"`
 }
 
 // Peer is what is heard of one.
 type Peer struct {
-	Name, Zone  string
-	Start       uint64
-	Heard       bool // counts as there
-	Alive       bool // the detector finds it there
-	Damped      bool // it is there and has flapped too much to count
-	Contact     Contact
-	Through     string // who brought the last news of it, if that is how it is heard
-	Age         float64
-	For         float64 // ms of Alive as it is
-	Losses      int
-	Twin        bool // two processes bear the name
-	Away        Away
-	Life        uint64
-	Unconfirmed bool // a name on the roster that was never heard here
+	Name, Zone     string
+	Generation     uint64
+	Reachable      bool // counts as there
+	Alive          bool // the detector finds it there
+	FlapDamped     bool // it is there and has flapped too much to count
+	Contact        Contact
+	Via            string // who brought the last news of it, if that is how it is heard
+	LastContactAge float64
+	StatusDuration float64 // ms of Alive as it is
+	SuspicionCount int
+	DuplicateName  bool // two processes bear the name
+	Departure      Departure
+	Incarnation    uint64
+	Unconfirmed    bool // a name on the roster that was never heard here
 }
 
 // View is what a server hears.
 type View struct {
-	State           State
-	Listening       bool    // just started, or itself stalled: nothing is said of others
-	For             float64 // ms in this state
-	Roster, Heard   int     // self included
-	AtLeast, AtMost int     // servers that are there, whatever is not known
-	Blind           bool    // never in contact in this life, nor told what to expect: there may be more than AtMost
-	Zones           []Zone  // by name, the own one included
-	Stalls, Changes int
+	State                    ClusterState
+	InGracePeriod            bool    // just started, or itself stalled: nothing is said of others
+	StateDuration            float64 // ms in this state
+	Members, Reachable       int     // self included
+	MinServers, MaxServers   int     // servers that are there, whatever is not known
+	MaxUnknown               bool    // never in contact in this life, nor told what to expect: there may be more than AtMost
+	Zones                    []Zone  // by name, the own one included
+	StallCount, StateChanges int
 }
 
 // State is that of View, at no cost.
-func (h *Hearing) State(now float64) State {
+func (h *Detector) State(now float64) ClusterState {
 	h.settle(now)
 	return h.state
 }
 
-// Deaf tells whether not a word has come for Quiet, from anybody, though the server has listened.
-func (h *Hearing) Deaf(now float64) bool { return !h.Listening(now) && now-h.word >= h.r.Quiet }
+// InboundTimedOut tells whether not a word has come for Quiet, from anybody, though the server has listened.
+func (h *Detector) InboundTimedOut(now float64) bool {
+	return !h.InGracePeriod(now) && now-h.word >= h.r.SilenceTimeout
+}
 
-// Ends is View without its zones, at the cost of a tick.
-func (h *Hearing) Ends(now float64) View {
+// Summary is View without its zones, at the cost of a tick.
+func (h *Detector) Summary(now float64) View {
 	h.settle(now)
-	v := View{State: h.state, Listening: h.Listening(now), For: now - h.since, Stalls: h.stalls, Changes: h.changed}
-	v.Roster, v.Heard = h.census(now)
-	if h.state == Alone {
-		v.Heard = 1
+	v := View{State: h.state, InGracePeriod: h.InGracePeriod(now), StateDuration: now - h.since, StallCount: h.stalls, StateChanges: h.changed}
+	v.Members, v.Reachable = h.census(now)
+	if h.state == Isolated {
+		v.Reachable = 1
 	}
-	v.AtLeast, v.AtMost = v.Heard, max(v.Roster, h.r.Expect)
-	v.Blind = !h.met && h.r.Expect == 0
+	v.MinServers, v.MaxServers = v.Reachable, max(v.Members, h.r.ExpectedServers)
+	v.MaxUnknown = !h.met && h.r.ExpectedServers == 0
 	return v
 }
 
 // View tells what is heard now.
-func (h *Hearing) View(now float64) View {
-	v := h.Ends(now)
+func (h *Detector) View(now float64) View {
+	v := h.Summary(now)
 	zones := map[string]*Zone{h.zone: {h.zone, 1, 1}}
 	for _, p := range h.order {
-		if p.away != Here {
+		if p.away != Present {
 			continue
 		}
 		z := zones[p.zone]
@@ -461,9 +464,9 @@
 			z = &Zone{Name: p.zone}
 			zones[p.zone] = z
 		}
-		z.Roster++
-		if h.state != Alone && h.counts(p, now) {
-			z.Heard++
+		z.Members++
+		if h.state != Isolated && h.counts(p, now) {
+			z.Reachable++
 		}
 	}
 	for _, z := range zones {
@@ -474,64 +477,66 @@
 }
 
 // Contact tells how a peer is heard.
-func (h *Hearing) Contact(now float64, name string) Contact {
+func (h *Detector) Contact(now float64, name string) Contact {
 	p, has := h.get(name)
 	if !has {
-		return None
+		return NoContact
 	}
-	return h.contact(p, now, h.r.Direct+directEach*float64(len(h.order)))
+	return h.contact(p, now, h.r.ContactWindow+directEach*float64(len(h.order)))
 }
 
-func (h *Hearing) contact(p *peer, now, window float64) Contact {
+func (h *Detector) contact(p *peer, now, window float64) Contact {
 	switch {
 	case now-p.acked < window:
-		return Both
+		return Bidirectional
 	case now-p.in < window:
-		return In
+		return InboundOnly
 	case now-p.via < window || p.alive:
-		return Through
+		return IndirectContact
 	}
-	return None
+	return NoContact
 }
 
 // Peers tells what is heard of each, by name; those away are told, too, while they are remembered.
-func (h *Hearing) Peers(now float64) []Peer {
-	window := h.r.Direct + directEach*float64(len(h.order))
+func (h *Detector) Peers(now float64) []Peer {
+	window := h.r.ContactWindow + directEach*float64(len(h.order))
 	all := make([]Peer, 0, len(h.order))
 	for _, p := range h.order {
 		x := Peer{
-			Name: p.name, Zone: p.zone, Start: p.start, Life: p.life, Alive: p.alive, Heard: h.state != Alone && h.counts(p, now),
-			Contact: h.contact(p, now, window), For: now - p.since, Losses: p.losses, Twin: p.twin, Away: p.away,
+			Name: p.name, Zone: p.zone, Generation: p.start, Incarnation: p.life, Alive: p.alive, Reachable: h.state != Isolated && h.counts(p, now),
+			Contact: h.contact(p, now, window), StatusDuration: now - p.since, SuspicionCount: p.losses, DuplicateName: p.twin, Departure: p.away,
 		}
-		x.Damped = p.alive && p.away == Here && !h.counts(p, now)
+		x.FlapDamped = p.alive && p.away == Present && !h.counts(p, now)
 		last := max(p.in, p.acked, p.via)
-		x.Age, x.Unconfirmed = now-last, math.IsInf(last, -1)
+		x.LastContactAge, x.Unconfirmed = now-last, math.IsInf(last, -1)
 		if x.Unconfirmed {
-			x.Age = 0
+			x.LastContactAge = 0
 		}
-		if x.Contact == Through {
-			x.Through = p.through
+		if x.Contact == IndirectContact {
+			x.Via = p.through
 		}
 		all = append(all, x)
 	}
 	return all
 }
 
-// Names is how many are remembered, those away included.
-func (h *Hearing) Names() int { return len(h.order) }
+// MemberCount is how many are remembered, those away included.
+func (h *Detector) MemberCount() int { return len(h.order) }
 
-// Misses tells whether a name is to be joined again: it is on the roster, and the detector does not find it. Who hears
+// NeedsRejoin tells whether a name is to be joined again: it is on the roster, and the detector does not find it. Who hears
 // nobody joins everybody: its detector may still take all for alive, since it asks the more rarely the less it is answered,
 // while all others have called this server dead and do not ask it any more.
-func (h *Hearing) Misses(name string) bool {
+func (h *Detector) NeedsRejoin(name string) bool {
 	p, has := h.peers[name]
 	return has && h.misses(p)
 }
 
-func (h *Hearing) misses(p *peer) bool { return p.away == Here && (!p.alive || h.state == Alone) }
+func (h *Detector) misses(p *peer) bool {
+	return p.away == Present && (!p.alive || h.state == Isolated)
+}
 
-// Silent are the names of which Misses is true.
-func (h *Hearing) Silent() (names []string) {
+// RejoinCandidates are the names of which Misses is true.
+func (h *Detector) RejoinCandidates() (names []string) {
 	for _, p := range h.order {
 		if h.misses(p) {
 			names = append(names, p.name)
@@ -540,9 +545,9 @@
 	return names
 }
 
-// Heard appends the names of those that are heard now: nobody's while this server is alone.
-func (h *Hearing) Heard(now float64, into []string) []string {
-	if h.State(now) == Alone {
+// AppendReachable appends the names of those that are heard now: nobody's while this server is alone.
+func (h *Detector) AppendReachable(now float64, into []string) []string {
+	if h.State(now) == Isolated {
 		return into
 	}
 	for _, p := range h.order {
@@ -553,7 +558,7 @@
 	return into
 }
 
-// WholeFor tells whether all have been heard for some ms, and this server was not merely listening.
-func (h *Hearing) WholeFor(now, ms float64) bool {
-	return h.State(now) == Whole && !h.Listening(now) && now-h.since >= ms
+// CompleteFor tells whether all have been heard for some ms, and this server was not merely listening.
+func (h *Detector) CompleteFor(now, ms float64) bool {
+	return h.State(now) == Complete && !h.InGracePeriod(now) && now-h.since >= ms
 }
--- a/decision/health/identity.go
+++ b/decision/health/identity.go
@@ -5,8 +5,8 @@
 
 // Identity is a server's own.
 type Identity struct {
-	Start, Life uint64 // the start's number, and a draw that tells two processes of one number apart
-	raised      []float64
+	Generation, Incarnation uint64 // the start's number, and a draw that tells two processes of one number apart
+	raised                  []float64
 }
 
 // Two processes that bear one name raise their starts against each other without end; one that restarted raises its own
@@ -16,13 +16,13 @@
 	twinWithin = 10e3 // ms
 )
 
-// Met is told of a record of the own name. raised: the own start had to be raised, and all that was said must be said
+// Refute is told of a record of the own name. raised: the own start had to be raised, and all that was said must be said
 // again under it. twin: another process bears the name.
-func (i *Identity) Met(now float64, start, life uint64) (raised, twin bool) {
-	if life == i.Life || start < i.Start {
+func (i *Identity) Refute(now float64, start, life uint64) (raised, twin bool) {
+	if life == i.Incarnation || start < i.Generation {
 		return false, false
 	}
-	i.Start = start + 1
+	i.Generation = start + 1
 	keep := i.raised[:0]
 	for _, at := range i.raised {
 		if now-at < twinWithin {
--- a/decision/outlier/outlier.go
+++ b/decision/outlier/outlier.go
@@ -20,13 +20,13 @@
 	"sorrelvalve/decision/evidence"
 )
 
-// Rules are what an operator sets. Times are ms.
-type Rules struct {
-	MinShare float64 // of the members that stay in use, whatever is said of them
-	Outlier  float64 // times the others' latency, from which a member is slow; 0 for never
-	Failures int     // in a row that this server must have seen to act on its own evidence alone; 0 for never
-	Hold     float64 // for which a member is out at first; twice as long each time that it is soon out again
-	Return   float64 // over which it comes back
+// Config are what an operator sets. Times are ms.
+type Config struct {
+	MinInUseFraction    float64 // of the members that stay in use, whatever is said of them
+	LatencyFactor       float64 // times the others' latency, from which a member is slow; 0 for never
+	ConsecutiveFailures int     // in a row that this server must have seen to act on its own evidence alone; 0 for never
+	BaseEjectionTime    float64 // for which a member is out at first; twice as long each time that it is soon out again
+	RecoveryRamp        float64 // over which it comes back
 }
 
 const (
@@ -70,66 +70,66 @@
 	youngFor = 6000.0
 )
 
-// Why is what a member is judged.
-type Why int
+// Condition is what a member is judged.
+type Condition int
 
 const (
-	Unknown Why = iota // too little is heard
-	Sound
-	Bad      // for all
-	BadHere  // from this server or its zone only
-	Slow     // for all
-	Busy     // it asked to be left alone
-	TakenOut // as others have it: this server has just started
-	AllBad   // as all are: that ejects nobody
-	Drained  // by an operator's word, whatever it is
+	Unknown Condition = iota // too little is heard
+	Healthy
+	Failing        // for all
+	FailingLocally // from this server or its zone only
+	Slow           // for all
+	Busy           // it asked to be left alone
+	Inherited      // as others have it: this server has just started
+	AllFailing     // as all are: that ejects nobody
+	Drained        // by an operator's word, whatever it is
 )
 
-func (w Why) String() string {
+func (w Condition) String() string {
 	return [...]string{"not known", "sound", "bad", "bad from here", "slow", "busy", "taken over from others", "bad, as all are", "drained"}[min(max(w, 0), Drained)]
 }
 
-// Said is what a peer says.
-type Said struct {
+// Report is what a peer says.
+type Report struct {
 	Origin, Zone string
 	Age          float64 // ms since it was heard
-	Views        []evidence.View
-	Out          []string // members that it holds out
-	Back         []Back
+	Summaries    []evidence.Summary
+	Ejected      []string // members that it holds out
+	Recoveries   []Recovery
 }
 
-// Back is a member that returns.
-type Back struct {
-	Member string
-	For    float64 // ms; below 0: it begins to in so many
+// Recovery is a member that returns.
+type Recovery struct {
+	Member  string
+	Elapsed float64 // ms; below 0: it begins to in so many
 }
 
 // Soonest is the least that a Back may tell.
-const Soonest = -lead
+const MinElapsed = -lead
 
 // Member is how one stands.
 type Member struct {
-	Name    string
-	Why     Why
-	Out     bool
-	Since   float64 // own ms of its being out or back
-	Until   float64 // out: not before then
-	Weight  float64 // of the evidence
-	Badness float64 // share of it that is against
-	By      []string
-	Probes  bool // this server asks after it
-	hold    float64
-	probed  float64
-	pause   float64 // between probes
-	soft    bool
-	saw     bool    // something was heard of it since it was out
-	comes   float64 // out: when it is to be back, 0 if that is not said
-	aside   bool    // drained
+	Name            string
+	Condition       Condition
+	Ejected         bool
+	Since           float64 // own ms of its being out or back
+	EjectedUntil    float64 // out: not before then
+	EvidenceWeight  float64 // of the evidence
+	FailureFraction float64 // share of it that is against
+	Accusers        []string
+	HealthChecker   bool // this server asks after it
+	hold            float64
+	probed          float64
+	pause           float64 // between probes
+	soft            bool
+	saw             bool    // something was heard of it since it was out
+	comes           float64 // out: when it is to be back, 0 if that is not said
+	aside           bool    // drained
 }
 
-// Judge is one server's view of one pool.
-type Judge struct {
-	r          Rules
+// Detector is one server's view of one pool.
+type Detector struct {
+	r          Config
 	self, zone string
 	began      float64
 	members    []*Member // by name
@@ -140,14 +140,14 @@
 }
 
 // New returns one that has judged nobody.
-func New(r Rules, self, zone string, members []string, now float64) *Judge {
-	j := &Judge{self: self, zone: zone, began: now}
-	j.Set(r, members)
+func New(r Config, self, zone string, members []string, now float64) *Detector {
+	j := &Detector{self: self, zone: zone, began: now}
+	j.Update(r, members)
 	return j
 }
 
-// Set takes other rules and members. Those that stay keep their verdict; one that comes is in use.
-func (j *Judge) Set(r Rules, members []string) {
+// Update takes other rules and members. Those that stay keep their verdict; one that comes is in use.
+func (j *Detector) Update(r Config, members []string) {
 	j.r = r
 	j.members = slices.DeleteFunc(j.members, func(m *Member) bool { return !slices.Contains(members, m.Name) })
 	for _, name := range members {
@@ -158,9 +158,9 @@
 	slices.SortFunc(j.members, func(a, b *Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Aside has members out that an operator drains, and no others for that. They use up what the pool may spare before any is taken
+// SetDrained has members out that an operator drains, and no others for that. They use up what the pool may spare before any is taken
 // out; one that is no longer drained returns by its ramp, over the whole fleet, as others do. Where all would be, none is.
-func (j *Judge) Aside(now float64, members []string) {
+func (j *Detector) SetDrained(now float64, members []string) {
 	if !slices.ContainsFunc(j.members, func(m *Member) bool { return !slices.Contains(members, m.Name) }) {
 		members = nil
 	}
@@ -170,7 +170,7 @@
 			continue
 		}
 		if m.aside = drained; drained {
-			m.Out, m.Since, m.Until, m.Why, m.Probes, m.comes, m.soft = true, now, math.Inf(1), Drained, false, 0, false
+			m.Ejected, m.Since, m.EjectedUntil, m.Condition, m.HealthChecker, m.comes, m.soft = true, now, math.Inf(1), Drained, false, 0, false
 			j.events = append(j.events, *m)
 		} else {
 			j.restore(m, now)
@@ -189,25 +189,25 @@
 
 // Together is for how many ms all must have been heard before a server acts on what others say: right after a heal those that accuse
 // have spoken, and those that have good to say have not yet.
-const Together = 3000.0
+const CompletePeriod = 3000.0
 
-// Look judges all members: by its own views, and by the peers' if this server hears the whole fleet. heard are the names
+// Evaluate judges all members: by its own views, and by the peers' if this server hears the whole fleet. heard are the names
 // that are heard, the own one not included.
-func (j *Judge) Look(now float64, own []evidence.View, peers []Said, heard []string, whole bool) {
+func (j *Detector) Evaluate(now float64, own []evidence.Summary, peers []Report, heard []string, whole bool) {
 	if !whole {
 		peers = nil // cut off, a server acts on what it saw itself
 	} else if !j.whole {
 		for _, m := range j.members { // and what it did so is judged anew by what all saw
-			if m.Out && !m.aside {
-				m.Out, m.Since, m.Probes, m.comes = false, math.Inf(-1), false, 0
+			if m.Ejected && !m.aside {
+				m.Ejected, m.Since, m.HealthChecker, m.comes = false, math.Inf(-1), false, 0
 				j.events = append(j.events, *m)
 			}
 		}
 	}
 	j.whole = whole
 	peers = slices.Clone(peers)
-	slices.SortFunc(peers, func(a, b Said) int { return cmp.Compare(a.Origin, b.Origin) })
-	observers := append([]Said{{Origin: j.self, Zone: j.zone, Views: own}}, peers...)
+	slices.SortFunc(peers, func(a, b Report) int { return cmp.Compare(a.Origin, b.Origin) })
+	observers := append([]Report{{Origin: j.self, Zone: j.zone, Summaries: own}}, peers...)
 	trust := make([]float64, len(observers))
 	zones := map[string]bool{}
 	for i := range observers {
@@ -216,7 +216,7 @@
 	}
 	for _, m := range j.members {
 		if m.aside {
-			m.Why, m.Weight, m.Badness = Drained, 0, 0
+			m.Condition, m.EvidenceWeight, m.FailureFraction = Drained, 0, 0
 			continue
 		}
 		j.judge(now, m, observers, trust, min(len(zones), 2), whole)
@@ -225,12 +225,12 @@
 }
 
 // credible is how much an observer's word weighs: by its age, and little if most of the members that it met last were bad.
-func credible(o *Said) float64 {
+func credible(o *Report) float64 {
 	t := 1 - math.Min(math.Max((o.Age-fresh)/(stale-fresh), 0), 1)
-	var last [suspectLast]*evidence.View
+	var last [suspectLast]*evidence.Summary
 	met := 0
-	for i := range o.Views {
-		v := &o.Views[i]
+	for i := range o.Summaries {
+		v := &o.Summaries[i]
 		if v.Run == 0 || v.Age > oldest {
 			continue
 		}
@@ -257,26 +257,26 @@
 }
 
 // judge finds what is to be said of one member, whoever is out.
-func (j *Judge) judge(now float64, m *Member, observers []Said, trust []float64, zones int, whole bool) {
+func (j *Detector) judge(now float64, m *Member, observers []Report, trust []float64, zones int, whole bool) {
 	all := j.opinions[:0]
-	m.By = m.By[:0]
+	m.Accusers = m.Accusers[:0]
 	var self opinion
 	busy, slow, slowN, slowBy := 0.0, 0.0, 0.0, 0
 	ends, badEnds := 0.0, 0.0
 	for i := range observers {
 		o := &observers[i]
-		k := slices.IndexFunc(o.Views, func(v evidence.View) bool { return v.Member == m.Name })
+		k := slices.IndexFunc(o.Summaries, func(v evidence.Summary) bool { return v.Member == m.Name })
 		if k < 0 || trust[i] == 0 {
 			continue
 		}
-		v := &o.Views[k]
-		busy = math.Max(busy, v.Busy-o.Age)
-		if n := math.Min(v.SlowN, mostSlow) * trust[i] * math.Exp2(-o.Age/evidence.Half); n > 0.05 {
-			slow, slowN = slow+n*v.Slow, slowN+n
+		v := &o.Summaries[k]
+		busy = math.Max(busy, v.BusyRemaining-o.Age)
+		if n := math.Min(v.LatencySamples, mostSlow) * trust[i] * math.Exp2(-o.Age/evidence.HalfLife); n > 0.05 {
+			slow, slowN = slow+n*v.LogLatencyRatio, slowN+n
 			slowBy++
 		}
-		n := math.Min(v.N, mostEnds) * trust[i] * math.Exp2(-o.Age/halfRun)
-		ends, badEnds = ends+n, badEnds+n*v.Bad
+		n := math.Min(v.Attempts, mostEnds) * trust[i] * math.Exp2(-o.Age/halfRun)
+		ends, badEnds = ends+n, badEnds+n*v.FailureFraction
 		x := opinion{who: o.Origin, zone: o.Zone, run: v.Run, age: v.Age + o.Age, trust: trust[i]}
 		if x.age > oldest || v.Run == 0 {
 			continue
@@ -312,8 +312,8 @@
 				first = x.zone
 				from++
 			}
-			if len(m.By) < 4 {
-				m.By = append(m.By, x.who)
+			if len(m.Accusers) < 4 {
+				m.Accusers = append(m.Accusers, x.who)
 			}
 		}
 		by := x.trust * math.Exp2(-x.age/halfRun)
@@ -332,9 +332,9 @@
 			}
 		}
 	}
-	m.Weight, m.Badness = bad+good, 0
-	if m.Weight > 0 {
-		m.Badness = bad / m.Weight
+	m.EvidenceWeight, m.FailureFraction = bad+good, 0
+	if m.EvidenceWeight > 0 {
+		m.FailureFraction = bad / m.EvidenceWeight
 	}
 	m.saw = n > 0
 	elsewhere := 0.0 // share against outside the own zone
@@ -342,25 +342,25 @@
 		elsewhere = (bad - zoneBad) / rest
 	}
 	needSlow := leastSlow
-	if m.Out && m.soft { // only those that ask after it get answers
+	if m.Ejected && m.soft { // only those that ask after it get answers
 		needSlow = stillSlow
 	}
-	ownRun := j.r.Failures > 0 && -self.run >= j.r.Failures
+	ownRun := j.r.ConsecutiveFailures > 0 && -self.run >= j.r.ConsecutiveFailures
 	switch {
-	case whole && latest < lastBad && raw >= leastWeight && against >= leastObservers && from >= zones && m.Badness > mostly && badEnds > shareBad*ends:
-		m.Why = Bad
+	case whole && latest < lastBad && raw >= leastWeight && against >= leastObservers && from >= zones && m.FailureFraction > mostly && badEnds > shareBad*ends:
+		m.Condition = Failing
 	case whole && latest < lastBad && zones > 1 && zoneAgainst >= leastObservers && zoneRaw >= leastWeight && zoneBad > zoneMostly*(zoneBad+zoneGood) && elsewhere < 1-zoneMostly:
-		m.Why = BadHere
+		m.Condition = FailingLocally
 	case ownRun && self.age < halfRun && (trust[0] > suspectWeight || !whole): // this server itself meets it so, and is not the suspect
-		m.Why = BadHere
-	case j.r.Outlier > 0 && slowN >= needSlow && (m.Out && m.soft || slowBy >= leastObservers || len(observers) == 1) && slow/slowN > math.Log(j.r.Outlier):
-		m.Why = Slow
+		m.Condition = FailingLocally
+	case j.r.LatencyFactor > 0 && slowN >= needSlow && (m.Ejected && m.soft || slowBy >= leastObservers || len(observers) == 1) && slow/slowN > math.Log(j.r.LatencyFactor):
+		m.Condition = Slow
 	case busy > 0:
-		m.Why = Busy
-	case m.saw && m.Badness <= 0.5:
-		m.Why = Sound
+		m.Condition = Busy
+	case m.saw && m.FailureFraction <= 0.5:
+		m.Condition = Healthy
 	default:
-		m.Why = Unknown
+		m.Condition = Unknown
 	}
 }
 
@@ -398,22 +398,22 @@
 }
 
 // takeOut brings members back and takes the worst out, within what the pool may spare.
-func (j *Judge) takeOut(now float64, observers []Said, heard []string, whole bool) {
+func (j *Detector) takeOut(now float64, observers []Report, heard []string, whole bool) {
 	n := float64(len(j.members))
 	allBad := true
 	for _, m := range j.members {
-		allBad = allBad && (m.Why == Bad || m.Why == BadHere || m.aside)
+		allBad = allBad && (m.Condition == Failing || m.Condition == FailingLocally || m.aside)
 	}
 	for _, m := range j.members {
 		if m.aside {
 			continue
 		}
-		m.Probes = m.Out && j.probes(m.Name, heard)
-		if k := slices.IndexFunc(observers[0].Views, func(v evidence.View) bool { return v.Member == m.Name && v.Run > 0 }); m.Out && k >= 0 && observers[0].Views[k].Age < probeEvery {
+		m.HealthChecker = m.Ejected && j.probes(m.Name, heard)
+		if k := slices.IndexFunc(observers[0].Summaries, func(v evidence.Summary) bool { return v.Member == m.Name && v.Run > 0 }); m.Ejected && k >= 0 && observers[0].Summaries[k].Age < probeEvery {
 			m.pause = probeSoon
 		}
 		switch {
-		case !m.Out:
+		case !m.Ejected:
 		case allBad && n > 1:
 			j.restore(m, now)
 		default:
@@ -423,38 +423,38 @@
 	if allBad && n > 0 { // all out at once is answered by using all
 		for _, m := range j.members {
 			if !m.aside {
-				m.Why = AllBad
+				m.Condition = AllFailing
 			}
 		}
 		return
 	}
 	var worst []*Member
 	for _, m := range j.members {
-		if m.Why == Bad && m.Badness < asBad*j.others(m) { // as the others are, under a load that all bear
-			m.Why = AllBad
+		if m.Condition == Failing && m.FailureFraction < asBad*j.others(m) { // as the others are, under a load that all bear
+			m.Condition = AllFailing
 		}
 		switch {
-		case m.Out:
-		case m.Why == Bad || m.Why == BadHere || m.Why == Slow || m.Why == Busy:
+		case m.Ejected:
+		case m.Condition == Failing || m.Condition == FailingLocally || m.Condition == Slow || m.Condition == Busy:
 			worst = append(worst, m)
-		case whole && now-j.began < youngFor && math.IsInf(m.Since, -1) && m.Why != Sound && heldOut(m.Name, observers):
-			m.Why = TakenOut
+		case whole && now-j.began < youngFor && math.IsInf(m.Since, -1) && m.Condition != Healthy && heldOut(m.Name, observers):
+			m.Condition = Inherited
 			worst = append(worst, m)
 		}
 	}
-	rank := func(m *Member) int { return [...]int{9, 9, 0, 1, 3, 4, 2, 9, 9}[m.Why] }
+	rank := func(m *Member) int { return [...]int{9, 9, 0, 1, 3, 4, 2, 9, 9}[m.Condition] }
 	slices.SortStableFunc(worst, func(a, b *Member) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(b.Badness, a.Badness), cmp.Compare(b.Weight, a.Weight), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(b.FailureFraction, a.FailureFraction), cmp.Compare(b.EvidenceWeight, a.EvidenceWeight), cmp.Compare(a.Name, b.Name))
 	})
 	for _, m := range worst {
 		out := 0
 		for _, o := range j.members {
-			if o.Out {
+			if o.Ejected {
 				out++
 			}
 		}
-		share := j.r.MinShare
-		if m.soft = m.Why == Slow || m.Why == Busy; m.soft {
+		share := j.r.MinInUseFraction
+		if m.soft = m.Condition == Slow || m.Condition == Busy; m.soft {
 			share = math.Max(share, softShare)
 		}
 		if n-float64(out)-1 < share*n {
@@ -463,19 +463,19 @@
 		if now-m.Since > calm*m.hold {
 			m.hold = 0
 		}
-		m.hold = math.Min(longestHold*j.r.Hold, math.Max(j.r.Hold, 2*m.hold))
-		m.Out, m.Since, m.Until, m.probed, m.pause = true, now, now+m.hold, now, probeEvery
-		m.Probes = j.probes(m.Name, heard)
+		m.hold = math.Min(longestHold*j.r.BaseEjectionTime, math.Max(j.r.BaseEjectionTime, 2*m.hold))
+		m.Ejected, m.Since, m.EjectedUntil, m.probed, m.pause = true, now, now+m.hold, now, probeEvery
+		m.HealthChecker = j.probes(m.Name, heard)
 		j.events = append(j.events, *m)
 	}
 }
 
 // others is what is against the better ones of the other members: the lower quartile.
-func (j *Judge) others(but *Member) float64 {
+func (j *Detector) others(but *Member) float64 {
 	all := j.medians[:0]
 	for _, m := range j.members {
-		if m != but && !m.Out {
-			all = append(all, m.Badness)
+		if m != but && !m.Ejected {
+			all = append(all, m.FailureFraction)
 		}
 	}
 	j.medians = all
@@ -487,12 +487,12 @@
 }
 
 // heldOut tells whether most of those that are heard hold a member out.
-func heldOut(name string, observers []Said) bool {
+func heldOut(name string, observers []Report) bool {
 	out, all := 0, 0
 	for _, o := range observers[1:] {
 		if o.Age <= fresh {
 			all++
-			if slices.Contains(o.Out, name) {
+			if slices.Contains(o.Ejected, name) {
 				out++
 			}
 		}
@@ -503,11 +503,11 @@
 // mayReturn tells whether a member that has been out long enough comes back: somebody got good answers from it, one after
 // another, and nobody bad ones as fresh; or nobody knows anything of it any more, since what has aged must not keep it out. bad
 // is news that keeps it out whatever else is heard.
-func (j *Judge) mayReturn(m *Member, observers []Said) (may, bad bool) {
+func (j *Detector) mayReturn(m *Member, observers []Report) (may, bad bool) {
 	good := false
 	for i := range observers {
 		o := &observers[i]
-		for _, v := range o.Views {
+		for _, v := range o.Summaries {
 			if v.Member != m.Name || v.Age+o.Age > probeSlow+fresh || credible(o) <= suspectWeight && i > 0 {
 				continue
 			}
@@ -516,11 +516,11 @@
 		}
 	}
 	switch {
-	case m.Why == Slow || m.Why == Busy:
+	case m.Condition == Slow || m.Condition == Busy:
 		return false, true
 	case good && !bad:
 		return true, false
-	case m.Why == Bad || m.Why == BadHere:
+	case m.Condition == Failing || m.Condition == FailingLocally:
 		return false, true
 	}
 	return !bad && (!m.saw || m.soft), bad
@@ -529,7 +529,7 @@
 // comeBack says when a member that is out begins to return, and takes it back once it does. Who may have it back first tells
 // the others, and begins only when they have heard; who hears of it begins with them, whatever its own hold, so that the ramp
 // is one over the fleet. If it is met as bad meanwhile, it stays out.
-func (j *Judge) comeBack(now float64, m *Member, observers []Said) {
+func (j *Detector) comeBack(now float64, m *Member, observers []Report) {
 	may, bad := j.mayReturn(m, observers)
 	if bad {
 		m.comes = 0
@@ -540,15 +540,15 @@
 		if o.Age > fresh {
 			continue
 		}
-		for _, b := range o.Back {
-			if b.Member == m.Name && b.For+o.Age < j.r.Return {
-				begin, told = math.Min(begin, now-b.For-o.Age), true
+		for _, b := range o.Recoveries {
+			if b.Member == m.Name && b.Elapsed+o.Age < j.r.RecoveryRamp {
+				begin, told = math.Min(begin, now-b.Elapsed-o.Age), true
 			}
 		}
 	}
 	// What has been begun goes on unless there is bad news: the good that it was begun by fades, and those that hear of it may not
 	// have heard that.
-	if !told && m.comes == 0 && (!may || now < m.Until) {
+	if !told && m.comes == 0 && (!may || now < m.EjectedUntil) {
 		return
 	}
 	if m.comes == 0 {
@@ -566,13 +566,13 @@
 }
 
 // restore takes a member back, as of a time.
-func (j *Judge) restore(m *Member, at float64) {
-	m.Out, m.Since, m.Probes, m.comes = false, at, false, 0
+func (j *Detector) restore(m *Member, at float64) {
+	m.Ejected, m.Since, m.HealthChecker, m.comes = false, at, false, 0
 	j.events = append(j.events, *m)
 }
 
 // probes tells whether this server is one of the few that ask after a member, by rendezvous over those that are heard.
-func (j *Judge) probes(member string, heard []string) bool {
+func (j *Detector) probes(member string, heard []string) bool {
 	mine, before := weigh(member, j.self), 0
 	for _, name := range heard {
 		if name != j.self && weigh(member, name) > mine {
@@ -593,10 +593,10 @@
 	return x ^ x>>33
 }
 
-// Probe tells whether an RPC may be sent to a member that is out, to see how it is: one a second, by those that ask after it.
-func (j *Judge) Probe(now float64, member string) bool {
+// TryHealthCheck tells whether an RPC may be sent to a member that is out, to see how it is: one a second, by those that ask after it.
+func (j *Detector) TryHealthCheck(now float64, member string) bool {
 	for _, m := range j.members {
-		if m.Name == member && m.Out && m.Probes && now-m.probed >= m.pause {
+		if m.Name == member && m.Ejected && m.HealthChecker && now-m.probed >= m.pause {
 			m.probed = now
 			m.pause = math.Min(probeSlow, 2*m.pause)
 			return true
@@ -605,38 +605,38 @@
 	return false
 }
 
-// Part is the share of the callers that a member in use gets RPCs from: all, but for one that returns. Which callers these
+// TrafficFraction is the share of the callers that a member in use gets RPCs from: all, but for one that returns. Which callers these
 // are is said by Takes.
-func (j *Judge) Part(now float64, m *Member) float64 {
-	if j.r.Return <= 0 {
+func (j *Detector) TrafficFraction(now float64, m *Member) float64 {
+	if j.r.RecoveryRamp <= 0 {
 		return 1
 	}
-	return math.Min(1, math.Max(firstPart, (now-m.Since)/j.r.Return))
+	return math.Min(1, math.Max(firstPart, (now-m.Since)/j.r.RecoveryRamp))
 }
 
-// Takes tells whether a member with a part takes RPCs of a caller, by its hash: the same callers everywhere.
-func Takes(member string, caller uint64, part float64) bool {
+// AcceptsCaller tells whether a member with a part takes RPCs of a caller, by its hash: the same callers everywhere.
+func AcceptsCaller(member string, caller uint64, part float64) bool {
 	return part >= 1 || float64(weigh(member, string([]byte{byte(caller), byte(caller >> 8), byte(caller >> 16), byte(caller >> 24), byte(caller >> 32), byte(caller >> 40), byte(caller >> 48), byte(caller >> 56)}))>>11)/(1<<53) < part
 }
 
 // Members are all, by name. They are the judge's own and must not be changed.
-func (j *Judge) Members() []*Member { return j.members }
+func (j *Detector) Members() []*Member { return j.members }
 
 // Urgent tells whether what this server saw is to be said soon: something is bad, or slow.
-func Urgent(own []evidence.View) bool {
-	return slices.ContainsFunc(own, func(v evidence.View) bool {
-		return v.Run < 0 && v.Age < fresh || v.SlowN > 0.5 && v.Slow > 2*math.Ln2
+func Urgent(own []evidence.Summary) bool {
+	return slices.ContainsFunc(own, func(v evidence.Summary) bool {
+		return v.Run < 0 && v.Age < fresh || v.LatencySamples > 0.5 && v.LogLatencyRatio > 2*math.Ln2
 	})
 }
 
-// Objects tells whether this server's own good runs are news to those that are accusing a member: it is to say them, if it is one
+// ShouldRefute tells whether this server's own good runs are news to those that are accusing a member: it is to say them, if it is one
 // of the few that do.
-func (j *Judge) Objects(own []evidence.View, chance float64, roster int) bool {
+func (j *Detector) ShouldRefute(own []evidence.Summary, chance float64, roster int) bool {
 	if chance >= objectors/float64(max(1, roster)) {
 		return false
 	}
 	for _, m := range j.members {
-		if len(m.By) > 0 && slices.ContainsFunc(own, func(v evidence.View) bool { return v.Member == m.Name && v.Run > 0 && v.Age < fresh }) {
+		if len(m.Accusers) > 0 && slices.ContainsFunc(own, func(v evidence.Summary) bool { return v.Member == m.Name && v.Run > 0 && v.Age < fresh }) {
 			return true
 		}
 	}
@@ -647,23 +647,23 @@
 // few beside all.
 const objectors = 8.0
 
-// Told is what this server says to the others beside its views.
-func (j *Judge) Told(now float64) (out []string, back []Back) {
+// Announcement is what this server says to the others beside its views.
+func (j *Detector) Announcement(now float64) (out []string, back []Recovery) {
 	for _, m := range j.members {
-		if m.Out {
+		if m.Ejected {
 			out = append(out, m.Name)
 			if m.comes != 0 {
-				back = append(back, Back{m.Name, now - m.comes})
+				back = append(back, Recovery{m.Name, now - m.comes})
 			}
-		} else if now-m.Since < j.r.Return {
-			back = append(back, Back{m.Name, now - m.Since})
+		} else if now-m.Since < j.r.RecoveryRamp {
+			back = append(back, Recovery{m.Name, now - m.Since})
 		}
 	}
 	return out, back
 }
 
 // Events are the members that went out or came back since the last call, as they were then.
-func (j *Judge) Events() []Member {
+func (j *Detector) Events() []Member {
 	e := j.events
 	j.events = nil
 	return e
--- a/decision/quota/book.go
+++ b/decision/quota/book.go
@@ -11,8 +11,8 @@
 	"slices"
 )
 
-// Keyed is a message about one bound.
-type Keyed struct {
+// KeyedMessage is a message about one bound.
+type KeyedMessage struct {
 	Key string
 	Message
 }
@@ -26,34 +26,34 @@
 	mostSaid  = 128 // messages of one tick; the rest comes with the next ones
 )
 
-// Book is one server's parts.
-type Book struct {
-	rules   func(key string) (Rules, bool)
-	life    uint64
-	began   float64
-	numbers uint64
-	chance  *rand.Rand
-	parts   map[string]*entry
-	order   []*entry // as they came; the hand goes round for places
-	hand    int
-	from    int // the part at which a tick that had too much to say goes on
-	muted   bool
-	Full    uint64 // what found no place
+// Ledger is one server's parts.
+type Ledger struct {
+	rules     func(key string) (Limit, bool)
+	life      uint64
+	began     float64
+	numbers   uint64
+	chance    *rand.Rand
+	parts     map[string]*entry
+	order     []*entry // as they came; the hand goes round for places
+	hand      int
+	from      int // the part at which a tick that had too much to say goes on
+	muted     bool
+	Overflows uint64 // what found no place
 }
 
 type entry struct {
 	key  string
 	used float64
-	s    *Share
+	s    *Allocation
 }
 
-// NewBook returns one of a server whose process has the given life, drawn at its start. rules says which bounds there are.
-func NewBook(life uint64, seed int64, now float64, rules func(key string) (Rules, bool)) *Book {
-	return &Book{rules: rules, life: life, began: now, parts: map[string]*entry{}, chance: rand.New(rand.NewPCG(uint64(seed), 2))}
+// NewLedger returns one of a server whose process has the given life, drawn at its start. rules says which bounds there are.
+func NewLedger(life uint64, seed int64, now float64, rules func(key string) (Limit, bool)) *Ledger {
+	return &Ledger{rules: rules, life: life, began: now, parts: map[string]*entry{}, chance: rand.New(rand.NewPCG(uint64(seed), 2))}
 }
 
 // part is that of a key, put into the table if there is room and such a bound.
-func (b *Book) part(now float64, key string) *Share {
+func (b *Ledger) part(now float64, key string) *Allocation {
 	if e := b.parts[key]; e != nil {
 		e.used = now
 		return e.s
@@ -71,7 +71,7 @@
 
 // make is a part that was not in the table. Since the start of the process nothing was taken of it that its bucket did not
 // make good, as only full ones leave; what a former life lent may still be out.
-func (b *Book) make(now float64, r Rules) *Share {
+func (b *Ledger) make(now float64, r Limit) *Allocation {
 	s := fresh(r, b.life, &b.numbers, b.began)
 	s.chance = b.chance
 	s.forgotten(b.began)
@@ -80,7 +80,7 @@
 }
 
 // room makes a place by dropping a part that has no loans, a full bucket, and was not used of late.
-func (b *Book) room(now float64) bool {
+func (b *Ledger) room(now float64) bool {
 	if len(b.order) < mostParts {
 		return true
 	}
@@ -97,13 +97,13 @@
 		b.order = b.order[:last]
 		return true
 	}
-	b.Full++
+	b.Overflows++
 	return false
 }
 
-// Take asks for one of a bound, as Share.Take. Where there is no such bound it is allowed, and bound is false. Else away is,
+// TryAcquire asks for one of a bound, as Share.Take. Where there is no such bound it is allowed, and bound is false. Else away is,
 // if it is not allowed, in how many ms it may be.
-func (b *Book) Take(now float64, key string, worth, longest float64) (ok, bound bool, away float64) {
+func (b *Ledger) TryAcquire(now float64, key string, worth, longest float64) (ok, bound bool, away float64) {
 	s := b.part(now, key)
 	switch {
 	case s == nil:
@@ -111,44 +111,44 @@
 		return !is, is, 0
 	case b.muted:
 		return false, true, 0
-	case s.Take(now, 1, worth, longest):
+	case s.TryAcquire(now, 1, worth, longest):
 		return true, true, 0
 	}
-	return false, true, s.Wait(now)
+	return false, true, s.RetryAfter(now)
 }
 
-// Give returns one of a stock.
-func (b *Book) Give(key string) {
+// Release returns one of a stock.
+func (b *Ledger) Release(key string) {
 	if e := b.parts[key]; e != nil {
-		e.s.Give(1)
+		e.s.Release(1)
 	}
 }
 
-// Set has all parts go by the rules as they are now. What no longer has any is dropped once its loans are over.
-func (b *Book) Set(now float64) {
+// Update has all parts go by the rules as they are now. What no longer has any is dropped once its loans are over.
+func (b *Ledger) Update(now float64) {
 	for _, e := range b.order {
 		r, is := b.rules(e.key)
 		if !is {
 			r = e.s.r
-			r.Bound, r.Burst, r.Floor = 0, 0, 0
+			r.Capacity, r.Burst, r.Floor = 0, 0, 0
 		}
-		e.s.Set(now, r)
+		e.s.Update(now, r)
 		e.s.quiet = false
 	}
 }
 
-// Void drops all that is borrowed: this server has stalled.
-func (b *Book) Void(now float64) {
+// Invalidate drops all that is borrowed: this server has stalled.
+func (b *Ledger) Invalidate(now float64) {
 	for _, e := range b.order {
-		e.s.Void(now)
+		e.s.Invalidate(now)
 	}
 }
 
-// Mute ends the use of any part: another process bears this server's name and owns them.
-func (b *Book) Mute() { b.muted = true }
+// Disable ends the use of any part: another process bears this server's name and owns them.
+func (b *Ledger) Disable() { b.muted = true }
 
 // Tick returns the messages that are to be sent to those that are heard.
-func (b *Book) Tick(now float64, peers []string) (out []Keyed) {
+func (b *Ledger) Tick(now float64, peers []string) (out []KeyedMessage) {
 	if b.muted {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	for k := range n {
 		e := b.order[(b.from+k)%n]
 		for _, m := range e.s.Tick(now, peers) {
-			out = append(out, Keyed{e.key, m})
+			out = append(out, KeyedMessage{e.key, m})
 		}
 		if len(out) >= mostSaid {
 			b.from = (b.from + k + 1) % n
@@ -167,35 +167,35 @@
 }
 
 // Receive takes a message from a peer and returns what is to be answered.
-func (b *Book) Receive(now float64, from string, m Keyed) (out []Keyed) {
+func (b *Ledger) Receive(now float64, from string, m KeyedMessage) (out []KeyedMessage) {
 	if b.muted {
 		return nil
 	}
 	s := b.part(now, m.Key)
 	if s == nil {
-		if m.Kind == Ask {
-			out = append(out, Keyed{m.Key, Message{Kind: Deny, To: from, Number: m.Number, Life: m.Life, Why: Unknown}})
+		if m.Kind == Request {
+			out = append(out, KeyedMessage{m.Key, Message{Kind: Deny, To: from, RequestID: m.RequestID, Incarnation: m.Incarnation, Reason: UnknownLimit}})
 		}
 		return out
 	}
 	for _, a := range s.Receive(now, from, m.Message) {
-		out = append(out, Keyed{m.Key, a})
+		out = append(out, KeyedMessage{m.Key, a})
 	}
 	return out
 }
 
-// Named is the state of one part.
-type Named struct {
+// AllocationStatus is the state of one part.
+type AllocationStatus struct {
 	Key  string
 	Kind Kind
-	State
+	AllocationState
 	Counts Counts
 }
 
-// States tells how the parts stand that have most to tell: loans first, then use and need. An instance called name tells at
+// Statuses tells how the parts stand that have most to tell: loans first, then use and need. An instance called name tells at
 // most so many parts and loans of each.
-func (b *Book) States(now float64, name string, parts, loans int) (all []Named) {
-	weight := func(s *Share) float64 { return s.in + s.out + s.use + s.need }
+func (b *Ledger) Statuses(now float64, name string, parts, loans int) (all []AllocationStatus) {
+	weight := func(s *Allocation) float64 { return s.in + s.out + s.use + s.need }
 	order := slices.Clone(b.order)
 	for _, e := range order {
 		e.s.pass(now)
@@ -204,14 +204,14 @@
 		return cmp.Or(cmp.Compare(weight(y.s), weight(x.s)), cmp.Compare(x.key, y.key))
 	})
 	for _, e := range order[:min(parts, len(order))] {
-		all = append(all, Named{e.key, e.s.r.Kind, e.s.State(now, name, loans), e.s.Counts})
+		all = append(all, AllocationStatus{e.key, e.s.r.Kind, e.s.State(now, name, loans), e.s.Counts})
 	}
 	return all
 }
 
-// Part is what may be used of a bound now, a second or in hand, without any change to the instance; what is not in the table is
+// Capacity is what may be used of a bound now, a second or in hand, without any change to the instance; what is not in the table is
 // owned whole.
-func (b *Book) Part(now float64, key string) float64 {
+func (b *Ledger) Capacity(now float64, key string) float64 {
 	if b.muted {
 		return 0
 	}
@@ -225,8 +225,8 @@
 	return b.make(now, r).held(now)
 }
 
-// Loans is how many are out or in, and Asks how many wait for an answer, over all parts.
-func (b *Book) Loans() (out, in, asks int) {
+// LeaseCounts is how many are out or in, and Asks how many wait for an answer, over all parts.
+func (b *Ledger) LeaseCounts() (out, in, asks int) {
 	for _, e := range b.order {
 		out, in, asks = out+len(e.s.lent), in+len(e.s.borrowed), asks+len(e.s.asks)
 	}
@@ -234,4 +234,4 @@
 }
 
 // Size is how many parts are in the table.
-func (b *Book) Size() int { return len(b.order) }
+func (b *Ledger) Size() int { return len(b.order) }
--- a/decision/quota/loans.go
+++ b/decision/quota/loans.go
@@ -38,47 +38,47 @@
 type MessageKind int
 
 const (
-	Ask MessageKind = iota + 1
+	Request MessageKind = iota + 1
 	Grant
 	Deny
-	Return // of a loan before its end
-	Offer  // to one that asked: there is something now
+	Relinquish // of a loan before its end
+	Offer      // to one that asked: there is something now
 )
 
-// Why an ask got nothing.
-type Why int
+// DenialReason an ask got nothing.
+type DenialReason int
 
 const (
-	Spent    Why = iota + 1 // nothing is free
-	Contends                // others have asked, too, and each gets a part too small to lend
-	Crowded                 // it has as many loans as it may
-	Unknown                 // there is no such budget
-	Silent                  // no answer came
+	Exhausted     DenialReason = iota + 1 // nothing is free
+	Contended                             // others have asked, too, and each gets a part too small to lend
+	TooManyLeases                         // it has as many loans as it may
+	UnknownLimit                          // there is no such budget
+	NoAnswer                              // no answer came
 )
 
-func (w Why) String() string {
-	return [...]string{"", "nothing is free there", "too many ask there", "it has lent to as many as it may", "it has no such budget", "no answer came"}[min(max(w, 0), Silent)]
+func (w DenialReason) String() string {
+	return [...]string{"", "nothing is free there", "too many ask there", "it has lent to as many as it may", "it has no such budget", "no answer came"}[min(max(w, 0), NoAnswer)]
 }
 
-// Refusal is an ask that got nothing.
-type Refusal struct {
-	By  string
-	Why Why
-	Ago float64 // ms
+// Denial is an ask that got nothing.
+type Denial struct {
+	By     string
+	Reason DenialReason `json:"Why"`
+	Age    float64      `json:"Ago"` // ms
 }
 
 // Message travels between two servers, in any order, late, twice or never.
 type Message struct {
-	Kind   MessageKind
-	To     string
-	Number uint64  // of the ask, within the asker's life
-	Life   uint64  // of the asker
-	Amount float64 // asked for, granted, returned or on offer
-	For    float64 // Grant: ms
-	Worth  float64 // Ask: criticality of what is being turned away
-	Has    float64 // Ask: the asker's part
-	Renews uint64  // Ask: the loan that is to last longer; 0 for a new one
-	Why    Why     // Deny
+	Kind            MessageKind
+	To              string
+	RequestID       uint64       // of the ask, within the asker's life
+	Incarnation     uint64       // of the asker
+	Amount          float64      // asked for, granted, returned or on offer
+	Duration        float64      // Grant: ms
+	PriorityWeight  float64      // Ask: criticality of what is being turned away
+	CurrentCapacity float64      // Ask: the asker's part
+	Renews          uint64       // Ask: the loan that is to last longer; 0 for a new one
+	Reason          DenialReason // Deny
 }
 
 type asked struct {
@@ -93,7 +93,7 @@
 }
 
 func (a *asked) message(life uint64) Message {
-	return Message{Kind: Ask, To: a.peer, Number: a.number, Life: life, Amount: a.amount, Worth: a.worth, Has: a.has, Renews: a.renews}
+	return Message{Kind: Request, To: a.peer, RequestID: a.number, Incarnation: life, Amount: a.amount, PriorityWeight: a.worth, CurrentCapacity: a.has, Renews: a.renews}
 }
 
 type asker struct {
@@ -120,12 +120,12 @@
 	offered float64 // when askers last heard of something free
 	known   float64 // what askers know to be free
 	quiet   bool    // nothing to do until something is taken or comes
-	refused Refusal
+	refused Denial
 }
 
 // Tick is to be called some times a second with those that can be asked; it returns the messages that are to be sent: few,
 // and none at rest.
-func (s *Share) Tick(now float64, peers []string) (out []Message) {
+func (s *Allocation) Tick(now float64, peers []string) (out []Message) {
 	if s.quiet {
 		return nil
 	}
@@ -135,7 +135,7 @@
 		if now-a.at > askWait {
 			gone := *a
 			s.asks = slices.Delete(s.asks, i, i+1)
-			s.refuse(now, gone.peer, Silent)
+			s.refuse(now, gone.peer, NoAnswer)
 			if k := s.renewed(gone); k >= 0 {
 				s.borrowed[k].asking = false // asked again as long as the loan lasts
 			}
@@ -158,7 +158,7 @@
 }
 
 // giveBack returns loans that are not used.
-func (s *Share) giveBack(now float64, out []Message) []Message {
+func (s *Allocation) giveBack(now float64, out []Message) []Message {
 	use, need := s.wanted()
 	spare := s.part() - headroom*use - need
 	if s.in == 0 || spare <= 0 {
@@ -167,13 +167,13 @@
 	gone := false
 	for i := len(s.borrowed) - 1; i >= 0; i-- {
 		l := &s.borrowed[i]
-		if l.amount*unused > spare || now-l.began < settled*useTime || s.r.Kind == Stock && s.inHand > s.part()-l.amount {
+		if l.amount*unused > spare || now-l.began < settled*useTime || s.r.Kind == Concurrency && s.inHand > s.part()-l.amount {
 			continue
 		}
 		spare -= l.amount
-		out = append(out, Message{Kind: Return, To: l.peer, Number: l.number, Life: s.life, Amount: l.amount})
+		out = append(out, Message{Kind: Relinquish, To: l.peer, RequestID: l.number, Incarnation: s.life, Amount: l.amount})
 		s.borrowed = slices.Delete(s.borrowed, i, i+1)
-		s.Counts.Returned++
+		s.Counts.Released++
 		gone = true
 	}
 	if gone {
@@ -184,7 +184,7 @@
 }
 
 // offer tells those that asked of late, the most critical first, that something has come free.
-func (s *Share) offer(now float64, out []Message) []Message {
+func (s *Allocation) offer(now float64, out []Message) []Message {
 	s.askers = slices.DeleteFunc(s.askers, func(a asker) bool { return now-a.at > askerFor })
 	free := s.free()
 	s.known = math.Min(s.known, free)
@@ -199,7 +199,7 @@
 	return out
 }
 
-func (s *Share) byWorth() []asker {
+func (s *Allocation) byWorth() []asker {
 	all := slices.Clone(s.askers)
 	slices.SortStableFunc(all, func(a, b asker) int { return cmp.Compare(b.worth, a.worth) })
 	return all
@@ -207,10 +207,10 @@
 
 // renew has loans that end soon asked for again where they are, if they are needed: a lender has them booked, and no other
 // could have them before they end. It returns what this server will have beside those that end, and how many do.
-func (s *Share) renew(now, use, need float64, out []Message) (have float64, ends int, _ []Message) {
+func (s *Allocation) renew(now, use, need float64, out []Message) (have float64, ends int, _ []Message) {
 	have = s.own - s.out
 	for i := range s.borrowed {
-		if l := &s.borrowed[i]; l.asking || !l.denied && l.ends-now >= renewAt*s.r.Longest {
+		if l := &s.borrowed[i]; l.asking || !l.denied && l.ends-now >= renewAt*s.r.MaxLeaseDuration {
 			have += l.amount
 		} else {
 			ends++
@@ -218,7 +218,7 @@
 	}
 	for i := range s.borrowed {
 		l := &s.borrowed[i]
-		if ends == 0 || l.asking || l.denied || l.ends-now >= renewAt*s.r.Longest || have >= headroom*use+need {
+		if ends == 0 || l.asking || l.denied || l.ends-now >= renewAt*s.r.MaxLeaseDuration || have >= headroom*use+need {
 			continue
 		}
 		have += l.amount
@@ -229,13 +229,13 @@
 }
 
 // ask asks for what is missing beside what this server will have.
-func (s *Share) ask(now, use, need, have float64, ends int, peers []string, out []Message) []Message {
+func (s *Allocation) ask(now, use, need, have float64, ends int, peers []string, out []Message) []Message {
 	for _, a := range s.asks {
 		if a.renews == 0 {
 			have += a.amount
 		}
 	}
-	want := math.Min(use+need-have, s.r.Bound-s.part())
+	want := math.Min(use+need-have, s.r.Capacity-s.part())
 	if need <= leastNeed*use && ends == 0 {
 		want = 0
 	}
@@ -246,8 +246,8 @@
 		s.pause, s.batch = askEvery, askMost
 	}
 	usual := math.Max(1, s.own-s.r.Floor) // what a peer has of which nothing is known
-	if s.r.Own > 0 {
-		usual = s.r.Bound
+	if s.r.OwnedCapacity > 0 {
+		usual = s.r.Capacity
 	}
 	from := s.chance.IntN(len(peers))
 	n := 0
@@ -286,22 +286,22 @@
 	return out
 }
 
-func (s *Share) asking(now float64, peer string, amount float64, renews uint64) Message {
+func (s *Allocation) asking(now float64, peer string, amount float64, renews uint64) Message {
 	*s.numbers++
 	a := asked{number: *s.numbers, peer: peer, at: now, amount: amount, worth: s.worth, has: s.part(), renews: renews}
 	s.asks = append(s.asks, a)
-	s.Counts.Asked++
+	s.Counts.Requested++
 	return a.message(s.life)
 }
 
 // renewed is the place of the loan that an ask would renew; negative if there is none.
-func (s *Share) renewed(a asked) int {
+func (s *Allocation) renewed(a asked) int {
 	return slices.IndexFunc(s.borrowed, func(l loan) bool { return a.renews != 0 && l.number == a.renews && l.peer == a.peer })
 }
 
 // refuse notes that a peer had nothing: it is not asked for a while, the longer the more often that was so.
-func (s *Share) refuse(now float64, peer string, why Why) {
-	s.refused = Refusal{peer, why, now}
+func (s *Allocation) refuse(now float64, peer string, why DenialReason) {
+	s.refused = Denial{peer, why, now}
 	if s.shuns == nil {
 		s.shuns = map[string]shun{}
 	}
@@ -315,23 +315,23 @@
 }
 
 // wakes has the next round come soon.
-func (s *Share) wakes(now float64) {
+func (s *Allocation) wakes(now float64) {
 	s.pause, s.batch = askEvery, askMost
 	s.askAt = math.Min(s.askAt, now+askEvery/2)
 }
 
 // Receive takes a message from a peer and returns what is to be answered.
-func (s *Share) Receive(now float64, from string, m Message) (out []Message) {
+func (s *Allocation) Receive(now float64, from string, m Message) (out []Message) {
 	s.pass(now)
 	s.quiet = false
 	switch m.Kind {
-	case Ask:
+	case Request:
 		out = append(out, s.lend(now, from, m))
 		s.known = math.Min(s.known, s.free())
 		return out
 	case Grant:
 		if gone := s.take(now, from, m); gone > 0 {
-			out = append(out, Message{Kind: Return, To: from, Number: gone, Life: s.life})
+			out = append(out, Message{Kind: Relinquish, To: from, RequestID: gone, Incarnation: s.life})
 		}
 	case Deny:
 		if i := s.open(from, m); i >= 0 {
@@ -340,12 +340,12 @@
 			if k := s.renewed(a); k >= 0 {
 				s.borrowed[k].asking, s.borrowed[k].denied = false, true
 			}
-			s.refuse(now, from, m.Why)
+			s.refuse(now, from, m.Reason)
 			s.Counts.Denied++
 		}
-	case Return:
+	case Relinquish:
 		s.lent = slices.DeleteFunc(s.lent, func(l loan) bool {
-			return l.peer == from && l.life == m.Life && l.number == m.Number
+			return l.peer == from && l.life == m.Incarnation && l.number == m.RequestID
 		})
 		s.sum()
 	case Offer:
@@ -359,23 +359,25 @@
 }
 
 // open is the place of the ask that a message answers; negative if there is none of this life.
-func (s *Share) open(from string, m Message) int {
-	if m.Life != s.life {
+func (s *Allocation) open(from string, m Message) int {
+	if m.Incarnation != s.life {
 		return -1
 	}
-	return slices.IndexFunc(s.asks, func(a asked) bool { return a.number == m.Number && a.peer == from })
+	return slices.IndexFunc(s.asks, func(a asked) bool { return a.number == m.RequestID && a.peer == from })
 }
 
 // lend answers an ask. The same one asked again gets the same answer, and no second part.
-func (s *Share) lend(now float64, from string, m Message) Message {
-	deny := func(why Why) Message { return Message{Kind: Deny, To: from, Number: m.Number, Life: m.Life, Why: why} }
+func (s *Allocation) lend(now float64, from string, m Message) Message {
+	deny := func(why DenialReason) Message {
+		return Message{Kind: Deny, To: from, RequestID: m.RequestID, Incarnation: m.Incarnation, Reason: why}
+	}
 	grant := func(amount float64) Message {
-		return Message{Kind: Grant, To: from, Number: m.Number, Life: m.Life, Amount: amount, For: s.r.Longest}
+		return Message{Kind: Grant, To: from, RequestID: m.RequestID, Incarnation: m.Incarnation, Amount: amount, Duration: s.r.MaxLeaseDuration}
 	}
 	renews := -1
 	for i := range s.lent {
-		if l := &s.lent[i]; l.peer == from && l.life == m.Life && !l.rest {
-			if l.number == m.Number {
+		if l := &s.lent[i]; l.peer == from && l.life == m.Incarnation && !l.rest {
+			if l.number == m.RequestID {
 				return grant(l.amount)
 			}
 			if m.Renews != 0 && (l.number == m.Renews || l.was == m.Renews) { // it may not have heard of the last renewal
@@ -385,7 +387,7 @@
 	}
 	rivals, theirs := s.rivals(now, from, &m, renews < 0)
 	if m.Renews != 0 && renews < 0 {
-		return deny(Spent) // it has ended here: what it is asked for now is another loan, and the asker must know
+		return deny(Exhausted) // it has ended here: what it is asked for now is another loan, and the asker must know
 	}
 	if renews >= 0 {
 		// Whoever has the loan keeps it as far as there is room for it beside what is used here, and shares it with those
@@ -395,17 +397,17 @@
 		room := s.own - math.Max(s.r.Floor, headroom*use+need)
 		amount := math.Min(l.amount, room-(s.out-l.amount))
 		amount = math.Min(amount, math.Max(room/float64(rivals+1), room-theirs))
-		if s.r.Kind == Stock {
+		if s.r.Kind == Concurrency {
 			amount = math.Floor(amount)
 		}
 		if !(amount >= leastLoan*s.own) || len(s.lent) >= mostLoans {
-			return deny(Contends)
+			return deny(Contended)
 		}
 		if rest := l.amount - amount; rest > 0 {
-			s.lent = append(s.lent, loan{peer: from, number: m.Renews, life: m.Life, amount: rest, began: l.began, ends: l.ends, rest: true})
+			s.lent = append(s.lent, loan{peer: from, number: m.Renews, life: m.Incarnation, amount: rest, began: l.began, ends: l.ends, rest: true})
 			l = &s.lent[renews]
 		}
-		l.was, l.number, l.amount, l.ends = m.Renews, m.Number, amount, s.booked(now)
+		l.was, l.number, l.amount, l.ends = m.Renews, m.RequestID, amount, s.booked(now)
 		s.sum()
 		s.Counts.Renewed++
 		return grant(amount)
@@ -414,20 +416,20 @@
 	// less than that leaves the rest to the others.
 	free := s.free()
 	amount := math.Min(m.Amount, math.Max(free/float64(rivals+1), free-theirs))
-	if s.r.Kind == Stock {
+	if s.r.Kind == Concurrency {
 		amount = math.Floor(amount)
 	}
 	switch {
 	case len(s.lent) >= mostLoans:
-		return deny(Crowded)
+		return deny(TooManyLeases)
 	case !(amount >= leastLoan*s.own && amount > 0):
 		if rivals > 0 {
-			return deny(Contends)
+			return deny(Contended)
 		}
-		return deny(Spent)
+		return deny(Exhausted)
 	}
 	// Booked before it is told; its borrower counts from when it asked.
-	s.lent = append(s.lent, loan{peer: from, number: m.Number, life: m.Life, amount: amount, began: now, ends: s.booked(now)})
+	s.lent = append(s.lent, loan{peer: from, number: m.RequestID, life: m.Incarnation, amount: amount, began: now, ends: s.booked(now)})
 	s.sum()
 	s.tokens = math.Min(s.tokens, s.burst())
 	s.Counts.Granted++
@@ -442,33 +444,33 @@
 // rivals counts those that asked of late beside from, and what they asked for. Beside one that has its loan renewed only
 // those count that have much less: what moves between two that have as much lies idle on its way. from is noted as one that
 // asks anew.
-func (s *Share) rivals(now float64, from string, m *Message, asks bool) (n int, theirs float64) {
+func (s *Allocation) rivals(now float64, from string, m *Message, asks bool) (n int, theirs float64) {
 	s.askers = slices.DeleteFunc(s.askers, func(a asker) bool { return now-a.at > askerFor || asks && a.name == from })
 	for _, a := range s.askers {
-		if a.name != from && now-a.at <= rivalFor && (asks || a.has < fewer*m.Has) {
+		if a.name != from && now-a.at <= rivalFor && (asks || a.has < fewer*m.CurrentCapacity) {
 			n++
 			theirs += a.amount
 		}
 	}
 	if asks && len(s.askers) < mostAsker {
-		s.askers = append(s.askers, asker{from, now, m.Worth, m.Amount, m.Has})
+		s.askers = append(s.askers, asker{from, now, m.PriorityWeight, m.Amount, m.CurrentCapacity})
 	}
 	return n, theirs
 }
 
 // take books a grant, once: for an ask of this life that is still open, from when it was asked. If it is for less than the loan
 // that it renews, that loan's number is returned: nothing of the rest is used from here on.
-func (s *Share) take(now float64, from string, m Message) (gone uint64) {
+func (s *Allocation) take(now float64, from string, m Message) (gone uint64) {
 	i := s.open(from, m)
 	if i < 0 {
-		s.Counts.Late++
+		s.Counts.LateGrants++
 		return 0
 	}
 	a := s.asks[i]
 	s.asks = slices.Delete(s.asks, i, i+1)
-	ends := a.at + math.Min(m.For, s.r.Longest)*(1-s.r.Drift)
+	ends := a.at + math.Min(m.Duration, s.r.MaxLeaseDuration)*(1-s.r.ClockDrift)
 	if ends <= now || len(s.borrowed) >= mostLoans || !(m.Amount > 0 && m.Amount <= a.amount*(1+1e-9)) {
-		s.Counts.Late++
+		s.Counts.LateGrants++
 		if k := s.renewed(a); k >= 0 {
 			s.borrowed[k].asking = false
 		}
@@ -477,20 +479,20 @@
 	if a.renews != 0 {
 		k := s.renewed(a)
 		if k < 0 { // it has ended here meanwhile, or went back: what was granted stands by itself
-			s.borrowed = append(s.borrowed, loan{peer: from, number: m.Number, life: s.life, amount: m.Amount, began: now, ends: ends})
+			s.borrowed = append(s.borrowed, loan{peer: from, number: m.RequestID, life: s.life, amount: m.Amount, began: now, ends: ends})
 		} else {
 			l := &s.borrowed[k]
 			if m.Amount < l.amount {
 				gone = l.number
 			}
-			l.number, l.amount, l.ends, l.asking, l.denied = m.Number, m.Amount, ends, false, false
+			l.number, l.amount, l.ends, l.asking, l.denied = m.RequestID, m.Amount, ends, false, false
 		}
 		s.Counts.Renewed++
 	} else {
 		delete(s.shuns, from)
 		s.wakes(now)
-		s.borrowed = append(s.borrowed, loan{peer: from, number: m.Number, life: s.life, amount: m.Amount, began: now, ends: ends})
-		s.Counts.Borrowed++
+		s.borrowed = append(s.borrowed, loan{peer: from, number: m.RequestID, life: s.life, amount: m.Amount, began: now, ends: ends})
+		s.Counts.Leased++
 	}
 	s.sum()
 	s.tokens = math.Min(s.tokens, s.burst())
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -21,32 +21,32 @@
 type Kind int
 
 const (
-	Rate  Kind = iota // so many a second, and a burst beyond
-	Stock             // so many in hand at a time
+	Rate        Kind = iota // so many a second, and a burst beyond
+	Concurrency             // so many in hand at a time
 )
 
-// Rules are what an operator sets, the same on all servers. Times are ms.
-type Rules struct {
-	Kind    Kind
-	Bound   float64 // of the whole fleet: a second, or in hand
-	Burst   float64 // of the whole fleet beyond the rate
-	Servers int     // that run at a time, at the most
-	Floor   float64 // of each server, never lent
-	Longest float64 // that a loan lasts
-	Drift   float64 // by which the rate of a server's clock may be off, as a share
-	Own     float64 // owned here, where that is no equal part; 0 for one. All servers' together must be within the bound
+// Limit are what an operator sets, the same on all servers. Times are ms.
+type Limit struct {
+	Kind             Kind
+	Capacity         float64 // of the whole fleet: a second, or in hand
+	Burst            float64 // of the whole fleet beyond the rate
+	Servers          int     // that run at a time, at the most
+	Floor            float64 // of each server, never lent
+	MaxLeaseDuration float64 // that a loan lasts
+	ClockDrift       float64 // by which the rate of a server's clock may be off, as a share
+	OwnedCapacity    float64 // owned here, where that is no equal part; 0 for one. All servers' together must be within the bound
 }
 
 // Usual figures for what operators do not set: a loan is long enough that renewing it is a few messages, and short enough that
 // a part whose borrower has gone is back within a breath; clocks of machines are off by less than a thousandth.
 const (
-	UsualLongest = 4000.0
-	UsualDrift   = 1e-3
+	DefaultLeaseDuration = 4000.0
+	DefaultClockDrift    = 1e-3
 )
 
-// Useful tells whether each server has room for one whole thing of a rate: its part of the burst. With less, a bucket that
+// Usable tells whether each server has room for one whole thing of a rate: its part of the burst. With less, a bucket that
 // never holds one lets nothing through.
-func (r Rules) Useful() bool { return r.Kind == Stock || r.Burst >= float64(max(1, r.Servers)) }
+func (r Limit) Usable() bool { return r.Kind == Concurrency || r.Burst >= float64(max(1, r.Servers)) }
 
 const (
 	useTime  = 500.0 // of the means of use and need
@@ -68,9 +68,9 @@
 	rest   bool // lent: what its borrower is to give up, and may not know of yet
 }
 
-// Share is one server's part of one bound.
-type Share struct {
-	r    Rules
+// Allocation is one server's part of one bound.
+type Allocation struct {
+	r    Limit
 	life uint64
 	own  float64
 
@@ -92,11 +92,21 @@
 }
 
 // Counts are since the start.
-type Counts struct{ Taken, Turned, Asked, Granted, Denied, Borrowed, Returned, Late, Renewed uint64 }
+type Counts struct {
+	Admitted   uint64 `json:"Taken"`
+	Rejected   uint64 `json:"Turned"`
+	Requested  uint64 `json:"Asked"` // lease requests sent, renewals included
+	Granted    uint64
+	Denied     uint64
+	Leased     uint64 `json:"Borrowed"`
+	Released   uint64 `json:"Returned"`
+	LateGrants uint64 `json:"Late"`
+	Renewed    uint64
+}
 
 // New returns the part of a server whose process has the given life, drawn at its start. What its former life may have lent
 // counts as lent until no such loan can last: at first it has its floor.
-func New(r Rules, life uint64, seed int64, now float64) *Share {
+func New(r Limit, life uint64, seed int64, now float64) *Allocation {
 	s := fresh(r, life, new(uint64), now)
 	s.chance = rand.New(rand.NewPCG(uint64(seed), 1))
 	s.forgotten(now)
@@ -104,23 +114,23 @@
 }
 
 // fresh is a part that has lent nothing.
-func fresh(r Rules, life uint64, numbers *uint64, now float64) *Share {
-	s := &Share{life: life, filled: now, meanAt: now}
+func fresh(r Limit, life uint64, numbers *uint64, now float64) *Allocation {
+	s := &Allocation{life: life, filled: now, meanAt: now}
 	s.numbers = numbers
 	s.rule(r)
 	s.sum()
 	return s
 }
 
-func (s *Share) rule(r Rules) {
+func (s *Allocation) rule(r Limit) {
 	s.r = r
-	if s.own = r.Own; s.own == 0 {
-		s.own = r.Bound / float64(max(1, r.Servers))
+	if s.own = r.OwnedCapacity; s.own == 0 {
+		s.own = r.Capacity / float64(max(1, r.Servers))
 	}
 }
 
 // forgotten books all that may be out as a process starts, and is not known of.
-func (s *Share) forgotten(start float64) {
+func (s *Allocation) forgotten(start float64) {
 	s.lent = s.lent[:0]
 	if out := s.own - s.r.Floor; out > 0 {
 		s.lent = append(s.lent, loan{amount: out, ends: s.booked(start)})
@@ -130,20 +140,20 @@
 
 // booked is until when a loan of now counts as lent: longer than its borrower, whose clock may be slow where ours is fast,
 // can use it.
-func (s *Share) booked(now float64) float64 {
-	return now + s.r.Longest*(1+s.r.Drift)*(1+s.r.Drift)
+func (s *Allocation) booked(now float64) float64 {
+	return now + s.r.MaxLeaseDuration*(1+s.r.ClockDrift)*(1+s.r.ClockDrift)
 }
 
-// Set takes new rules while loans are out. What is lent stays lent to its end, whatever is owned from now on: until the last
+// Update takes new rules while loans are out. What is lent stays lent to its end, whatever is owned from now on: until the last
 // server has the new bound and a longest loan has passed, the fleet keeps within the larger of the two bounds.
-func (s *Share) Set(now float64, r Rules) {
+func (s *Allocation) Update(now float64, r Limit) {
 	s.pass(now)
 	s.rule(r)
 	s.tokens = math.Min(s.tokens, s.burst())
 }
 
-// Void drops what is borrowed: the own clock can't be trusted to have seen its end. What is lent counts as lent anew.
-func (s *Share) Void(now float64) {
+// Invalidate drops what is borrowed: the own clock can't be trusted to have seen its end. What is lent counts as lent anew.
+func (s *Allocation) Invalidate(now float64) {
 	s.pass(now)
 	s.borrowed = s.borrowed[:0]
 	s.asks = s.asks[:0]
@@ -155,7 +165,7 @@
 }
 
 // sum is to be called whenever loans have changed.
-func (s *Share) sum() {
+func (s *Allocation) sum() {
 	s.out, s.in, s.next = 0, 0, math.Inf(1)
 	for i := range s.lent {
 		s.out += s.lent[i].amount
@@ -168,7 +178,7 @@
 }
 
 // pass brings loans and the bucket up to now.
-func (s *Share) pass(now float64) {
+func (s *Allocation) pass(now float64) {
 	// The bucket fills at the part held meanwhile; what ended on the way ends for the time after it.
 	for s.next <= now {
 		at := math.Max(s.filled, s.next)
@@ -190,10 +200,10 @@
 }
 
 // part is what may be used now: the own one without what is lent, and what is borrowed.
-func (s *Share) part() float64 { return math.Max(0, s.own-s.out+s.in) }
+func (s *Allocation) part() float64 { return math.Max(0, s.own-s.out+s.in) }
 
 // held is part at a time, without any change to the instance.
-func (s *Share) held(now float64) float64 {
+func (s *Allocation) held(now float64) float64 {
 	sum := s.own
 	for i := range s.lent {
 		if l := &s.lent[i]; l.ends > now {
@@ -210,25 +220,25 @@
 
 // burst is what the bucket holds: room for one thing, which never moves, and the part's share of the rest. Over the fleet
 // that is the whole burst.
-func (s *Share) burst() float64 {
-	if s.r.Bound <= 0 || s.r.Kind != Rate {
+func (s *Allocation) burst() float64 {
+	if s.r.Capacity <= 0 || s.r.Kind != Rate {
 		return 0
 	}
 	each := math.Min(1, s.r.Burst/float64(max(1, s.r.Servers)))
-	return each + (s.r.Burst-each*float64(max(1, s.r.Servers)))*math.Min(1, s.part()/s.r.Bound)
+	return each + (s.r.Burst-each*float64(max(1, s.r.Servers)))*math.Min(1, s.part()/s.r.Capacity)
 }
 
-func (s *Share) fill(now float64) {
+func (s *Allocation) fill(now float64) {
 	if s.r.Kind == Rate && now > s.filled {
 		// A clock that is fast by the drift must not fill the bucket faster than the part.
-		s.tokens = math.Min(s.burst(), s.tokens+s.part()/(1+s.r.Drift)*(now-s.filled)/1000)
+		s.tokens = math.Min(s.burst(), s.tokens+s.part()/(1+s.r.ClockDrift)*(now-s.filled)/1000)
 	}
 	s.filled = math.Max(s.filled, now)
 }
 
-// Take asks for n of the bound, of a criticality. For a stock, longest is how long it may be held at the most: it is taken
+// TryAcquire asks for n of the bound, of a criticality. For a stock, longest is how long it may be held at the most: it is taken
 // from a loan only if that lasts as long. What is taken of a stock is given back by Give.
-func (s *Share) Take(now, n, worth, longest float64) bool {
+func (s *Allocation) TryAcquire(now, n, worth, longest float64) bool {
 	s.pass(now)
 	s.quiet = false
 	ok := false
@@ -239,7 +249,7 @@
 	} else {
 		room := s.own - s.inHand - s.out
 		for i := range s.borrowed {
-			if l := &s.borrowed[i]; l.ends-now >= longest*(1+s.r.Drift) {
+			if l := &s.borrowed[i]; l.ends-now >= longest*(1+s.r.ClockDrift) {
 				room += l.amount
 			}
 		}
@@ -248,10 +258,10 @@
 		}
 	}
 	if ok {
-		s.Counts.Taken++
+		s.Counts.Admitted++
 		s.use += n * 1000 / useTime
 	} else {
-		s.Counts.Turned++
+		s.Counts.Rejected++
 		s.need += n * 1000 / useTime
 		s.worth = math.Max(s.worth, worth)
 	}
@@ -259,59 +269,66 @@
 	return ok
 }
 
-// Give returns n of a stock.
-func (s *Share) Give(n float64) { s.inHand = math.Max(0, s.inHand-n) }
+// Release returns n of a stock.
+func (s *Allocation) Release(n float64) { s.inHand = math.Max(0, s.inHand-n) }
 
-// Wait is how many ms from now one more of a rate may be taken, if nothing else is; for a stock that is not known, and 0.
-func (s *Share) Wait(now float64) float64 {
+// RetryAfter is how many ms from now one more of a rate may be taken, if nothing else is; for a stock that is not known, and 0.
+func (s *Allocation) RetryAfter(now float64) float64 {
 	s.pass(now)
-	if s.r.Kind == Stock || s.tokens >= 1 {
+	if s.r.Kind == Concurrency || s.tokens >= 1 {
 		return 0
 	}
-	return (1 - s.tokens) * 1000 * (1 + s.r.Drift) / math.Max(s.part(), 1e-3)
+	return (1 - s.tokens) * 1000 * (1 + s.r.ClockDrift) / math.Max(s.part(), 1e-3)
 }
 
 // wanted is what this server uses, a second or in hand, and what it turns away.
-func (s *Share) wanted() (use, need float64) {
-	if s.r.Kind == Stock {
+func (s *Allocation) wanted() (use, need float64) {
+	if s.r.Kind == Concurrency {
 		return s.inHand, s.need * useTime / 1000
 	}
 	return s.use, s.need
 }
 
 // free is what may be lent: not the floor, nor what is used, nor what is lent already. What is borrowed is never lent on.
-func (s *Share) free() float64 {
+func (s *Allocation) free() float64 {
 	use, need := s.wanted()
 	return math.Max(0, s.own-s.out-math.Max(s.r.Floor, headroom*use+need))
 }
 
-// State is how a part stands.
-type State struct {
-	Own, Floor, Lent, Borrowed, Part, Use, Need, InHand float64
-	Loans                                               []LoanState
-	Refused                                             Refusal // the last ask that got nothing
+// AllocationState is how a part stands.
+type AllocationState struct {
+	Owned       float64 `json:"Own"`
+	Floor       float64
+	Granted     float64      `json:"Lent"`
+	Leased      float64      `json:"Borrowed"`
+	Capacity    float64      `json:"Part"`
+	Usage       float64      `json:"Use"`
+	UnmetDemand float64      `json:"Need"`
+	InFlight    float64      `json:"InHand"`
+	Leases      []LeaseState `json:"Loans"`
+	LastDenial  Denial       `json:"Refused"` // zero for none
 }
 
-// LoanState is one loan. To is empty for what a former life may have lent.
-type LoanState struct {
-	From, To string
-	Amount   float64
-	For      float64 // ms that are left
+// LeaseState is one loan. To is empty for what a former life may have lent.
+type LeaseState struct {
+	From, To  string
+	Amount    float64
+	Remaining float64 `json:"For"` // ms that are left
 }
 
 // State tells it; loans are told for an instance called name, at most so many of either kind.
-func (s *Share) State(now float64, name string, most int) (st State) {
+func (s *Allocation) State(now float64, name string, most int) (st AllocationState) {
 	s.pass(now)
-	st = State{Own: s.own, Floor: s.r.Floor, Part: s.part(), InHand: s.inHand, Lent: s.out, Borrowed: s.in, Refused: s.refused}
-	if st.Refused.By != "" {
-		st.Refused.Ago = now - st.Refused.Ago
+	st = AllocationState{Owned: s.own, Floor: s.r.Floor, Capacity: s.part(), InFlight: s.inHand, Granted: s.out, Leased: s.in, LastDenial: s.refused}
+	if st.LastDenial.By != "" {
+		st.LastDenial.Age = now - st.LastDenial.Age
 	}
-	st.Use, st.Need = s.wanted()
+	st.Usage, st.UnmetDemand = s.wanted()
 	for _, l := range s.lent[:min(most, len(s.lent))] {
-		st.Loans = append(st.Loans, LoanState{name, l.peer, l.amount, l.ends - now})
+		st.Leases = append(st.Leases, LeaseState{name, l.peer, l.amount, l.ends - now})
 	}
 	for _, l := range s.borrowed[:min(most, len(s.borrowed))] {
-		st.Loans = append(st.Loans, LoanState{l.peer, name, l.amount, l.ends - now})
+		st.Leases = append(st.Leases, LeaseState{l.peer, name, l.amount, l.ends - now})
 	}
 	return st
 }
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -12,9 +12,9 @@
 
 // fleet is some shares on a true clock, each with its own, and messages on their way between them.
 type fleet struct {
-	r      Rules
+	r      Limit
 	at     float64 // true ms
-	all    []*Share
+	all    []*Allocation
 	rate   []float64 // of each clock
 	base   []float64
 	lives  uint64
@@ -30,10 +30,10 @@
 	due      float64
 }
 
-func newFleet(r Rules, n int, seed int64) *fleet {
+func newFleet(r Limit, n int, seed int64) *fleet {
 	f := &fleet{r: r, chance: rand.New(rand.NewSource(seed))}
 	for i := range n {
-		f.rate = append(f.rate, 1+r.Drift*0.999*(2*f.chance.Float64()-1))
+		f.rate = append(f.rate, 1+r.ClockDrift*0.999*(2*f.chance.Float64()-1))
 		f.base = append(f.base, 1e6*f.chance.Float64())
 		f.all = append(f.all, nil)
 		f.held = append(f.held, nil)
@@ -73,16 +73,16 @@
 	sum := 0.0
 	for i, s := range f.all {
 		st := s.State(f.now(i), "", 0)
-		if math.Abs(st.Own-st.Lent+st.Borrowed-st.Part) > 1e-6 && st.Part > 0 {
-			t.Fatalf("%s: own %g - lent %g + borrowed %g is not its part %g", name(i), st.Own, st.Lent, st.Borrowed, st.Part)
+		if math.Abs(st.Owned-st.Granted+st.Leased-st.Capacity) > 1e-6 && st.Capacity > 0 {
+			t.Fatalf("%s: own %g - lent %g + borrowed %g is not its part %g", name(i), st.Owned, st.Granted, st.Leased, st.Capacity)
 		}
-		if st.Part < f.r.Floor-1e-9 {
-			t.Fatalf("%s: a part of %g, under its floor %g", name(i), st.Part, f.r.Floor)
+		if st.Capacity < f.r.Floor-1e-9 {
+			t.Fatalf("%s: a part of %g, under its floor %g", name(i), st.Capacity, f.r.Floor)
 		}
-		sum += st.Part
+		sum += st.Capacity
 	}
-	if sum > f.r.Bound*(1+1e-9) {
-		t.Fatalf("at %g ms the parts sum to %g of %g", f.at, sum, f.r.Bound)
+	if sum > f.r.Capacity*(1+1e-9) {
+		t.Fatalf("at %g ms the parts sum to %g of %g", f.at, sum, f.r.Capacity)
 	}
 }
 
@@ -121,12 +121,12 @@
 
 func run(t interface{ Fatalf(string, ...any) }, d draws) (borrowed, late, renewed uint64) {
 	n := d.int(2, 6)
-	r := Rules{Kind: Rate, Bound: 100, Burst: 20, Servers: n, Floor: 100 / float64(n) * d.pick(0, 0.2, 0.5),
-		Longest: 1000, Drift: d.pick(0, 1e-3, 0.05)}
+	r := Limit{Kind: Rate, Capacity: 100, Burst: 20, Servers: n, Floor: 100 / float64(n) * d.pick(0, 0.2, 0.5),
+		MaxLeaseDuration: 1000, ClockDrift: d.pick(0, 1e-3, 0.05)}
 	f := newFleet(r, n, int64(d.int(0, 1<<20)))
 	stopped := make([]bool, n)
 	if d.int(0, 1) == 1 {
-		f.at += 3 * r.Longest
+		f.at += 3 * r.MaxLeaseDuration
 	}
 	hot, bad := 0, 0.0
 	for range d.int(50, 300) {
@@ -154,7 +154,7 @@
 				load = 1
 			}
 			for range load {
-				if s.Take(f.now(i), 1, 1, 0) {
+				if s.TryAcquire(f.now(i), 1, 1, 0) {
 					f.taken = append(f.taken, f.at)
 				}
 			}
@@ -180,7 +180,7 @@
 	}
 	f.window(t)
 	for _, s := range f.all {
-		borrowed, late, renewed = borrowed+s.Counts.Borrowed, late+s.Counts.Late, renewed+s.Counts.Renewed
+		borrowed, late, renewed = borrowed+s.Counts.Leased, late+s.Counts.LateGrants, renewed+s.Counts.Renewed
 	}
 	return borrowed, late, renewed
 }
@@ -190,8 +190,8 @@
 	sort.Float64s(f.taken)
 	for i := range f.taken {
 		for k := i; k < len(f.taken) && f.taken[k]-f.taken[i] <= 3000; k++ {
-			if n, w := float64(k-i+1), f.taken[k]-f.taken[i]; n > f.r.Bound*w/1000+f.r.Burst+1e-6 {
-				t.Fatalf("%g taken within %g ms, of %g a second and %g", n, w, f.r.Bound, f.r.Burst)
+			if n, w := float64(k-i+1), f.taken[k]-f.taken[i]; n > f.r.Capacity*w/1000+f.r.Burst+1e-6 {
+				t.Fatalf("%g taken within %g ms, of %g a second and %g", n, w, f.r.Capacity, f.r.Burst)
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 				if x < 1 && f.chance.Float64() >= x {
 					break
 				}
-				if s.Take(f.now(i), 1, 1, 0) {
+				if s.TryAcquire(f.now(i), 1, 1, 0) {
 					served[i]++
 					f.taken = append(f.taken, f.at)
 				}
@@ -234,27 +234,27 @@
 // A customer whose callers stick to one server gets nearly all of what is theirs, also after they have moved; what is lent comes
 // back; at rest nothing is said.
 func TestSkewedNeed(t *testing.T) {
-	r := Rules{Kind: Rate, Bound: 400, Burst: 40, Servers: 8, Floor: 5, Longest: UsualLongest, Drift: UsualDrift}
+	r := Limit{Kind: Rate, Capacity: 400, Burst: 40, Servers: 8, Floor: 5, MaxLeaseDuration: DefaultLeaseDuration, ClockDrift: DefaultClockDrift}
 	f := newFleet(r, 8, 1)
-	f.at += 2 * r.Longest // what a former life may have lent is back
+	f.at += 2 * r.MaxLeaseDuration // what a former life may have lent is back
 	for turn, hot := range []int{3, 6} {
 		served := make([]float64, 8)
 		f.run(2000, func(i int) float64 { return map[bool]float64{true: 500}[i == hot] }, served)
 		clear(served)
 		f.run(4000, func(i int) float64 { return map[bool]float64{true: 500}[i == hot] }, served)
-		most := r.Bound - 7*r.Floor // the others keep their floors
+		most := r.Capacity - 7*r.Floor // the others keep their floors
 		if share := served[hot] / 4 / most; share < 0.95 {
 			t.Errorf("turn %d: the hot server serves %.2f of what it can", turn, share)
 		}
 	}
 	f.run(4000, func(int) float64 { return 0 }, make([]float64, 8))
 	for i, s := range f.all {
-		if st := s.State(f.now(i), "", 0); st.Lent != 0 || st.Borrowed != 0 {
+		if st := s.State(f.now(i), "", 0); st.Granted != 0 || st.Leased != 0 {
 			t.Errorf("%s at rest: %+v", name(i), st)
 		}
-		before := s.Counts.Asked
+		before := s.Counts.Requested
 		f.run(500, func(int) float64 { return 0 }, make([]float64, 8))
-		if s.Counts.Asked != before {
+		if s.Counts.Requested != before {
 			t.Errorf("%s asks though nothing is needed", name(i))
 		}
 	}
@@ -263,47 +263,47 @@
 
 // Cut off: the floor and what is not lent; the first RPC after a stop for longer than a loan does not use it.
 func TestCutOffAndStopped(t *testing.T) {
-	r := Rules{Kind: Rate, Bound: 100, Burst: 10, Servers: 2, Floor: 10, Longest: 1000, Drift: 1e-3}
+	r := Limit{Kind: Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 10, MaxLeaseDuration: 1000, ClockDrift: 1e-3}
 	f := newFleet(r, 2, 2)
 	f.at += 3000
 	f.run(3000, func(i int) float64 { return map[bool]float64{true: 200}[i == 0] }, make([]float64, 2))
 	borrowed := f.all[0].State(f.now(0), "", 0)
-	if borrowed.Part < 70 {
+	if borrowed.Capacity < 70 {
 		t.Fatalf("it borrowed little: %+v", borrowed)
 	}
 	f.way = nil // cut
 	f.at += 1500
-	if st := f.all[0].State(f.now(0), "", 0); st.Part != 50 || st.Borrowed != 0 {
+	if st := f.all[0].State(f.now(0), "", 0); st.Capacity != 50 || st.Leased != 0 {
 		t.Errorf("after the loan's end: %+v", st)
 	}
 	f.at += 1500
-	if st := f.all[1].State(f.now(1), "", 0); st.Part != 50 {
+	if st := f.all[1].State(f.now(1), "", 0); st.Capacity != 50 {
 		t.Errorf("the lender: %+v", st)
 	}
 	f.start(1) // killed and back: it can't know what it lent
-	if st := f.all[1].State(f.now(1), "", 0); st.Part != r.Floor {
+	if st := f.all[1].State(f.now(1), "", 0); st.Capacity != r.Floor {
 		t.Errorf("after a restart: %+v", st)
 	}
 }
 
 // A stock's loans are not used by what may be held past their end.
 func TestStock(t *testing.T) {
-	r := Rules{Kind: Stock, Bound: 20, Servers: 2, Floor: 2, Longest: 1000, Drift: 0}
+	r := Limit{Kind: Concurrency, Capacity: 20, Servers: 2, Floor: 2, MaxLeaseDuration: 1000, ClockDrift: 0}
 	a, b := New(r, 1, 1, 0), New(r, 2, 2, 0)
 	now := 2000.0
 	for range 10 {
-		if !a.Take(now, 1, 1, 500) {
+		if !a.TryAcquire(now, 1, 1, 500) {
 			t.Fatal("its own part")
 		}
 	}
-	if a.Take(now, 1, 1, 500) {
+	if a.TryAcquire(now, 1, 1, 500) {
 		t.Error("more than its part")
 	}
 	for range 20 {
-		a.Take(now, 1, 1, 500)
+		a.TryAcquire(now, 1, 1, 500)
 	}
 	asks := a.Tick(now, []string{"b"})
-	if len(asks) != 1 || asks[0].Kind != Ask {
+	if len(asks) != 1 || asks[0].Kind != Request {
 		t.Fatalf("%+v", asks)
 	}
 	grant := b.Receive(now, "a", asks[0])
@@ -313,23 +313,23 @@
 	}
 	a.Receive(now+10, "b", grant[0])
 	a.Receive(now+20, "b", grant[0])
-	if st := a.State(now+20, "", 0); st.Borrowed != grant[0].Amount {
+	if st := a.State(now+20, "", 0); st.Leased != grant[0].Amount {
 		t.Errorf("a grant that came twice: %+v", st)
 	}
-	if !a.Take(now+20, 1, 1, 500) {
+	if !a.TryAcquire(now+20, 1, 1, 500) {
 		t.Error("the loan lasts long enough")
 	}
-	if a.Take(now+600, 1, 1, 500) {
+	if a.TryAcquire(now+600, 1, 1, 500) {
 		t.Error("it could be held past the loan's end")
 	}
 }
 
 func BenchmarkTake(b *testing.B) {
-	s := New(Rules{Kind: Rate, Bound: 1e9, Burst: 1e9, Servers: 1, Longest: 1000, Drift: 1e-3}, 1, 1, 0)
+	s := New(Limit{Kind: Rate, Capacity: 1e9, Burst: 1e9, Servers: 1, MaxLeaseDuration: 1000, ClockDrift: 1e-3}, 1, 1, 0)
 	now := 5000.0
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 0.01
-		s.Take(now, 1, 1, 0)
+		s.TryAcquire(now, 1, 1, 0)
 	}
 }
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -390,7 +390,7 @@
 // quiet tells the judges of a try that has no answer long after the pool's usual time. Its end calls over, which says whether it
 // was told. A process that has not run meanwhile judges nobody by that: it waits once more.
 func (j *detector) watchSilence(name, addr string, usual float64) (over func() (told bool)) {
-	late := evidence.Late(usual)
+	late := evidence.LateThreshold(usual)
 	if late == 0 {
 		return func() bool { return false }
 	}
--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -31,7 +31,7 @@
 	n := float64(servers)
 	return &fleetsim.QuotaOptions{
 		Scheme:        way,
-		Rules:         quota.Rules{Kind: quota.Rate, Bound: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, Longest: quota.UsualLongest, Drift: quota.UsualDrift},
+		Rules:         quota.Limit{Kind: quota.Rate, Capacity: 10 * n, Burst: 2.5 * n, Servers: servers, Floor: 0.2, MaxLeaseDuration: quota.DefaultLeaseDuration, ClockDrift: quota.DefaultClockDrift},
 		StickyServers: max(2, servers/100), RatePerCustomer: 12 * n, MoveIntervalMs: moveMs,
 	}
 }
@@ -118,7 +118,7 @@
 				return sum / float64(to-from)
 			}
 			for _, move := range []int{10, 20, 70, 80} { // in contact; the first is long after the start
-				contact = min(contact, served(move+settleIn, move+moveMs/1000)/b.Rules.Bound)
+				contact = min(contact, served(move+settleIn, move+moveMs/1000)/b.Rules.Capacity)
 			}
 			alone := 0.0
 			for _, s := range x.w.QuotaSeries[30:39] {
@@ -128,7 +128,7 @@
 			sent = max(sent, float64(x.w.MaxQuotaMessages())/length)
 			if i == 0 {
 				for at, s := range x.w.QuotaSeries[:length] {
-					line.Points = append(line.Points, plotter.XY{X: float64(at), Y: float64(s.Admitted) / b.Rules.Bound})
+					line.Points = append(line.Points, plotter.XY{X: float64(at), Y: float64(s.Admitted) / b.Rules.Capacity})
 				}
 			}
 		}
@@ -165,7 +165,7 @@
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":300000000,"tip_multiple":8}}`
 
 func quotaFile(floor float64) operator.File {
-	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift, Customers: map[string]operator.Budget{
+	return operator.File{Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.DefaultClockDrift, Customers: map[string]operator.Budget{
 		"kaipara-wireless": {Bound: quotaBound, Burst: quotaBurst, Floor: floor, MaxLeaseMs: quotaLongest},
 	}}}
 }
@@ -371,7 +371,7 @@
 	names := fleetsim.ServerNames(quotaServers)
 	b, err := testbed.New(testbed.Options{Names: names, Seed: o.Seed, Cores: 2, SettingsJSON: quotaSettings, ServeCommand: serve, Operator: operator.File{
 		Pools: map[string]operator.Pool{"apps": p}, Methods: map[string]operator.Method{"account-view": {Pool: "apps", Path: "/account", Verb: "GET"}},
-		Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.UsualDrift,
+		Budgets: &operator.Budgets{Servers: quotaServers, ClockDrift: quota.DefaultClockDrift,
 			Retries: map[string]operator.Budget{"apps": {Bound: poolRetries, Burst: poolBurst, Floor: 0.2, MaxLeaseMs: quotaLongest}},
 			Calls:   map[string]operator.Budget{"apps": {Bound: poolCalls, Floor: 1, MaxLeaseMs: 10000, LingerMs: 3000}}},
 	}})
@@ -457,9 +457,9 @@
 	names := make([]string, customers)
 	for i := range names {
 		names[i] = fmt.Sprint("customer-", i)
-		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, MaxLeaseMs: quota.UsualLongest}
+		all[names[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, MaxLeaseMs: quota.DefaultLeaseDuration}
 	}
-	b := f.ShareBudgets(&operator.Budgets{Servers: 300, ClockDrift: quota.UsualDrift, Customers: all})
+	b := f.ShareBudgets(&operator.Budgets{Servers: 300, ClockDrift: quota.DefaultClockDrift, Customers: all})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/experiment/membership_cost.go
+++ b/internal/experiment/membership_cost.go
@@ -56,7 +56,7 @@
 // complete counts the members that see all others.
 func (m *mesh) complete() (count int) {
 	for _, member := range m.members {
-		if view := member.View(); view.State == health.Whole && view.Heard == len(m.members) {
+		if view := member.View(); view.State == health.Complete && view.Reachable == len(m.members) {
 			count++
 		}
 	}
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -176,7 +176,7 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		opt := fleetsim.Options{Servers: n, FleetSize: min(n, 1000), Zones: 3, Seed: uint64(o.Seed), DurationMs: length, RatePerServer: 20, Cores: 2, MeanWorkMs: 20,
-			HealthRules: health.Usual, Checkers: []fleetsim.Checker{}}
+			HealthRules: health.DefaultConfig, Checkers: []fleetsim.Checker{}}
 		if n == 10000 { // for the memory; what an RPC costs is seen before
 			opt.DurationMs, opt.RatePerServer = 60e3, 1
 		}
@@ -241,7 +241,7 @@
 		const runs = 24
 		var settled, share [runs]float64
 		inParallel(runs, func(i int) {
-			rules := health.Usual
+			rules := health.DefaultConfig
 			shifted := make(script.Script, len(s)) // processes have settled before the schedule begins
 			for j, x := range s {
 				x.At += 10 * time.Second
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -30,11 +30,11 @@
 type Budgets struct {
 	fleet     *Fleet
 	startedAt time.Time
-	rules     atomic.Pointer[map[string]quota.Rules]
+	rules     atomic.Pointer[map[string]quota.Limit]
 	lingerMs  atomic.Pointer[map[string]float64] // ms, by pool
 
 	mu          sync.Mutex
-	ledger      *quota.Book
+	ledger      *quota.Ledger
 	clockOffset time.Duration // of the wall clock from the own one, at the last look
 	clockSteps  int
 	malformed   int // packets that could not be read
@@ -56,12 +56,12 @@
 	x.storeRules(b)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.ledger = quota.NewBook(f.identity.Life, int64(f.identity.Life), x.nowMs(), func(key string) (quota.Rules, bool) {
+	x.ledger = quota.NewLedger(f.identity.Incarnation, int64(f.identity.Incarnation), x.nowMs(), func(key string) (quota.Limit, bool) {
 		r, is := (*x.rules.Load())[key]
 		return r, is
 	})
 	if f.exclusion != nil {
-		x.ledger.Mute()
+		x.ledger.Disable()
 	}
 	f.budgets = x
 	return x
@@ -72,7 +72,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.storeRules(o)
-	b.ledger.Set(b.nowMs())
+	b.ledger.Update(b.nowMs())
 }
 
 func (b *Budgets) storeRules(o *operator.Budgets) {
@@ -93,7 +93,7 @@
 	parted := t.Round(0).Sub(b.startedAt.Round(0)) - own
 	if step := parted - b.clockOffset; step > maxClockStep || step < -maxClockStep {
 		if b.clockSteps++; b.ledger != nil {
-			b.ledger.Void(float64(own) / 1e6)
+			b.ledger.Invalidate(float64(own) / 1e6)
 		}
 	}
 	b.clockOffset = parted
@@ -134,7 +134,7 @@
 	now := b.nowMs()
 	n := b.cachedName(customer, method, operator.QuotaPrefix)
 	b.counts.counter.Add(now, n.counted, 1)
-	ok, bound, again := b.ledger.Take(now, n.budget, criticality, 0)
+	ok, bound, again := b.ledger.TryAcquire(now, n.budget, criticality, 0)
 	switch {
 	case !bound:
 		return control.QuotaUnknown, 0
@@ -148,7 +148,7 @@
 func (b *Budgets) AllowRetry(pool string, worth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok, _, _ := b.ledger.Take(b.nowMs(), b.cachedName(pool, "", operator.RetriesPrefix).budget, worth, 0)
+	ok, _, _ := b.ledger.TryAcquire(b.nowMs(), b.cachedName(pool, "", operator.RetriesPrefix).budget, worth, 0)
 	return ok
 }
 
@@ -158,7 +158,7 @@
 	defer b.mu.Unlock()
 	now := b.nowMs()
 	b.endExpiredCalls(now)
-	ok, _, _ := b.ledger.Take(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).budget, worth, longest+(*b.lingerMs.Load())[pool])
+	ok, _, _ := b.ledger.TryAcquire(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).budget, worth, longest+(*b.lingerMs.Load())[pool])
 	if ok {
 		b.counts.inFlight[pool]++
 	}
@@ -181,7 +181,7 @@
 }
 
 func (b *Budgets) endCall(pool string) {
-	b.ledger.Give(b.cachedName(pool, failedCalls, operator.CallsPrefix).budget)
+	b.ledger.Release(b.cachedName(pool, failedCalls, operator.CallsPrefix).budget)
 	b.counts.inFlight[pool] = max(0, b.counts.inFlight[pool]-1)
 }
 
@@ -213,14 +213,14 @@
 func (b *Budgets) dropLeases() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ledger.Void(b.nowMs())
+	b.ledger.Invalidate(b.nowMs())
 }
 
 // disable ends the use of any part: another process bears this server's name.
 func (b *Budgets) disable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ledger.Mute()
+	b.ledger.Disable()
 }
 
 // receive takes a packet that a peer sent to this server alone, and answers it.
@@ -230,7 +230,7 @@
 	if !ok {
 		b.malformed++
 	}
-	var out []quota.Keyed
+	var out []quota.KeyedMessage
 	for _, m := range all {
 		out = append(out, b.ledger.Receive(b.nowMs(), from, m)...)
 	}
@@ -242,8 +242,8 @@
 const maxPacketBytes = 1100
 
 // send packs what goes to one peer together.
-func (b *Budgets) send(all []quota.Keyed) {
-	slices.SortStableFunc(all, func(x, y quota.Keyed) int { return cmp.Compare(x.To, y.To) })
+func (b *Budgets) send(all []quota.KeyedMessage) {
+	slices.SortStableFunc(all, func(x, y quota.KeyedMessage) int { return cmp.Compare(x.To, y.To) })
 	var raw []byte
 	for i := range all {
 		raw = appendLease(raw, &all[i])
@@ -259,7 +259,7 @@
 const maxPacketMessages = 256
 
 // appendLease writes a message as fleet.proto has it.
-func appendLease(b []byte, m *quota.Keyed) []byte {
+func appendLease(b []byte, m *quota.KeyedMessage) []byte {
 	var x []byte
 	number := func(f protowire.Number, v uint64) {
 		if v != 0 {
@@ -273,25 +273,25 @@
 	}
 	x = appendStringField(x, 1, m.Key)
 	number(2, uint64(m.Kind))
-	number(3, m.Number)
-	x = protowire.AppendFixed64(protowire.AppendTag(x, 4, protowire.Fixed64Type), m.Life)
+	number(3, m.RequestID)
+	x = protowire.AppendFixed64(protowire.AppendTag(x, 4, protowire.Fixed64Type), m.Incarnation)
 	float(5, m.Amount)
-	float(6, m.For)
-	float(7, m.Worth)
-	float(8, m.Has)
+	float(6, m.Duration)
+	float(7, m.PriorityWeight)
+	float(8, m.CurrentCapacity)
 	number(9, m.Renews)
-	number(10, uint64(m.Why))
+	number(10, uint64(m.Reason))
 	return protowire.AppendBytes(protowire.AppendTag(b, 1, protowire.BytesType), x)
 }
 
 // parseLeases reads a packet of them; what makes no sense is left out, and told.
-func parseLeases(raw []byte) (all []quota.Keyed, ok bool) {
+func parseLeases(raw []byte) (all []quota.KeyedMessage, ok bool) {
 	sense := true
 	whole := eachField(raw, func(num protowire.Number, v []byte, _ uint64) {
 		if num != 1 || len(all) >= maxPacketMessages {
 			return
 		}
-		var m quota.Keyed
+		var m quota.KeyedMessage
 		good := eachField(v, func(num protowire.Number, v []byte, n uint64) {
 			x := math.Float64frombits(n)
 			switch num {
@@ -300,28 +300,28 @@
 			case 2:
 				m.Kind = quota.MessageKind(min(n, 255))
 			case 3:
-				m.Number = n
+				m.RequestID = n
 			case 4:
-				m.Life = n
+				m.Incarnation = n
 			case 5:
 				m.Amount = x
 			case 6:
-				m.For = x
+				m.Duration = x
 			case 7:
-				m.Worth = x
+				m.PriorityWeight = x
 			case 8:
-				m.Has = x
+				m.CurrentCapacity = x
 			case 9:
 				m.Renews = n
 			case 10:
-				m.Why = quota.Why(min(n, 255))
+				m.Reason = quota.DenialReason(min(n, 255))
 			}
 		})
 		finite := true
-		for _, x := range [...]float64{m.Amount, m.For, m.Worth, m.Has} {
+		for _, x := range [...]float64{m.Amount, m.Duration, m.PriorityWeight, m.CurrentCapacity} {
 			finite = finite && x >= 0 && x <= 1e12
 		}
-		if good && finite && m.Key != "" && m.Kind >= quota.Ask && m.Kind <= quota.Offer {
+		if good && finite && m.Key != "" && m.Kind >= quota.Request && m.Kind <= quota.Offer {
 			all = append(all, m)
 		} else {
 			sense = false
@@ -338,19 +338,19 @@
 
 // BudgetStatus is the state of this server's budget quotas.
 type BudgetStatus struct {
-	Quotas           []quota.Named `json:"Parts,omitempty"` // the quotas with the most activity
-	ActiveQuotas     int           `json:"Table"`           // quotas that are not idle
-	TableFull        uint64        `json:"Full"`            // RPCs for which the table had no room
-	PacketsSent      uint64        `json:"Sent"`            // lease packets
-	ClockSteps       int           `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
-	MalformedPackets int           `json:"Wrong"`           // malformed packets
-	FleetCounts      []CountRange  `json:"Sums,omitempty"`
+	Quotas           []quota.AllocationStatus `json:"Parts,omitempty"` // the quotas with the most activity
+	ActiveQuotas     int                      `json:"Table"`           // quotas that are not idle
+	TableFull        uint64                   `json:"Full"`            // RPCs for which the table had no room
+	PacketsSent      uint64                   `json:"Sent"`            // lease packets
+	ClockSteps       int                      `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
+	MalformedPackets int                      `json:"Wrong"`           // malformed packets
+	FleetCounts      []CountRange             `json:"Sums,omitempty"`
 }
 
 func (b *Budgets) status() *BudgetStatus {
 	b.mu.Lock()
 	now := b.nowMs()
-	s := &BudgetStatus{Quotas: b.ledger.States(now, b.fleet.options.Name, maxReportedQuotas, maxReportedLeases), ActiveQuotas: b.ledger.Size(), TableFull: b.ledger.Full, PacketsSent: b.packetsSent.Load(), ClockSteps: b.clockSteps, MalformedPackets: b.malformed}
+	s := &BudgetStatus{Quotas: b.ledger.Statuses(now, b.fleet.options.Name, maxReportedQuotas, maxReportedLeases), ActiveQuotas: b.ledger.Size(), TableFull: b.ledger.Overflows, PacketsSent: b.packetsSent.Load(), ClockSteps: b.clockSteps, MalformedPackets: b.malformed}
 	b.mu.Unlock()
 	return s
 }
@@ -363,7 +363,7 @@
 
 // localCounts is what this server counts for the others.
 type localCounts struct {
-	counter     *count.Own
+	counter     *count.Local
 	inFlight    map[string]int // calls, by pool
 	publishedAt float64        // when they were last said
 }
@@ -375,7 +375,7 @@
 )
 
 func newLocalCounts() localCounts {
-	return localCounts{counter: count.NewOwn(count.Usual), inFlight: map[string]int{}}
+	return localCounts{counter: count.NewLocal(count.DefaultConfig), inFlight: map[string]int{}}
 }
 
 // dueRecord is the record that is to be said now; nil for none yet.
@@ -384,15 +384,15 @@
 		return nil
 	}
 	c.publishedAt = now
-	items := c.counter.Items(now, maxPublishedCounts)
+	items := c.counter.Largest(now, maxPublishedCounts)
 	rest := 0.0
 	if len(items) == maxPublishedCounts {
 		rest = items[maxPublishedCounts-1].Value
 	}
-	items = slices.DeleteFunc(items, func(x count.Item) bool { return x.Value < 0.05 })
+	items = slices.DeleteFunc(items, func(x count.Counter) bool { return x.Value < 0.05 })
 	for _, pool := range slices.Sorted(maps.Keys(c.inFlight)) {
 		if len(items) < maxPublishedCounts+4 {
-			items = append(items, count.Item{Key: "in hand|" + pool, Value: float64(c.inFlight[pool])})
+			items = append(items, count.Counter{Key: "in hand|" + pool, Value: float64(c.inFlight[pool])})
 		}
 	}
 	if len(items) == 0 {
@@ -409,13 +409,13 @@
 		}
 		b = appendStringField(b, 2, x.Key)
 		float(3, x.Value)
-		float(4, x.Err)
+		float(4, x.MaxError)
 	}
 	return b
 }
 
 // parseCounts reads such a record.
-func parseCounts(raw []byte) (items []count.Item, rest float64, ok bool) {
+func parseCounts(raw []byte) (items []count.Counter, rest float64, ok bool) {
 	ok = eachField(raw, func(num protowire.Number, v []byte, n uint64) {
 		x := float64(math.Float32frombits(uint32(n)))
 		if !(x >= 0 && x < 1e12) {
@@ -425,11 +425,11 @@
 		case num == 1:
 			rest = x
 		case num == 2:
-			items = append(items, count.Item{Key: sanitize(string(v))})
+			items = append(items, count.Counter{Key: sanitize(string(v))})
 		case num == 3 && len(items) > 0:
 			items[len(items)-1].Value = x
 		case num == 4 && len(items) > 0:
-			items[len(items)-1].Err = x
+			items[len(items)-1].MaxError = x
 		}
 	})
 	return items, rest, ok
@@ -437,21 +437,21 @@
 
 // countRanges are over the roster, as ranges that widen for those not heard. The lock of the fleet is held.
 func (f *Fleet) countRanges(now float64, most int) (all []CountRange) {
-	sum := count.NewFleet(count.Usual)
+	sum := count.NewAggregate(count.DefaultConfig)
 	roster := []string{f.options.Name}
 	for _, p := range f.detector.Peers(now) {
-		if p.Away == 0 {
+		if p.Departure == 0 {
 			roster = append(roster, p.Name)
 		}
 	}
 	f.records.Each(now, keyCounts, func(r *gossip.Record, age float64) {
 		if items, rest, ok := parseCounts(r.Body); ok {
-			sum.Take(now-age, r.Origin, r.Start, r.Seq, items, rest)
+			sum.Merge(now-age, r.Origin, r.Generation, r.Sequence, items, rest)
 		}
 	})
 	for _, key := range sum.Keys() {
 		r := sum.Sum(now, key, roster)
-		all = append(all, CountRange{key, r.AtLeast, r.AtMost})
+		all = append(all, CountRange{key, r.Min, r.Max})
 	}
 	slices.SortStableFunc(all, func(a, b CountRange) int { return cmp.Compare(b.AtLeast, a.AtLeast) })
 	return all[:min(most, len(all))]
--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -34,7 +34,7 @@
 	}
 	pour("n0", 120, 3*time.Second, 1) // the start is over, and loans are made
 	await(t, b, n[:1], func(p *testbed.Observation) bool {
-		if p.Budgets == nil || len(p.Budgets.Quotas) == 0 || p.Budgets.Quotas[0].Borrowed < 40 {
+		if p.Budgets == nil || len(p.Budgets.Quotas) == 0 || p.Budgets.Quotas[0].Leased < 40 {
 			pour("n0", 120, 500*time.Millisecond, 2)
 			return false
 		}
@@ -92,7 +92,7 @@
 			return false
 		}
 		for _, x := range p.Budgets.Quotas {
-			if x.Own != 5 || x.Part > 20 {
+			if x.Owned != 5 || x.Capacity > 20 {
 				return false
 			}
 		}
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -16,10 +16,10 @@
 )
 
 func TestLoansOnTheWire(t *testing.T) {
-	all := []quota.Keyed{
-		{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
-		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
-		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, Number: 9, Life: 2, Why: quota.Contends}},
+	all := []quota.KeyedMessage{
+		{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 1 << 63, Amount: 12.5, PriorityWeight: 3, CurrentCapacity: 0.25, Renews: 6}},
+		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, RequestID: 8, Incarnation: 1, Amount: 1e6, Duration: 4000}},
+		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, RequestID: 9, Incarnation: 2, Reason: quota.Contended}},
 	}
 	var raw []byte
 	for i := range all {
@@ -28,10 +28,10 @@
 	if got, ok := parseLeases(raw); !ok || !reflect.DeepEqual(got, all) {
 		t.Errorf("%+v %v", got, ok)
 	}
-	if got, ok := parseLeases(appendLease(raw, &quota.Keyed{Key: "x"})); ok || len(got) != len(all) {
+	if got, ok := parseLeases(appendLease(raw, &quota.KeyedMessage{Key: "x"})); ok || len(got) != len(all) {
 		t.Errorf("one that makes no sense beside others: %d taken, %v", len(got), ok)
 	}
-	for _, m := range []quota.Keyed{{Key: "", Message: quota.Message{Kind: quota.Ask}}, {Key: "x"}, {Key: "x", Message: quota.Message{Kind: quota.Ask, Amount: -1}}} {
+	for _, m := range []quota.KeyedMessage{{Key: "", Message: quota.Message{Kind: quota.Request}}, {Key: "x"}, {Key: "x", Message: quota.Message{Kind: quota.Request, Amount: -1}}} {
 		if got, ok := parseLeases(appendLease(nil, &m)); ok || len(got) != 0 {
 			t.Errorf("%+v was taken", got)
 		}
@@ -39,15 +39,15 @@
 }
 
 func FuzzLoans(f *testing.F) {
-	f.Add(appendLease(nil, &quota.Keyed{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 3, Amount: 12.5}}))
+	f.Add(appendLease(nil, &quota.KeyedMessage{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 3, Amount: 12.5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		all, _ := parseLeases(raw)
-		b := quota.NewBook(1, 1, 0, func(string) (quota.Rules, bool) {
-			return quota.Rules{Kind: quota.Rate, Bound: 100, Burst: 10, Servers: 2, Floor: 5, Longest: 1000}, true
+		b := quota.NewLedger(1, 1, 0, func(string) (quota.Limit, bool) {
+			return quota.Limit{Kind: quota.Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 5, MaxLeaseDuration: 1000}, true
 		})
 		for i, m := range all {
 			b.Receive(2000+float64(i), "p", m)
-			if part := b.Part(2000+float64(i), m.Key); part < 5-1e-9 || part > 50+1e-9 {
+			if part := b.Capacity(2000+float64(i), m.Key); part < 5-1e-9 || part > 50+1e-9 {
 				t.Fatalf("a part of %g after %+v", part, m)
 			}
 		}
@@ -56,7 +56,7 @@
 
 // customerQuota is one customer's, shared by so many servers.
 func customerQuota(bound float64, servers int) *operator.Budgets {
-	return &operator.Budgets{Servers: servers, ClockDrift: quota.UsualDrift, Customers: map[string]operator.Budget{
+	return &operator.Budgets{Servers: servers, ClockDrift: quota.DefaultClockDrift, Customers: map[string]operator.Budget{
 		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, MaxLeaseMs: 1000},
 	}}
 }
@@ -94,7 +94,7 @@
 		parts = append(parts, f.ShareBudgets(customerQuota(300, 3)))
 	}
 	for _, f := range fleet {
-		wait(t, "whole", hears(f, health.Whole, 3))
+		wait(t, "whole", hears(f, health.Complete, 3))
 	}
 	if stands, _ := parts[0].Arrives("view", "other", 1); stands != control.QuotaUnknown {
 		t.Error("a customer without a budget")
@@ -104,7 +104,7 @@
 		t.Errorf("%g a second of 300", got)
 	}
 	s := fleet[0].Status()
-	if len(s.Budgets.Quotas) != 1 || s.Budgets.Quotas[0].Borrowed < 150 || len(s.Budgets.Quotas[0].Loans) < 2 {
+	if len(s.Budgets.Quotas) != 1 || s.Budgets.Quotas[0].Leased < 150 || len(s.Budgets.Quotas[0].Leases) < 2 {
 		t.Errorf("status: %+v", s.Budgets)
 	}
 	wait(t, "counts", func() bool {
@@ -145,7 +145,7 @@
 	b := f.ShareBudgets(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.ledger.Receive(b.nowMs(), "p", quota.Keyed{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
+	b.ledger.Receive(b.nowMs(), "p", quota.KeyedMessage{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
 	b.clockOffset -= time.Minute // as if the machine had slept for one
 	b.nowMs()
 	if b.clockSteps != 1 {
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -108,10 +108,10 @@
 	}
 	same("gone.bin", away.appendTo(nil))
 
-	loans := []quota.Keyed{
-		{Key: "quota/a", Message: quota.Message{Kind: quota.Ask, Number: 7, Life: 1 << 63, Amount: 12.5, Worth: 3, Has: 0.25, Renews: 6}},
-		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, Number: 8, Life: 1, Amount: 1e6, For: 4000}},
-		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, Number: 9, Life: 2, Why: quota.Contends}},
+	loans := []quota.KeyedMessage{
+		{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 1 << 63, Amount: 12.5, PriorityWeight: 3, CurrentCapacity: 0.25, Renews: 6}},
+		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, RequestID: 8, Incarnation: 1, Amount: 1e6, Duration: 4000}},
+		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, RequestID: 9, Incarnation: 2, Reason: quota.Contended}},
 	}
 	if got, ok := parseLeases(written(t, "loans.bin")); !ok || !reflect.DeepEqual(got, loans) {
 		t.Errorf("loans: %+v %v", got, ok)
@@ -122,18 +122,18 @@
 	}
 	same("loans.bin", raw)
 
-	views := []evidence.View{
-		{Member: "10.0.0.1:80", Run: -3, Age: 125, N: 40, Bad: 0.5, Slow: -1.5, SlowN: 6, Busy: 250},
-		{Member: "10.0.0.2:80", Run: 9, Age: 5, N: 64, SlowN: 7},
+	views := []evidence.Summary{
+		{Member: "10.0.0.1:80", Run: -3, Age: 125, Attempts: 40, FailureFraction: 0.5, LogLatencyRatio: -1.5, LatencySamples: 6, BusyRemaining: 250},
+		{Member: "10.0.0.2:80", Run: 9, Age: 5, Attempts: 64, LatencySamples: 7},
 	}
-	said := outlier.Said{Zone: "z1", Views: views, Out: []string{"10.0.0.1:80"}, Back: []outlier.Back{{Member: "10.0.0.3:80", For: 1500}}}
+	said := outlier.Report{Zone: "z1", Summaries: views, Ejected: []string{"10.0.0.1:80"}, Recoveries: []outlier.Recovery{{Member: "10.0.0.3:80", Elapsed: 1500}}}
 	if got, ok := parseObservations(written(t, "seen.bin")); !ok || !reflect.DeepEqual(got, said) {
 		t.Errorf("seen: %+v %v", got, ok)
 	}
-	same("seen.bin", appendObservations(views, said.Zone, said.Out, said.Back))
+	same("seen.bin", appendObservations(views, said.Zone, said.Ejected, said.Recoveries))
 
 	items, rest, ok := parseCounts(written(t, "counts.bin"))
-	counted := []count.Item{{Key: "acme|view", Value: 11.289106369018555}, {Key: "in hand|p", Value: 3}}
+	counted := []count.Counter{{Key: "acme|view", Value: 11.289106369018555}, {Key: "in hand|p", Value: 3}}
 	if !ok || rest != 0 || !reflect.DeepEqual(items, counted) {
 		t.Errorf("counts: %+v %v %v", items, rest, ok)
 	}
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -117,7 +117,7 @@
 	case phase == WarmingUp:
 		out = 1 - ramp
 	}
-	return d.fleet.identity.Start, out, leaves
+	return d.fleet.identity.Generation, out, leaves
 }
 
 // report is what is told of this server now.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -44,7 +44,7 @@
 	Phase           func() (Phase, float64)
 	Log             *logrus.Entry
 
-	healthRules   health.Rules                  // zero for the usual ones
+	healthRules   health.Config                 // zero for the usual ones
 	openTransport func() (baseTransport, error) // nil: sockets
 }
 
@@ -88,7 +88,7 @@
 	joinSlots  chan struct{}  // a place for each at a time
 
 	mu               sync.Mutex
-	detector         *health.Hearing
+	detector         *health.Detector
 	records          *gossip.Table
 	identity         health.Identity
 	sequences        map[string]uint64
@@ -131,10 +131,10 @@
 // Start opens the server's part: it listens and joins whom it knows, again and again. It fails only if what it is told is
 // wrong or its address is taken.
 func Start(o Options) (*Fleet, error) {
-	if o.healthRules == (health.Rules{}) {
-		o.healthRules = health.Usual
+	if o.healthRules == (health.Config{}) {
+		o.healthRules = health.DefaultConfig
 	}
-	o.healthRules.Expect = o.ExpectedServers
+	o.healthRules.ExpectedServers = o.ExpectedServers
 	if o.Phase == nil {
 		o.Phase = func() (Phase, float64) { return Warm, 1 }
 	}
@@ -144,14 +144,14 @@
 	o.Seeds = slices.Clone(o.Seeds) // the caller may reuse its slice while the fleet joins
 	f := &Fleet{
 		options: o, startedAt: time.Now(), stop: make(chan struct{}), loopDone: make(chan struct{}),
-		joinSlots: make(chan struct{}, maxConcurrentJoins), records: gossip.NewTable(gossip.Usual), sequences: map[string]uint64{},
+		joinSlots: make(chan struct{}, maxConcurrentJoins), records: gossip.NewTable(gossip.DefaultLimits), sequences: map[string]uint64{},
 		published: map[string][]byte{}, nameByAddr: map[string]string{}, nodes: map[string]*memberlist.Node{}, lastAddr: map[string]string{},
 	}
 	f.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: retransmitMult, NumNodes: func() int { return int(f.reachable.Load()) }}
 	f.reachable.Store(1)
 	var draw [8]byte
 	rand.Read(draw[:])
-	f.identity = health.Identity{Start: 1, Life: binary.LittleEndian.Uint64(draw[:]) | 1}
+	f.identity = health.Identity{Generation: 1, Incarnation: binary.LittleEndian.Uint64(draw[:]) | 1}
 	f.detector = health.New(o.healthRules, o.Name, o.Zone, 0, f.wallMs())
 	if err := f.startMemberlist(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -170,7 +170,7 @@
 	if f.silenced.Load() {
 		return false
 	}
-	if gap := time.Now().Sub(f.startedAt) - time.Duration(f.lastTick.Load()); float64(gap)/1e6 >= f.options.healthRules.Stall {
+	if gap := time.Now().Sub(f.startedAt) - time.Duration(f.lastTick.Load()); float64(gap)/1e6 >= f.options.healthRules.StallThreshold {
 		f.silenced.Store(true)
 		return false
 	}
@@ -263,7 +263,7 @@
 		refused := f.exclusion != nil
 		// Who hears nobody has a detector full of suspicions that nobody can refute; kept until the cut heals, they would
 		// call sound peers dead.
-		deaf := !stalled && len(f.nameByAddr) > 0 && f.detector.Deaf(f.elapsedMs(now))
+		deaf := !stalled && len(f.nameByAddr) > 0 && f.detector.InboundTimedOut(f.elapsedMs(now))
 		f.mu.Unlock()
 		if (stalled || deaf) && !refused {
 			f.silenced.Store(true)
@@ -282,8 +282,8 @@
 		shared, judges := f.budgets, f.outliers
 		whole, pulse := false, f.announceWait()
 		if shared != nil || judges != nil {
-			peers = f.detector.Heard(f.elapsedMs(now), peers[:0])
-			whole = f.detector.WholeFor(f.elapsedMs(now), outlier.Together)
+			peers = f.detector.AppendReachable(f.elapsedMs(now), peers[:0])
+			whole = f.detector.CompleteFor(f.elapsedMs(now), outlier.CompletePeriod)
 		}
 		f.mu.Unlock()
 		if judges != nil {
@@ -308,7 +308,7 @@
 	f.mu.Lock()
 	old := f.instance
 	f.instance = nil
-	f.detector.Void(f.elapsedMs(time.Now()))
+	f.detector.Reset(f.elapsedMs(time.Now()))
 	f.firstContact = time.Time{}
 	clear(f.nameByAddr)
 	clear(f.nodes)
@@ -345,9 +345,9 @@
 // publish spreads an own record. The lock is held.
 func (f *Fleet) publish(now time.Time, key string, body []byte) error {
 	f.sequences[key]++
-	r := gossip.Record{Origin: f.options.Name, Key: key, Start: f.identity.Start, Life: f.identity.Life, Seq: f.sequences[key], Body: body}
+	r := gossip.Record{Origin: f.options.Name, Key: key, Generation: f.identity.Generation, Incarnation: f.identity.Incarnation, Sequence: f.sequences[key], Body: body}
 	raw := r.Append(nil)
-	if _, found := f.records.Put(f.elapsedMs(now), raw); found != gossip.News {
+	if _, found := f.records.Put(f.elapsedMs(now), raw); found != gossip.Updated {
 		return fmt.Errorf("fleet: the record %q is over the bounds", key)
 	}
 	f.published[key] = body
@@ -381,7 +381,7 @@
 func (f *Fleet) joinPeers(now time.Time) {
 	f.mu.Lock()
 	var to []string
-	for _, name := range f.detector.Silent() {
+	for _, name := range f.detector.RejoinCandidates() {
 		addr := f.lastAddr[name]
 		if r, _, has := f.records.Get(f.elapsedMs(now), name, keyServer); has {
 			if s, ok := parseServer(r.Body); ok && s.Addr != "" {
@@ -423,7 +423,7 @@
 func (f *Fleet) packetReceived(from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.detector.Word(f.elapsedMs(time.Now()), f.nameByAddr[from])
+	f.detector.RecordMessage(f.elapsedMs(time.Now()), f.nameByAddr[from])
 }
 
 // isCurrent tells whether events of an instance count. The lock is held.
@@ -468,12 +468,12 @@
 	f.nameByAddr[n.Address()] = n.Name
 	node := *n
 	f.nodes[n.Name] = &node
-	if len(f.lastAddr) < f.options.healthRules.Peers || f.lastAddr[n.Name] != "" {
+	if len(f.lastAddr) < f.options.healthRules.MaxPeers || f.lastAddr[n.Name] != "" {
 		f.lastAddr[n.Name] = n.Address()
 	}
 	start, life := parseNodeMeta(n.Meta)
-	f.detector.Known(f.elapsedMs(now), n.Name, "", start, life)
-	f.detector.Alive(f.elapsedMs(now), n.Name)
+	f.detector.AddMember(f.elapsedMs(now), n.Name, "", start, life)
+	f.detector.MarkAlive(f.elapsedMs(now), n.Name)
 	f.reachable.Store(int64(1 + len(f.nameByAddr)))
 }
 
@@ -490,10 +490,10 @@
 	delete(f.nodes, n.Name)
 	f.reachable.Store(int64(1 + len(f.nameByAddr)))
 	if n.State == memberlist.StateLeft {
-		f.detector.Leaves(f.elapsedMs(now), n.Name, 0, health.Left)
+		f.detector.MarkDeparted(f.elapsedMs(now), n.Name, 0, health.Left)
 	} else {
 		f.peersLost++
-		f.detector.Lost(f.elapsedMs(now), n.Name)
+		f.detector.MarkSuspect(f.elapsedMs(now), n.Name)
 	}
 }
 
@@ -501,7 +501,7 @@
 func (in *instance) NodeMeta(limit int) []byte {
 	in.fleet.mu.Lock()
 	defer in.fleet.mu.Unlock()
-	return binary.LittleEndian.AppendUint64(binary.AppendUvarint(nil, in.fleet.identity.Start), in.fleet.identity.Life)
+	return binary.LittleEndian.AppendUint64(binary.AppendUvarint(nil, in.fleet.identity.Generation), in.fleet.identity.Incarnation)
 }
 
 func parseNodeMeta(meta []byte) (start, life uint64) {
@@ -535,7 +535,7 @@
 	now := time.Now()
 	otherStart, otherLife := parseNodeMeta(other.Meta)
 	isNew := f.firstContact.IsZero() || now.Sub(f.firstContact) < newcomerPeriod
-	if isNew && (otherStart > f.identity.Start || otherStart == f.identity.Start && otherLife > f.identity.Life || f.detector.View(f.elapsedMs(now)).State == health.Alone) {
+	if isNew && (otherStart > f.identity.Generation || otherStart == f.identity.Generation && otherLife > f.identity.Incarnation || f.detector.View(f.elapsedMs(now)).State == health.Isolated) {
 		f.exclude(fmt.Errorf("the name %s is taken by a server at %s; this one serves without the fleet", f.options.Name, other.Address()))
 	}
 }
@@ -547,7 +547,7 @@
 	if f.budgets != nil {
 		go f.budgets.disable() // its lock is taken before this one's elsewhere
 	}
-	f.detector.Void(f.elapsedMs(time.Now()))
+	f.detector.Reset(f.elapsedMs(time.Now()))
 	f.options.Log.WithError(err).Error("fleet: refused")
 }
 
@@ -560,7 +560,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if in.isCurrent() && f.awake() {
-		f.detector.Answered(f.elapsedMs(time.Now()), n.Name)
+		f.detector.RecordAck(f.elapsedMs(time.Now()), n.Name)
 	}
 }
 
@@ -652,7 +652,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := append([]byte{byte(len(f.options.Name))}, f.options.Name...)
-	return f.records.AppendAll(b, maxStateBytes)
+	return f.records.AppendState(b, maxStateBytes)
 }
 
 // MergeRemoteState takes what came with one.
@@ -661,7 +661,7 @@
 		in.fleet.receiveRecord(in, "", nil)
 		return
 	}
-	if !gossip.Split(b[1+b[0]:], func(raw []byte) { in.fleet.receiveRecord(in, "", raw) }) {
+	if !gossip.SplitState(b[1+b[0]:], func(raw []byte) { in.fleet.receiveRecord(in, "", raw) }) {
 		in.fleet.receiveRecord(in, "", nil)
 	}
 }
@@ -683,7 +683,7 @@
 		return
 	}
 	r, found := f.records.Put(now, raw)
-	if found != gossip.News {
+	if found != gossip.Updated {
 		return
 	}
 	f.broadcasts.QueueBroadcast(&recordBroadcast{key: r.Origin + "\x00" + r.Key, record: slices.Clone(raw)})
@@ -695,20 +695,20 @@
 			break
 		}
 		zone = s.Zone
-		if f.detector.Known(now, r.Origin, zone, r.Start, r.Life); s.Phase == Leaving {
-			f.detector.Leaves(now, r.Origin, r.Start, health.Left)
+		if f.detector.AddMember(now, r.Origin, zone, r.Generation, r.Incarnation); s.Phase == Leaving {
+			f.detector.MarkDeparted(now, r.Origin, r.Generation, health.Left)
 		}
 	case keyRemoval:
 		if g, ok := parseRemoval(r.Body); ok && g.name != f.options.Name {
-			f.detector.Leaves(now, g.name, g.start, health.Gone)
+			f.detector.MarkDeparted(now, g.name, g.start, health.DeclaredDead)
 		}
 	}
-	f.detector.Via(now, r.Origin, through)
+	f.detector.RecordIndirect(now, r.Origin, through)
 }
 
 // receiveOwnRecord is a record of the own name: of a former life, or of another process. The lock is held.
 func (f *Fleet) receiveOwnRecord(at time.Time, r *gossip.Record) {
-	raised, twin := f.identity.Met(f.elapsedMs(at), r.Start, r.Life)
+	raised, twin := f.identity.Refute(f.elapsedMs(at), r.Generation, r.Incarnation)
 	if !raised {
 		return
 	}
@@ -736,12 +736,12 @@
 func (f *Fleet) DeclareRemoved(name, who, why string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	start, _, has := f.records.Newest(name)
+	start, _, has := f.records.LatestIncarnation(name)
 	if !has || name == f.options.Name {
 		return fmt.Errorf("%q is no other server of the fleet that is known here", name)
 	}
 	for _, p := range f.detector.Peers(f.elapsedMs(time.Now())) {
-		if p.Name == name && p.Heard {
+		if p.Name == name && p.Reachable {
 			return fmt.Errorf("%s is heard: it is not gone", name)
 		}
 	}
@@ -750,7 +750,7 @@
 	if err := f.publish(now, keyRemoval, g.appendTo(nil)); err != nil {
 		return err
 	}
-	f.detector.Leaves(f.elapsedMs(now), name, start, health.Gone)
+	f.detector.MarkDeparted(f.elapsedMs(now), name, start, health.DeclaredDead)
 	f.options.Log.WithFields(logrus.Fields{"name": name, "who": who, "why": why}).Warn("fleet: declared gone")
 	return nil
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -101,10 +101,10 @@
 	return f
 }
 
-func hears(f *Fleet, state health.State, heard int) func() bool {
+func hears(f *Fleet, state health.ClusterState, heard int) func() bool {
 	return func() bool {
 		v := f.View()
-		return v.State == state && v.Heard == heard
+		return v.State == state && v.Reachable == heard
 	}
 }
 
@@ -126,7 +126,7 @@
 		defer f.Close()
 	}
 	for _, f := range fleet {
-		wait(t, f.options.Name+" hears all", hears(f, health.Whole, 4))
+		wait(t, f.options.Name+" hears all", hears(f, health.Complete, 4))
 	}
 	wait(t, "the phase of n1 is known", func() bool {
 		s := fleet[3].Status()
@@ -140,7 +140,7 @@
 		return has
 	})
 	fleet[1].Close()
-	wait(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Whole && v.Roster == 3 })
+	wait(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Complete && v.Members == 3 })
 }
 
 // A server that comes again under its name goes before its former life, whose records are still about.
@@ -152,7 +152,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "a hears b", hears(a, health.Whole, 2))
+	wait(t, "a hears b", hears(a, health.Complete, 2))
 	b.Publish("x", []byte("old"))
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Crash()
@@ -169,8 +169,8 @@
 	addrs := []string{free(t), free(t), free(t)}
 	a := open(t, &addrs[0], Options{Name: "a"})
 	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs[:1]})
-	wait(t, "whole", hears(a, health.Whole, 2))
-	wait(t, "whole", hears(b, health.Whole, 2))
+	wait(t, "whole", hears(a, health.Complete, 2))
+	wait(t, "whole", hears(b, health.Complete, 2))
 	twin := open(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
 	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().ExclusionReason, "the name b is") })
 	wait(t, "both are named", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
@@ -196,7 +196,7 @@
 	if _, err := b.ServeSocket(path); err == nil {
 		t.Error("a second server takes the socket")
 	}
-	wait(t, "whole", hears(a, health.Whole, 2))
+	wait(t, "whole", hears(a, health.Complete, 2))
 	ctx := context.Background()
 	if err := RequestRemoval(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
 		t.Errorf("who is heard is declared gone: %v", err)
@@ -232,7 +232,7 @@
 	addrs := []string{free(t), free(t)}
 	a := open(t, &addrs[0], Options{Name: "a"})
 	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	wait(t, "whole", hears(a, health.Whole, 2))
+	wait(t, "whole", hears(a, health.Complete, 2))
 	b.Publish("x", []byte("first"))
 	var old []byte
 	wait(t, "the record", func() bool {
@@ -253,7 +253,7 @@
 	}
 	c.Write(user(old))
 	c.Write(user(old[:len(old)-3]))
-	wait(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Old > 0 && n.Damaged > 0 })
+	wait(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
 	for i := range 20000 {
 		c.Write([]byte(strings.Repeat(string(rune(i)), 1+i%200)))
 	}
@@ -261,7 +261,7 @@
 	if r, _, _ := a.Get("b", "x"); string(r.Body) != "second" {
 		t.Errorf("the record is %q", r.Body)
 	}
-	if v := a.View(); v.Heard != 2 || v.Roster != 2 {
+	if v := a.View(); v.Reachable != 2 || v.Members != 2 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -293,9 +293,9 @@
 		mesh.Close()
 	}()
 	for _, f := range fleet {
-		wait(t, f.options.Name+" hears all", hears(f, health.Whole, n))
+		wait(t, f.options.Name+" hears all", hears(f, health.Complete, n))
 	}
-	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Heard != n/3 {
+	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Reachable != n/3 {
 		t.Errorf("zones %v", z)
 	}
 }
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -46,21 +46,21 @@
 
 // poolDetector is one pool.
 type poolDetector struct {
-	evidence     evidence.Own
-	detector     *outlier.Judge
+	evidence     evidence.Recorder
+	detector     *outlier.Detector
 	evaluatedAt  float64
 	publishedAt  float64
 	faultPending bool // something bad is to be said
 	verdicts     atomic.Pointer[[]pool.FleetDecision]
 	fleetwide    atomic.Bool // this server hears all; else it judges for itself
 	checksNeeded atomic.Bool // a member is, that this server may ask after
-	reports      []outlier.Said
+	reports      []outlier.Report
 	drained      []string // members that an operator drains
 }
 
 // DetectOutliers has a server judge members together with its fleet.
 func (f *Fleet) DetectOutliers() *OutlierDetectors {
-	j := &OutlierDetectors{fleet: f, startedAt: time.Now(), log: f.options.Log, pools: map[string]*poolDetector{}, random: rand.New(rand.NewPCG(f.identity.Life, 5))}
+	j := &OutlierDetectors{fleet: f, startedAt: time.Now(), log: f.options.Log, pools: map[string]*poolDetector{}, random: rand.New(rand.NewPCG(f.identity.Incarnation, 5))}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.outliers = j
@@ -81,7 +81,7 @@
 	}
 	for name, members := range all {
 		r := rules(name)
-		set := outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}
+		set := outlier.Config{MinInUseFraction: r.MinHealthyShare, LatencyFactor: r.LatencyFactor, ConsecutiveFailures: r.ConsecutiveFailures, BaseEjectionTime: r.BaseEjection, RecoveryRamp: r.SlowStart}
 		p := j.pools[name]
 		if p == nil {
 			if len(j.pools) >= maxDetectedPools {
@@ -93,9 +93,9 @@
 			j.pools[name] = p
 			continue
 		}
-		p.detector.Set(set, members)
-		p.detector.Aside(now, p.drained)
-		p.evidence.Keep(members)
+		p.detector.Update(set, members)
+		p.detector.SetDrained(now, p.drained)
+		p.evidence.Retain(members)
 	}
 }
 
@@ -109,9 +109,9 @@
 	}
 	switch how {
 	case pool.Succeeded:
-		p.evidence.OK(j.nowMs(), member, latency)
+		p.evidence.RecordSuccess(j.nowMs(), member, latency)
 	case pool.Failed:
-		p.evidence.Failed(j.nowMs(), member)
+		p.evidence.RecordFailure(j.nowMs(), member)
 		p.evaluatedAt = math.Inf(-1) // looked at with the next tick
 		p.faultPending = true
 	}
@@ -122,7 +122,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if p := j.pools[name]; p != nil {
-		p.evidence.Busy(j.nowMs(), member, away)
+		p.evidence.RecordBusy(j.nowMs(), member, away)
 		p.evaluatedAt = math.Inf(-1)
 		p.faultPending = true
 	}
@@ -134,7 +134,7 @@
 	defer j.mu.Unlock()
 	for name, p := range j.pools {
 		p.drained = drained[name]
-		p.detector.Aside(j.nowMs(), p.drained)
+		p.detector.SetDrained(j.nowMs(), p.drained)
 		p.evaluatedAt = math.Inf(-1)
 	}
 }
@@ -152,7 +152,7 @@
 
 // Takes is pools.Judges.
 func (j *OutlierDetectors) Admits(member string, caller uint64, share float64) bool {
-	return outlier.Takes(member, caller, share)
+	return outlier.AcceptsCaller(member, caller, share)
 }
 
 // Probe is pools.Judges.
@@ -164,7 +164,7 @@
 		return ""
 	}
 	for _, m := range p.detector.Members() {
-		if m.Out && m.Probes && p.detector.Probe(j.nowMs(), m.Name) {
+		if m.Ejected && m.HealthChecker && p.detector.TryHealthCheck(j.nowMs(), m.Name) {
 			return m.Name
 		}
 	}
@@ -181,7 +181,7 @@
 			continue
 		}
 		p.evaluatedAt = now
-		views := p.evidence.Views(now)
+		views := p.evidence.Summaries(now)
 		p.reports = p.reports[:0]
 		j.fleet.Each(keyObservations+name, func(r *gossip.Record, age float64) {
 			if r.Origin != j.fleet.options.Name {
@@ -191,25 +191,25 @@
 				}
 			}
 		})
-		p.reports = slices.DeleteFunc(p.reports, func(s outlier.Said) bool { return !slices.Contains(peers, s.Origin) })
-		p.detector.Look(now, views, p.reports, peers, whole)
+		p.reports = slices.DeleteFunc(p.reports, func(s outlier.Report) bool { return !slices.Contains(peers, s.Origin) })
+		p.detector.Evaluate(now, views, p.reports, peers, whole)
 		verdicts, out := []pool.FleetDecision{}, false
-		bad := p.faultPending || outlier.Urgent(views) || p.detector.Objects(views, j.random.Float64(), len(peers)+1)
+		bad := p.faultPending || outlier.Urgent(views) || p.detector.ShouldRefute(views, j.random.Float64(), len(peers)+1)
 		p.faultPending = false
 		for _, m := range p.detector.Members() {
-			if m.Out || p.detector.Part(now, m) < 1 {
-				verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: p.detector.Part(now, m)})
+			if m.Ejected || p.detector.TrafficFraction(now, m) < 1 {
+				verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Ejected, CallerShare: p.detector.TrafficFraction(now, m)})
 				bad = true
 			}
-			out = out || m.Out && m.Probes
+			out = out || m.Ejected && m.HealthChecker
 		}
 		p.verdicts.Store(&verdicts)
 		p.fleetwide.Store(whole)
 		p.checksNeeded.Store(out)
 		for _, e := range p.detector.Events() {
-			line := j.log.WithFields(logrus.Fields{"pool": name, "member": e.Name, "by": strings.Join(e.By, " ")})
-			if e.Out {
-				line.WithField("why", e.Why.String()).Warn("judge: member out")
+			line := j.log.WithFields(logrus.Fields{"pool": name, "member": e.Name, "by": strings.Join(e.Accusers, " ")})
+			if e.Ejected {
+				line.WithField("why", e.Condition.String()).Warn("judge: member out")
 			} else {
 				line.Info("judge: member back")
 			}
@@ -220,7 +220,7 @@
 		}
 		if now-p.publishedAt >= wait && len(views)+len(verdicts) > 0 {
 			p.publishedAt = now
-			out, back := p.detector.Told(now)
+			out, back := p.detector.Announcement(now)
 			j.fleet.Publish(keyObservations+name, appendObservations(views, j.fleet.options.Zone, out, back))
 		} else if bad {
 			p.faultPending = true // said when its time has come
@@ -229,9 +229,9 @@
 }
 
 // appendObservations writes what is said of a pool, what is bad first, as far as there is room.
-func appendObservations(views []evidence.View, zone string, out []string, back []outlier.Back) []byte {
+func appendObservations(views []evidence.Summary, zone string, out []string, back []outlier.Recovery) []byte {
 	views = slices.Clone(views)
-	slices.SortStableFunc(views, func(a, b evidence.View) int { return min(a.Run, 0) - min(b.Run, 0) })
+	slices.SortStableFunc(views, func(a, b evidence.Summary) int { return min(a.Run, 0) - min(b.Run, 0) })
 	var b []byte
 	float := func(b []byte, f protowire.Number, v float64) []byte {
 		if v == 0 {
@@ -247,13 +247,13 @@
 	}
 	for _, x := range back {
 		if len(b) < maxViewBytes/2 {
-			b = protowire.AppendBytes(protowire.AppendTag(b, 4, protowire.BytesType), float(appendStringField(nil, 1, x.Member), 2, x.For))
+			b = protowire.AppendBytes(protowire.AppendTag(b, 4, protowire.BytesType), float(appendStringField(nil, 1, x.Member), 2, x.Elapsed))
 		}
 	}
 	for _, v := range views {
 		x := appendStringField(nil, 1, v.Member)
 		x = protowire.AppendVarint(protowire.AppendTag(x, 2, protowire.VarintType), protowire.EncodeZigZag(int64(v.Run)))
-		x = float(float(float(float(float(float(x, 3, v.Age), 4, v.N), 5, v.Bad), 6, v.Slow), 7, v.Busy), 8, v.SlowN)
+		x = float(float(float(float(float(float(x, 3, v.Age), 4, v.Attempts), 5, v.FailureFraction), 6, v.LogLatencyRatio), 7, v.BusyRemaining), 8, v.LatencySamples)
 		if len(b)+len(x)+3 > maxViewBytes {
 			break
 		}
@@ -263,7 +263,7 @@
 }
 
 // parseObservations reads it. Figures out of their bounds are brought into them: who spreads nonsense weighs no more for it.
-func parseObservations(raw []byte) (s outlier.Said, ok bool) {
+func parseObservations(raw []byte) (s outlier.Report, ok bool) {
 	number := func(n uint64, most float64) float64 {
 		x := float64(math.Float32frombits(uint32(n)))
 		if !(x >= 0) {
@@ -276,44 +276,44 @@
 		case 1:
 			s.Zone = sanitize(string(v))
 		case 2:
-			var x evidence.View
+			var x evidence.Summary
 			eachField(v, func(num protowire.Number, v []byte, n uint64) {
 				switch num {
 				case 1:
 					x.Member = string(v)
 				case 2:
-					x.Run = int(max(-evidence.LongestRun, min(evidence.LongestRun, protowire.DecodeZigZag(n))))
+					x.Run = int(max(-evidence.MaxRun, min(evidence.MaxRun, protowire.DecodeZigZag(n))))
 				case 3:
 					x.Age = number(n, 1e9)
 				case 4:
-					x.N = number(n, 1e9)
+					x.Attempts = number(n, 1e9)
 				case 5:
-					x.Bad = number(n, 1)
+					x.FailureFraction = number(n, 1)
 				case 6:
-					if x.Slow = float64(math.Float32frombits(uint32(n))); !(x.Slow >= -20 && x.Slow <= 20) {
-						x.Slow = 0
+					if x.LogLatencyRatio = float64(math.Float32frombits(uint32(n))); !(x.LogLatencyRatio >= -20 && x.LogLatencyRatio <= 20) {
+						x.LogLatencyRatio = 0
 					}
 				case 8:
-					x.SlowN = number(n, 1e6)
+					x.LatencySamples = number(n, 1e6)
 				case 7:
-					x.Busy = number(n, 10e3)
+					x.BusyRemaining = number(n, 10e3)
 				}
 			})
-			s.Views = append(s.Views, x)
+			s.Summaries = append(s.Summaries, x)
 		case 3:
-			s.Out = append(s.Out, string(v))
+			s.Ejected = append(s.Ejected, string(v))
 		case 4:
-			var x outlier.Back
+			var x outlier.Recovery
 			eachField(v, func(num protowire.Number, v []byte, n uint64) {
 				if num == 1 {
 					x.Member = string(v)
 				} else if num == 2 {
-					if x.For = float64(math.Float32frombits(uint32(n))); !(x.For >= outlier.Soonest && x.For <= 1e9) {
-						x.For = 1e9 // long back: that starts nothing
+					if x.Elapsed = float64(math.Float32frombits(uint32(n))); !(x.Elapsed >= outlier.MinElapsed && x.Elapsed <= 1e9) {
+						x.Elapsed = 1e9 // long back: that starts nothing
 					}
 				}
 			})
-			s.Back = append(s.Back, x)
+			s.Recoveries = append(s.Recoveries, x)
 		}
 	})
 	return s, ok
@@ -346,13 +346,13 @@
 	for name, p := range j.pools {
 		s := OutlierStatus{Pool: name}
 		for _, m := range p.detector.Members() {
-			x := MemberStatus{Name: sanitize(m.Name), Reason: m.Why.String(), Ejected: m.Out, CallerShare: p.detector.Part(now, m), ForMs: now - m.Since, Weight: m.Weight, FaultShare: m.Badness,
-				ReportedBy: slices.Clone(m.By), HealthChecks: m.Probes}
+			x := MemberStatus{Name: sanitize(m.Name), Reason: m.Condition.String(), Ejected: m.Ejected, CallerShare: p.detector.TrafficFraction(now, m), ForMs: now - m.Since, Weight: m.EvidenceWeight, FaultShare: m.FailureFraction,
+				ReportedBy: slices.Clone(m.Accusers), HealthChecks: m.HealthChecker}
 			if math.IsInf(m.Since, -1) {
 				x.ForMs = -1
 			}
-			if m.Out {
-				x.CallerShare, x.UntilMs = 0, math.Max(0, m.Until-now)
+			if m.Ejected {
+				x.CallerShare, x.UntilMs = 0, math.Max(0, m.EjectedUntil-now)
 			}
 			s.Members = append(s.Members, x)
 		}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -122,19 +122,19 @@
 	v := f.detector.View(now)
 	phase, ramp := f.options.Phase()
 	s := Status{
-		Name: f.options.Name, Zone: f.options.Zone, Version: f.options.Version, Settings: f.options.SettingsHash, Start: f.identity.Start,
-		Incarnation: strconv.FormatUint(f.identity.Life, 16), Phase: phase.String(), WarmupProgress: ramp, Connectivity: v.State.String(),
-		Listening: v.Listening, ForMs: v.For, Roster: v.Roster, Reachable: v.Heard, AtLeast: v.AtLeast, AtMost: v.AtMost, Blind: v.Blind,
-		Zones: v.Zones, DuplicateNames: append([]string(nil), f.duplicateNames...), Stalls: v.Stalls, PeersLost: f.peersLost, Changes: v.Changes,
+		Name: f.options.Name, Zone: f.options.Zone, Version: f.options.Version, Settings: f.options.SettingsHash, Start: f.identity.Generation,
+		Incarnation: strconv.FormatUint(f.identity.Incarnation, 16), Phase: phase.String(), WarmupProgress: ramp, Connectivity: v.State.String(),
+		Listening: v.InGracePeriod, ForMs: v.StateDuration, Roster: v.Members, Reachable: v.Reachable, AtLeast: v.MinServers, AtMost: v.MaxServers, Blind: v.MaxUnknown,
+		Zones: v.Zones, DuplicateNames: append([]string(nil), f.duplicateNames...), Stalls: v.StallCount, PeersLost: f.peersLost, Changes: v.StateChanges,
 	}
 	if f.exclusion != nil {
 		s.ExclusionReason = f.exclusion.Error()
 	}
 	for _, p := range f.detector.Peers(now) {
 		x := PeerStatus{
-			Name: sanitize(p.Name), Zone: sanitize(p.Zone), Start: p.Start, Reachable: p.Heard, Damped: p.Damped, DuplicateName: p.Twin,
-			Contact: p.Contact.String(), RelayedBy: sanitize(p.Through), AgeMs: p.Age, ForMs: p.For, Losses: p.Losses,
-			Departed: [...]string{"", "left", "declared gone"}[p.Away],
+			Name: sanitize(p.Name), Zone: sanitize(p.Zone), Start: p.Generation, Reachable: p.Reachable, Damped: p.FlapDamped, DuplicateName: p.DuplicateName,
+			Contact: p.Contact.String(), RelayedBy: sanitize(p.Via), AgeMs: p.LastContactAge, ForMs: p.StatusDuration, Losses: p.SuspicionCount,
+			Departed: [...]string{"", "left", "declared gone"}[p.Departure],
 		}
 		if r, _, has := f.records.Get(now, p.Name, keyServer); has {
 			if d, ok := parseServer(r.Body); ok {
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -53,7 +53,7 @@
 	for _, v := range views {
 		zones := make([]string, len(v.Zones))
 		for i, z := range v.Zones {
-			zones[i] = fmt.Sprintf("%s %d/%d", or(z.Name, "-"), z.Heard, z.Roster)
+			zones[i] = fmt.Sprintf("%s %d/%d", or(z.Name, "-"), z.Reachable, z.Members)
 		}
 		notes := slices.Clone(v.DuplicateNames)
 		if v.Listening {
@@ -132,18 +132,18 @@
 	fmt.Fprintln(w, "\nbudget\town\tfloor\tpart now\tlent\tborrowed\tused\tturned away\tlast ask without a loan")
 	for _, p := range v.Budgets.Quotas {
 		refused := "-"
-		if p.Refused.By != "" {
-			refused = fmt.Sprintf("%s ago, %s: %s", secondsText(p.Refused.Ago), p.Refused.By, p.Refused.Why)
+		if p.LastDenial.By != "" {
+			refused = fmt.Sprintf("%s ago, %s: %s", secondsText(p.LastDenial.Age), p.LastDenial.By, p.LastDenial.Reason)
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", p.Key, p.Own, p.Floor, p.Part, p.Lent, p.Borrowed, p.Use, p.Need, refused)
-		for _, l := range p.Loans {
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", p.Key, p.Owned, p.Floor, p.Capacity, p.Granted, p.Leased, p.Usage, p.UnmetDemand, refused)
+		for _, l := range p.Leases {
 			switch {
 			case l.To == "":
-				fmt.Fprintf(w, "  %.4g perhaps lent before the last start, for %s\n", l.Amount, secondsText(l.For))
+				fmt.Fprintf(w, "  %.4g perhaps lent before the last start, for %s\n", l.Amount, secondsText(l.Remaining))
 			case l.To == v.Name:
-				fmt.Fprintf(w, "  %.4g from %s for %s\n", l.Amount, l.From, secondsText(l.For))
+				fmt.Fprintf(w, "  %.4g from %s for %s\n", l.Amount, l.From, secondsText(l.Remaining))
 			default:
-				fmt.Fprintf(w, "  %.4g to %s for %s\n", l.Amount, l.To, secondsText(l.For))
+				fmt.Fprintf(w, "  %.4g to %s for %s\n", l.Amount, l.To, secondsText(l.Remaining))
 			}
 		}
 	}
--- a/internal/fleetsim/backends.go
+++ b/internal/fleetsim/backends.go
@@ -50,8 +50,8 @@
 // backendClient is a server's part.
 type backendClient struct {
 	pool         *pool.Pool
-	evidence     evidence.Own
-	outliers     *outlier.Judge
+	evidence     evidence.Recorder
+	outliers     *outlier.Detector
 	reports      map[int32]*peerReport
 	alivePeers   []string
 	lastReportAt float64
@@ -61,9 +61,9 @@
 
 // word is what was heard of another.
 type peerReport struct {
-	latest     outlier.Said
+	latest     outlier.Report
 	arrivesAt  float64
-	previous   outlier.Said // until then
+	previous   outlier.Report // until then
 	previousAt float64
 }
 
@@ -132,11 +132,11 @@
 		names = append(names, memberName(i))
 	}
 	s.pool = pool.New(v.PoolRules, names, sim.options.Seed*1000+uint64(s.index)<<8+uint64(s.incarnation), now)
-	s.evidence, s.reports = evidence.Own{}, map[int32]*peerReport{}
+	s.evidence, s.reports = evidence.Recorder{}, map[int32]*peerReport{}
 	if v.SharedDetection {
 		r := v.PoolRules
-		s.outliers = outlier.New(outlier.Rules{MinShare: r.MinHealthyShare, Outlier: r.LatencyFactor, Failures: r.ConsecutiveFailures, Hold: r.BaseEjection, Return: r.SlowStart}, s.name, s.zone, names, now)
-		s.pool.UseFleetDecisions(now, nil, outlier.Takes)
+		s.outliers = outlier.New(outlier.Config{MinInUseFraction: r.MinHealthyShare, LatencyFactor: r.LatencyFactor, ConsecutiveFailures: r.ConsecutiveFailures, BaseEjectionTime: r.BaseEjection, RecoveryRamp: r.SlowStart}, s.name, s.zone, names, now)
+		s.pool.UseFleetDecisions(now, nil, outlier.AcceptsCaller)
 	}
 	sim.scheduleAfter(s, backendTickMs*s.rand.Float64(), eventBackendTick, 0, 0)
 }
@@ -167,7 +167,7 @@
 	member, got := 0, pool.NoCapacity
 	if s.outliers != nil && t.attempts == 0 {
 		for _, m := range s.outliers.Members() {
-			if m.Out && m.Probes && s.outliers.Probe(now, m.Name) {
+			if m.Ejected && m.HealthChecker && s.outliers.TryHealthCheck(now, m.Name) {
 				if id, ok := s.pool.AcquireEjected(now, m.Name); ok {
 					member, got = id, pool.Granted
 				}
@@ -214,7 +214,7 @@
 	sim.lastAttempt++
 	t.number, t.reportedLate = sim.lastAttempt, false
 	sim.attempts[at] = t
-	if late := evidence.Late(s.pool.MedianLatency()); s.outliers != nil && late > 0 && work > late {
+	if late := evidence.LateThreshold(s.pool.MedianLatency()); s.outliers != nil && late > 0 && work > late {
 		sim.queue.put(event{at: sim.now + late, kind: eventAttemptLate, server: -1, subject: at, detail: t.number})
 	}
 	sim.queue.put(event{at: sim.now + work, kind: eventAttemptDone, server: -1, subject: at, detail: int32(i)})
@@ -257,7 +257,7 @@
 	var i int
 	fmt.Sscanf(s.pool.Addr(t.member), "m%d", &i)
 	t.reportedLate = true
-	s.evidence.Failed(sim.localClock(s), memberName(i))
+	s.evidence.RecordFailure(sim.localClock(s), memberName(i))
 	s.urgent, s.alertUntil = true, sim.now+alertMs
 	sim.detectOutliers(s)
 }
@@ -280,7 +280,7 @@
 	s.pool.Complete(now, t.member, how, sim.now-t.startedAt)
 	name := memberName(int(member))
 	if t.ok {
-		s.evidence.OK(now, name, sim.now-t.startedAt)
+		s.evidence.RecordSuccess(now, name, sim.now-t.startedAt)
 		if s.outliers != nil && sim.now-t.startedAt > sim.options.Backends.MeanWorkMs*sim.options.Backends.PoolRules.LatencyFactor {
 			s.alertUntil = sim.now + alertMs
 		}
@@ -291,7 +291,7 @@
 	}
 	again := sim.options.Backends.RetryableShare
 	if !t.reportedLate {
-		s.evidence.Failed(now, name)
+		s.evidence.RecordFailure(now, name)
 	}
 	s.urgent, s.alertUntil = true, sim.now+alertMs
 	if s.outliers != nil {
@@ -311,13 +311,13 @@
 	if s.outliers == nil {
 		return
 	}
-	if sim.now < s.alertUntil || s.pool.FollowsFleet() != s.health.WholeFor(now, outlier.Together) {
+	if sim.now < s.alertUntil || s.pool.FollowsFleet() != s.health.CompleteFor(now, outlier.CompletePeriod) {
 		sim.detectOutliers(s) // else nothing bad is known, nor has been of late: the look would find nothing
 	}
 	bad := s.urgent
 	s.urgent = false
 	for _, m := range s.outliers.Members() {
-		bad = bad || m.Out || s.outliers.Part(now, m) < 1
+		bad = bad || m.Ejected || s.outliers.TrafficFraction(now, m) < 1
 	}
 	wait := 2 * heartbeatMs * max(1, math.Floor(float64(s.detector.aliveCount)/heartbeatRoster))
 	if bad {
@@ -338,18 +338,18 @@
 		return
 	}
 	now := sim.localClock(s)
-	out, back := s.outliers.Told(now)
-	said := outlier.Said{Origin: s.name, Zone: s.zone, Views: s.evidence.Views(now), Out: out, Back: back}
+	out, back := s.outliers.Announcement(now)
+	said := outlier.Report{Origin: s.name, Zone: s.zone, Summaries: s.evidence.Summaries(now), Ejected: out, Recoveries: back}
 	for _, i := range sim.options.Backends.LyingServers {
 		if int32(i) == s.index {
-			for k := range said.Views {
-				said.Views[k].Run, said.Views[k].Age = -evidence.LongestRun, 0
+			for k := range said.Summaries {
+				said.Summaries[k].Run, said.Summaries[k].Age = -evidence.MaxRun, 0
 			}
 		}
 	}
 	alarm := len(out)+len(back) > 0
-	for _, v := range said.Views {
-		alarm = alarm || v.Run < 0 || v.SlowN > 0.5 && v.Slow > 2*math.Ln2
+	for _, v := range said.Summaries {
+		alarm = alarm || v.Run < 0 || v.LatencySamples > 0.5 && v.LogLatencyRatio > 2*math.Ln2
 	}
 	for i := range sim.servers {
 		o := &sim.servers[i]
@@ -375,8 +375,8 @@
 // detectOutliers judges, and tells the pool.
 func (sim *Simulation) detectOutliers(s *server) {
 	now := sim.localClock(s)
-	var peers []outlier.Said
-	s.alivePeers = s.health.Heard(now, s.alivePeers[:0])
+	var peers []outlier.Report
+	s.alivePeers = s.health.AppendReachable(now, s.alivePeers[:0])
 	known := map[string]bool{}
 	for _, name := range s.alivePeers {
 		known[name] = true
@@ -396,22 +396,22 @@
 		said.Age = sim.now - at
 		peers = append(peers, said)
 	}
-	whole := s.health.WholeFor(now, outlier.Together)
-	views := s.evidence.Views(now)
-	s.outliers.Look(now, views, peers, s.alivePeers, whole)
+	whole := s.health.CompleteFor(now, outlier.CompletePeriod)
+	views := s.evidence.Summaries(now)
+	s.outliers.Evaluate(now, views, peers, s.alivePeers, whole)
 	if !whole {
 		s.pool.UseLocalDetection(now)
 		return
 	}
-	s.urgent = s.urgent || outlier.Urgent(views) || s.outliers.Objects(views, s.rand.Float64(), len(s.alivePeers)+1)
+	s.urgent = s.urgent || outlier.Urgent(views) || s.outliers.ShouldRefute(views, s.rand.Float64(), len(s.alivePeers)+1)
 	var verdicts []pool.FleetDecision
 	for _, m := range s.outliers.Members() {
-		if part := s.outliers.Part(now, m); m.Out || part < 1 {
-			verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Out, CallerShare: part})
+		if part := s.outliers.TrafficFraction(now, m); m.Ejected || part < 1 {
+			verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Ejected, CallerShare: part})
 		}
 	}
 	s.outliers.Events()
-	s.pool.UseFleetDecisions(now, verdicts, outlier.Takes)
+	s.pool.UseFleetDecisions(now, verdicts, outlier.AcceptsCaller)
 	s.pool.Events()
 }
 
--- a/internal/fleetsim/check_bounds.go
+++ b/internal/fleetsim/check_bounds.go
@@ -39,22 +39,22 @@
 			continue
 		}
 		up, late := runs[s.fleetFirst][0], runs[s.fleetFirst][1]
-		v := s.health.Ends(sim.localClock(s))
+		v := s.health.Summary(sim.localClock(s))
 		c.cases++
-		if sim.options.HealthRules.Expect > 0 && !v.Blind && v.AtMost < up { // without a number to expect, a fleet started anew while cut can't know
-			sim.AddFinding("bounds", "%s says at most %d, and %d run", s.name, v.AtMost, up)
+		if sim.options.HealthRules.ExpectedServers > 0 && !v.MaxUnknown && v.MaxServers < up { // without a number to expect, a fleet started anew while cut can't know
+			sim.AddFinding("bounds", "%s says at most %d, and %d run", s.name, v.MaxServers, up)
 		}
 		if c.roster == nil {
 			c.roster = map[uint64]int{}
 		}
 		life := uint64(s.incarnation)<<32 | uint64(i)
-		if was := c.roster[life]; v.Roster < was-sim.drainedServers {
-			sim.AddFinding("bounds", "%s has %d on its roster, and had %d; %d left", s.name, v.Roster, was, sim.drainedServers)
-		} else if v.Roster > was {
-			c.roster[life] = v.Roster
+		if was := c.roster[life]; v.Members < was-sim.drainedServers {
+			sim.AddFinding("bounds", "%s has %d on its roster, and had %d; %d left", s.name, v.Members, was, sim.drainedServers)
+		} else if v.Members > was {
+			c.roster[life] = v.Members
 		}
-		if v.AtLeast > late {
-			sim.AddFinding("bounds", "%s says at least %d, and %d run or ran of late", s.name, v.AtLeast, late)
+		if v.MinServers > late {
+			sim.AddFinding("bounds", "%s says at least %d, and %d run or ran of late", s.name, v.MinServers, late)
 		}
 	}
 }
--- a/internal/fleetsim/check_growth.go
+++ b/internal/fleetsim/check_growth.go
@@ -24,7 +24,7 @@
 		if s.detector.updates.pending > 2*n || s.detector.updates.stored > 4*n+64 || len(s.detector.suspicions) > n {
 			sim.AddFinding("growth", "%s holds %d news, %d with those replaced, and %d suspicions", s.name, s.detector.updates.pending, s.detector.updates.stored, len(s.detector.suspicions))
 		}
-		if names := s.health.Names(); names > n-1 {
+		if names := s.health.MemberCount(); names > n-1 {
 			sim.AddFinding("growth", "%s remembers %d names of %d", s.name, names, n-1)
 		}
 		if s.gate != nil && s.gate.InHand() > len(s.inFlight)+1 {
--- a/internal/fleetsim/check_quota.go
+++ b/internal/fleetsim/check_quota.go
@@ -29,19 +29,19 @@
 				continue
 			}
 			now := sim.localClock(s)
-			part := s.ledger.Part(now, customerName(int32(key)))
+			part := s.ledger.Capacity(now, customerName(int32(key)))
 			if sum += part; part < r.Floor*(1-1e-9) {
 				sim.AddFinding("budgets", "%s has %g, under its floor", s.name, part)
 			}
 		}
 		c.cases += len(sim.admissions[key])
-		if sum > r.Bound*(1+1e-9) {
-			sim.AddFinding("budgets", "the parts of %s sum to %.3f of the bound", customerName(int32(key)), sum/r.Bound)
+		if sum > r.Capacity*(1+1e-9) {
+			sim.AddFinding("budgets", "the parts of %s sum to %.3f of the bound", customerName(int32(key)), sum/r.Capacity)
 		}
 	}
 	for i := range sim.servers {
 		if s := &sim.servers[i]; s.up {
-			if out, in, asks := s.ledger.Loans(); out+in+asks > len(sim.admissions)*(2*extraLeases+4*len(sim.servers)) {
+			if out, in, asks := s.ledger.LeaseCounts(); out+in+asks > len(sim.admissions)*(2*extraLeases+4*len(sim.servers)) {
 				sim.AddFinding("budgets", "%s has %d loans out, %d in, %d asks", s.name, out, in, asks)
 			}
 		}
--- a/internal/fleetsim/check_views.go
+++ b/internal/fleetsim/check_views.go
@@ -26,13 +26,13 @@
 			continue
 		}
 		c.cases++
-		if s.health.State(sim.localClock(s)) == health.Whole {
+		if s.health.State(sim.localClock(s)) == health.Complete {
 			continue
 		}
 		all = false
 		if sim.now >= sim.lastStepAt+sim.options.SettleTimeoutMs {
 			v := s.health.View(sim.localClock(s))
-			sim.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Heard, v.Roster, (sim.now-sim.lastStepAt)/1000)
+			sim.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Reachable, v.Members, (sim.now-sim.lastStepAt)/1000)
 			break
 		}
 	}
