--- a/internal/fleetsim/fleetsim.go
+++ b/internal/fleetsim/fleetsim.go
@@ -28,7 +28,7 @@
 	MeanWorkMs      float64         // mean of an RPC's
 	SlowStartMs     float64         // length of a ramp
 	Checkers        []Checker       // nil: all
-	HealthRules     health.Rules    // zero: the usual ones
+	HealthRules     health.Config   // zero: the usual ones
 	MaxClockDrift   float64         // clocks' rates differ by up to so much; 0 for the usual 1e-3, negative for none
 	CheckIntervalMs float64         // between two looks of the checkers; 0 for the usual
 	SingleAttempt   bool            // callers try once, at a server drawn for each RPC
@@ -85,7 +85,7 @@
 	wallOffset   float64 // steps of its wall clock
 	lastTickAt   float64 // local
 	muted        bool
-	health       *health.Hearing
+	health       *health.Detector
 	detector     detector
 	queuedEvents []event
 	nextJoinAt   float64
@@ -136,7 +136,7 @@
 	Attempts       int
 	ServedWeight   float64 // criticality served, and offered
 	OfferedWeight  float64
-	FinalStates    []health.State
+	FinalStates    []health.ClusterState
 }
 
 // Finding is one thing that a checker found wrong.
@@ -170,11 +170,11 @@
 
 // New lays out a run.
 func New(o Options) *Simulation {
-	if o.HealthRules == (health.Rules{}) {
-		o.HealthRules = health.Usual
-		o.HealthRules.Expect = o.Servers
+	if o.HealthRules == (health.Config{}) {
+		o.HealthRules = health.DefaultConfig
+		o.HealthRules.ExpectedServers = o.Servers
 		if o.FleetSize > 0 {
-			o.HealthRules.Expect = 0
+			o.HealthRules.ExpectedServers = 0
 		}
 	}
 	if o.MaxClockDrift == 0 {
@@ -272,7 +272,7 @@
 	if s.muted {
 		return false
 	}
-	if sim.localClock(s)-s.lastTickAt >= sim.options.HealthRules.Stall && sim.options.injected != staleAfterStall {
+	if sim.localClock(s)-s.lastTickAt >= sim.options.HealthRules.StallThreshold && sim.options.injected != staleAfterStall {
 		s.muted = true
 	}
 	return !s.muted
@@ -287,7 +287,7 @@
 		s.health.Tick(s.lastTickAt+healthTickMs, wallEpochMs) // as if no time had passed
 		s.health.Tick(now, wallEpochMs+now-s.lastTickAt)
 	} else if s.health.Tick(now, sim.wallClock(s)) || muted {
-		s.health.Void(now)
+		s.health.Reset(now)
 		s.stalls++
 		sim.suspendQuota(s)
 		sim.observe(10, s.index, 0)
@@ -298,14 +298,14 @@
 		return
 	}
 	s.lastTickAt = now
-	if s.detector.aliveCount > 0 && s.health.Deaf(now) { // as internal/fleet: it hears nobody
-		s.health.Void(now)
+	if s.detector.aliveCount > 0 && s.health.InboundTimedOut(now) { // as internal/fleet: it hears nobody
+		s.health.Reset(now)
 		sim.resetDetector(s)
 		s.detector.checkTarget, s.nextJoinAt = -1, now
 	}
 	if now >= s.nextJoinAt {
 		s.nextJoinAt = now + joinIntervalMs*(0.75+0.5*s.rand.Float64())
-		if s.health.State(now) != health.Whole {
+		if s.health.State(now) != health.Complete {
 			sim.joinPeers(s)
 		}
 	}
@@ -320,7 +320,7 @@
 		p := s.fleetFirst + int32((from+k)%n)
 		st := s.detector.members[p-s.fleetFirst].state
 		found := st == alive || st == suspect
-		if p == s.index || !s.health.Misses(sim.servers[p].name) && (found || p-s.fleetFirst >= 3) {
+		if p == s.index || !s.health.NeedsRejoin(sim.servers[p].name) && (found || p-s.fleetFirst >= 3) {
 			continue
 		}
 		tried++
@@ -333,11 +333,11 @@
 func (sim *Simulation) onAlive(s *server, p int32, life uint32) {
 	now := sim.localClock(s)
 	o := &sim.servers[p]
-	s.health.Known(now, o.name, o.zone, 0, 0)
+	s.health.AddMember(now, o.name, o.zone, 0, 0)
 	if sim.options.injected == neverAliveAgain && s.neverAlive[p] {
 		return
 	}
-	s.health.Alive(now, o.name)
+	s.health.MarkAlive(now, o.name)
 	sim.observe(1, s.index, p)
 }
 
@@ -348,7 +348,7 @@
 	if m := &s.detector.members[p-s.fleetFirst]; m.state == unknown {
 		*m = member{state: dead, incarnation: life}
 		o := &sim.servers[p]
-		s.health.Known(sim.localClock(s), o.name, o.zone, 0, 0)
+		s.health.AddMember(sim.localClock(s), o.name, o.zone, 0, 0)
 	}
 }
 
@@ -356,7 +356,7 @@
 	name, now := sim.servers[p].name, sim.localClock(s)
 	sim.observe(2, s.index, p)
 	if how == left || sim.options.injected == silenceIsDeparture {
-		s.health.Leaves(now, name, 0, health.Left)
+		s.health.MarkDeparted(now, name, 0, health.Left)
 		return
 	}
 	if sim.options.injected == neverAliveAgain {
@@ -365,15 +365,15 @@
 		}
 		s.neverAlive[p] = true
 	}
-	s.health.Lost(now, name)
+	s.health.MarkSuspect(now, name)
 }
 
 func (sim *Simulation) onPacketFrom(s *server, from int32) {
-	s.health.Word(sim.localClock(s), sim.servers[from].name)
+	s.health.RecordMessage(sim.localClock(s), sim.servers[from].name)
 }
 
 func (sim *Simulation) onAnswered(s *server, from int32) {
-	s.health.Answered(sim.localClock(s), sim.servers[from].name)
+	s.health.RecordAck(sim.localClock(s), sim.servers[from].name)
 }
 
 // declaredDead tells the checkers that a server itself calls another dead.
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -82,7 +82,7 @@
 			t.Parallel()
 			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: acts(t, text, 8)})
 			for i, s := range r.FinalStates {
-				if s != health.Whole {
+				if s != health.Complete {
 					t.Errorf("server %d hears %s at the end", i, s)
 				}
 			}
--- a/internal/fleetsim/quota.go
+++ b/internal/fleetsim/quota.go
@@ -28,7 +28,7 @@
 // QuotaOptions are bounds that a world's servers share, the same for each of some customers, and who sends.
 type QuotaOptions struct {
 	Scheme          QuotaScheme
-	Rules           quota.Rules
+	Rules           quota.Limit
 	Customers       int     // customers with a bound each; 0 for one
 	StickyServers   int     // servers to which a customer's callers stick; 0 for all
 	RatePerCustomer float64 // RPCs a second of each customer
@@ -40,7 +40,7 @@
 
 // quotaParticipant is a server's part.
 type quotaParticipant struct {
-	ledger         *quota.Book
+	ledger         *quota.Ledger
 	quotaPeers     []string
 	peersUpdatedAt float64 // local, when peers were noted
 	messagesSent   int     // messages
@@ -92,12 +92,12 @@
 }
 
 // rules of a server's part.
-func (sim *Simulation) quotaRules(s *server) quota.Rules {
+func (sim *Simulation) quotaRules(s *server) quota.Limit {
 	b := sim.options.Quota
 	r := b.Rules
 	if b.Scheme == CentralLeases {
-		if r.Own = r.Floor; s.index == 0 {
-			r.Own = r.Bound - float64(r.Servers-1)*r.Floor
+		if r.OwnedCapacity = r.Floor; s.index == 0 {
+			r.OwnedCapacity = r.Capacity - float64(r.Servers-1)*r.Floor
 		}
 	}
 	return r
@@ -112,9 +112,9 @@
 	now := sim.localClock(s)
 	began := now
 	if sim.options.injected == skipLeaseQuarantine {
-		began -= 10 * r.Longest
+		began -= 10 * r.MaxLeaseDuration
 	}
-	s.ledger = quota.NewBook(uint64(s.incarnation)<<32|uint64(s.index+1), int64(sim.options.Seed*1000)+int64(s.index)<<8+int64(s.incarnation), began, func(string) (quota.Rules, bool) { return r, true })
+	s.ledger = quota.NewLedger(uint64(s.incarnation)<<32|uint64(s.index+1), int64(sim.options.Seed*1000)+int64(s.index)<<8+int64(s.incarnation), began, func(string) (quota.Limit, bool) { return r, true })
 	s.quotaPeers, s.peersUpdatedAt = s.quotaPeers[:0], math.Inf(-1)
 	if b.Scheme == GossipEstimates {
 		s.reportedUse = make([]float64, len(sim.servers))
@@ -125,7 +125,7 @@
 
 func (sim *Simulation) suspendQuota(s *server) {
 	if s.ledger != nil {
-		s.ledger.Void(sim.localClock(s))
+		s.ledger.Invalidate(sim.localClock(s))
 	}
 }
 
@@ -140,7 +140,7 @@
 	case CentralLeases, PeerLeases:
 		if now-s.peersUpdatedAt >= peerRefreshMs {
 			s.peersUpdatedAt = now
-			s.quotaPeers = s.health.Heard(now, s.quotaPeers[:0])
+			s.quotaPeers = s.health.AppendReachable(now, s.quotaPeers[:0])
 			if sim.options.Quota.Scheme == CentralLeases {
 				s.quotaPeers = append(s.quotaPeers[:0], sim.servers[0].name)
 			}
@@ -150,10 +150,10 @@
 }
 
 // sendQuota sends messages, those to one server in one packet.
-func (sim *Simulation) sendQuota(s *server, all []quota.Keyed) {
+func (sim *Simulation) sendQuota(s *server, all []quota.KeyedMessage) {
 	for len(all) > 0 {
 		to := all[0].To
-		var mine, rest []quota.Keyed
+		var mine, rest []quota.KeyedMessage
 		for _, m := range all {
 			if m.To == to {
 				mine = append(mine, m)
@@ -177,7 +177,7 @@
 		return
 	}
 	now := sim.localClock(s)
-	var out []quota.Keyed
+	var out []quota.KeyedMessage
 	for _, m := range p.leases {
 		out = append(out, s.ledger.Receive(now, sim.servers[p.from].name, m)...)
 	}
@@ -246,7 +246,7 @@
 		if !sim.admitByEstimate(s, now) {
 			return
 		}
-	} else if ok, _, _ := s.ledger.Take(now, customerName(key), 1, 0); !ok {
+	} else if ok, _, _ := s.ledger.TryAcquire(now, customerName(key), 1, 0); !ok {
 		return
 	}
 	sim.observe(60, s.index, key)
@@ -263,18 +263,18 @@
 	log = append(log[from:], admission{sim.now, s.index})
 	sim.admissions[key] = log
 	r := &sim.options.Quota.Rules
-	sim.peakUse = math.Max(sim.peakUse, float64(len(log))/(r.Bound+r.Burst))
+	sim.peakUse = math.Max(sim.peakUse, float64(len(log))/(r.Capacity+r.Burst))
 }
 
 func (sim *Simulation) admitByEstimate(s *server, now float64) bool {
 	r := &sim.options.Quota.Rules
-	rate := r.Bound
+	rate := r.Capacity
 	for i := range s.reportedUse {
 		if int32(i) != s.index {
 			rate -= s.reportedUse[i]
 		}
 	}
-	rate = math.Max(rate, r.Bound/float64(r.Servers))
+	rate = math.Max(rate, r.Capacity/float64(r.Servers))
 	s.tokens = math.Min(r.Burst/float64(r.Servers), s.tokens+rate*(now-s.refilledAt)/1000)
 	s.refilledAt = now
 	if s.tokens < 1 {
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -9,7 +9,7 @@
 
 func bound(servers int) *QuotaOptions {
 	return &QuotaOptions{
-		Rules:         quota.Rules{Kind: quota.Rate, Bound: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, Longest: 4000, Drift: defaultClockDrift},
+		Rules:         quota.Limit{Kind: quota.Rate, Capacity: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, MaxLeaseDuration: 4000, ClockDrift: defaultClockDrift},
 		StickyServers: max(1, servers/8), RatePerCustomer: 60 * float64(servers), MoveIntervalMs: 10e3, UniformRate: 1,
 	}
 }
@@ -42,7 +42,7 @@
 			for _, x := range w.QuotaSeries[52:60] {
 				taken += x.Admitted
 			}
-			if most := 8 * b.Rules.Bound; float64(taken) < 0.9*most {
+			if most := 8 * b.Rules.Capacity; float64(taken) < 0.9*most {
 				t.Errorf("in the last eight seconds %d of %g", taken, most)
 			}
 		})
--- a/internal/fleetsim/swim.go
+++ b/internal/fleetsim/swim.go
@@ -95,7 +95,7 @@
 	checkNumber int32
 	kind        packetKind
 	updates     []update
-	leases      []quota.Keyed
+	leases      []quota.KeyedMessage
 }
 
 func (sim *Simulation) resetDetector(s *server) {
@@ -399,7 +399,7 @@
 	}
 	m.heartbeat = u.version
 	sim.broadcast(s, *u)
-	s.health.Via(sim.localClock(s), sim.servers[u.subject].name, sim.servers[from].name)
+	s.health.RecordIndirect(sim.localClock(s), sim.servers[u.subject].name, sim.servers[from].name)
 }
 
 // pushPull has two servers hear all that the other knows, and tells whether the way was open both ways.
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -32,19 +32,19 @@
 )
 
 // Rules returns the rules of all bounds for package quota, by their names between servers. A nil receiver has none.
-func (b *Budgets) Rules() map[string]quota.Rules {
-	all := map[string]quota.Rules{}
+func (b *Budgets) Rules() map[string]quota.Limit {
+	all := map[string]quota.Limit{}
 	if b == nil {
 		return all
 	}
 	add := func(prefix string, kind quota.Kind, budgets map[string]Budget) {
 		for name, budget := range budgets {
-			all[prefix+name] = quota.Rules{Kind: kind, Bound: budget.Bound, Burst: budget.Burst, Servers: b.Servers, Floor: budget.Floor, Longest: budget.MaxLeaseMs, Drift: b.ClockDrift}
+			all[prefix+name] = quota.Limit{Kind: kind, Capacity: budget.Bound, Burst: budget.Burst, Servers: b.Servers, Floor: budget.Floor, MaxLeaseDuration: budget.MaxLeaseMs, ClockDrift: b.ClockDrift}
 		}
 	}
 	add(QuotaPrefix, quota.Rate, b.Customers)
 	add(RetriesPrefix, quota.Rate, b.Retries)
-	add(CallsPrefix, quota.Stock, b.Calls)
+	add(CallsPrefix, quota.Concurrency, b.Calls)
 	return all
 }
 
@@ -71,7 +71,7 @@
 	c.within("budgets.clocks", budgets.ClockDrift, 0, maxClockDrift)
 	c.budgetTable("customers", budgets.Customers, quota.Rate, c.unknownCustomer)
 	c.budgetTable("retries", budgets.Retries, quota.Rate, c.unknownPool)
-	c.budgetTable("calls", budgets.Calls, quota.Stock, c.unknownPool)
+	c.budgetTable("calls", budgets.Calls, quota.Concurrency, c.unknownPool)
 }
 
 // unknownCustomer says what is wrong with a customer's name, "" for nothing.
@@ -104,7 +104,7 @@
 func (c *checker) budget(path string, budget Budget, kind quota.Kind) {
 	servers := c.file.Budgets.Servers
 	n := float64(max(1, servers))
-	calls := kind == quota.Stock
+	calls := kind == quota.Concurrency
 	c.within(path+".bound", budget.Bound, minBound, maxBound)
 	c.within(path+".floor", budget.Floor, 0, maxBound)
 	c.within(path+".longest_ms", budget.MaxLeaseMs, minLeaseMs, maxLeaseMs)
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -271,7 +271,7 @@
 	}
 	for _, fault := range c.file.checkExpectations(c.known) {
 		kind := "it does not hold"
-		if fault.Untested {
+		if fault.Untestable {
 			kind = "it can never be tested"
 		}
 		c.fail(entryPath("expect", fault.Name), "%s: %s", kind, fault.Text)
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -29,7 +29,7 @@
 }
 
 // checkExpectations checks them against the file's routes and what is known of the settings.
-func (f *File) checkExpectations(known route.Catalog) []expect.Fault {
+func (f *File) checkExpectations(known route.Catalog) []expect.Failure {
 	all := map[string]expect.Expectation{}
 	for name, x := range f.Expectations {
 		all[name] = expect.Expectation{
@@ -41,21 +41,21 @@
 			Method:    x.Method,
 			Customer:  x.Customer,
 			Pool:      x.Pool,
-			None:      x.None,
+			Unrouted:  x.None,
 			First:     x.First,
 			Then:      x.Then,
 			OverQuota: x.OverQuota,
 		}
 	}
 	settings := expect.Settings{
-		Routes:      f.Rules(),
-		Pools:       map[string]string{},
-		Methods:     known.Methods,
-		Criticality: known.Criticality,
-		OverShare:   known.OverQuotaFactor,
+		Routes:          f.Rules(),
+		Pools:           map[string]string{},
+		Methods:         known.Methods,
+		Criticality:     known.Criticality,
+		OverQuotaFactor: known.OverQuotaFactor,
 	}
 	if f.Limits.OverShare != nil {
-		settings.OverShare = *f.Limits.OverShare
+		settings.OverQuotaFactor = *f.Limits.OverShare
 	}
 	for name, method := range f.Methods {
 		settings.Pools[name] = method.Pool
--- a/valve/fleetvalve/fleetvalve.go
+++ b/valve/fleetvalve/fleetvalve.go
@@ -33,13 +33,13 @@
 }
 
 // State is what is heard of the fleet.
-type State = health.State
+type State = health.ClusterState
 
 // Alone, Part and Whole are the states.
 const (
-	Alone = health.Alone
-	Part  = health.Part
-	Whole = health.Whole
+	Alone = health.Isolated
+	Part  = health.Partitioned
+	Whole = health.Complete
 )
 
 // View is what this program hears: how many servers there are at least, as of some seconds ago, and at most, whatever is not
@@ -96,9 +96,9 @@
 // View tells what is heard now.
 func (f *Fleet) View() View {
 	v := f.f.View()
-	x := View{State: v.State, Listening: v.Listening, For: time.Duration(v.For * float64(time.Millisecond)), AtLeast: v.AtLeast, AtMost: v.AtMost, Blind: v.Blind}
+	x := View{State: v.State, Listening: v.InGracePeriod, For: time.Duration(v.StateDuration * float64(time.Millisecond)), AtLeast: v.MinServers, AtMost: v.MaxServers, Blind: v.MaxUnknown}
 	for _, z := range v.Zones {
-		x.Zones = append(x.Zones, Zone(z))
+		x.Zones = append(x.Zones, Zone{Name: z.Name, Roster: z.Members, Heard: z.Reachable})
 	}
 	return x
 }
