--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -1,7 +1,11 @@
-// Package retry chooses whether an attempt that failed is made again. It knows how far the attempt came, whether the
-// method may run twice and what time is left, and holds a budget over all that is tried in one place, so that failure
-// below is not answered with more load. It does no I/O and has no clock; an instance must be guarded by its owner.
-// It must never allow a second attempt of what may have run and may not run twice.
+// Package retry decides whether a failed attempt of an RPC is retried. It goes by how far the attempt got, whether the
+// method is idempotent and what time is left, and by a retry budget over all RPCs of one destination, so that failure
+// there is not answered with more load. The budget is a token bucket as in Finagle's RetryBudget: first attempts earn
+// a fraction of a token, time earns a minimum rate, a retry takes one.
+//
+// The package is pure: no I/O, no clock (times are passed in as ms), and randomness comes from a seed. A Policy is not
+// safe for concurrent use; its owner must serialise calls. It never allows a second attempt of an RPC that may have run
+// and is not idempotent.
 package retry
 
 import (
@@ -10,42 +14,62 @@
 	"math/rand"
 )
 
-// Reached is how far an attempt came.
+// Progress is how far an attempt got.
 type Progress int
 
+// The stages of an attempt, in their order.
 const (
-	NotSent    Progress = iota // nothing of it left this machine
-	Sent                       // part of it did, and nothing can have come of that
-	MayHaveRun                 // it may have had its effect
+	// NotSent: nothing of the request left this machine.
+	NotSent Progress = iota
+	// Sent: part of the request did, too little for it to have any effect.
+	Sent
+	// MayHaveRun: the request may have had its effect.
+	MayHaveRun
 )
 
-func (r Progress) String() string {
-	return [...]string{"not sent", "sent", "may have run"}[min(max(r, 0), MayHaveRun)]
+// String returns the stage as logs print it; out-of-range values print as the nearest stage.
+func (p Progress) String() string {
+	return [...]string{"not sent", "sent", "may have run"}[min(max(p, 0), MayHaveRun)]
 }
 
 // Error is why an attempt has no result.
 type Error struct {
 	Progress   Progress
 	Reason     string
-	NoCapacity bool    // there was no room, which may pass
-	TimedOut   bool    // no answer came in time: the other end may go on with it
-	RetryAfter float64 // ms for which the other end asks to be left alone; 0 for not told
+	NoCapacity bool    // there was no capacity, which may pass
+	TimedOut   bool    // no response came in time: the other end may still be working on the request
+	RetryAfter float64 // ms for which the other end asks to be left alone; 0 if it did not ask
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%s (%s)", e.Reason, e.Progress) }
 
-// Rules are what an operator sets.
+// Config is the operator's configuration of a policy.
 type Config struct {
-	RetryRatio   float64 // further tries for each first try, in the long run
-	MinPerSecond float64 // and as many a second at the least, so that a quiet pool can try again at all
-	MaxAttempts  int     // tries of one RPC, the first included
+	RetryRatio   float64 // retries for each first attempt, in the long run
+	MinPerSecond float64 // retries per second that are allowed beside the ratio, so that a quiet destination can retry at all
+	MaxAttempts  int     // of one RPC, the first included
 }
 
-// burst is the time over which what was not used of the floor may be saved up: a member that fails takes what
-// is on it within a second or two.
-const floorBurst = 10e3
+const (
+	// floorBurst in ms is the time over which unused MinPerSecond accumulates: a failing member takes what is in flight
+	// there within a second or two.
+	floorBurst = 10e3
+	// ratioBurst is the number of first attempts whose earnings accumulate, so that a burst of failures after a calm
+	// time does not find the budget empty.
+	ratioBurst = 100
+	// baseBackoff in ms bounds the backoff before a third attempt, doubling from there: a few round trips and a short
+	// queue.
+	baseBackoff = 20.0
+	// backoffDivisor bounds a backoff to this part, a tenth, of the time left: the time is for the work.
+	backoffDivisor = 10
+	// timeoutFactor times the expected latency is the least time that an attempt of an idempotent RPC gets: nine of ten
+	// lognormal service times of the usual spread are within three times the mean.
+	timeoutFactor = 4.0
+	// timeoutDivisor gives the attempt a third of the time left if that is more, so that another one as long fits in.
+	timeoutDivisor = 3
+)
 
-// Policy is the budget over one place.
+// Policy is the retry budget of one destination.
 type Policy struct {
 	config     Config
 	random     *rand.Rand
@@ -55,26 +79,28 @@
 	counts     Counts
 }
 
-// Counts are what has been decided so far.
+// Counts are the decisions so far.
 type Counts struct {
-	FirstAttempts, Retries                                              uint64
-	BudgetExhausted, NotIdempotent, DeadlineTooClose, AttemptsExhausted uint64 // not tried again: no budget, may have run, no time, all tries made
+	FirstAttempts     uint64
+	Retries           uint64
+	BudgetExhausted   uint64 // not retried: the budget is empty
+	NotIdempotent     uint64 // not retried: the RPC may have run
+	DeadlineTooClose  uint64 // not retried: too little time is left
+	AttemptsExhausted uint64 // not retried: MaxAttempts were made
 }
 
 // New returns a policy with a full budget at now.
-func New(r Config, seed uint64, now float64) *Policy {
+func New(config Config, seed uint64, now float64) *Policy {
 	p := &Policy{random: rand.New(rand.NewSource(int64(seed))), refilledAt: now}
-	p.Set(r)
+	p.Set(config)
 	p.tokens = p.maxTokens
 	return p
 }
 
-// Set takes new rules; what the budget holds stays as far as the new one allows.
-func (p *Policy) Set(r Config) {
-	p.config = r
-	// A first try is worth its share whenever it comes; a hundred of them may be saved up beside the floor, so that
-	// a burst of failures after a calm time does not find the budget empty.
-	p.maxTokens = math.Max(1, r.MinPerSecond*floorBurst/1000) + 100*r.RetryRatio
+// Set replaces the configuration; the budget keeps its tokens as far as the new bound allows.
+func (p *Policy) Set(config Config) {
+	p.config = config
+	p.maxTokens = math.Max(1, config.MinPerSecond*floorBurst/1000) + ratioBurst*config.RetryRatio
 	p.tokens = math.Min(p.tokens, p.maxTokens)
 }
 
@@ -85,24 +111,24 @@
 	}
 }
 
-// First books a first try.
+// RecordFirstAttempt records the first attempt of an RPC, which earns RetryRatio of a retry.
 func (p *Policy) RecordFirstAttempt(now float64) {
 	p.refill(now)
 	p.tokens = math.Min(p.maxTokens, p.tokens+p.config.RetryRatio)
 	p.counts.FirstAttempts++
 }
 
-// Failed is an attempt that failed.
+// FailedAttempt describes an attempt that failed.
 type FailedAttempt struct {
 	Progress        Progress
 	Idempotent      bool    // the method may run twice
 	Attempts        int     // so far, this one included
-	TimeLeft        float64 // ms until the answer is due
-	ExpectedLatency float64 // ms that a further try is expected to take
+	TimeLeft        float64 // ms until the RPC is due
+	ExpectedLatency float64 // ms that another attempt is expected to take
 }
 
-// Again tells whether it is made again, and after how many ms. A further try is booked.
-func (p *Policy) Retry(now float64, f FailedAttempt) (after float64, again bool) {
+// Retry decides whether the RPC is attempted again, and after which backoff in ms. A retry takes a token.
+func (p *Policy) Retry(now float64, f FailedAttempt) (backoff float64, retry bool) {
 	p.refill(now)
 	switch {
 	case f.Progress >= MayHaveRun && !f.Idempotent:
@@ -116,34 +142,35 @@
 	default:
 		p.tokens--
 		p.counts.Retries++
-		// The second try goes elsewhere at once. After that many fail together, so they are spread by chance over
-		// a time that doubles, within a tenth of what is left: the time is for the work.
-		if f.Attempts > 1 {
-			after = math.Min(f.TimeLeft/10, p.random.Float64()*baseBackoff*math.Exp2(float64(f.Attempts-2)))
-		}
-		return after, true
+		return p.backoff(f), true
 	}
 	return 0, false
 }
 
-// firstPause in ms is the longest one before a third try: a few round trips and a short queue.
-const baseBackoff = 20.0
+// backoff returns the ms before the next attempt. The second one goes to another member at once. After that many RPCs
+// have failed together, so they are spread at random over a time that doubles.
+func (p *Policy) backoff(f FailedAttempt) float64 {
+	if f.Attempts <= 1 {
+		return 0
+	}
+	jittered := p.random.Float64() * baseBackoff * math.Exp2(float64(f.Attempts-2))
+	return math.Min(f.TimeLeft/backoffDivisor, jittered)
+}
 
-// Allowance is the part of the time left that an attempt may take if it can be made again: what then remains
-// must do for another one as long. An attempt that can't be made again has all of it.
+// AttemptTimeout returns the ms that the attempt after f may take: all the time left if it is the last one, else a part
+// that leaves time for another attempt.
 func (p *Policy) AttemptTimeout(f FailedAttempt) float64 {
 	if !f.Idempotent || f.Attempts+1 >= p.config.MaxAttempts || p.tokens < 1 {
 		return f.TimeLeft
 	}
-	return math.Min(f.TimeLeft, math.Max(f.TimeLeft/3, timeoutFactor*f.ExpectedLatency))
+	return math.Min(f.TimeLeft, math.Max(f.TimeLeft/timeoutDivisor, timeoutFactor*f.ExpectedLatency))
 }
 
-// patient times the expected latency is awaited before a try of an idempotent RPC is given up for another: nine of
-// ten lognormal works of the usual spread end within three times the mean.
-const timeoutFactor = 4.0
-
-// Counts returns what has been decided so far.
+// Counts returns the decisions so far.
 func (p *Policy) Counts() Counts { return p.counts }
 
-// Left is the number of further tries that the budget holds.
-func (p *Policy) RetriesLeft(now float64) float64 { p.refill(now); return p.tokens }
+// RetriesLeft returns the number of retries that the budget allows now.
+func (p *Policy) RetriesLeft(now float64) float64 {
+	p.refill(now)
+	return p.tokens
+}
--- a/decision/retry/retry_test.go
+++ b/decision/retry/retry_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAgain(t *testing.T) {
+func TestRetry(t *testing.T) {
 	sound := FailedAttempt{Progress: NotSent, Attempts: 1, TimeLeft: 1000, ExpectedLatency: 100}
 	cases := []struct {
 		name   string
@@ -33,8 +33,8 @@
 	}
 }
 
-// Whatever comes, further tries stay within the share of first tries plus the floor and what was saved up, and
-// nothing that may have run goes twice unless it may.
+// Under random operations retries stay within the ratio of first attempts plus the minimum rate and the initial budget,
+// and nothing that may have run is sent twice unless it is idempotent.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Config{rapid.Float64Range(0, 0.5).Draw(t, "share"), rapid.Float64Range(0, 5).Draw(t, "floor"), 5}
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestAllowance(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	p := New(Config{0.1, 1, 3}, 1, 0)
 	for _, c := range []struct {
 		name string
--- a/decision/route/check.go
+++ b/decision/route/check.go
@@ -1,67 +1,73 @@
 package route
 
-// This file owns what can be said of rules before any message comes: which are no rules, which can never fit, which
-// tie. It must never pass over a rule that it can't judge: that is a fault as well.
+// This file validates rules before any message comes: rules that are malformed or can never match. A rule that can't be
+// validated must be reported as well, never passed over.
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 )
 
-// Fault is one thing wrong with the rules. Key is the key within the rule, as name, path or token.variable.
+// Fault is one thing wrong with the rules.
 type Fault struct {
-	Rule int
-	Key  string
+	Rule int    // index of the rule
+	Key  string // within the rule, as name, path or token.variable
 	Text string
 }
 
-// Known is what the settings know. A nil Tokened or empty Customers says nothing about them.
+// Catalog is what the settings declare. A nil Methods, RequireToken, Customers or Criticality says nothing about them.
 type Catalog struct {
 	Methods      []string
-	RequireToken map[string]bool // methods whose RPCs must carry a token
+	RequireToken map[string]bool // methods whose RPCs must carry an idempotency token
 	Customers    []string
 
-	Criticality     map[string]float64 // by method; nil: not known
-	OverQuotaFactor float64            // what an RPC over its customer's quota keeps of it
+	Criticality     map[string]float64 // by method
+	OverQuotaFactor float64            // of its priority weight that an RPC over its customer's quota keeps
 }
 
-// Verbs are those that the fronts take.
+// Verbs are the HTTP methods that the fronts accept.
 var Verbs = []string{"DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"}
 
-// Check names all that is wrong with the rules, in their order.
-func Check(rules []Rule, k Catalog) (faults []Fault) {
-	c := checker{rules: rules, catalog: k}
-	names := map[string]int{}
+// Check reports all that is wrong with the rules, in their order.
+func Check(rules []Rule, catalog Catalog) (faults []Fault) {
+	c := checker{rules: rules, catalog: catalog}
+	firstByName := map[string]int{}
 	for i := range rules {
 		c.rule = i
 		r := &rules[i]
 		if r.Name == "" {
 			c.add("name", "a name expected")
-		} else if first, had := names[r.Name]; had {
+		} else if first, taken := firstByName[r.Name]; taken {
 			c.add("name", fmt.Sprintf("%q is the name of route %d already", r.Name, first+1))
 		} else {
-			names[r.Name] = i
+			firstByName[r.Name] = i
 		}
 		c.checkHost(r)
 		c.checkPath(r)
 		c.checkVerb(r)
 		c.checkConditions(r)
+		c.checkMethod(r)
 		c.checkSources(r)
+		c.checkCustomer(r)
 	}
 	c.checkTies()
 	slices.SortStableFunc(c.faults, func(a, b Fault) int { return a.Rule - b.Rule })
 	return c.faults
 }
 
+// checker collects the faults of rules.
 type checker struct {
 	rules   []Rule
 	catalog Catalog
-	rule    int
+	rule    int // index of the rule being checked
 	faults  []Fault
 }
 
-func (c *checker) add(key, text string) { c.faults = append(c.faults, Fault{c.rule, key, text}) }
+func (c *checker) add(key, text string) {
+	c.faults = append(c.faults, Fault{Rule: c.rule, Key: key, Text: text})
+}
 
 func (c *checker) checkHost(r *Rule) {
 	h := strings.TrimPrefix(r.Host, "*.")
@@ -86,19 +92,20 @@
 	}
 	seen := map[string]bool{}
 	segments := splitPath(r.Path)
-	for i, s := range segments {
-		name, isParam := paramName(s)
+	for i, segment := range segments {
+		name, isParam := paramName(segment)
+		isLast := i == len(segments)-1
 		switch {
-		case s == "" && i < len(segments)-1, s == ".", s == "..":
+		case segment == "" && !isLast, segment == ".", segment == "..":
 			c.add("path", "can never match: paths with empty, . or .. segments are turned away")
-		case s == "*" && i < len(segments)-1:
+		case segment == "*" && !isLast:
 			c.add("path", "can never match: a star is the last segment")
 		case isParam && seen[name]:
 			c.add("path", fmt.Sprintf("the parameter {%s} stands twice", name))
 		case isParam:
 			seen[name] = true
-		case s != "*" && strings.ContainsAny(s, "{}*"):
-			c.add("path", fmt.Sprintf("a segment is literal, {name} or *, not %.40q", s))
+		case segment != "*" && strings.ContainsAny(segment, "{}*"):
+			c.add("path", fmt.Sprintf("a segment is literal, {name} or *, not %.40q", segment))
 		}
 	}
 }
@@ -109,19 +116,19 @@
 	}
 }
 
-// when finds conditions that go against one another or against the rule's own host, path and verb.
+// checkConditions finds conditions that contradict one another or the rule's own host, path and verb.
 func (c *checker) checkConditions(r *Rule) {
 	seen := map[string]string{}
 	for i, w := range r.When {
 		key := fmt.Sprintf("when[%d]", i)
-		old, had := seen[w.Variable]
+		earlier, repeated := seen[w.Variable]
 		seen[w.Variable] = w.Value
 		switch {
 		case w.Variable == "":
 			c.add(key+".variable", "the name of a variable expected")
-		case had && old != w.Value:
-			c.add(key+".value", fmt.Sprintf("can never match: %s must be %q as well", w.Variable, old))
-		case had:
+		case repeated && earlier != w.Value:
+			c.add(key+".value", fmt.Sprintf("can never match: %s must be %q as well", w.Variable, earlier))
+		case repeated:
 			c.add(key+".variable", fmt.Sprintf("%s stands twice", w.Variable))
 		case w.Variable == "REQUEST_METHOD" && r.Verb != "" && w.Value != r.Verb:
 			c.add(key+".value", fmt.Sprintf("can never match: the verb of the route is %s", r.Verb))
@@ -133,20 +140,21 @@
 	}
 }
 
-// fits tells whether a path can be the one of a route.
+// pathMatches reports whether a path matches the path of a rule.
 func pathMatches(pattern, path string) bool {
 	t := New([]Rule{{Path: pattern}})
 	return t.Match(&Message{Path: path}) == 0
 }
 
-// hostFits tells the same of a host, which may bear a port.
+// hostMatches reports the same of a host, which may have a port.
 func hostMatches(pattern, host string) bool {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	t := New([]Rule{{Host: pattern, Path: "/"}})
 	return t.Match(&Message{Host: host, Path: "/"}) == 0
 }
 
-func (c *checker) checkSources(r *Rule) {
+// checkMethod checks the RPC method, and the token where the method requires one.
+func (c *checker) checkMethod(r *Rule) {
 	switch {
 	case r.Method == "":
 		c.add("method", "the name of a method expected")
@@ -157,104 +165,64 @@
 	case c.catalog.RequireToken[r.Method] && r.Token.Fixed != "":
 		c.add("token.fixed", "a fixed token would make all RPCs repeats of one")
 	}
+}
+
+func (c *checker) checkSources(r *Rule) {
 	for _, s := range []struct {
-		key string
-		src *Source
-	}{{"customer", &r.Customer}, {"caller", &r.Caller}, {"token", &r.Token}, {"subject", &r.Subject},
-		{"retry", &r.Retry}, {"hint", &r.Hint}, {"door", &r.Door}} {
-		c.checkSource(r, s.key, s.src)
-	}
-	if len(c.catalog.Customers) == 0 {
-		return
-	}
-	if r.Customer.isEmpty() {
-		c.add("customer", "the settings have customers, so a route must tell whose its RPCs are")
-	}
-	told := []string{r.Customer.Fixed}
-	if r.Customer.Names != nil {
-		told = told[:0]
-		for _, name := range r.Customer.Names {
-			told = append(told, name)
-		}
-		slices.Sort(told)
-	}
-	for _, name := range told {
-		if name != "" && !slices.Contains(c.catalog.Customers, name) {
-			c.add("customer", fmt.Sprintf("%q is no customer of the settings", name))
-		}
+		key    string
+		source *Source
+	}{
+		{"customer", &r.Customer},
+		{"caller", &r.Caller},
+		{"token", &r.Token},
+		{"subject", &r.Subject},
+		{"retry", &r.Retry},
+		{"hint", &r.Hint},
+		{"door", &r.Door},
+	} {
+		c.checkSource(r, s.key, s.source)
 	}
 }
 
 func (c *checker) checkSource(r *Rule, key string, s *Source) {
-	n := 0
-	for _, set := range []string{s.Fixed, s.Variable, s.Segment, s.Query} {
-		if set != "" {
-			n++
+	kinds := 0
+	for _, value := range []string{s.Fixed, s.Variable, s.Segment, s.Query} {
+		if value != "" {
+			kinds++
 		}
 	}
-	if n > 1 {
+	if kinds > 1 {
 		c.add(key, "one of fixed, variable, segment and query expected")
 	}
-	if s.Names != nil && (n == 0 || s.Fixed != "") {
+	if s.Names != nil && (kinds == 0 || s.Fixed != "") {
 		c.add(key+".names", "names go with a variable, a segment or a query key")
 	}
 	if s.Segment == "" {
 		return
 	}
-	for _, p := range splitPath(r.Path) {
-		if name, is := paramName(p); is && name == s.Segment {
+	for _, segment := range splitPath(r.Path) {
+		if name, isParam := paramName(segment); isParam && name == s.Segment {
 			return
 		}
 	}
 	c.add(key+".segment", fmt.Sprintf("the path has no parameter {%s}", s.Segment))
 }
 
-// ties finds rules of one host and path of which the order does not tell which counts, and those that others leave
-// nothing to.
-func (c *checker) checkTies() {
-	type place struct{ host, shape string }
-	groups := map[place][]int{}
-	for i := range c.rules {
-		r := &c.rules[i]
-		segments := splitPath(r.Path)
-		for k, s := range segments {
-			if _, is := paramName(s); is {
-				segments[k] = "{}"
-			}
-		}
-		p := place{r.Host, strings.Join(segments, "/")}
-		groups[p] = append(groups[p], i)
+// checkCustomer checks that a rule names only customers of the settings, and one at all if the settings have any.
+func (c *checker) checkCustomer(r *Rule) {
+	if len(c.catalog.Customers) == 0 {
+		return
 	}
-	for _, group := range groups {
-		plain := map[string]int{} // the verbs of which all is taken by a rule without conditions
-		for _, i := range group {
-			if r := &c.rules[i]; r.Verb != "" && len(r.When) == 0 {
-				plain[r.Verb] = i
-			}
-		}
-		for n, i := range group {
-			a := &c.rules[i]
-			c.rule = i
-			if a.Verb == "" && len(plain) >= len(Verbs) {
-				c.add("verb", "can never match: each verb has a route of its own for this host and path")
-			}
-			for _, k := range group[:n] {
-				if b := &c.rules[k]; a.Verb == b.Verb && len(a.When) == len(b.When) && compatible(a.When, b.When) {
-					c.add("path", fmt.Sprintf("ties with route %q: both can fit one RPC, and neither is more telling", b.Name))
-				}
-			}
-		}
+	if r.Customer.isEmpty() {
+		c.add("customer", "the settings have customers, so a route must tell whose its RPCs are")
 	}
-}
-
-// together tells whether two sets of conditions can hold at once.
-func compatible(a, b []Condition) bool {
-	for _, x := range a {
-		for _, y := range b {
-			if x.Variable == y.Variable && x.Value != y.Value {
-				return false
-			}
+	named := []string{r.Customer.Fixed}
+	if r.Customer.Names != nil {
+		named = slices.Sorted(maps.Values(r.Customer.Names))
+	}
+	for _, name := range named {
+		if name != "" && !slices.Contains(c.catalog.Customers, name) {
+			c.add("customer", fmt.Sprintf("%q is no customer of the settings", name))
 		}
 	}
-	return true
 }
--- /dev/null
+++ b/decision/route/resolve.go
@@ -0,0 +1,149 @@
+package route
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const (
+	maxCostHint   = 3.6e6 // ms: an expected cost of over an hour is no hint
+	maxArrival    = 1e14  // Unix ms, in the year 5138
+	maxTokenBytes = 64    // as in the routers' protocol, so that both carry any token
+)
+
+// Resolve identifies the RPC in a message by the most specific rule that matches. The error is ErrNoRoute,
+// ErrVerbNotAllowed or a *ValueError; the RPC must not run then.
+func (t *Table) Resolve(m *Message) (resolved Resolved, err error) {
+	rule := t.Match(m)
+	if rule < 0 {
+		if len(t.Verbs(m)) > 0 {
+			return resolved, ErrVerbNotAllowed
+		}
+		return resolved, ErrNoRoute
+	}
+	return t.resolveValues(rule, m)
+}
+
+// resolveValues reads the values that a rule takes from a message.
+func (t *Table) resolveValues(rule int, m *Message) (resolved Resolved, err error) {
+	r := &t.rules[rule]
+	v := valueReader{table: t, rule: rule, message: m}
+	resolved = Resolved{Rule: rule, Method: r.Method}
+	resolved.Customer = v.text("customer", &r.Customer)
+	if caller := v.text("caller", &r.Caller); caller != "" {
+		resolved.Caller = xxhash.Sum64String(caller)
+	}
+	resolved.Token = v.text("token", &r.Token)
+	if len(resolved.Token) > maxTokenBytes {
+		v.fail("token", fmt.Sprintf("up to %d bytes", maxTokenBytes), resolved.Token)
+	}
+	if subject := v.text("subject", &r.Subject); subject != "" {
+		resolved.Subject = max(1, xxhash.Sum64String(subject))
+	}
+	resolved.Retry = v.flag("retry", &r.Retry)
+	resolved.Hint = v.number("hint", &r.Hint, maxCostHint)
+	resolved.Door = v.number("door", &r.Door, maxArrival)
+	return resolved, v.err
+}
+
+// valueReader reads the values of one rule and keeps the first error, after which all values are empty.
+type valueReader struct {
+	table   *Table
+	rule    int
+	message *Message
+	err     error
+}
+
+// fail sets the error. It is called while there is none.
+func (v *valueReader) fail(key, want, got string) {
+	v.err = &ValueError{Rule: v.table.rules[v.rule].Name, Key: key, Want: want, Got: got}
+}
+
+func (v *valueReader) text(key string, s *Source) string {
+	if v.err != nil {
+		return ""
+	}
+	value := v.table.sourceValue(v.rule, s, v.message)
+	if s.Names == nil || value == "" {
+		return value
+	}
+	name, known := s.Names[value]
+	if !known {
+		v.fail(key, "one of the names of the route", value)
+	}
+	return name
+}
+
+func (v *valueReader) flag(key string, s *Source) bool {
+	value := v.text(key, s)
+	switch value {
+	case "", "0":
+		return false
+	case "1":
+		return true
+	}
+	if v.err == nil {
+		v.fail(key, "0 or 1", value)
+	}
+	return false
+}
+
+func (v *valueReader) number(key string, s *Source, highest float64) float64 {
+	value := v.text(key, s)
+	if value == "" || v.err != nil {
+		return 0
+	}
+	x, err := strconv.ParseFloat(value, 64)
+	inRange := x >= 0 && x <= highest // false for NaN
+	if err != nil || !inRange {
+		v.fail(key, fmt.Sprintf("a number from 0 to %g", highest), value)
+		return 0
+	}
+	return x
+}
+
+// sourceValue reads a source; "" stands for a value that is not there.
+func (t *Table) sourceValue(rule int, s *Source, m *Message) string {
+	switch {
+	case s.Fixed != "":
+		return s.Fixed
+	case s.Variable != "":
+		value, _ := m.Variables.Get(s.Variable)
+		return value
+	case s.Segment != "":
+		for _, p := range t.params[rule] {
+			if p.name == s.Segment {
+				return pathSegment(m.Path, p.segment)
+			}
+		}
+	case s.Query != "":
+		return queryValue(m.Query, s.Query)
+	}
+	return ""
+}
+
+// pathSegment returns the segment of a path at an index from 0.
+func pathSegment(path string, index int) string {
+	rest := strings.TrimPrefix(path, "/")
+	for ; index > 0; index-- {
+		_, rest, _ = strings.Cut(rest, "/")
+	}
+	segment, _, _ := strings.Cut(rest, "/")
+	return segment
+}
+
+// queryValue returns the first value of a key as it stands. Escapes are not decoded: tokens and ids need none, and a
+// value with escapes is another one than the same without.
+func queryValue(query, key string) string {
+	for query != "" {
+		var pair string
+		pair, query, _ = strings.Cut(query, "&")
+		if name, value, _ := strings.Cut(pair, "="); name == key {
+			return value
+		}
+	}
+	return ""
+}
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -11,26 +11,27 @@
 	"pgregory.net/rapid"
 )
 
-type vars map[string]string
+type variables map[string]string
 
-func (v vars) Get(name string) (string, bool) { s, has := v[name]; return s, has }
+func (v variables) Get(name string) (string, bool) { s, has := v[name]; return s, has }
 
-// plain is what the index is measured and checked against: all rules that fit, by precedence.
-type plain struct{ rules []Rule }
+// linearScan is the reference that the index is measured and checked against: all rules that match, by precedence.
+type linearScan struct{ rules []Rule }
 
-func (p plain) match(m *Message) int {
+func (p linearScan) match(m *Message) int {
 	best := -1
 	for i := range p.rules {
-		if p.fits(i, m) && (best < 0 || p.before(i, best, m)) {
+		if p.matches(i, m) && (best < 0 || p.before(i, best)) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (p plain) fits(i int, m *Message) bool {
+func (p linearScan) matches(i int, m *Message) bool {
 	r := &p.rules[i]
-	if r.Host != "" && r.Host != m.Host && !(strings.HasPrefix(r.Host, "*.") && strings.HasSuffix(m.Host, r.Host[1:]) && len(m.Host) > len(r.Host)-1) {
+	below := strings.HasPrefix(r.Host, "*.") && strings.HasSuffix(m.Host, r.Host[1:]) && len(m.Host) > len(r.Host)-1
+	if r.Host != "" && r.Host != m.Host && !below {
 		return false
 	}
 	want, got := splitPath(r.Path), splitPath(m.Path)
@@ -49,7 +50,7 @@
 	return len(want) == len(got) && (r.Verb == "" || r.Verb == m.Verb) && conditionsHold(r.When, m.Variables)
 }
 
-func (p plain) before(i, k int, m *Message) bool {
+func (p linearScan) before(i, k int) bool {
 	a, b := &p.rules[i], &p.rules[k]
 	kind := func(h string) int { // an exact host, the longer wildcard, any
 		switch {
@@ -86,8 +87,8 @@
 	return a.Name < b.Name
 }
 
-// The index finds what the plain look at all rules finds, whatever order they stand in.
-func TestMatchAsPlain(t *testing.T) {
+// The index finds the rule that a linear scan finds, whatever order the rules stand in.
+func TestMatchEqualsScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []string{"", "a.net", "x.a.net", "*.a.net", "*.net", "*.x.a.net"}
 		segments := []string{"a", "b", "{p}", "{q}"}
@@ -117,8 +118,8 @@
 			}
 			path += rapid.SampledFrom([]string{"", "/"}).Draw(t, "end of m")
 			m := &Message{Host: rapid.SampledFrom([]string{"a.net", "x.a.net", "y.x.a.net", "b.net", ""}).Draw(t, "host of m"), Path: path,
-				Verb: rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "verb of m"), Variables: vars{"X": "1", "Y": "2"}}
-			want := plain{rules}.match(m)
+				Verb: rapid.SampledFrom([]string{"GET", "POST", "PUT"}).Draw(t, "verb of m"), Variables: variables{"X": "1", "Y": "2"}}
+			want := linearScan{rules}.match(m)
 			if got := table.Match(m); got != want {
 				t.Fatalf("%+v: rule %d, want %d of %+v", m, got, want, rules)
 			}
@@ -129,7 +130,7 @@
 	})
 }
 
-func TestFind(t *testing.T) {
+func TestResolve(t *testing.T) {
 	table := New([]Rule{
 		{Name: "buy", Path: "/accounts/{id}/topup", Verb: "POST", Method: "topup-buy", Customer: Source{Variable: "PROVIDER", Names: map[string]string{"kw": "kaipara"}},
 			Caller: Source{Variable: "REMOTE_ADDR"}, Token: Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Retry: Source{Query: "again"}, Hint: Source{Variable: "WORK_MS"}},
@@ -137,19 +138,19 @@
 	})
 	cases := []struct {
 		name, verb, path, query string
-		vars                    vars
+		vars                    variables
 		want                    string
 		err                     error
 		key                     string // of a ValueError
 	}{
-		{"all of it", "POST", "/accounts/7/topup", "a=b&again=1", vars{"PROVIDER": "kw", "HTTP_IDEMPOTENCY_KEY": "k", "WORK_MS": "12.5", "REMOTE_ADDR": "::1"}, "topup-buy kaipara k true 12.5", nil, ""},
-		{"the tail, by another verb", "GET", "/accounts/7/topup", "", vars{}, "account-view kaipara  false 0", nil, ""},
-		{"no such path", "GET", "/accounts", "", vars{}, "", ErrNoRoute, ""},
-		{"a customer without a name", "POST", "/accounts/7/topup", "", vars{"PROVIDER": "other"}, "", nil, "customer"},
-		{"a hint that is no number", "POST", "/accounts/7/topup", "", vars{"WORK_MS": "NaN"}, "", nil, "hint"},
-		{"a hint below nothing", "POST", "/accounts/7/topup", "", vars{"WORK_MS": "-1"}, "", nil, "hint"},
-		{"a retry mark of another kind", "POST", "/accounts/7/topup", "again=yes", vars{}, "", nil, "retry"},
-		{"a token too long", "POST", "/accounts/7/topup", "", vars{"HTTP_IDEMPOTENCY_KEY": strings.Repeat("k", 65)}, "", nil, "token"},
+		{"all of it", "POST", "/accounts/7/topup", "a=b&again=1", variables{"PROVIDER": "kw", "HTTP_IDEMPOTENCY_KEY": "k", "WORK_MS": "12.5", "REMOTE_ADDR": "::1"}, "topup-buy kaipara k true 12.5", nil, ""},
+		{"the tail, by another verb", "GET", "/accounts/7/topup", "", variables{}, "account-view kaipara  false 0", nil, ""},
+		{"no such path", "GET", "/accounts", "", variables{}, "", ErrNoRoute, ""},
+		{"a customer without a name", "POST", "/accounts/7/topup", "", variables{"PROVIDER": "other"}, "", nil, "customer"},
+		{"a hint that is no number", "POST", "/accounts/7/topup", "", variables{"WORK_MS": "NaN"}, "", nil, "hint"},
+		{"a hint below nothing", "POST", "/accounts/7/topup", "", variables{"WORK_MS": "-1"}, "", nil, "hint"},
+		{"a retry mark of another kind", "POST", "/accounts/7/topup", "again=yes", variables{}, "", nil, "retry"},
+		{"a token too long", "POST", "/accounts/7/topup", "", variables{"HTTP_IDEMPOTENCY_KEY": strings.Repeat("k", 65)}, "", nil, "token"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -172,14 +173,14 @@
 		})
 	}
 	buy := New([]Rule{{Name: "buy", Path: "/buy", Verb: "POST", Method: "m"}, {Name: "put", Path: "/{x}", Verb: "PUT", Method: "m"}})
-	m := &Message{Path: "/buy", Verb: "GET", Variables: vars{}}
+	m := &Message{Path: "/buy", Verb: "GET", Variables: variables{}}
 	if _, err := buy.Resolve(m); !errors.Is(err, ErrVerbNotAllowed) || fmt.Sprint(buy.Verbs(m)) != "[POST PUT]" {
 		t.Errorf("error %v, verbs %v", err, buy.Verbs(m))
 	}
 }
 
 func TestCheck(t *testing.T) {
-	known := Catalog{Methods: []string{"view", "buy"}, RequireToken: map[string]bool{"buy": true}, Customers: []string{"acme"}}
+	catalog := Catalog{Methods: []string{"view", "buy"}, RequireToken: map[string]bool{"buy": true}, Customers: []string{"acme"}}
 	sound := Rule{Name: "a", Path: "/a", Method: "view", Customer: Source{Fixed: "acme"}}
 	with := func(change func(*Rule)) []Rule { r := sound; change(&r); return []Rule{r} }
 	second := func(change func(*Rule)) []Rule { r := sound; r.Name = "b"; change(&r); return []Rule{sound, r} }
@@ -232,7 +233,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			faults := Check(c.rules, known)
+			faults := Check(c.rules, catalog)
 			if c.want == "" && len(faults) > 0 {
 				t.Fatalf("faults %+v", faults)
 			}
@@ -248,31 +249,31 @@
 	}
 }
 
-// The index beside a plain look at all rules in the order of precedence.
+// The index beside a linear scan of the rules in the order of precedence.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
-		chance := rand.New(rand.NewSource(1))
+		random := rand.New(rand.NewSource(1))
 		var rules []Rule
 		for i := range n {
 			path := fmt.Sprintf("/service%d/%s/item%d", i%97, []string{"{id}", "all"}[i%2], i)
 			rules = append(rules, Rule{Name: fmt.Sprint(i), Host: []string{"", "a.net", "*.b.net"}[i%3], Path: path, Verb: []string{"GET", "POST", ""}[i%3]})
 		}
-		chance.Shuffle(n, func(i, k int) { rules[i], rules[k] = rules[k], rules[i] })
+		random.Shuffle(n, func(i, k int) { rules[i], rules[k] = rules[k], rules[i] })
 		messages := make([]Message, 256)
 		for k := range messages {
-			i := chance.Intn(n + n/10 + 1) // some fit nothing
+			i := random.Intn(n + n/10 + 1) // some fit nothing
 			messages[k] = Message{Host: []string{"c.org", "a.net", "x.b.net"}[i%3], Path: fmt.Sprintf("/service%d/%s/item%d", i%97, []string{"77", "all"}[i%2], i),
-				Verb: []string{"GET", "POST", "PUT"}[i%3], Variables: vars{}}
+				Verb: []string{"GET", "POST", "PUT"}[i%3], Variables: variables{}}
 		}
 		byRank := slices.Clone(rules)
 		slices.SortStableFunc(byRank, func(x, y Rule) int {
-			p := plain{[]Rule{x, y}}
-			if p.before(0, 1, nil) {
+			p := linearScan{[]Rule{x, y}}
+			if p.before(0, 1) {
 				return -1
 			}
 			return 1
 		})
-		table, scan := New(rules), plain{byRank}
+		table, scan := New(rules), linearScan{byRank}
 		b.Run(fmt.Sprintf("trie/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for k := 0; b.Loop(); k++ {
@@ -282,7 +283,7 @@
 		b.Run(fmt.Sprintf("scan/%d", n), func(b *testing.B) {
 			for k := 0; b.Loop(); k++ {
 				for i := range scan.rules {
-					if scan.fits(i, &messages[k%len(messages)]) {
+					if scan.matches(i, &messages[k%len(messages)]) {
 						break
 					}
 				}
