--- a/decision/recovery/recovery.go
+++ b/decision/recovery/recovery.go
@@ -9,59 +9,59 @@
 type State uint8
 
 const (
-	Begun     State = iota + 1 // its run was asked for, or was about to be
-	Done                       // it ran, and its answer is kept
-	Failed                     // it ran, or may have, and has no answer
-	Unkept                     // it ran, and its answer was too large to keep
-	Forgotten                  // it never ran
+	Started           State = iota + 1 // its run was asked for, or was about to be
+	Succeeded                          // it ran, and its answer is kept
+	Failed                             // it ran, or may have, and has no answer
+	SucceededUncached                  // it ran, and its answer was too large to keep
+	NeverRan                           // it never ran
 )
 
 // Known tells whether a state is one that a store may hold.
-func (s State) Known() bool { return s >= Begun && s <= Forgotten }
+func (s State) Known() bool { return s >= Started && s <= NeverRan }
 
-// Says is what a repeat is told.
-type Says int
+// Resolution is what a repeat is told.
+type Resolution int
 
 const (
-	Unknown   Says = iota // nothing is known of it: it may run
-	Answer                // with the answer that is kept
-	MayRun                // it may have run: an error, and never a run
-	HasRun                // it has run, and its answer was not kept: an error, and never a run
-	OtherBody             // it is no repeat: its first try had another body
+	Unknown      Resolution = iota // nothing is known of it: it may run
+	ReplayResult                   // with the answer that is kept
+	MayHaveRun                     // it may have run: an error, and never a run
+	HasRun                         // it has run, and its answer was not kept: an error, and never a run
+	BodyMismatch                   // it is no repeat: its first try had another body
 )
 
 // Entry is what a store holds of a token. Times are Unix ms.
 type Entry struct {
-	State State
-	Body  uint64  // hash
-	Until float64 // no try that came to the machine before may run
-	At    float64 // when it was written
+	State     State
+	Body      uint64  // hash
+	Until     float64 // no try that came to the machine before may run
+	WrittenAt float64 // when it was written
 }
 
-// Tell is what a try with a door and a body is told by an entry, where windows are as long as now. They may have been
+// Resolve is what a try with a door and a body is told by an entry, where windows are as long as now. They may have been
 // shorter when it was written: the longer one counts. The tolerance is how far the wall clock may have stepped while
 // the process was down: an entry counts that much longer.
-func Tell(e Entry, door float64, body uint64, window, tolerance float64) Says {
+func Resolve(e Entry, door float64, body uint64, window, tolerance float64) Resolution {
 	switch {
-	case e.State == Forgotten, door >= math.Max(e.Until, e.At+window)+tolerance:
+	case e.State == NeverRan, door >= math.Max(e.Until, e.WrittenAt+window)+tolerance:
 		return Unknown
 	case e.Body != body:
-		return OtherBody
-	case e.State == Done:
-		return Answer
-	case e.State == Unkept:
+		return BodyMismatch
+	case e.State == Succeeded:
+		return ReplayResult
+	case e.State == SucceededUncached:
 		return HasRun
 	}
-	return MayRun // begun without an end, failed, or what can't be told
+	return MayHaveRun // begun without an end, failed, or what can't be told
 }
 
 // Health is how the disk stands.
 type Health int
 
 const (
-	Sound    Health = iota
-	Recovers        // entries are being read: nothing is known yet
-	Broken          // a write or a sync failed, and none has succeeded since
+	Healthy    Health = iota
+	Recovering        // entries are being read: nothing is known yet
+	Broken            // a write or a sync failed, and none has succeeded since
 )
 
 func (h Health) String() string {
@@ -70,18 +70,18 @@
 
 // Disk is what is known before a token may begin. Bytes count the whole store.
 type Disk struct {
-	Health  Health
-	Used    float64
-	Most    float64
-	Reserve float64 // what begun tokens may still write for their ends
-	Frees   float64 // Unix ms: when the oldest segment is over; 0 for none
-	Suspect float64 // Unix ms: until then entries may be missing, as a part of the store was damaged
+	Health       Health
+	Used         float64
+	Capacity     float64
+	Reserved     float64 // what begun tokens may still write for their ends
+	FreesAt      float64 // Unix ms: when the oldest segment is over; 0 for none
+	SuspectUntil float64 // Unix ms: until then entries may be missing, as a part of the store was damaged
 }
 
-// Refusal tells why a token may not begin, and for how many ms to stay away.
-type Refusal struct {
-	Why   string
-	After float64
+// Rejection tells why a token may not begin, and for how many ms to stay away.
+type Rejection struct {
+	Reason     string
+	RetryAfter float64
 }
 
 const (
@@ -92,43 +92,43 @@
 	leastAway   = 50.0
 )
 
-// May tells whether a token may begin that needs so many bytes, its end included. now is Unix ms. What can't be
+// Admit tells whether a token may begin that needs so many bytes, its end included. now is Unix ms. What can't be
 // remembered is not run.
-func (d *Disk) May(now, need float64) *Refusal {
+func (d *Disk) Admit(now, need float64) *Rejection {
 	switch {
-	case d.Health == Recovers:
-		return &Refusal{"the store is being read", recoverAway}
+	case d.Health == Recovering:
+		return &Rejection{"the store is being read", recoverAway}
 	case d.Health == Broken:
-		return &Refusal{"the store can't be written", brokenAway}
-	case now < d.Suspect:
-		return &Refusal{"a part of the store was damaged: what has run can't be told", math.Max(leastAway, d.Suspect-now)}
-	case d.Used+d.Reserve+need > d.Most:
+		return &Rejection{"the store can't be written", brokenAway}
+	case now < d.SuspectUntil:
+		return &Rejection{"a part of the store was damaged: what has run can't be told", math.Max(leastAway, d.SuspectUntil-now)}
+	case d.Used+d.Reserved+need > d.Capacity:
 		after := brokenAway
-		if d.Frees > 0 {
-			after = d.Frees - now
+		if d.FreesAt > 0 {
+			after = d.FreesAt - now
 		}
-		return &Refusal{"the store is full", math.Max(leastAway, after)}
+		return &Rejection{"the store is full", math.Max(leastAway, after)}
 	}
 	return nil
 }
 
 // Segment is one file of a store.
 type Segment struct {
-	Last  float64 // Unix ms: the latest window of an entry in it
-	Open  int     // tokens begun in it that have no end yet
-	Bytes float64
+	LastExpiry float64 // Unix ms: the latest window of an entry in it
+	OpenRuns   int     // tokens begun in it that have no end yet
+	Bytes      float64
 }
 
 // Droppable tells whether a segment may go: all windows in it are over by more than the tolerance, and no run that it
 // tells of is still going on.
 func (s *Segment) Droppable(now, tolerance float64) bool {
-	return s.Open == 0 && now > s.Last+tolerance
+	return s.OpenRuns == 0 && now > s.LastExpiry+tolerance
 }
 
-// Suspect is until when a store may miss entries, of which a part was damaged: an entry written at the latest then may
+// SuspectUntil is until when a store may miss entries, of which a part was damaged: an entry written at the latest then may
 // have a window as long as the longest that was told, before or now.
-func Suspect(written, longest, tolerance float64) float64 { return written + longest + tolerance }
+func SuspectUntil(written, longest, tolerance float64) float64 { return written + longest + tolerance }
 
-// Trust tells what a bad record means. Behind the last sync anything may be torn, and nothing there was answered for;
+// Damaged tells what a bad record means. Behind the last sync anything may be torn, and nothing there was answered for;
 // where sound records follow it, it is not the tail.
-func Trust(soundBehind bool) (damaged bool) { return soundBehind }
+func Damaged(soundBehind bool) (damaged bool) { return soundBehind }
--- a/internal/back/engine/runner.go
+++ b/internal/back/engine/runner.go
@@ -12,7 +12,7 @@
 // Runner has runs done by the engine. An error that proves that nothing ran is told as such; any other may have had its
 // effect.
 func (l *Link) Runner() gate.Runner {
-	return func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	return func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		l.Run(w.ID, w.Method, w.Body, func(e Completion) {
 			var failed *retry.Error
 			switch {
--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -32,7 +32,7 @@
 
 // packet is the head and the block of variables for a run, and whether its answer has no body. An RPC that came by
 // uwsgi goes on with the variables that it came with; another gets those of the method's record.
-func (t *target) packet(w gate.Work) (b []byte, noBody bool) {
+func (t *target) packet(w gate.RunRequest) (b []byte, noBody bool) {
 	b = make([]byte, wire.HeaderSize, wire.HeaderSize+len(w.Variables)+256)
 	verb := t.method.Verb
 	if w.Variables != "" {
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -161,7 +161,7 @@
 // Runner has the work of the methods of the file done by their pools, and that of all others by engine. tokened and
 // the like tell which methods may run twice.
 func (b *Backends) Runner(engine gate.Runner, idempotent func(method string) bool) gate.Runner {
-	return func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	return func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		t := (*b.methods.Load())[w.Method]
 		if t == nil {
 			engine(w, done)
@@ -274,11 +274,11 @@
 }
 
 // call takes one of the fleet's calls in hand at the pool, if these are shared, until it is ended.
-func (x *sharedBudgets) acquireCall(pool string, w *gate.Work) (end func(*retry.Error), err *retry.Error) {
+func (x *sharedBudgets) acquireCall(pool string, w *gate.RunRequest) (end func(*retry.Error), err *retry.Error) {
 	if x == nil {
 		return func(*retry.Error) {}, nil
 	}
-	if !x.budgets.AllowCall(pool, x.weight(w.Method), w.Due-now()) {
+	if !x.budgets.AllowCall(pool, x.weight(w.Method), w.DueMs-now()) {
 		return nil, errFleetQuota
 	}
 	return func(err *retry.Error) {
@@ -287,7 +287,7 @@
 }
 
 // run makes attempts until one has a result, or no further one is allowed.
-func (t *target) run(w gate.Work, idempotent bool, parts *sharedBudgets, judge *detector, done func(gate.Outcome, float64, []byte, []byte)) {
+func (t *target) run(w gate.RunRequest, idempotent bool, parts *sharedBudgets, judge *detector, done func(gate.Outcome, float64, []byte, []byte)) {
 	began := now()
 	p := t.pool
 	packet, noBody := t.packet(w)
@@ -309,7 +309,7 @@
 		if err == nil {
 			p.mu.Lock()
 			at := now()
-			f.TimeLeft, f.ExpectedLatency = w.Due-at, p.balancer.MedianLatency()
+			f.TimeLeft, f.ExpectedLatency = w.DueMs-at, p.balancer.MedianLatency()
 			a := attempt{
 				addr: p.balancer.Addr(member), connectTimeout: operator.Milliseconds(min(p.config.ConnectTimeoutMs, f.TimeLeft)),
 				deadline: time.Now().Add(operator.Milliseconds(p.retries.AttemptTimeout(f))), maxBodyBytes: p.config.MaxAnswerBytes, noBody: noBody,
@@ -340,7 +340,7 @@
 			return
 		}
 		f.Attempts++
-		f.Progress, f.TimeLeft = err.Progress, w.Due-now()
+		f.Progress, f.TimeLeft = err.Progress, w.DueMs-now()
 		ran = ran || err.Progress >= retry.MayHaveRun
 		if !err.NoCapacity {
 			failed = append(failed, member)
@@ -360,7 +360,7 @@
 		if ran {
 			done(gate.Failed, now()-began, nil, nil)
 		} else {
-			done(gate.Full, now()-began, nil, nil)
+			done(gate.NoCapacity, now()-began, nil, nil)
 		}
 		return
 	}
@@ -424,8 +424,8 @@
 
 // place waits for a member with room, as long as the pool's line and the due time allow. One that may probe goes to a member
 // that is out, if this server is to ask after it.
-func (p *backend) acquire(w *gate.Work, avoid []int, mayProbe bool, judge *detector) (member int, err *retry.Error) {
-	due := w.Due
+func (p *backend) acquire(w *gate.RunRequest, avoid []int, mayProbe bool, judge *detector) (member int, err *retry.Error) {
+	due := w.DueMs
 	probe := ""
 	if mayProbe && judge != nil {
 		probe = judge.TrialMember(p.name)
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -59,7 +59,7 @@
 	r.file = &operator.File{Version: "t", Pools: map[string]operator.Pool{"p": p}, Methods: map[string]operator.Method{
 		"view": {Pool: "p", Path: "/view", Verb: "GET"}, "buy": {Pool: "p", Path: "/buy", Verb: "POST", Variables: map[string]string{"X": "y"}}}}
 	r.backs.Set(r.file)
-	r.run = r.backs.Runner(func(_ gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	r.run = r.backs.Runner(func(_ gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		done(gate.Succeeded, 1, nil, []byte("engine"))
 	}, func(m string) bool { return m == "view" })
 	ctx, end := context.WithCancel(context.Background())
@@ -78,7 +78,7 @@
 
 func (r *rig) begin(method, body string, due time.Duration) <-chan end {
 	over := make(chan end, 2)
-	r.run(gate.Work{ID: "1", Method: method, Body: []byte(body), Due: now() + float64(due.Milliseconds())}, func(how gate.Outcome, _ float64, head, result []byte) {
+	r.run(gate.RunRequest{ID: "1", Method: method, Body: []byte(body), DueMs: now() + float64(due.Milliseconds())}, func(how gate.Outcome, _ float64, head, result []byte) {
 		status, _, _ := strings.Cut(string(head), "\r\n")
 		over <- end{how, status, string(result)}
 	})
@@ -187,7 +187,7 @@
 		a.Stop()
 	}
 	for i := range 12 {
-		if e := r.do("buy", fmt.Sprint("1 ", i)); e.how != gate.Full {
+		if e := r.do("buy", fmt.Sprint("1 ", i)); e.how != gate.NoCapacity {
 			t.Fatalf("effect %d: %+v", i, e)
 		}
 	}
@@ -201,7 +201,7 @@
 		t.Errorf("%d members ejected", out)
 	}
 	began := time.Now()
-	if e := r.do("view", "1"); e.how != gate.Full || time.Since(began) > soon/2 {
+	if e := r.do("view", "1"); e.how != gate.NoCapacity || time.Since(began) > soon/2 {
 		t.Errorf("%+v after %v", e, time.Since(began))
 	}
 	if err := r.apps[1].Start(); err != nil {
@@ -226,7 +226,7 @@
 		switch e := r.end(over); e.how {
 		case gate.Succeeded:
 			ok++
-		case gate.Full:
+		case gate.NoCapacity:
 			full++
 		default:
 			t.Errorf("%+v", e)
@@ -311,13 +311,13 @@
 	long := wire.AppendVariable(own, "PAD", strings.Repeat("x", wire.MaxBlockSize-len(own)-7))
 	cases := []struct {
 		name   string
-		w      gate.Work
+		w      gate.RunRequest
 		want   []string // name, value, ...
 		noBody bool
 	}{
-		{"by MessagePack", gate.Work{ID: "7", Body: []byte("abc")}, []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/buy", "CONTENT_LENGTH", "3", "X", "y", "VALVE_ID", "7"}, false},
-		{"by uwsgi", gate.Work{ID: "7", Variables: string(own)}, []string{"REQUEST_METHOD", "HEAD", "PATH_INFO", "/x", "VALVE_ID", "7"}, true},
-		{"by uwsgi, with no room for more", gate.Work{ID: "7", Variables: string(long)}, []string{"PATH_INFO", "/x", "VALVE_ID", ""}, true},
+		{"by MessagePack", gate.RunRequest{ID: "7", Body: []byte("abc")}, []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/buy", "CONTENT_LENGTH", "3", "X", "y", "VALVE_ID", "7"}, false},
+		{"by uwsgi", gate.RunRequest{ID: "7", Variables: string(own)}, []string{"REQUEST_METHOD", "HEAD", "PATH_INFO", "/x", "VALVE_ID", "7"}, true},
+		{"by uwsgi, with no room for more", gate.RunRequest{ID: "7", Variables: string(long)}, []string{"PATH_INFO", "/x", "VALVE_ID", ""}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -415,7 +415,7 @@
 	first := r.begin("buy", "2", time.Second)
 	for end := time.Now().Add(soon); r.apps[0].Received() < 5 && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
-	if e := r.end(r.begin("buy", "3", time.Second)); e.how != gate.Full {
+	if e := r.end(r.begin("buy", "3", time.Second)); e.how != gate.NoCapacity {
 		t.Errorf("all of the fleet's calls are in hand: %+v", e)
 	}
 	r.end(first)
--- a/internal/daemon/carried.go
+++ b/internal/daemon/carried.go
@@ -22,16 +22,16 @@
 
 // carried samples what a gate counts since its start.
 type carried struct {
-	of   func() []gate.Ran
+	of   func() []gate.MethodStats
 	told *startup.Config
 
 	mu  sync.Mutex
 	at  []time.Time
-	all [][]gate.Ran // the oldest first
+	all [][]gate.MethodStats // the oldest first
 }
 
 func newCarried(g *gate.Gate, told *startup.Config) *carried {
-	c := &carried{of: g.Carried, told: told}
+	c := &carried{of: g.MethodStats, told: told}
 	c.sample(time.Now())
 	return c
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -209,7 +209,7 @@
 		case <-stop:
 			return x.drain(p, nil)
 		case told := <-x.back:
-			x.Gate.Stay()
+			x.Gate.CancelDrain()
 			x.phase.draining.Store(false)
 			x.log.WithField("ms", time.Since(began).Milliseconds()).Info("drain: taken back")
 			told <- nil
@@ -220,7 +220,7 @@
 	ctx, end := context.WithDeadline(context.Background(), began.Add(p.StopTimeout-spare))
 	defer end()
 	x.table.Shutdown(ctx)
-	x.log.WithField("ms", time.Since(began).Milliseconds()).WithField("in_hand", x.Gate.InHand()).Info("drain: over")
+	x.log.WithField("ms", time.Since(began).Milliseconds()).WithField("in_hand", x.Gate.InFlight()).Info("drain: over")
 	return true
 }
 
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -108,11 +108,11 @@
 }
 
 // NewWithTokenStore is New with idempotency tokens cached in k, which its caller opened, if that is not nil.
-func NewWithTokenStore(t Config, ln net.Listener, log *logrus.Entry, k gate.Keeper) (*Server, error) {
+func NewWithTokenStore(t Config, ln net.Listener, log *logrus.Entry, k gate.TokenStore) (*Server, error) {
 	return assemble(t, ln, log, nil, k)
 }
 
-func assemble(t Config, ln net.Listener, log *logrus.Entry, extra Extension, keeper gate.Keeper) (x *Server, err error) {
+func assemble(t Config, ln net.Listener, log *logrus.Entry, extra Extension, keeper gate.TokenStore) (x *Server, err error) {
 	p, settings, sockets := t.Process, *t.Config, t.Sockets
 	if t.Operator != nil {
 		t.Operator.File.Apply(&settings)
@@ -142,14 +142,14 @@
 	})
 	x.Gate = g
 	if keeper != nil {
-		g.Keep(keeper)
+		g.UseTokenStore(keeper)
 	}
 	if t.Operator != nil && t.Operator.File.Trace != nil {
 		rec := trace.NewRecorder(t.Operator.File.Trace.Path, TraceBounds(t.Operator.File.Trace), BuildVersion(), func(err error) {
 			log.WithError(err).Error("trace: not recorded")
 		})
 		x.ends = append(x.ends, func() { rec.Close() })
-		g.Trace(rec)
+		g.UseTracer(rec)
 	}
 	begun := g.Start
 	if t.Operator != nil && t.Operator.File.Store != nil { // until it has been read, the server listens and pushes back
@@ -161,7 +161,7 @@
 			since := time.Now()
 			if <-kept.ready; kept.err == nil {
 				if !g.Started() {
-					g.Keep(store.Keeper{Store: kept.s})
+					g.UseTokenStore(store.TokenStore{Store: kept.s})
 				}
 				g.Start(cold, ago+time.Since(since))
 			}
@@ -172,7 +172,7 @@
 		begun(cold, ago)
 	})
 	x.link = link
-	x.table = front.NewConnTable(sockets, g.Idle, log)
+	x.table = front.NewConnTable(sockets, g.IdleTimeout, log)
 	run := link.Runner()
 	if t.Operator != nil {
 		if x.more, err = newExtras(ctx, t, x.table, g, run, log); err != nil {
@@ -195,7 +195,7 @@
 	srv := mprpc.New(x.table, g, run, log)
 	x.serves(link.Serve)
 	if p.Members != "" {
-		x.report = members.New(p.Members, p.Name, log, g.Good, g.Started, g.Changed())
+		x.report = members.New(p.Members, p.Name, log, g.Healthy, g.Started, g.HealthChanged())
 		x.serves(x.report.Serve)
 	}
 	x.serves(func(ctx context.Context) { tick(ctx, g, link) })
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -43,17 +43,17 @@
 			fs.Close()
 			return
 		}
-		st := x.s.State()
-		log.WithFields(logrus.Fields{"entries": st.Recovered, "ms": st.Took.Milliseconds(), "segments": st.Segments}).Info("store: recovered")
+		st := x.s.Status()
+		log.WithFields(logrus.Fields{"entries": st.Recovered, "ms": st.RecoveryTime.Milliseconds(), "segments": st.Segments}).Info("store: recovered")
 	}()
 	return x
 }
 
-func storeBounds(o *operator.Store, methods []control.Method) store.Bounds {
-	b := store.Bounds{Bytes: o.MaxMB * (1 << 20), Segment: o.SegmentMB * (1 << 20), Answer: o.MaxAnswerBytes, Tolerance: o.ToleranceMs}
+func storeBounds(o *operator.Store, methods []control.Method) store.Limits {
+	b := store.Limits{MaxBytes: o.MaxMB * (1 << 20), SegmentBytes: o.SegmentMB * (1 << 20), MaxResultBytes: o.MaxAnswerBytes, ClockTolerance: o.ToleranceMs}
 	for _, m := range methods {
 		if m.Idempotency == control.IdempotencyKeyed {
-			b.Window = max(b.Window, m.DedupWindow+m.Deadline)
+			b.MaxWindow = max(b.MaxWindow, m.DedupWindow+m.Deadline)
 		}
 	}
 	return b
@@ -86,9 +86,9 @@
 	if x.s == nil {
 		return
 	}
-	st := x.s.State()
-	log.WithFields(logrus.Fields{"health": st.Health, "used": int64(st.Used), "reserved": int64(st.Reserve), "segments": st.Segments,
-		"records": st.Records, "syncs": st.Syncs, "dropped": st.Dropped, "failures": st.Failures, "index_kb": int64(st.IndexKB)}).Info("store: state")
+	st := x.s.Status()
+	log.WithFields(logrus.Fields{"health": st.Health, "used": int64(st.Used), "reserved": int64(st.Reserved), "segments": st.Segments,
+		"records": st.Records, "syncs": st.Syncs, "dropped": st.SegmentsDropped, "failures": st.Failures, "index_kb": int64(st.IndexKB)}).Info("store: state")
 }
 
 // close ends the store once nothing more can ask for it.
@@ -130,7 +130,7 @@
 		return 0, err
 	}
 	defer fs.Close()
-	all, err := store.Look(fs)
+	all, err := store.InspectSegments(fs)
 	if err != nil {
 		return 0, err
 	}
@@ -145,8 +145,8 @@
 			why = "ends early: " + s.Err.Error()
 		}
 		if list || s.Err != nil {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.Bytes, s.Records, s.States[recovery.Begun], s.States[recovery.Done],
-				s.States[recovery.Failed], s.States[recovery.Unkept], s.States[recovery.Forgotten], time.UnixMilli(int64(s.Last)).UTC().Format(time.RFC3339), why)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.Bytes, s.Records, s.States[recovery.Started], s.States[recovery.Succeeded],
+				s.States[recovery.Failed], s.States[recovery.SucceededUncached], s.States[recovery.NeverRan], time.UnixMilli(int64(s.LastExpiry)).UTC().Format(time.RFC3339), why)
 		}
 	}
 	w.Flush()
@@ -165,14 +165,14 @@
 		return err
 	}
 	defer fs.Close()
-	all, err := store.Look(fs)
+	all, err := store.InspectSegments(fs)
 	if err != nil {
 		return err
 	}
 	now := float64(time.Now().UnixMilli())
 	removed, kept := 0, 0
 	for _, s := range all { // the oldest first, and none behind one that stays: later records go before earlier ones
-		seg := recovery.Segment{Last: s.Last}
+		seg := recovery.Segment{LastExpiry: s.LastExpiry}
 		if s.Err != nil || !seg.Droppable(now, float64(c.Tolerance.Milliseconds())) {
 			kept = len(all) - removed
 			break
--- a/internal/experiment/budgets.go
+++ b/internal/experiment/budgets.go
@@ -464,7 +464,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 2000 {
-		b.Arrives("account-view", names[i], 1)
+		b.CheckQuota("account-view", names[i], 1)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -472,7 +472,7 @@
 	runtime.ReadMemStats(&before)
 	began := time.Now()
 	for i := range calls {
-		b.Arrives("account-view", names[i%50], 1)
+		b.CheckQuota("account-view", names[i%50], 1)
 	}
 	ns := float64(time.Since(began).Nanoseconds()) / calls
 	runtime.ReadMemStats(&after)
--- a/internal/experiment/durable.go
+++ b/internal/experiment/durable.go
@@ -26,8 +26,8 @@
 	{Name: "topup-buy", Target: 400, Deadline: 1000, Criticality: 3, Tokened: true, Window: 60000},
 }
 
-func durableBounds() store.Bounds {
-	return store.Bounds{Bytes: 64 << 20, Segment: 256 << 10, Answer: 4 << 10, Window: 61000, Tolerance: 2000}
+func durableBounds() store.Limits {
+	return store.Limits{MaxBytes: 64 << 20, SegmentBytes: 256 << 10, MaxResultBytes: 4 << 10, MaxWindow: 61000, ClockTolerance: 2000}
 }
 
 // StoreServer serves with a durable store until it is killed or its standard input ends.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	srv, err := NewKeptServer(settings, engine, File(durableMethods), store.Keeper{Store: s}, rpc, web)
+	srv, err := NewKeptServer(settings, engine, File(durableMethods), store.TokenStore{Store: s}, rpc, web)
 	if err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 		if err != nil {
 			return nil, err
 		}
-		var keeper gate.Keeper
+		var keeper gate.TokenStore
 		var s *store.Store
 		timed := &timedFS{}
 		if way != "off" {
@@ -287,7 +287,7 @@
 			if err != nil {
 				return nil, err
 			}
-			keeper = store.Keeper{Store: s}
+			keeper = store.TokenStore{Store: s}
 		}
 		srv, err := NewKeptServer(settings, engine.Addr(), File(durableMethods), keeper, "127.0.0.1:0", "127.0.0.1:0")
 		if err != nil {
@@ -303,9 +303,9 @@
 		srv.Close()
 		engine.Close()
 		cores.Close()
-		var st store.State
+		var st store.Status
 		if s != nil {
-			st = s.State()
+			st = s.Status()
 			s.Close()
 		}
 		f := figures{map[string]float64{}, map[string]float64{}}
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -66,16 +66,16 @@
 		var methods []valve.Method
 		var rules []route.Rule
 		for _, m := range embeddedMethods {
-			v := valve.Method{Name: m.Name, LatencyTarget: time.Duration(m.Target) * time.Millisecond, Deadline: time.Duration(m.Deadline) * time.Millisecond,
+			v := valve.Method{Name: m.Name, LatencyObjective: time.Duration(m.Target) * time.Millisecond, Deadline: time.Duration(m.Deadline) * time.Millisecond,
 				Criticality: m.Criticality}
 			r := route.Rule{Name: m.Name, Path: "/" + m.Name, Method: m.Name, Caller: route.Source{Variable: "HTTP_CALLER"}}
 			if m.Tokened {
-				v.Repeat, v.Window = valve.Tokened, 13584*time.Millisecond
+				v.Idempotency, v.DedupWindow = valve.IdempotencyKeyed, 13584*time.Millisecond
 				r.Token = route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}
 			}
 			methods, rules = append(methods, v), append(rules, r)
 		}
-		v, err := valve.New(valve.Options{Methods: methods, Cores: embeddedCores, RunsACore: 32, RetryAfter: time.Second})
+		v, err := valve.New(valve.Options{Methods: methods, Cores: embeddedCores, MaxRunsPerCore: 32, MaxRetryAfter: time.Second})
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/mixed.go
+++ b/internal/experiment/mixed.go
@@ -58,7 +58,7 @@
 		var ends []func()
 		switch way {
 		case "plain queue":
-			q := NewQueue(func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+			q := NewQueue(func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 				rules.RecordRun(w.Method, w.Body)
 				work, result := standin.WorkFromBody(w.Method, w.Body)
 				cores.Run(work, func() { done(gate.Succeeded, work, nil, result) })
@@ -187,7 +187,7 @@
 func (c queueCaller) Call(ctx context.Context, call standin.Call) standin.Reply {
 	began := time.Now()
 	got := make(chan standin.Reply, 1)
-	taken := c.q.Run(gate.Work{Method: call.Method, Body: call.Body}, call.Token, func(_ gate.Outcome, _ float64, _, result []byte) {
+	taken := c.q.Run(gate.RunRequest{Method: call.Method, Body: call.Body}, call.Token, func(_ gate.Outcome, _ float64, _, result []byte) {
 		got <- standin.Reply{Body: result}
 	})
 	if !taken {
--- a/internal/experiment/parity.go
+++ b/internal/experiment/parity.go
@@ -40,15 +40,15 @@
 )
 
 var parityMethods = []valve.Method{
-	{Name: "account-view", LatencyTarget: 400 * time.Millisecond, Deadline: time.Second, Criticality: 1, LateShare: 0.2},
-	{Name: "settings-save", LatencyTarget: 400 * time.Millisecond, Deadline: time.Second, Criticality: 1},
-	{Name: "topup-buy", LatencyTarget: 400 * time.Millisecond, Deadline: time.Second, Criticality: 3, Repeat: valve.Tokened, Window: 13584 * time.Millisecond},
+	{Name: "account-view", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Criticality: 1, LateFraction: 0.2},
+	{Name: "settings-save", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Criticality: 1},
+	{Name: "topup-buy", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, Criticality: 3, Idempotency: valve.IdempotencyKeyed, DedupWindow: 13584 * time.Millisecond},
 }
 
 // parityOptions and paritySettings say the same, to the library and to the daemon.
 func parityOptions() valve.Options {
-	return valve.Options{Methods: parityMethods, Cores: parityCores, Memory: 4 << 30, Kept: 64 << 20, Callers: 3, Cold: true, WarmBy: parityWarm,
-		RetryAfter: time.Second, Grace: 500 * time.Millisecond, Seed: 11}
+	return valve.Options{Methods: parityMethods, Cores: parityCores, Memory: 4 << 30, CacheBytes: 64 << 20, Callers: 3, WarmingUp: true, WarmUpTime: parityWarm,
+		MaxRetryAfter: time.Second, DrainGrace: 500 * time.Millisecond, Seed: 11}
 }
 
 func paritySettings() (*startup.Config, error) {
@@ -57,11 +57,11 @@
 		len(parityMethods), parityCores, 4<<20, parityWarm.Nanoseconds())
 	for i, m := range parityMethods {
 		kind := "read_like"
-		if m.Repeat == valve.Tokened {
+		if m.Idempotency == valve.IdempotencyKeyed {
 			kind = "idempotency_key"
 		}
 		s += fmt.Sprintf("classes.%d.name=%s\nclasses.%d.aim=%d\nclasses.%d.give_up=%d\nclasses.%d.worth=%g\nclasses.%d.late_worth=%g\nclasses.%d.idempotency=%s\nclasses.%d.window=%d\n",
-			i, m.Name, i, m.LatencyTarget.Nanoseconds(), i, m.Deadline.Nanoseconds(), i, m.Criticality, i, m.LateShare, i, kind, i, m.Window.Nanoseconds())
+			i, m.Name, i, m.LatencyObjective.Nanoseconds(), i, m.Deadline.Nanoseconds(), i, m.Criticality, i, m.LateFraction, i, kind, i, m.DedupWindow.Nanoseconds())
 	}
 	o, err := startup.Parse(s)
 	if err == nil {
@@ -154,13 +154,13 @@
 	log := logger.WithField("node", "parity")
 	f := &form{name: "daemon", did: &counts{}}
 	g := gate.New(o, 256, func(string, string) {})
-	g.Trace(tracer{f.did})
+	g.UseTracer(tracer{f.did})
 	if h.clock != nil {
 		g.UseClock(h.clock)
 	}
 	g.Start(true, 0)
 	table := front.NewConnTable(1024, func() time.Duration { return time.Hour }, log)
-	srv := mprpc.New(table, g, func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	srv := mprpc.New(table, g, func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		n, _ := strconv.Atoi(string(w.Body))
 		h.run(n, func() { done(gate.Succeeded, 0, nil, w.Body) })
 	}, log)
@@ -198,15 +198,15 @@
 	o.Clock = h.clock
 	o.Gauges = func() (valve.Gauges, bool) {
 		use, on := h.gauge()
-		return valve.Gauges{CoreUse: use, OnCores: on}, true
+		return valve.Gauges{CPUUtilization: use, Runnable: on}, true
 	}
-	o.Observe = func(x valve.Observed) {
-		switch x.What {
+	o.Observer = func(x valve.Event) {
+		switch x.Kind {
 		case valve.Arrived:
 			f.did.arrived.Add(1)
-		case valve.Began:
+		case valve.Started:
 			f.did.ran.Add(1)
-		case valve.Ended:
+		case valve.Completed:
 			f.did.ended.Add(1)
 		}
 	}
@@ -217,8 +217,8 @@
 	m, err := ginvalve.New(v, httpvalve.Options{Identify: func(q *http.Request) (valve.RPC, bool) {
 		a := q.Context().Value(arrivalKey{}).(*told)
 		return valve.RPC{
-			Method: a.call.Method, Caller: uint64(a.call.Caller), Subject: a.call.Subject, Token: a.call.Token, Arrived: a.door,
-			Work: time.Duration(math.Round(a.call.HintMs * 1e6)), Memory: 24.5 * 1024,
+			Method: a.call.Method, Caller: uint64(a.call.Caller), Subject: a.call.Subject, Token: a.call.Token, ArrivedAt: a.door,
+			CostHint: time.Duration(math.Round(a.call.HintMs * 1e6)), Memory: 24.5 * 1024,
 		}, true
 	}})
 	if err != nil {
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -62,7 +62,7 @@
 }
 
 // NewKeptServer is NewServer at given addresses, with tokens kept by k if that is not nil.
-func NewKeptServer(o *startup.Config, engineAddr string, f *operator.File, k gate.Keeper, rpc, web string) (*Server, error) {
+func NewKeptServer(o *startup.Config, engineAddr string, f *operator.File, k gate.TokenStore, rpc, web string) (*Server, error) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	if strings.HasSuffix(web, ":0") { // an operator's file names its port
@@ -135,7 +135,7 @@
 }
 
 type queued struct {
-	w    gate.Work
+	w    gate.RunRequest
 	done func(gate.Outcome, float64, []byte, []byte)
 }
 
@@ -168,7 +168,7 @@
 func (q *Queue) Close() { close(q.line) }
 
 // Run puts one into the line, or joins it to one of the same token; false if there is no room.
-func (q *Queue) Run(w gate.Work, token string, done func(gate.Outcome, float64, []byte, []byte)) bool {
+func (q *Queue) Run(w gate.RunRequest, token string, done func(gate.Outcome, float64, []byte, []byte)) bool {
 	if token != "" {
 		q.mu.Lock()
 		if e := q.seen[token]; e != nil {
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -124,8 +124,8 @@
 // maxCachedNames: beyond so many, names are made anew each time.
 const maxCachedNames = 1 << 16
 
-// Arrives is gate.Budgets: it tells whether an RPC lies within this server's part of its customer's quota.
-func (b *Budgets) Arrives(method, customer string, criticality float64) (control.QuotaStatus, float64) {
+// CheckQuota implements gate.QuotaChecker: it tells whether an RPC lies within this server's part of its customer's quota.
+func (b *Budgets) CheckQuota(method, customer string, criticality float64) (control.QuotaStatus, float64) {
 	if len(*b.rules.Load()) == 0 {
 		return control.QuotaUnknown, 0
 	}
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -67,7 +67,7 @@
 	for sent := 0; time.Since(began) < length; {
 		if due := int(time.Since(began).Seconds() * float64(rate)); sent < due {
 			sent++
-			if stands, _ := b.Arrives("view", "acme", 1); stands == control.WithinQuota {
+			if stands, _ := b.CheckQuota("view", "acme", 1); stands == control.WithinQuota {
 				n++
 			}
 			continue
@@ -96,7 +96,7 @@
 	for _, f := range fleet {
 		wait(t, "whole", hears(f, health.Complete, 3))
 	}
-	if stands, _ := parts[0].Arrives("view", "other", 1); stands != control.QuotaUnknown {
+	if stands, _ := parts[0].CheckQuota("view", "other", 1); stands != control.QuotaUnknown {
 		t.Error("a customer without a budget")
 	}
 	pour(parts[0], 400, 2500*time.Millisecond) // what a former life may have lent is back, and loans are made
@@ -135,7 +135,7 @@
 	fleet[0].mu.Lock()
 	fleet[0].exclude(fmt.Errorf("taken"))
 	fleet[0].mu.Unlock()
-	wait(t, "mute", func() bool { stands, _ := parts[0].Arrives("view", "acme", 1); return stands == control.OverQuota })
+	wait(t, "mute", func() bool { stands, _ := parts[0].CheckQuota("view", "acme", 1); return stands == control.OverQuota })
 }
 
 // A step of the wall clock beside the own one drops what is borrowed.
@@ -184,6 +184,6 @@
 	x := f.ShareBudgets(customerQuota(1e9, 1))
 	b.ReportAllocs()
 	for b.Loop() {
-		x.Arrives("view", "acme", 1)
+		x.CheckQuota("view", "acme", 1)
 	}
 }
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	var taken, origin string
-	s := RolloutHooks{ProgramName: "build-2", Dir: dir, Throughput: func() gate.Flow { return gate.Flow{} }, Sample: func() {},
+	s := RolloutHooks{ProgramName: "build-2", Dir: dir, Throughput: func() gate.Counts { return gate.Counts{} }, Sample: func() {},
 		Apply: func(r *operator.Record, from string) error { taken, origin = r.File.Version, from; return nil }}
 	v := newVersionManager(s, quiet())
 	if taken != "two" || origin != "release of version 2" {
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	y := &daemonFleet{fleet: f, budgets: f.ShareBudgets(p.Config.Operator.File.Budgets)}
-	p.Gate.Share(y.budgets)
+	p.Gate.UseQuota(y.budgets)
 	p.Pools.UseOutlierDetection(f.DetectOutliers())
 	methods := p.Config.Config.Methods
 	p.Pools.UseBudgets(y.budgets, func(method string) float64 {
@@ -76,9 +76,9 @@
 	})
 	if len(x.PermitServers) > 0 {
 		y.drains = f.CoordinateDrains(x.PermitServers, DrainHooks{StartDrain: p.Leave, CancelDrain: p.CancelDrain, SetDrainedMembers: p.Pools.SetDraining, MemberStates: memberStates(p.Pools), RequestCounts: func() (arrived, pushed uint64) {
-			n := p.Gate.Flow()
-			return n.All, n.PushedBack
-		}, Rollout: RolloutHooks{ProgramName: p.Build, Dir: x.DataDir, Apply: p.Release, Throughput: p.Gate.Flow, Sample: p.SampleLoad}})
+			n := p.Gate.Counts()
+			return n.Total, n.Rejected
+		}, Rollout: RolloutHooks{ProgramName: p.Build, Dir: x.DataDir, Apply: p.Release, Throughput: p.Gate.Counts, Sample: p.SampleLoad}})
 	}
 	if x.Socket != "" {
 		if y.socket, err = f.ServeSocket(x.Socket); err != nil {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -30,7 +30,7 @@
 	ProgramName string                                        // this program's own name
 	Dir         string                                        // for the last good one; "" for none
 	Apply       func(r *operator.Record, origin string) error // nil: the own file's
-	Throughput  func() gate.Flow                              // what it has carried
+	Throughput  func() gate.Counts                            // what it has carried
 	Sample      func()                                        // called again and again
 }
 
@@ -44,7 +44,7 @@
 	rejected     uint64
 	rejectReason string
 	program      storedProgram
-	baseline     gate.Flow // what was carried before the version, or before it was warm
+	baseline     gate.Counts // what was carried before the version, or before it was warm
 	warm         bool
 }
 
@@ -247,8 +247,8 @@
 	d := func(now, was uint64) float64 { return float64(now - was) }
 	b := &v.baseline
 	return &release.Report{Version: v.settings.Version, RejectedVersion: v.rejected, RejectReason: v.rejectReason, Warm: warm, ResidentMB: residentMB(), ProgramVersion: v.program.Version, Counts: release.Counts{
-		Total: d(flow.All, b.All), Failed: d(flow.Aborted, b.Aborted), Rejected: d(flow.PushedBack, b.PushedBack), Late: d(flow.Late, b.Late),
-		Critical: d(flow.Top, b.Top), CriticalFailed: d(flow.TopBad, b.TopBad)}}
+		Total: d(flow.Total, b.Total), Failed: d(flow.Aborted, b.Aborted), Rejected: d(flow.Rejected, b.Rejected), Late: d(flow.Late, b.Late),
+		Critical: d(flow.Critical, b.Critical), CriticalFailed: d(flow.CriticalFailed, b.CriticalFailed)}}
 }
 
 // residentMB is this process's memory in MB; 0 if that can't be read.
--- a/internal/fleetsim/callers.go
+++ b/internal/fleetsim/callers.go
@@ -238,15 +238,15 @@
 	r := &sim.rpcs[h.rpc]
 	r.refs--
 	code := codeFailed
-	switch v.Answer {
+	switch v.Kind {
 	case gate.OK:
 		code = codeOK
-	case gate.PushedBack:
-		code = codeRejected | uint32(math.Min(v.Away, 1<<20))<<retryAfterShift
-		if v.Last {
+	case gate.Rejected:
+		code = codeRejected | uint32(math.Min(v.RetryAfterMs, 1<<20))<<retryAfterShift
+		if v.NoRetry {
 			code |= codeNoRetry
 		}
-	case gate.Gone:
+	case gate.CallerGone:
 		sim.releaseRPC(h.rpc)
 		return
 	}
@@ -359,7 +359,7 @@
 	if s.up && !s.stopped {
 		for _, h := range s.inFlight {
 			if h.rpc == at && h.attempt == r.attempts {
-				h.ticket.Leave()
+				h.ticket.Cancel()
 				break
 			}
 		}
--- a/internal/fleetsim/check_growth.go
+++ b/internal/fleetsim/check_growth.go
@@ -27,8 +27,8 @@
 		if names := s.health.MemberCount(); names > n-1 {
 			sim.AddFinding("growth", "%s remembers %d names of %d", s.name, names, n-1)
 		}
-		if s.gate != nil && s.gate.InHand() > len(s.inFlight)+1 {
-			sim.AddFinding("growth", "%s: the gate holds %d RPCs, %d are open", s.name, s.gate.InHand(), len(s.inFlight))
+		if s.gate != nil && s.gate.InFlight() > len(s.inFlight)+1 {
+			sim.AddFinding("growth", "%s: the gate holds %d RPCs, %d are open", s.name, s.gate.InFlight(), len(s.inFlight))
 		}
 	}
 	if len(sim.rpcs) > 4*n*(int(sim.options.RatePerServer*deadlineMs/1000)+16) {
--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -227,12 +227,12 @@
 	r := &sim.rpcs[rpc]
 	in := gate.RPC{
 		ID: strconv.FormatInt(int64(r.id)<<8|int64(try), 36), Method: methodNames[r.method], Caller: uint16(r.router%3 + 1),
-		Subject: uint64(r.id%5000 + 1), Door: sim.wallClock(s), Hint: r.workMs, HeldKB: 16, Retry: try > 1, Body: r.body[:],
+		Subject: uint64(r.id%5000 + 1), ArrivedMs: sim.wallClock(s), CostHintMs: r.workMs, QueuedKB: 16, Retry: try > 1, Body: r.body[:],
 	}
 	if r.method == 2 {
 		in.Token, in.Subject = strconv.FormatInt(int64(r.token), 36), 0
 	}
-	t, err := s.gate.Enter(in)
+	t, err := s.gate.Submit(in)
 	if err != nil {
 		sim.AddFinding("rules", "%s: an RPC that makes sense is senseless: %v", s.name, err)
 		return
@@ -257,12 +257,12 @@
 				keep = append(keep, h)
 				continue
 			}
-			v, there := h.ticket.Now()
+			v, there := h.ticket.TryWait()
 			if !there {
 				keep = append(keep, h)
 				continue
 			}
-			if v.Answer == gate.Run {
+			if v.Kind == gate.Run {
 				sim.advanceJobs(s)
 				s.jobs = append(s.jobs, job{h, sim.rpcs[h.rpc].workMs})
 				begun, again = true, true
--- a/internal/front/mprpc/conn.go
+++ b/internal/front/mprpc/conn.go
@@ -39,7 +39,7 @@
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	return &conn{ConnState: front.ConnState{Conn: nc, WriteTimeout: s.gate.Longest(), LastActivity: time.Now()}, server: s, tickets: map[uint64]*gate.Ticket{}}
+	return &conn{ConnState: front.ConnState{Conn: nc, WriteTimeout: s.gate.MaxAnswerTime(), LastActivity: time.Now()}, server: s, tickets: map[uint64]*gate.Ticket{}}
 }
 
 // Serve reads until the connection ends, waits for what is in hand, and closes it.
@@ -78,7 +78,7 @@
 	}
 	c.Mu.Unlock()
 	for _, t := range tickets {
-		t.Lost()
+		t.ConnectionLost()
 	}
 }
 
@@ -185,7 +185,7 @@
 				t := c.tickets[id]
 				c.Mu.Unlock()
 				if t != nil {
-					t.Leave()
+					t.Cancel()
 					c.faults = 0
 				}
 			}
@@ -194,18 +194,18 @@
 	case taken: // an answer to this number would be a second one to that of the first
 		return errDuplicateID
 	case full: // the reader writes this itself: a peer that sends on without reading waits for it
-		c.write(rejection(m.id, c.server.gate.Advice(tooManyRetryAfter), false))
+		c.write(rejection(m.id, c.server.gate.CapRetryAfter(tooManyRetryAfter), false))
 		return nil
 	case string(m.method) == "health" && isHealthCheck(m.params):
 		c.faults = 0
-		c.write(healthResponse(m.id, c.server.gate.Good()))
+		c.write(healthResponse(m.id, c.server.gate.Healthy()))
 		c.complete(m.id)
 		return nil
 	}
 	rpc, err := parseRPC(m.method, m.params)
 	var t *gate.Ticket
 	if err == nil {
-		t, err = c.server.gate.Enter(rpc)
+		t, err = c.server.gate.Submit(rpc)
 	}
 	if err != nil {
 		c.server.log.WithField("peer", c.RemoteAddr()).WithError(err).Warn("server: senseless RPC")
@@ -235,7 +235,7 @@
 	shut := c.CloseRequested
 	c.Mu.Unlock()
 	if shut { // it ended before the ticket could be seen
-		t.Lost()
+		t.ConnectionLost()
 	}
 	c.handlers.Add(1)
 	go func() {
@@ -244,7 +244,7 @@
 			v := recover()
 			if v != nil {
 				c.server.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("server: panic on an RPC")
-				t.Lost()
+				t.ConnectionLost()
 				c.write(errorResponse(id, "Internal", "a fault of the server"))
 			}
 			c.complete(id)
@@ -256,17 +256,17 @@
 // answer waits for the verdicts on an RPC and carries them out until the final one.
 func (c *conn) awaitVerdicts(id uint64, t *gate.Ticket, rpc gate.RPC) {
 	for {
-		switch v := t.Wait(context.Background()); v.Answer {
+		switch v := t.Wait(context.Background()); v.Kind {
 		case gate.Run:
-			c.server.run(gate.Work{ID: rpc.ID, Method: rpc.Method, Body: rpc.Body, Due: t.Due(), Caller: gate.CallerOf(&rpc)}, t.ReportHead)
+			c.server.run(gate.RunRequest{ID: rpc.ID, Method: rpc.Method, Body: rpc.Body, DueMs: t.DueMs(), Caller: gate.CallerHash(&rpc)}, t.ReportWithHead)
 			continue
 		case gate.OK:
 			c.write(resultHeader(id, len(v.Result)), v.Result, resultTrailer(v.Head))
-		case gate.PushedBack:
-			c.write(rejection(id, v.Away, v.Last))
+		case gate.Rejected:
+			c.write(rejection(id, v.RetryAfterMs, v.NoRetry))
 		case gate.Aborted:
-			c.write(errorResponse(id, "Aborted", v.Why))
-		case gate.Gone: // nothing is owed, but who withdrew all it sent would else hear nothing until the idle limit
+			c.write(errorResponse(id, "Aborted", v.Reason))
+		case gate.CallerGone: // nothing is owed, but who withdrew all it sent would else hear nothing until the idle limit
 			c.write(errorResponse(id, "Cancelled", "its caller no longer waits"))
 		}
 		return
--- a/internal/front/mprpc/message.go
+++ b/internal/front/mprpc/message.go
@@ -124,7 +124,7 @@
 			}
 			f.unsigned("txn", v, 16)
 		case "door":
-			rpc.Door = f.number("door", v, 1, float64(time.Now().UnixMilli())+maxClockSkew)
+			rpc.ArrivedMs = f.number("door", v, 1, float64(time.Now().UnixMilli())+maxClockSkew)
 		case "lb": // of any size: routers come with always new numbers
 			n := f.unsigned("lb", v, 10)
 			rpc.Caller = uint16(n ^ n>>16 ^ n>>32 ^ n>>48)
@@ -133,9 +133,9 @@
 		case "second":
 			rpc.Retry = string(v) == "1"
 		case "cpu":
-			rpc.Hint = f.number("cpu", v, 0, maxCostHint)
+			rpc.CostHintMs = f.number("cpu", v, 0, maxCostHint)
 		case "ram":
-			if rpc.HeldKB = f.number("ram", v, 0, maxHeldKB); rpc.HeldKB == 0 || rpc.HeldKB == maxHeldKB {
+			if rpc.QueuedKB = f.number("ram", v, 0, maxHeldKB); rpc.QueuedKB == 0 || rpc.QueuedKB == maxHeldKB {
 				f.fail("ram", fmt.Sprintf("a number between 0 and %g", maxHeldKB), v)
 			}
 		case "standing": // checked; decisions go by criticality and share
@@ -163,9 +163,9 @@
 		return rpc, f.err
 	case rpc.ID == "":
 		return rpc, errors.New("txn: 16 hex digits expected, none there")
-	case rpc.Door == 0:
+	case rpc.ArrivedMs == 0:
 		return rpc, errors.New("door: a time expected, none there")
-	case rpc.HeldKB == 0:
+	case rpc.QueuedKB == 0:
 		return rpc, errors.New("ram: a number expected, none there")
 	}
 	rpc.Body = bytes.Clone(body)
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -62,8 +62,8 @@
 	r.g = gate.New(o, 64, func(string, string) {})
 	r.g.Start(false, 0)
 	entry := log.WithField("node", "n0")
-	r.table = front.NewConnTable(sockets, r.g.Idle, entry)
-	r.s = New(r.table, r.g, func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	r.table = front.NewConnTable(sockets, r.g.IdleTimeout, entry)
+	r.s = New(r.table, r.g, func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
 		}
@@ -266,7 +266,7 @@
 			}()
 			r.says(rpc(400, "view", "b"))
 			r.expect("400 ok r-b") // in spite of runs that have yet to end
-			for r.g.InHand() > 0 {
+			for r.g.InFlight() > 0 {
 				runtime.Gosched()
 			}
 		}},
@@ -387,7 +387,7 @@
 			}
 			gone := r.dial()
 			io.WriteString(gone, many("b")) // four of them run beside the others
-			for r.g.InHand() < 120 {
+			for r.g.InFlight() < 120 {
 				runtime.Gosched()
 			}
 			open := func() (n int) {
@@ -403,7 +403,7 @@
 			}
 			gone.Close() // looks half-closed until something is written
 			ran := 0
-			for end := time.Now().Add(soon); r.g.InHand() > 60 && time.Now().Before(end); {
+			for end := time.Now().Add(soon); r.g.InFlight() > 60 && time.Now().Before(end); {
 				select {
 				case run := <-r.runs:
 					left := open()
@@ -416,8 +416,8 @@
 					runtime.Gosched()
 				}
 			}
-			if ran > 30 || r.g.InHand() != 60 {
-				r.Errorf("%d ran, %d in hand", ran, r.g.InHand())
+			if ran > 30 || r.g.InFlight() != 60 {
+				r.Errorf("%d ran, %d in hand", ran, r.g.InFlight())
 			}
 		}},
 		{"a panic on an RPC", func(r *rig) {
@@ -460,7 +460,7 @@
 			c.Mu.Unlock()
 			r.says(rpc(1, "view", "a"))
 			r.expect("")
-			if n := r.g.InHand(); n != 0 {
+			if n := r.g.InFlight(); n != 0 {
 				r.Errorf("%d in hand", n)
 			}
 		}},
@@ -690,7 +690,7 @@
 		}
 		parseCancel(m.params)
 		if rpc, err := parseRPC(m.method, m.params); err == nil &&
-			(len(rpc.ID) != 16 || len(rpc.Body) > maxBody || !(rpc.Door > 0) || !(rpc.Hint >= 0 && rpc.HeldKB > 0)) {
+			(len(rpc.ID) != 16 || len(rpc.Body) > maxBody || !(rpc.ArrivedMs > 0) || !(rpc.CostHintMs >= 0 && rpc.QueuedKB > 0)) {
 			t.Errorf("took %+v", rpc)
 		}
 	})
--- a/internal/front/uwsgi/answer.go
+++ b/internal/front/uwsgi/answer.go
@@ -106,22 +106,22 @@
 func failureHead(v *gate.Verdict, keep bool) []byte {
 	status := 500
 	switch {
-	case v.Answer == gate.PushedBack:
+	case v.Kind == gate.Rejected:
 		status = 503
-	case v.Late:
+	case v.Overdue:
 		status = 504
 	}
 	b := appendStatusLine(make([]byte, 0, 192), status)
-	if v.Answer == gate.PushedBack && v.Away > 0 {
-		seconds := math.Max(1, math.Ceil(v.Away/1000))
+	if v.Kind == gate.Rejected && v.RetryAfterMs > 0 {
+		seconds := math.Max(1, math.Ceil(v.RetryAfterMs/1000))
 		b = append(strconv.AppendInt(append(b, "Retry-After: "...), int64(seconds), 10), "\r\n"...)
-		b = append(strconv.AppendInt(append(b, fieldRetryAfterMs+": "...), int64(math.Ceil(v.Away)), 10), "\r\n"...)
+		b = append(strconv.AppendInt(append(b, fieldRetryAfterMs+": "...), int64(math.Ceil(v.RetryAfterMs)), 10), "\r\n"...)
 	}
-	if v.Last {
+	if v.NoRetry {
 		b = append(b, fieldDoNotRetry+": 1\r\n"...)
 	}
-	if v.Why != "" {
-		b = wire.AppendField(b, fieldReason, printableASCII(v.Why))
+	if v.Reason != "" {
+		b = wire.AppendField(b, fieldReason, printableASCII(v.Reason))
 	}
 	return appendHeadEnd(b, 0, keep)
 }
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -31,14 +31,14 @@
 	logger.SetOutput(io.Discard)
 	log := logger.WithField("node", "n0")
 	result := make([]byte, 512)
-	run := func(_ gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	run := func(_ gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		done(gate.Succeeded, 1, nil, result)
 	}
 	for _, protocol := range []string{"uwsgi", "msgpack"} {
 		b.Run(protocol, func(b *testing.B) {
 			g := gate.New(o, 64, func(string, string) {})
 			g.Start(false, 0)
-			table := front.NewConnTable(1024, g.Idle, log)
+			table := front.NewConnTable(1024, g.IdleTimeout, log)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -45,7 +45,7 @@
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	return &conn{ConnState: front.ConnState{Conn: nc, WriteTimeout: s.gate.Longest(), LastActivity: time.Now()}, server: s, handled: make(chan struct{}, 1)}
+	return &conn{ConnState: front.ConnState{Conn: nc, WriteTimeout: s.gate.MaxAnswerTime(), LastActivity: time.Now()}, server: s, handled: make(chan struct{}, 1)}
 }
 
 var (
@@ -136,7 +136,7 @@
 	if c.server.bodyBytes.Add(taken) > int64(v.limits.BodyMemoryKB)<<10 {
 		c.server.bodyBytes.Add(-taken)
 		c.markReceived()
-		away := gate.Verdict{Answer: gate.PushedBack, Away: c.server.gate.Advice(bodyBudgetRetryAfter)}
+		away := gate.Verdict{Kind: gate.Rejected, RetryAfterMs: c.server.gate.CapRetryAfter(bodyBudgetRetryAfter)}
 		c.Send(failureHead(&away, false))
 		return errClosedHere
 	}
@@ -156,7 +156,7 @@
 	rpc := gate.RPC{
 		ID: c.server.newID(), Method: found.Method, Customer: found.Customer, Body: body,
 		Caller:  uint16(found.Caller ^ found.Caller>>16 ^ found.Caller>>32 ^ found.Caller>>48),
-		Subject: found.Subject, Door: door, Hint: found.Hint, HeldKB: v.limits.QueuedKB + float64(len(body))/1024,
+		Subject: found.Subject, ArrivedMs: door, CostHintMs: found.Hint, QueuedKB: v.limits.QueuedKB + float64(len(body))/1024,
 		Retry: found.Retry, Token: strings.Clone(found.Token), // it may outlive the block
 	}
 	c.Mu.Lock()
@@ -168,7 +168,7 @@
 	if shut {
 		return net.ErrClosed // given up for another just now: the peer sends it again, so it must not run here
 	}
-	t, err := c.server.gate.Enter(rpc)
+	t, err := c.server.gate.Submit(rpc)
 	if err != nil {
 		return c.rejectInvalid(&requestError{status: 400, reason: err.Error()}, m.keepAlive)
 	}
@@ -178,11 +178,11 @@
 	shut = c.CloseRequested
 	c.Mu.Unlock()
 	if shut { // cut before the ticket could be seen
-		t.Lost()
+		t.ConnectionLost()
 	}
-	work := gate.Work{ID: rpc.ID, Method: rpc.Method, Body: body, Due: t.Due(), Variables: block, Caller: gate.CallerOf(&rpc)}
-	verdict, there := t.Now()
-	if there && verdict.Answer != gate.Run { // decided at once, as most in overload: no need for a goroutine
+	work := gate.RunRequest{ID: rpc.ID, Method: rpc.Method, Body: body, DueMs: t.DueMs(), Variables: block, Caller: gate.CallerHash(&rpc)}
+	verdict, there := t.TryWait()
+	if there && verdict.Kind != gate.Run { // decided at once, as most in overload: no need for a goroutine
 		return c.complete(c.writeVerdict(&verdict, m.Verb, v.contentTypes[found.Rule], m.keepAlive))
 	}
 	keep := false
@@ -190,15 +190,15 @@
 		defer func() {
 			if p := recover(); p != nil {
 				c.server.log.WithField("panic", p).WithField("stack", string(debug.Stack())).Error("server: panic on an RPC")
-				t.Lost()
-				c.Send(failureHead(&gate.Verdict{Answer: gate.Aborted, Why: "a fault of the server"}, false))
+				t.ConnectionLost()
+				c.Send(failureHead(&gate.Verdict{Kind: gate.Aborted, Reason: "a fault of the server"}, false))
 			}
 			c.BoundReads(time.Unix(1, 0)) // wakes the reader, should it watch
 			c.handled <- struct{}{}
 		}()
-		for !there || verdict.Answer == gate.Run {
+		for !there || verdict.Kind == gate.Run {
 			if there {
-				c.server.run(work, t.ReportHead)
+				c.server.run(work, t.ReportWithHead)
 			}
 			verdict, there = t.Wait(context.Background()), true
 		}
@@ -222,9 +222,9 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 		case err == io.EOF && halfClose:
 		case err == io.EOF:
-			t.Leave()
+			t.Cancel()
 		default:
-			t.Lost()
+			t.ConnectionLost()
 		}
 		return
 	}
@@ -233,11 +233,11 @@
 // final writes what a verdict asks for and tells whether the connection goes on.
 func (c *conn) writeVerdict(v *gate.Verdict, verb, kind string, keep bool) bool {
 	keep = keep && !c.server.table.ShuttingDown()
-	switch v.Answer {
+	switch v.Kind {
 	case gate.OK:
 		head, body := resultResponse(v, verb, kind, keep)
 		return c.Send(head, body) && keep
-	case gate.Gone: // nothing is owed, and nobody reads
+	case gate.CallerGone: // nothing is owed, and nobody reads
 		return false
 	}
 	return c.Send(failureHead(v, keep)) && keep
@@ -275,7 +275,7 @@
 func (c *conn) answerPing() error {
 	c.markReceived()
 	c.in.Discard(wire.HeaderSize)
-	if c.server.gate.Good() {
+	if c.server.gate.Healthy() {
 		c.Send(wire.AppendHeader(nil, pingModifier, 0, 1))
 	}
 	return errClosedHere
@@ -328,7 +328,7 @@
 	t := c.ticket
 	c.Mu.Unlock()
 	if t != nil {
-		t.Lost()
+		t.ConnectionLost()
 	}
 }
 
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -43,7 +43,7 @@
 }
 
 type running struct {
-	gate.Work
+	gate.RunRequest
 	done func(gate.Outcome, float64, []byte, []byte)
 }
 
@@ -83,8 +83,8 @@
 	r := &rig{T: t, runs: make(chan running, 1000), over: make(chan struct{})}
 	r.g = gate.New(o, 64, func(string, string) {})
 	r.g.Start(false, 0)
-	r.table = front.NewConnTable(sockets, r.g.Idle, log)
-	run := func(w gate.Work, done func(gate.Outcome, float64, []byte, []byte)) {
+	r.table = front.NewConnTable(sockets, r.g.IdleTimeout, log)
+	run := func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
 		}
@@ -203,7 +203,7 @@
 // inHand waits until so many RPCs are.
 func (r *rig) inHand(n int) {
 	r.Helper()
-	r.until("RPCs in hand", func() bool { return r.g.InHand() == n })
+	r.until("RPCs in hand", func() bool { return r.g.InFlight() == n })
 }
 
 // gone waits until there are no connections.
@@ -216,7 +216,7 @@
 	r.Helper()
 	for end := time.Now().Add(soon); !holds(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			r.Fatalf("never: %s; %d in hand, %d connections", what, r.g.InHand(), len(r.table.Conns()))
+			r.Fatalf("never: %s; %d in hand, %d connections", what, r.g.InFlight(), len(r.table.Conns()))
 		}
 	}
 }
@@ -323,7 +323,7 @@
 		}},
 		{"no room below", nil, func(r *rig) {
 			r.says(get("/view"))
-			r.run().done(gate.Full, 1, nil, nil)
+			r.run().done(gate.NoCapacity, 1, nil, nil)
 			if head := r.expect("503"); !strings.Contains(head, "Retry-After: 1\r\n") || !strings.Contains(head, "Valve-Away-Ms: 500\r\n") {
 				r.Errorf("head %q", head)
 			}
@@ -537,7 +537,7 @@
 			if !strings.Contains(head, c.head) || strings.Contains(head, "\nX-Evil") {
 				t.Errorf("head %q, want %q in it", head, c.head)
 			}
-			if n := r.g.InHand(); n != 0 {
+			if n := r.g.InFlight(); n != 0 {
 				t.Errorf("%d in hand", n)
 			}
 		})
--- a/internal/gate/clock.go
+++ b/internal/gate/clock.go
@@ -47,7 +47,7 @@
 	for _, t := range g.tickets {
 		if !t.final && now > t.due+g.told.AnswerSlack/2 {
 			g.log("gate: an RPC was overdue", "")
-			g.end(t, control.OutcomeReset, Verdict{Answer: Aborted, Why: "overdue", Late: true})
+			g.end(t, control.OutcomeReset, Verdict{Kind: Aborted, Reason: "overdue", Overdue: true})
 		}
 	}
 	if g.expiries == nil {
--- a/internal/gate/decide.go
+++ b/internal/gate/decide.go
@@ -20,7 +20,7 @@
 		if v := recover(); v != nil {
 			g.log("gate: panic in the decisions", fmt.Sprintf("%v\n%s", v, debug.Stack()))
 			if t := g.tickets[ev.RPC]; t != nil {
-				t.finish(Verdict{Answer: Aborted, Why: "a fault of the server"})
+				t.finish(Verdict{Kind: Aborted, Reason: "a fault of the server"})
 			}
 			g.wake = math.Max(g.wake, now+faultPause)
 		}
@@ -81,14 +81,14 @@
 	case control.Run:
 		g.run(t)
 	case control.Reject:
-		v := Verdict{Answer: PushedBack, Last: a.NoRetry, Away: math.Min(a.Time, g.told.Fleet.MaxRetryAfter)}
+		v := Verdict{Kind: Rejected, NoRetry: a.NoRetry, RetryAfterMs: math.Min(a.Time, g.told.Fleet.MaxRetryAfter)}
 		if k := t.joins; t.running || k != nil && k.ran && g.tokens[t.key] == k {
-			v = Verdict{Answer: Aborted, Why: "it may have run"} // what ran is never pushed back
+			v = Verdict{Kind: Aborted, Reason: "it may have run"} // what ran is never pushed back
 		}
 		t.finish(v)
 	case control.Abort:
 		late := unixMs(g.now())+dueSoon > t.due
-		t.finish(Verdict{Answer: Aborted, Why: "given up", Late: late})
+		t.finish(Verdict{Kind: Aborted, Reason: "given up", Overdue: late})
 	case control.CacheToken:
 		g.remember(t, a.Time)
 	case control.EvictToken:
@@ -98,7 +98,7 @@
 	case control.Join:
 		k := t.joins
 		if k == nil || g.tokens[t.key] != k {
-			g.ended(t, Verdict{Answer: Aborted, Why: "the try that it repeats is over"})
+			g.ended(t, Verdict{Kind: Aborted, Reason: "the try that it repeats is over"})
 			return
 		}
 		k.joined = append(k.joined, t)
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// Stay takes a drain back: the server goes on, warm, as if it had never been told to leave. Nothing that arrived past the grace is
+// CancelDrain takes a drain back: the server goes on, warm, as if it had never been told to leave. Nothing that arrived past the grace is
 // run for it; what arrives from now on is.
-func (g *Gate) Stay() {
+func (g *Gate) CancelDrain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.draining {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Good is what health checks are told.
-func (g *Gate) Good() bool {
+// Healthy is what health checks are told.
+func (g *Gate) Healthy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.good && !g.draining
@@ -49,11 +49,11 @@
 	return g.decide != nil
 }
 
-// Changed has a value after health has changed.
-func (g *Gate) Changed() <-chan struct{} { return g.changed }
+// HealthChanged has a value after health has changed.
+func (g *Gate) HealthChanged() <-chan struct{} { return g.changed }
 
-// Idle is how long a connection may carry nothing.
-func (g *Gate) Idle() time.Duration {
+// IdleTimeout is how long a connection may carry nothing.
+func (g *Gate) IdleTimeout() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -21,9 +21,9 @@
 	log   Log
 	now   func() time.Time
 	told  *startup.Config
-	trace Tracer  // nil for none
-	store Keeper  // nil for none
-	parts Budgets // nil for none
+	trace Tracer       // nil for none
+	store TokenStore   // nil for none
+	parts QuotaChecker // nil for none
 
 	methods   map[string]int
 	customers map[string]int
@@ -48,9 +48,9 @@
 	good     bool
 	idle     time.Duration
 	changed  chan struct{}
-	flow     Flow
-	ran      []Ran // by method
-	top      int   // the most critical
+	flow     Counts
+	ran      []MethodStats // by method
+	top      int           // the most critical
 }
 
 // New returns a gate for a server told o. Its table of tokens stays under a quarter of memoryMB.
@@ -66,7 +66,7 @@
 	}
 	for i, m := range o.Methods {
 		g.methods[m.Name] = i
-		g.ran = append(g.ran, Ran{Customers: make([]uint64, len(o.Customers)+1)})
+		g.ran = append(g.ran, MethodStats{Customers: make([]uint64, len(o.Customers)+1)})
 		if m.Criticality > o.Methods[g.top].Criticality {
 			g.top = i
 		}
@@ -80,22 +80,22 @@
 // UseClock has the gate go by another clock. It must be called before anything else.
 func (g *Gate) UseClock(now func() time.Time) { g.now = now }
 
-// Keep has tokens kept by k. It must be called before Start.
-func (g *Gate) Keep(k Keeper) {
+// UseTokenStore has tokens kept by k. It must be called before Start.
+func (g *Gate) UseTokenStore(k TokenStore) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.store = k
 }
 
-// Share has arrivals of customers told apart by b.
-func (g *Gate) Share(b Budgets) {
+// UseQuota has arrivals of customers told apart by b.
+func (g *Gate) UseQuota(b QuotaChecker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.parts = b
 }
 
-// Trace has all decisions told to t. It must be called before Start.
-func (g *Gate) Trace(t Tracer) { g.trace = t }
+// UseTracer has all decisions told to t. It must be called before Start.
+func (g *Gate) UseTracer(t Tracer) { g.trace = t }
 
 // ErrClosed is what Enter says once the gate is closed.
 var ErrClosed = errors.New("the gate is closed")
@@ -108,9 +108,9 @@
 	for _, t := range g.tickets {
 		k := t.joins
 		if t.running || t.keeping || k != nil && k.ran { // what ran is never pushed back
-			g.end(t, control.OutcomeReset, Verdict{Answer: Aborted, Why: "the server is closed"})
+			g.end(t, control.OutcomeReset, Verdict{Kind: Aborted, Reason: "the server is closed"})
 		} else {
-			g.end(t, control.OutcomeReset, Verdict{Answer: PushedBack})
+			g.end(t, control.OutcomeReset, Verdict{Kind: Rejected})
 		}
 	}
 }
@@ -139,15 +139,15 @@
 	g.notice(now)
 }
 
-// InHand is the number of RPCs without a final verdict or with a run that is not over.
-func (g *Gate) InHand() int {
+// InFlight is the number of RPCs without a final verdict or with a run that is not over.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.tickets)
 }
 
-// Longest is the longest deadline of a method, with the slack that an answer may take: who has not taken one by then no longer waits.
-func (g *Gate) Longest() time.Duration {
+// MaxAnswerTime is the longest deadline of a method, with the slack that an answer may take: who has not taken one by then no longer waits.
+func (g *Gate) MaxAnswerTime() time.Duration {
 	longest := 0.0
 	for i := range g.told.Methods {
 		longest = math.Max(longest, g.told.Methods[i].Deadline)
@@ -155,5 +155,5 @@
 	return ms(longest + g.told.AnswerSlack)
 }
 
-// Advice is the time to stay away that goes with what the protocol itself pushes back, within what is honoured.
-func (g *Gate) Advice(away float64) float64 { return math.Min(away, g.told.Fleet.MaxRetryAfter) }
+// CapRetryAfter is the time to stay away that goes with what the protocol itself pushes back, within what is honoured.
+func (g *Gate) CapRetryAfter(away float64) float64 { return math.Min(away, g.told.Fleet.MaxRetryAfter) }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -61,8 +61,8 @@
 
 func (w *world) enterAt(method, token string, door time.Time) *Ticket {
 	w.Helper()
-	t, err := w.Enter(RPC{
-		Method: method, Customer: "acme", Caller: 1, Door: unixMs(door), HeldKB: 10, Token: token, Hint: 100,
+	t, err := w.Submit(RPC{
+		Method: method, Customer: "acme", Caller: 1, ArrivedMs: unixMs(door), QueuedKB: 10, Token: token, CostHintMs: 100,
 	})
 	if err != nil {
 		w.Fatal(err)
@@ -71,12 +71,12 @@
 }
 
 // expect checks the next verdict without waiting for it; -1 stands for none.
-func (w *world) expect(t *Ticket, want Answer) Verdict {
+func (w *world) expect(t *Ticket, want VerdictKind) Verdict {
 	w.Helper()
 	select {
 	case <-t.verdicts:
 		v := t.take()
-		if v.Answer != want {
+		if v.Kind != want {
 			w.Fatalf("verdict %+v, want answer %d", v, want)
 		}
 		return v
@@ -130,16 +130,16 @@
 			w.expect(a, Run)
 			w.expect(b, Run)
 			w.expect(c, -1)
-			c.Leave()
-			w.expect(c, Gone)
+			c.Cancel()
+			w.expect(c, CallerGone)
 			a.Report(Succeeded, 100, nil)
 			w.expect(d, Run)
 		}},
 		{"cancelled while it runs", func(w *world) {
 			a := w.enter("view", "")
 			w.expect(a, Run)
-			a.Leave()
-			w.expect(a, Gone)
+			a.Cancel()
+			w.expect(a, CallerGone)
 			a.Report(Succeeded, 100, nil)
 			w.expect(a, -1)
 		}},
@@ -147,7 +147,7 @@
 			a := w.enter("view", "")
 			w.expect(a, Run)
 			a.Report(Succeeded, 100, nil)
-			a.Leave()
+			a.Cancel()
 			w.expect(a, OK)
 			w.expect(a, -1)
 		}},
@@ -160,14 +160,14 @@
 		}},
 		{"drained: within the grace and after", func(w *world) {
 			w.Drain(3 * time.Second)
-			if w.Good() {
+			if w.Healthy() {
 				w.Error("health is good in a drain")
 			}
 			a := w.enter("view", "")
 			w.expect(a, Run)
 			a.Report(Succeeded, 10, nil)
 			w.pass(1010 * time.Millisecond)
-			w.expect(w.enter("view", ""), PushedBack)
+			w.expect(w.enter("view", ""), Rejected)
 		}},
 		{"a stall is made up for by one tick", func(w *world) {
 			a := w.enter("view", "")
@@ -180,7 +180,7 @@
 		}},
 		{"a clock of the callers that is wrong", func(w *world) {
 			w.expect(w.enterAt("view", "", w.at.Add(time.Hour)), Run)
-			w.expect(w.enterAt("view", "", w.at.Add(-time.Hour)), PushedBack)
+			w.expect(w.enterAt("view", "", w.at.Add(-time.Hour)), Rejected)
 		}},
 	}
 	for _, c := range cases {
@@ -251,8 +251,8 @@
 		}},
 		{"a repeat given up while it waits", func(w *world, first *Ticket) {
 			a := w.enter("buy", "k")
-			a.Leave()
-			w.expect(a, Gone)
+			a.Cancel()
+			w.expect(a, CallerGone)
 			first.Report(Succeeded, 10, nil)
 			w.expect(a, -1)
 		}},
@@ -265,7 +265,7 @@
 			b, c := w.enter("view", ""), w.enter("buy", "held")
 			w.expect(b, Run)
 			w.expect(c, -1)
-			c.Leave()
+			c.Cancel()
 			first.Report(Succeeded, 10, nil)
 			w.expect(w.enter("buy", "held"), Run)
 		}},
@@ -278,24 +278,24 @@
 		{"the table is full", func(w *world, first *Ticket) {
 			first.Report(Succeeded, 10, nil)
 			w.keptKB = tokenKB - 1
-			w.expect(w.enter("buy", "other"), PushedBack)
+			w.expect(w.enter("buy", "other"), Rejected)
 			w.expect(w.enter("buy", "k"), OK)
 		}},
 		{"a result too large to keep: its own caller gets it, a repeat hears that it ran", func(w *world, first *Ticket) {
 			late := w.enter("buy", "k")
-			first.ReportHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
+			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
 			if v := w.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
 				w.Errorf("%d bytes, head %q", len(v.Result), v.Head)
 			}
 			for _, t := range []*Ticket{late, w.enter("buy", "k")} {
-				if v := w.expect(t, Aborted); !strings.Contains(v.Why, "too large") {
-					w.Errorf("why %q", v.Why)
+				if v := w.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
+					w.Errorf("why %q", v.Reason)
 				}
 			}
 		}},
 		{"larger results count for what they take, and give it back", func(w *world, first *Ticket) {
 			before := w.keptKB
-			first.ReportHead(Succeeded, 10, []byte("head"), make([]byte, 100<<10))
+			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 100<<10))
 			w.expect(first, OK)
 			if took := before - w.keptKB; took < 90 || took > 100 {
 				w.Errorf("took %g KB", took)
@@ -310,9 +310,9 @@
 		}},
 		{"no room below: pushed back, its token is free", func(w *world, first *Ticket) {
 			late := w.enter("buy", "k")
-			first.Report(Full, 0, nil)
-			if v := w.expect(first, PushedBack); v.Away <= 0 {
-				w.Errorf("away %g", v.Away)
+			first.Report(NoCapacity, 0, nil)
+			if v := w.expect(first, Rejected); v.RetryAfterMs <= 0 {
+				w.Errorf("away %g", v.RetryAfterMs)
 			}
 			w.expect(late, Aborted)
 			w.expect(w.enter("buy", "k"), Run)
@@ -357,7 +357,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if _, _, err := open(t, true).Pick(context.Background(), c.rpc); err == nil || !strings.Contains(err.Error(), c.bad) {
+			if _, _, err := open(t, true).SubmitAndWait(context.Background(), c.rpc); err == nil || !strings.Contains(err.Error(), c.bad) {
 				t.Errorf("error %v, want %q", err, c.bad)
 			}
 		})
@@ -379,16 +379,16 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, false)
-			w.expect(w.enter("view", ""), PushedBack) // before the start
+			w.expect(w.enter("view", ""), Rejected) // before the start
 			w.Start(c.cold, c.ago)
 			w.Start(!c.cold, 0) // a new link tells it again
 			taken := 0
 			for i := range 100 {
-				a, v, err := w.Pick(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), Door: unixMs(w.at)})
+				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMs(w.at)})
 				if err != nil {
 					t.Fatal(err)
 				}
-				if v.Answer == Run {
+				if v.Kind == Run {
 					taken++
 					a.Report(Succeeded, 10, nil)
 				}
@@ -429,12 +429,12 @@
 		token := fmt.Sprint("k", i/3)
 		ctx, leave := context.WithCancel(context.Background())
 		all.Go(func() {
-			a, v, err := w.Pick(ctx, RPC{Method: []string{"view", "buy"}[i%2], Customer: "acme", Door: unixMs(time.Now()), Token: token})
+			a, v, err := w.SubmitAndWait(ctx, RPC{Method: []string{"view", "buy"}[i%2], Customer: "acme", ArrivedMs: unixMs(time.Now()), Token: token})
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			for v.Answer == Run {
+			for v.Kind == Run {
 				w.mu.Lock()
 				runs[token+fmt.Sprint(i%2)]++
 				w.mu.Unlock()
@@ -458,10 +458,10 @@
 		}
 	}
 	all.Wait()
-	for i := 0; i < 1000 && w.InHand() > 0; i++ {
+	for i := 0; i < 1000 && w.InFlight() > 0; i++ {
 		w.Tick(nil)
 	}
-	if n := w.InHand(); n > 0 {
+	if n := w.InFlight(); n > 0 {
 		t.Errorf("%d in hand at the end", n)
 	}
 	for key, n := range runs {
@@ -478,7 +478,7 @@
 		w.Drain(3 * time.Second)
 		w.at = w.at.Add(500 * time.Millisecond)
 		w.Start(cold, 0)
-		if w.Good() {
+		if w.Healthy() {
 			t.Error("good in a drain")
 		}
 		if a := w.enter("view", ""); !cold {
@@ -487,18 +487,18 @@
 			w.expect(a, OK)
 		}
 		w.at = w.at.Add(600 * time.Millisecond)
-		w.expect(w.enter("view", ""), PushedBack)
+		w.expect(w.enter("view", ""), Rejected)
 
 		late := open(t, false)
 		late.Drain(3 * time.Second)
 		late.at = late.at.Add(1100 * time.Millisecond)
 		late.Start(cold, 0)
-		late.expect(late.enter("buy", "u"), PushedBack)
+		late.expect(late.enter("buy", "u"), Rejected)
 	}
 }
 
 func TestLongest(t *testing.T) {
-	if got, want := open(t, false).Longest(), 2060*time.Millisecond; got != want {
+	if got, want := open(t, false).MaxAnswerTime(), 2060*time.Millisecond; got != want {
 		t.Errorf("longest %v, want %v", got, want)
 	}
 }
--- a/internal/gate/hooks.go
+++ b/internal/gate/hooks.go
@@ -19,18 +19,18 @@
 	Event(now float64, ev control.Event, actions []control.Action, token string)
 }
 
-// Keeper keeps what happened to tokens over restarts. Find may read a disk and is called without the gate's lock; the
+// TokenStore keeps what happened to tokens over restarts. Find may read a disk and is called without the gate's lock; the
 // others are called under it and must not block. done is called later, from another goroutine.
-type Keeper interface {
+type TokenStore interface {
 	Hash(body []byte) uint64
-	Find(key string, body uint64, door, window float64) (says recovery.Says, head, result []byte)
-	May() *recovery.Refusal // reserves room for one run; each is to be used by one Begin
-	Begin(key string, body uint64, until float64, done func(error))
-	End(key string, state recovery.State, body uint64, until float64, head, result []byte, done func(error))
+	Lookup(key string, body uint64, door, window float64) (says recovery.Resolution, head, result []byte)
+	Reserve() *recovery.Rejection // reserves room for one run; each is to be used by one Begin
+	RecordStart(key string, body uint64, until float64, done func(error))
+	RecordEnd(key string, state recovery.State, body uint64, until float64, head, result []byte, done func(error))
 }
 
-// Budgets tells how an arrival stands to its server's part of its customer's quota, where servers share quotas, and in how
+// QuotaChecker tells how an arrival stands to its server's part of its customer's quota, where servers share quotas, and in how
 // many ms one that is over may be within. It is called under the gate's lock: it must neither block nor call the gate.
-type Budgets interface {
-	Arrives(method, customer string, criticality float64) (stands control.QuotaStatus, again float64)
+type QuotaChecker interface {
+	CheckQuota(method, customer string, criticality float64) (stands control.QuotaStatus, again float64)
 }
--- a/internal/gate/rpc.go
+++ b/internal/gate/rpc.go
@@ -1,36 +1,36 @@
 package gate
 
-// Answer is what a verdict asks the protocol to do.
-type Answer int
+// VerdictKind is what a verdict asks the protocol to do.
+type VerdictKind int
 
 const (
-	Run        Answer = iota // run the RPC, report its end, and wait for the next verdict
-	OK                       // final: answer with Result
-	PushedBack               // final: it never ran
-	Aborted                  // final: an error, with no word on effects
-	Gone                     // final: its caller no longer waits, nothing is owed
+	Run        VerdictKind = iota // run the RPC, report its end, and wait for the next verdict
+	OK                            // final: answer with Result
+	Rejected                      // final: it never ran
+	Aborted                       // final: an error, with no word on effects
+	CallerGone                    // final: its caller no longer waits, nothing is owed
 )
 
 // Verdict is what has been decided on an RPC.
 type Verdict struct {
-	Answer Answer
-	Result []byte  // OK
-	Head   []byte  // OK: what a back put before its result, if anything; as it came
-	Away   float64 // PushedBack: ms that the caller should stay away
-	Last   bool    // PushedBack: the caller should not go elsewhere
-	Why    string  // Aborted
-	Late   bool    // Aborted: as its answer was due
+	Kind         VerdictKind
+	Result       []byte  // OK
+	Head         []byte  // OK: what a back put before its result, if anything; as it came
+	RetryAfterMs float64 // PushedBack: ms that the caller should stay away
+	NoRetry      bool    // PushedBack: the caller should not go elsewhere
+	Reason       string  // Aborted
+	Overdue      bool    // Aborted: as its answer was due
 }
 
 // Outcome is what became of a run.
 type Outcome int
 
 const (
-	Failed     Outcome = iota // may have had its effect
-	Succeeded                 //
-	NotStarted                // nothing ran
-	Full                      // nothing ran: there was no room for it below, which may pass
-	Unkept                    // succeeded, with a result that can't be kept for repeats
+	Failed            Outcome = iota // may have had its effect
+	Succeeded                        //
+	NotStarted                       // nothing ran
+	NoCapacity                       // nothing ran: there was no room for it below, which may pass
+	SucceededUncached                // succeeded, with a result that can't be kept for repeats
 )
 
 // RPC is what a protocol has read.
@@ -40,24 +40,24 @@
 	Body             []byte
 	Caller           uint16
 	Subject          uint64  // 0 for none
-	Door             float64 // when it reached the machine, in Unix ms
-	Hint             float64 // expected work in ms, 0 for none
-	HeldKB           float64
+	ArrivedMs        float64 // when it reached the machine, in Unix ms
+	CostHintMs       float64 // expected work in ms, 0 for none
+	QueuedKB         float64
 	Retry            bool
 	Token            string // the same in all tries of a tokened RPC, which also have the same body
 }
 
-// Work is a run that a verdict asked for, as a back is told of it.
-type Work struct {
+// RunRequest is a run that a verdict asked for, as a back is told of it.
+type RunRequest struct {
 	ID, Method string
 	Body       []byte
-	Due        float64 // Unix ms by which its answer must have been given
+	DueMs      float64 // Unix ms by which its answer must have been given
 	Caller     uint64  // tells callers apart, where a back serves some of them only
 	Variables  string  // what the RPC came with beside its body, in a form that front and back agree on
 }
 
-// CallerOf is what tells an RPC's caller from others: its subject, or the RPC itself if it has none.
-func CallerOf(r *RPC) uint64 {
+// CallerHash is what tells an RPC's caller from others: its subject, or the RPC itself if it has none.
+func CallerHash(r *RPC) uint64 {
 	h := uint64(r.Caller)<<32 ^ r.Subject
 	if r.Subject == 0 {
 		for i := range len(r.ID) {
@@ -68,4 +68,4 @@
 }
 
 // Runner has the work of an RPC run and calls done once with what became of it, the head as in ReportHead.
-type Runner func(w Work, done func(how Outcome, spent float64, head, result []byte))
+type Runner func(w RunRequest, done func(how Outcome, spent float64, head, result []byte))
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -10,19 +10,19 @@
 // Report tells what became of a run that a verdict asked for. The verdict that answers it comes by Wait,
 // if the RPC has none yet.
 func (t *Ticket) Report(how Outcome, spent float64, result []byte) {
-	t.ReportHead(how, spent, nil, result)
+	t.ReportWithHead(how, spent, nil, result)
 }
 
-// ReportHead is Report with what the back put before the result: the head of an HTTP answer, say. It is kept and
+// ReportWithHead is Report with what the back put before the result: the head of an HTTP answer, say. It is kept and
 // handed on with the result, and never looked at here.
 // Spent is the time that the run took in ms; 0 for the time since it was asked for.
-func (t *Ticket) ReportHead(how Outcome, spent float64, head, result []byte) {
-	t.End(how, spent, head, result)
+func (t *Ticket) ReportWithHead(how Outcome, spent float64, head, result []byte) {
+	t.Complete(how, spent, head, result)
 }
 
-// End is ReportHead, and returns whether the verdict that the caller hears is that of the run. With a store it is heard
+// Complete is ReportHead, and returns whether the verdict that the caller hears is that of the run. With a store it is heard
 // once the end is on disk, and the return value tells only that no other verdict had been given by then.
-func (t *Ticket) End(how Outcome, spent float64, head, result []byte) bool {
+func (t *Ticket) Complete(how Outcome, spent float64, head, result []byte) bool {
 	g := t.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,13 +53,13 @@
 	if k == nil || k.id != t.id { // its token has been dropped meanwhile: its window is over
 		k = &token{until: t.door + g.told.Methods[t.method].DedupWindow}
 	}
-	state := [...]recovery.State{recovery.Failed, recovery.Done, recovery.Forgotten, recovery.Forgotten, recovery.Unkept}[how]
+	state := [...]recovery.State{recovery.Failed, recovery.Succeeded, recovery.NeverRan, recovery.NeverRan, recovery.SucceededUncached}[how]
 	t.keeping = true
-	g.store.End(t.key, state, t.stored, k.until, head, result, func(err error) {
+	g.store.RecordEnd(t.key, state, t.stored, k.until, head, result, func(err error) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		t.keeping = false
-		if err != nil && (how == Succeeded || how == Unkept) {
+		if err != nil && (how == Succeeded || how == SucceededUncached) {
 			how = Failed
 		}
 		t.over(how, head, result)
@@ -70,7 +70,7 @@
 func (t *Ticket) over(how Outcome, head, result []byte) {
 	g := t.g
 	if k := g.tokens[t.key]; k != nil && k.id == t.id {
-		if how == NotStarted || how == Full {
+		if how == NotStarted || how == NoCapacity {
 			g.forget(k)
 		} else {
 			g.keep(k, how, head, result)
@@ -79,12 +79,12 @@
 	}
 	t.told = nil // the verdict is the run's own
 	switch how {
-	case Succeeded, Unkept:
-		t.finish(Verdict{Answer: OK, Head: head, Result: result})
-	case Full:
-		t.finish(Verdict{Answer: PushedBack, Away: g.Advice(math.Max(fullAway, t.away))})
+	case Succeeded, SucceededUncached:
+		t.finish(Verdict{Kind: OK, Head: head, Result: result})
+	case NoCapacity:
+		t.finish(Verdict{Kind: Rejected, RetryAfterMs: g.CapRetryAfter(math.Max(fullAway, t.away))})
 	default:
-		t.finish(Verdict{Answer: Aborted, Why: "the run failed"})
+		t.finish(Verdict{Kind: Aborted, Reason: "the run failed"})
 	}
 	g.drop(t)
 }
@@ -98,7 +98,7 @@
 	k := g.tokens[t.key]
 	if k != nil && k.id != t.id && k.ran && t.door < k.until {
 		g.log("gate: a second run of a tokened RPC was stopped", "")
-		g.ended(t, Verdict{Answer: Aborted, Why: "another try has run"})
+		g.ended(t, Verdict{Kind: Aborted, Reason: "another try has run"})
 		return
 	}
 	t.running, t.began = true, g.clock(g.now())
@@ -106,16 +106,16 @@
 		if k != nil && k.id == t.id {
 			k.ran = true
 		}
-		t.give(Verdict{Answer: Run})
+		t.give(Verdict{Kind: Run})
 		return
 	}
-	if no := g.store.May(); no != nil { // what can't be remembered is not run
-		t.away = no.After
+	if no := g.store.Reserve(); no != nil { // what can't be remembered is not run
+		t.away = no.RetryAfter
 		t.notRun()
 		return
 	}
 	k.ran = true // it may have, from here on
-	g.store.Begin(t.key, t.stored, k.until, func(err error) {
+	g.store.RecordStart(t.key, t.stored, k.until, func(err error) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		switch {
@@ -124,11 +124,11 @@
 			t.notRun()
 		case t.final: // its caller has left, or was answered: nothing runs any more
 			k.ran = false
-			g.store.End(t.key, recovery.Forgotten, t.stored, k.until, nil, nil, func(error) {})
+			g.store.RecordEnd(t.key, recovery.NeverRan, t.stored, k.until, nil, nil, func(error) {})
 			t.notRun()
 		default:
 			t.begun = true
-			t.give(Verdict{Answer: Run})
+			t.give(Verdict{Kind: Run})
 		}
 	})
 }
@@ -136,7 +136,7 @@
 // notRun ends a run that the store has kept from beginning.
 func (t *Ticket) notRun() {
 	t.running = false
-	t.over(Full, nil, nil)
+	t.over(NoCapacity, nil, nil)
 	t.g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
 }
 
@@ -146,7 +146,7 @@
 		return
 	}
 	outcome := control.OutcomeError
-	if v.Answer == OK {
+	if v.Kind == OK {
 		outcome = control.OutcomeOK
 	}
 	g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome})
--- a/internal/gate/stats.go
+++ b/internal/gate/stats.go
@@ -6,27 +6,27 @@
 
 // Flow counts RPCs since the start, by their final verdicts; those whose caller left are not in it. The most critical method is the one
 // of the largest criticality, or the first of several.
-type Flow struct {
-	All, PushedBack, Aborted, Late uint64 // Late: ok past their latency target
-	Top, TopBad                    uint64 // of the most critical method, and not ok
+type Counts struct {
+	Total, Rejected, Aborted, Late uint64 // Late: ok past their latency target
+	Critical, CriticalFailed       uint64 // of the most critical method, and not ok
 }
 
-// Ran is what a method carried since the start.
-type Ran struct {
+// MethodStats is what a method carried since the start.
+type MethodStats struct {
 	OK        uint64
 	RunMs     float64  // of all of its runs
 	Customers []uint64 // ok, by customer as the settings have them; the last is for those without one
 }
 
-// Flow returns the counts.
-func (g *Gate) Flow() Flow {
+// Counts returns the counts.
+func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.flow
 }
 
-// Carried returns what each method carried, as the settings have them.
-func (g *Gate) Carried() []Ran {
+// MethodStats returns what each method carried, as the settings have them.
+func (g *Gate) MethodStats() []MethodStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := slices.Clone(g.ran)
@@ -38,20 +38,20 @@
 
 // count notes a final verdict.
 func (g *Gate) count(t *Ticket, v *Verdict) {
-	if v.Answer == Gone || v.Answer == Run {
+	if v.Kind == CallerGone || v.Kind == Run {
 		return
 	}
 	f := &g.flow
-	f.All++
+	f.Total++
 	if t.method == g.top {
-		f.Top++
-		if v.Answer != OK {
-			f.TopBad++
+		f.Critical++
+		if v.Kind != OK {
+			f.CriticalFailed++
 		}
 	}
-	switch v.Answer {
-	case PushedBack:
-		f.PushedBack++
+	switch v.Kind {
+	case Rejected:
+		f.Rejected++
 	case Aborted:
 		f.Aborted++
 	case OK:
--- a/internal/gate/ticket.go
+++ b/internal/gate/ticket.go
@@ -32,12 +32,12 @@
 	begun    bool // on disk
 	keeping  bool // its end is on its way there
 	final    bool
-	told     Finisher // instead of a verdict in the channel, if the final one is not the run's own
+	told     FinalHandler // instead of a verdict in the channel, if the final one is not the run's own
 }
 
-// Enter books an RPC as read. It never blocks; the verdicts come by Wait, and exactly one of them is final.
+// Submit books an RPC as read. It never blocks; the verdicts come by Wait, and exactly one of them is final.
 // An error tells that the RPC makes no sense here.
-func (g *Gate) Enter(r RPC) (*Ticket, error) {
+func (g *Gate) Submit(r RPC) (*Ticket, error) {
 	m, known := g.methods[r.Method]
 	if !known {
 		return nil, fmt.Errorf("method %.40q is not known here", r.Method)
@@ -70,7 +70,7 @@
 	}
 	deadline := g.told.Methods[m].Deadline
 	t := &Ticket{
-		g: g, name: r.ID, method: m, door: math.Min(r.Door, now),
+		g: g, name: r.ID, method: m, door: math.Min(r.ArrivedMs, now),
 		verdicts: make(chan struct{}, 2), customer: customer,
 	}
 	door := math.Max(t.door, now-deadline) // one that is older is past its deadline anyway
@@ -85,34 +85,34 @@
 		t.stored = stored.body
 		if k := g.tokens[t.key]; k == nil || t.door >= k.until {
 			switch stored.says { // a try before the start of this process is told of what happened to it
-			case recovery.OtherBody:
+			case recovery.BodyMismatch:
 				return nil, fmt.Errorf("token: its first try had another body")
-			case recovery.Answer:
-				t.finish(Verdict{Answer: OK, Head: stored.head, Result: stored.result})
+			case recovery.ReplayResult:
+				t.finish(Verdict{Kind: OK, Head: stored.head, Result: stored.result})
 				return t, nil
-			case recovery.MayRun:
-				t.finish(Verdict{Answer: Aborted, Why: "it may have run"})
+			case recovery.MayHaveRun:
+				t.finish(Verdict{Kind: Aborted, Reason: "it may have run"})
 				return t, nil
 			case recovery.HasRun:
-				t.finish(Verdict{Answer: Aborted, Why: "the try that it repeats has run; its result was too large to keep"})
+				t.finish(Verdict{Kind: Aborted, Reason: "the try that it repeats has run; its result was too large to keep"})
 				return t, nil
 			}
 		}
 	}
 	if g.decide == nil || tokened && g.tokens[t.key] == nil && g.keptKB < tokenKB {
-		t.finish(Verdict{Answer: PushedBack})
+		t.finish(Verdict{Kind: Rejected})
 		return t, nil
 	}
 	g.lastID++
 	t.id = g.lastID
 	ev := control.Event{
 		Kind: control.Arrived, RPC: t.id, Method: m, Customer: customer, Caller: r.Caller, Subject: r.Subject,
-		Age: now - door, CostHint: r.Hint, QueuedKB: r.HeldKB, Retry: r.Retry,
+		Age: now - door, CostHint: r.CostHintMs, QueuedKB: r.QueuedKB, Retry: r.Retry,
 	}
 	if k := g.tokens[t.key]; k != nil && t.door < k.until {
 		ev.DuplicateOf, t.joins = k.id, k // its customer's quota was asked for the first try
 	} else if g.parts != nil && len(g.customers) > 0 {
-		ev.Quota, ev.RetryAfter = g.parts.Arrives(r.Method, r.Customer, g.told.Methods[m].Criticality)
+		ev.Quota, ev.RetryAfter = g.parts.CheckQuota(r.Method, r.Customer, g.told.Methods[m].Criticality)
 	}
 	g.tickets[t.id] = t
 	if t.name != "" {
@@ -124,7 +124,7 @@
 
 // stored is what the store knows of a token.
 type stored struct {
-	says         recovery.Says
+	says         recovery.Resolution
 	body         uint64
 	head, result []byte
 }
@@ -135,20 +135,20 @@
 	g.mu.Lock()
 	store, now := g.store, unixMs(g.now()) // a store comes while the server listens already
 	k := g.tokens[key]
-	known := k != nil && r.Door < k.until
+	known := k != nil && r.ArrivedMs < k.until
 	g.mu.Unlock()
 	if store == nil {
 		return s
 	}
 	if s.body = store.Hash(r.Body); !known {
-		s.says, s.head, s.result = store.Find(key, s.body, math.Min(r.Door, now), g.told.Methods[g.methods[r.Method]].DedupWindow)
+		s.says, s.head, s.result = store.Lookup(key, s.body, math.Min(r.ArrivedMs, now), g.told.Methods[g.methods[r.Method]].DedupWindow)
 	}
 	return s
 }
 
-// Pick enters an RPC and blocks until its first verdict. If ctx ends before, the caller is taken to be gone.
-func (g *Gate) Pick(ctx context.Context, r RPC) (*Ticket, Verdict, error) {
-	t, err := g.Enter(r)
+// SubmitAndWait enters an RPC and blocks until its first verdict. If ctx ends before, the caller is taken to be gone.
+func (g *Gate) SubmitAndWait(ctx context.Context, r RPC) (*Ticket, Verdict, error) {
+	t, err := g.Submit(r)
 	if err != nil {
 		return nil, Verdict{}, err
 	}
@@ -160,7 +160,7 @@
 	select {
 	case <-t.verdicts:
 	case <-ctx.Done():
-		t.Leave()
+		t.Cancel()
 		<-t.verdicts
 	}
 	return t.take()
@@ -179,8 +179,8 @@
 	t.verdicts <- struct{}{}
 }
 
-// Now is the next verdict if it is there already.
-func (t *Ticket) Now() (v Verdict, there bool) {
+// TryWait is the next verdict if it is there already.
+func (t *Ticket) TryWait() (v Verdict, there bool) {
 	select {
 	case <-t.verdicts:
 		return t.take(), true
@@ -189,16 +189,16 @@
 	}
 }
 
-// Leave tells that the caller no longer waits. It does nothing once there is a final verdict.
-func (t *Ticket) Leave() { t.leave(control.OutcomeError) }
+// Cancel tells that the caller no longer waits. It does nothing once there is a final verdict.
+func (t *Ticket) Cancel() { t.leave(control.OutcomeError) }
 
-// Lost tells that the caller's connection broke, which says nothing of how long it would have waited.
-func (t *Ticket) Lost() { t.leave(control.OutcomeReset) }
+// ConnectionLost tells that the caller's connection broke, which says nothing of how long it would have waited.
+func (t *Ticket) ConnectionLost() { t.leave(control.OutcomeReset) }
 
 func (t *Ticket) leave(how control.Outcome) {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	t.g.end(t, how, Verdict{Answer: Gone})
+	t.g.end(t, how, Verdict{Kind: CallerGone})
 }
 
 // end gives a final verdict that the module has no part in. The module hears first, so that it can still
@@ -210,23 +210,23 @@
 	}
 }
 
-// Finisher hears of a final verdict, under the gate's lock: it must not block, nor call the gate.
-type Finisher interface{ Final(Verdict) }
+// FinalHandler hears of a final verdict, under the gate's lock: it must not block, nor call the gate.
+type FinalHandler interface{ HandleFinal(Verdict) }
 
-// OnFinal has f told of the final verdict if that is not the run's own, instead of Wait returning it; at once if there
+// NotifyFinal has f told of the final verdict if that is not the run's own, instead of Wait returning it; at once if there
 // is one already.
-func (t *Ticket) OnFinal(f Finisher) {
+func (t *Ticket) NotifyFinal(f FinalHandler) {
 	t.g.mu.Lock()
 	defer t.g.mu.Unlock()
-	if v, there := t.Now(); there {
-		f.Final(v)
+	if v, there := t.TryWait(); there {
+		f.HandleFinal(v)
 		return
 	}
 	t.told = f
 }
 
-// Due is when the answer to the RPC must have been given, in Unix ms. It does not change.
-func (t *Ticket) Due() float64 { return t.due }
+// DueMs is when the answer to the RPC must have been given, in Unix ms. It does not change.
+func (t *Ticket) DueMs() float64 { return t.due }
 
 // finish gives the final verdict if there is none yet, and tells whether it did.
 func (t *Ticket) finish(v Verdict) bool {
@@ -236,7 +236,7 @@
 	t.final = true
 	t.g.count(t, &v)
 	if t.told != nil {
-		t.told.Final(v)
+		t.told.HandleFinal(v)
 	} else {
 		t.give(v)
 	}
--- a/internal/gate/tokens.go
+++ b/internal/gate/tokens.go
@@ -62,7 +62,7 @@
 // keep takes the end of a token's run, and its result if there is room for that. A repeat of one whose result is
 // not kept hears that it ran, and never runs.
 func (g *Gate) keep(k *token, how Outcome, head, result []byte) {
-	k.over, k.ok, k.large = true, how == Succeeded, how == Unkept
+	k.over, k.ok, k.large = true, how == Succeeded, how == SucceededUncached
 	if !k.ok {
 		return
 	}
@@ -92,11 +92,11 @@
 	for _, t := range joined {
 		switch {
 		case k.ok:
-			g.ended(t, Verdict{Answer: OK, Head: k.head, Result: k.result})
+			g.ended(t, Verdict{Kind: OK, Head: k.head, Result: k.result})
 		case k.large:
-			g.ended(t, Verdict{Answer: Aborted, Why: "the try that it repeats has run; its result was too large to keep"})
+			g.ended(t, Verdict{Kind: Aborted, Reason: "the try that it repeats has run; its result was too large to keep"})
 		default:
-			g.ended(t, Verdict{Answer: Aborted, Why: "the try that it repeats failed"})
+			g.ended(t, Verdict{Kind: Aborted, Reason: "the try that it repeats failed"})
 		}
 	}
 }
--- a/internal/store/compare/compare_test.go
+++ b/internal/store/compare/compare_test.go
@@ -29,7 +29,7 @@
 
 func (l logStore) put(key uint64, value []byte) error {
 	done := make(chan error, 1)
-	l.s.End(store.Print{key, key}, recovery.Done, 1, 2e12, nil, value, func(err error) { done <- err })
+	l.s.RecordEnd(store.Fingerprint{key, key}, recovery.Succeeded, 1, 2e12, nil, value, func(err error) { done <- err })
 	return <-done
 }
 func (l logStore) close() error { return l.s.Close() }
@@ -59,7 +59,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s, err := store.Open(fs, store.Bounds{Bytes: 4 << 30, Segment: 8 << 20, Answer: 16 << 10, Window: 1e9, Tolerance: 1000}, "n",
+		s, err := store.Open(fs, store.Limits{MaxBytes: 4 << 30, SegmentBytes: 8 << 20, MaxResultBytes: 16 << 10, MaxWindow: 1e9, ClockTolerance: 1000}, "n",
 			func() float64 { return float64(time.Now().UnixMilli()) }, func(string, error) {})
 		return logStore{s}, err
 	case "bbolt":
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := store.Bounds{Bytes: 1 << 20, Segment: 8 << 10, Answer: 1 << 10, Window: 10e3, Tolerance: 500}
+	bounds := store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: 10e3, ClockTolerance: 500}
 	at := 1.7e12 + 1000
 	s, err := store.Open(fs, bounds, "compat", func() float64 { return at }, func(string, error) {})
 	if err != nil {
@@ -36,32 +36,32 @@
 		state  recovery.State
 		result string
 	}{
-		{"done", recovery.Done, "bought for 20 dollars"},
-		{"packed", recovery.Done, strings.Repeat("packed answer ", 40)},
-		{"begun", recovery.Begun, ""},
+		{"done", recovery.Succeeded, "bought for 20 dollars"},
+		{"packed", recovery.Succeeded, strings.Repeat("packed answer ", 40)},
+		{"begun", recovery.Started, ""},
 		{"failed", recovery.Failed, ""},
-		{"unkept", recovery.Unkept, ""},
-		{"forgotten", recovery.Forgotten, ""},
+		{"unkept", recovery.SucceededUncached, ""},
+		{"forgotten", recovery.NeverRan, ""},
 	}
 	for _, c := range cases {
-		f, has, err := s.Find(store.PrintOf(c.key))
+		f, has, err := s.Lookup(store.FingerprintOf(c.key))
 		if err != nil || !has {
 			t.Fatalf("%s: %v, %v", c.key, has, err)
 		}
-		if f.State != c.state || f.Body != 7 || f.Until != 1.7e12+10e3 || f.At != 1.7e12 || string(f.Result) != c.result {
+		if f.State != c.state || f.Body != 7 || f.Until != 1.7e12+10e3 || f.WrittenAt != 1.7e12 || string(f.Result) != c.result {
 			t.Errorf("%s: %+v, want state %v and result %q", c.key, f, c.state, c.result)
 		}
 		if c.result != "" && string(f.Head) != "head" {
 			t.Errorf("%s: head %q", c.key, f.Head)
 		}
 	}
-	if _, has, _ := s.Find(store.PrintOf("never")); has {
+	if _, has, _ := s.Lookup(store.FingerprintOf("never")); has {
 		t.Error("a token that was never written is found")
 	}
-	if st := s.State(); st.Recovered != 11 || st.Failures != 0 {
+	if st := s.Status(); st.Recovered != 11 || st.Failures != 0 {
 		t.Errorf("%+v", st)
 	}
-	seen, err := store.Look(fs)
+	seen, err := store.InspectSegments(fs)
 	if err != nil || len(seen) < 1 || seen[0].Records != 11 || seen[0].Version != 1 || seen[0].Err != nil {
 		t.Fatalf("%+v %v", seen, err)
 	}
--- a/internal/store/gate_test.go
+++ b/internal/store/gate_test.go
@@ -26,7 +26,7 @@
 
 func serve(t interface{ Fatalf(string, ...any) }) *server {
 	s := &server{rig: &rig{t: t, disk: standin.NewDisk(1), b: usual, at: 1.7e12}}
-	s.b.Window = 10e3
+	s.b.MaxWindow = 10e3
 	s.restart()
 	return s
 }
@@ -40,7 +40,7 @@
 	}
 	s.g = gate.New(o, 64, func(string, string) {})
 	s.g.UseClock(func() time.Time { return time.UnixMilli(int64(s.now())) })
-	s.g.Keep(store.Keeper{Store: s.s})
+	s.g.UseTokenStore(store.TokenStore{Store: s.s})
 	s.g.Start(false, 0)
 }
 
@@ -52,19 +52,19 @@
 }
 
 func (s *server) enter(key, body string) (*gate.Ticket, error) {
-	return s.g.Enter(gate.RPC{Method: "buy", Token: key, Body: []byte(body), Door: s.now(), HeldKB: 10, Hint: 100})
+	return s.g.Submit(gate.RPC{Method: "buy", Token: key, Body: []byte(body), ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
 }
 
 // verdict is the next one, in short.
 func (s *server) verdict(t *gate.Ticket) string {
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
-	switch v := t.Wait(ctx); v.Answer {
+	switch v := t.Wait(ctx); v.Kind {
 	case gate.Run:
 		return "run"
 	case gate.OK:
 		return "ok " + string(v.Result)
-	case gate.PushedBack:
+	case gate.Rejected:
 		return "pushed back"
 	case gate.Aborted:
 		return "aborted"
@@ -142,13 +142,13 @@
 			return first + ", " + again
 		}, "pushed back, run"},
 		{"a full store pushes back what is tokened, and nothing else", func(s *server) string {
-			s.b.Bytes = 3000
+			s.b.MaxBytes = 3000
 			s.crash()
 			var last string
 			for i := range 5 {
 				_, last = s.try(fmt.Sprint(i), "x")
 			}
-			v, err := s.g.Enter(gate.RPC{Method: "view", Door: s.now(), HeldKB: 10, Hint: 100})
+			v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
 			if err != nil {
 				return err.Error()
 			}
@@ -161,7 +161,7 @@
 				return err.Error()
 			}
 			began := time.Now()
-			v, err := s.g.Enter(gate.RPC{Method: "view", Door: s.now(), HeldKB: 10, Hint: 100})
+			v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
 			if err != nil {
 				return err.Error()
 			}
@@ -181,12 +181,12 @@
 			s.g.Tick(nil)
 			first := s.verdict(a)
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
-			for end := time.Now().Add(10 * time.Second); s.g.InHand() > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					return "still in hand"
 				}
 			}
-			if _, there := a.Now(); there {
+			if _, there := a.TryWait(); there {
 				return "a second verdict"
 			}
 			return first
@@ -197,10 +197,10 @@
 			if err != nil {
 				return err.Error()
 			}
-			a.Leave()
+			a.Cancel()
 			first := s.verdict(a)
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
-			for end := time.Now().Add(10 * time.Second); s.g.InHand() > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					return "still in hand"
 				}
--- a/internal/store/keeper.go
+++ b/internal/store/keeper.go
@@ -13,47 +13,47 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// Keeper is a gate.Keeper.
-type Keeper struct{ *Store }
+// TokenStore is a gate.Keeper.
+type TokenStore struct{ *Store }
 
 // Hash is that of a body, the same in every process.
-func (k Keeper) Hash(body []byte) uint64 { return xxhash.Sum64(body) }
+func (k TokenStore) Hash(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Find tells what a try is told. What is known and can't be read may have run.
-func (k Keeper) Find(key string, body uint64, door, window float64) (recovery.Says, []byte, []byte) {
-	f, has, err := k.Store.Find(PrintOf(key))
+// Lookup tells what a try is told. What is known and can't be read may have run.
+func (k TokenStore) Lookup(key string, body uint64, door, window float64) (recovery.Resolution, []byte, []byte) {
+	f, has, err := k.Store.Lookup(FingerprintOf(key))
 	switch {
 	case err != nil:
-		return recovery.MayRun, nil, nil
+		return recovery.MayHaveRun, nil, nil
 	case !has:
 		return recovery.Unknown, nil, nil
 	}
-	return recovery.Tell(f.Entry, door, body, window, k.bounds.Tolerance), f.Head, f.Result
+	return recovery.Resolve(f.Entry, door, body, window, k.bounds.ClockTolerance), f.Head, f.Result
 }
 
-// Begin and End are those of the store, by key.
-func (k Keeper) Begin(key string, body uint64, until float64, done func(error)) {
-	k.Store.Begin(PrintOf(key), body, until, done)
+// RecordStart and End are those of the store, by key.
+func (k TokenStore) RecordStart(key string, body uint64, until float64, done func(error)) {
+	k.Store.RecordStart(FingerprintOf(key), body, until, done)
 }
 
-func (k Keeper) End(key string, state recovery.State, body uint64, until float64, head, result []byte, done func(error)) {
-	k.Store.End(PrintOf(key), state, body, until, head, result, done)
+func (k TokenStore) RecordEnd(key string, state recovery.State, body uint64, until float64, head, result []byte, done func(error)) {
+	k.Store.RecordEnd(FingerprintOf(key), state, body, until, head, result, done)
 }
 
-// Seen is what stands in one segment.
-type Seen struct {
-	Name    string
-	Bytes   int64
-	Version byte
-	Owner   uint64
-	Records int
-	States  [recovery.Forgotten + 1]int
-	Last    float64 // Unix ms: the latest window
-	Err     error   // what ended the reading early; nil at its end
+// SegmentInfo is what stands in one segment.
+type SegmentInfo struct {
+	Name       string
+	Bytes      int64
+	Version    byte
+	Owner      uint64
+	Records    int
+	States     [recovery.NeverRan + 1]int
+	LastExpiry float64 // Unix ms: the latest window
+	Err        error   // what ended the reading early; nil at its end
 }
 
-// Look reads all segments of a folder, and each record whole.
-func Look(fs FS) (all []Seen, err error) {
+// InspectSegments reads all segments of a folder, and each record whole.
+func InspectSegments(fs FS) (all []SegmentInfo, err error) {
 	names, err := fs.List()
 	if err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 	return all, nil
 }
 
-func look(name string, f File) (s Seen) {
+func look(name string, f File) (s SegmentInfo) {
 	s.Name = name
 	if s.Bytes, s.Err = f.Size(); s.Err != nil {
 		return s
@@ -105,7 +105,7 @@
 		}
 		s.Records++
 		s.States[r.state]++
-		s.Last = max(s.Last, r.until)
+		s.LastExpiry = max(s.LastExpiry, r.until)
 		at += size
 	}
 	return s
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -30,19 +30,19 @@
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Print is the fingerprint of a token: two hashes of method and token.
-type Print [2]uint64
+// Fingerprint is the fingerprint of a token: two hashes of method and token.
+type Fingerprint [2]uint64
 
-// PrintOf is that of a key.
-func PrintOf(key string) Print {
+// FingerprintOf is that of a key.
+func FingerprintOf(key string) Fingerprint {
 	d := xxhash.NewWithSeed(0x5bd1e995)
 	d.WriteString(key)
-	return Print{xxhash.Sum64String(key), d.Sum64()}
+	return Fingerprint{xxhash.Sum64String(key), d.Sum64()}
 }
 
 // record is what is written of a token.
 type record struct {
-	print   Print
+	print   Fingerprint
 	state   recovery.State
 	body    uint64
 	until   float64
@@ -103,7 +103,7 @@
 		return r, 0, errBad
 	}
 	r.state = recovery.State(f[0])
-	r.print = Print{binary.LittleEndian.Uint64(f[2:]), binary.LittleEndian.Uint64(f[10:])}
+	r.print = Fingerprint{binary.LittleEndian.Uint64(f[2:]), binary.LittleEndian.Uint64(f[10:])}
 	r.body = binary.LittleEndian.Uint64(f[18:])
 	r.until = math.Float64frombits(binary.LittleEndian.Uint64(f[26:]))
 	r.written = math.Float64frombits(binary.LittleEndian.Uint64(f[34:]))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -19,19 +19,19 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// Bounds are those of a store. Times are ms.
-type Bounds struct {
-	Bytes     float64 // on disk, over all segments
-	Segment   float64 // bytes after which the next one begins
-	Answer    int     // longest head and result that are kept
-	Window    float64 // the longest of all tokened methods, with their deadlines
-	Tolerance float64 // by which the wall clock may have stepped while the process was down
+// Limits are those of a store. Times are ms.
+type Limits struct {
+	MaxBytes       float64 // on disk, over all segments
+	SegmentBytes   float64 // bytes after which the next one begins
+	MaxResultBytes int     // longest head and result that are kept
+	MaxWindow      float64 // the longest of all tokened methods, with their deadlines
+	ClockTolerance float64 // by which the wall clock may have stepped while the process was down
 }
 
 // Store is one, open.
 type Store struct {
 	fs     FS
-	bounds Bounds
+	bounds Limits
 	owner  uint64
 	now    func() float64 // Unix ms
 	log    func(text string, err error)
@@ -53,17 +53,17 @@
 
 // Counts are what a store has done.
 type Counts struct {
-	Records, Syncs, Dropped, Failures uint64
-	Bytes                             uint64
-	Recovered                         int
-	Took                              time.Duration // of recovery
+	Records, Syncs, SegmentsDropped, Failures uint64
+	Bytes                                     uint64
+	Recovered                                 int
+	RecoveryTime                              time.Duration // of recovery
 }
 
 type segment struct {
 	recovery.Segment
 	file File
 	name string
-	open map[Print]struct{} // tokens begun in it without an end, from this process
+	open map[Fingerprint]struct{} // tokens begun in it without an end, from this process
 }
 
 // op is one record on its way to the disk.
@@ -74,8 +74,8 @@
 }
 
 var (
-	// ErrNotKept is that a record could not be made durable.
-	ErrNotKept = errors.New("store: not kept")
+	// ErrNotDurable is that a record could not be made durable.
+	ErrNotDurable = errors.New("store: not kept")
 	// ErrVersion is that a store was written by another version.
 	ErrVersion = errors.New("store: written by another version of the format")
 	// ErrOwner is that it is another server's.
@@ -85,7 +85,7 @@
 
 // Open reads what stands in a folder and begins a new segment. owner names the server: a store copied from another one
 // is an error, as is one of another version; neither is changed. log hears of what was damaged or failed.
-func Open(fs FS, b Bounds, owner string, now func() float64, log func(string, error)) (*Store, error) {
+func Open(fs FS, b Limits, owner string, now func() float64, log func(string, error)) (*Store, error) {
 	s := &Store{
 		fs: fs, bounds: b, owner: xxhash.Sum64String(owner), now: now, log: log, index: newIndex(), segments: map[uint32]*segment{},
 		over: make(chan struct{}),
@@ -95,7 +95,7 @@
 	if err := s.recover(); err != nil {
 		return nil, err
 	}
-	s.counts.Took = time.Since(began)
+	s.counts.RecoveryTime = time.Since(began)
 	if err := s.next(); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	seg := &segment{file: f, name: name, open: map[Print]struct{}{}}
+	seg := &segment{file: f, name: name, open: map[Fingerprint]struct{}{}}
 	seg.Bytes = float64(length)
 	head := make([]byte, segHead)
 	got, err := f.ReadAt(head, 0)
@@ -187,14 +187,14 @@
 			if len(buf) == 0 && at == length {
 				return nil
 			}
-			if recovery.Trust(!last || soundBehind(f, at+1, length)) {
+			if recovery.Damaged(!last || soundBehind(f, at+1, length)) {
 				s.damaged(name, written, err)
 			}
 			return nil
 		}
 		written = max(written, r.written)
 		s.counts.Recovered++
-		seg.Last = max(seg.Last, r.until, r.written+s.bounds.Window) // the windows of today may be longer
+		seg.LastExpiry = max(seg.LastExpiry, r.until, r.written+s.bounds.MaxWindow) // the windows of today may be longer
 		s.index.put(r.print[0], n, uint32(at))
 		at += int64(size)
 		buf = buf[size:]
@@ -224,7 +224,7 @@
 func (s *Store) damaged(name string, written float64, err error) {
 	s.log("store: a segment is damaged", fmt.Errorf("%s: %w", name, err))
 	s.counts.Failures++
-	s.suspect = max(s.suspect, recovery.Suspect(s.now(), s.bounds.Window, s.bounds.Tolerance))
+	s.suspect = max(s.suspect, recovery.SuspectUntil(s.now(), s.bounds.MaxWindow, s.bounds.ClockTolerance))
 }
 
 // next begins a segment. It is called with no write in hand.
@@ -249,7 +249,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.number = n
-	seg := &segment{file: f, name: segName(n), open: map[Print]struct{}{}}
+	seg := &segment{file: f, name: segName(n), open: map[Fingerprint]struct{}{}}
 	seg.Bytes = float64(len(head))
 	s.segments[n] = seg
 	s.used += seg.Bytes
@@ -261,7 +261,7 @@
 func (s *Store) drop() {
 	for n := s.first(); n < s.number; n = s.first() {
 		seg := s.segments[n]
-		if !seg.Droppable(s.now(), s.bounds.Tolerance) {
+		if !seg.Droppable(s.now(), s.bounds.ClockTolerance) {
 			return
 		}
 		if err := s.fs.Remove(seg.name); err != nil {
@@ -272,7 +272,7 @@
 		delete(s.segments, n)
 		s.index.drop(n + 1)
 		s.used -= seg.Bytes
-		s.counts.Dropped++
+		s.counts.SegmentsDropped++
 	}
 }
 
@@ -287,27 +287,27 @@
 
 // frees is when the oldest segment is over.
 func (s *Store) frees() float64 {
-	if seg := s.segments[s.first()]; seg != nil && seg.Open == 0 {
-		return seg.Last + s.bounds.Tolerance
+	if seg := s.segments[s.first()]; seg != nil && seg.OpenRuns == 0 {
+		return seg.LastExpiry + s.bounds.ClockTolerance
 	}
 	return 0
 }
 
-// Found is what a store knows of a token.
-type Found struct {
+// Entry is what a store knows of a token.
+type Entry struct {
 	recovery.Entry
 	Head, Result []byte
 }
 
-// Find reads what is known of a token. It may read the disk. An error tells that something is known and can't be read:
+// Lookup reads what is known of a token. It may read the disk. An error tells that something is known and can't be read:
 // the token must not run.
-func (s *Store) Find(p Print) (Found, bool, error) {
+func (s *Store) Lookup(p Fingerprint) (Entry, bool, error) {
 	s.mu.Lock()
 	n, off, has := s.index.get(p[0])
 	seg := s.segments[n]
 	s.mu.Unlock()
 	if !has || seg == nil {
-		return Found{}, false, nil
+		return Entry{}, false, nil
 	}
 	r, err := readAt(seg.file, int64(off))
 	switch {
@@ -316,14 +316,14 @@
 		gone := s.segments[n] == nil // dropped meanwhile, as its windows are over
 		s.mu.Unlock()
 		if gone {
-			return Found{}, false, nil
+			return Entry{}, false, nil
 		}
 		s.log("store: an entry can't be read", err)
-		return Found{}, true, err
+		return Entry{}, true, err
 	case r.print != p: // another token with the same first half: one in 2^64 for each pair
-		return Found{}, false, nil
+		return Entry{}, false, nil
 	}
-	return Found{recovery.Entry{State: r.state, Body: r.body, Until: r.until, At: r.written}, r.head, r.result}, true, nil
+	return Entry{recovery.Entry{State: r.state, Body: r.body, Until: r.until, WrittenAt: r.written}, r.head, r.result}, true, nil
 }
 
 // firstRead holds most records whole.
@@ -345,44 +345,44 @@
 	}
 }
 
-// May tells whether a token may begin now, and reserves room for its end if so.
-func (s *Store) May() *recovery.Refusal {
+// Reserve tells whether a token may begin now, and reserves room for its end if so.
+func (s *Store) Reserve() *recovery.Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drop()
-	d := recovery.Disk{Health: s.health, Used: s.used, Most: s.bounds.Bytes, Reserve: s.reserve, Frees: s.frees(), Suspect: s.suspect}
-	need := float64(size(0) + size(s.bounds.Answer))
-	if r := d.May(s.now(), need); r != nil {
+	d := recovery.Disk{Health: s.health, Used: s.used, Capacity: s.bounds.MaxBytes, Reserved: s.reserve, FreesAt: s.frees(), SuspectUntil: s.suspect}
+	need := float64(size(0) + size(s.bounds.MaxResultBytes))
+	if r := d.Admit(s.now(), need); r != nil {
 		return r
 	}
 	s.reserve += need
 	return nil
 }
 
-// Begin makes durable that a token's run is about to be asked for, and calls done from another goroutine. May must have
+// RecordStart makes durable that a token's run is about to be asked for, and calls done from another goroutine. May must have
 // allowed it. On an error nothing may run.
-func (s *Store) Begin(p Print, body uint64, until float64, done func(error)) {
+func (s *Store) RecordStart(p Fingerprint, body uint64, until float64, done func(error)) {
 	need := float64(size(0))
-	s.put(op{record{print: p, state: recovery.Begun, body: body, until: until}, func(err error) {
+	s.put(op{record{print: p, state: recovery.Started, body: body, until: until}, func(err error) {
 		if err != nil {
-			s.release(float64(size(s.bounds.Answer)))
+			s.release(float64(size(s.bounds.MaxResultBytes)))
 		}
 		done(err)
 	}, need})
 }
 
-// End makes durable how a run ended and calls done. An answer that is too long is not kept. Each Begin that succeeded
+// RecordEnd makes durable how a run ended and calls done. An answer that is too long is not kept. Each Begin that succeeded
 // must have one End.
-func (s *Store) End(p Print, state recovery.State, body uint64, until float64, head, result []byte, done func(error)) {
+func (s *Store) RecordEnd(p Fingerprint, state recovery.State, body uint64, until float64, head, result []byte, done func(error)) {
 	r := record{print: p, state: state, body: body, until: until}
-	if state == recovery.Done {
-		if len(head)+len(result) > s.bounds.Answer {
-			r.state = recovery.Unkept
+	if state == recovery.Succeeded {
+		if len(head)+len(result) > s.bounds.MaxResultBytes {
+			r.state = recovery.SucceededUncached
 		} else {
 			r.head, r.result = head, result
 		}
 	}
-	s.put(op{r, done, float64(size(s.bounds.Answer))})
+	s.put(op{r, done, float64(size(s.bounds.MaxResultBytes))})
 }
 
 func (s *Store) release(bytes float64) {
@@ -432,7 +432,7 @@
 				continue
 			}
 			s.mu.Lock()
-			s.health = recovery.Sound
+			s.health = recovery.Healthy
 			seg = s.segments[s.number]
 			s.mu.Unlock()
 			s.log("store: written again", nil)
@@ -456,7 +456,7 @@
 			seg.Bytes += float64(len(buf))
 			// What was not proven may be there all the same: the segment stays as long as it would with it.
 			for i := range batch {
-				seg.Last = max(seg.Last, batch[i].r.until)
+				seg.LastExpiry = max(seg.LastExpiry, batch[i].r.until)
 			}
 			s.mu.Unlock()
 			s.fail(batch, err)
@@ -471,21 +471,21 @@
 			r := &batch[i].r
 			s.counts.Records++
 			s.index.put(r.print[0], s.number, offs[i])
-			seg.Last = max(seg.Last, r.until)
+			seg.LastExpiry = max(seg.LastExpiry, r.until)
 			s.reserve = max(0, s.reserve-batch[i].need)
-			if r.state == recovery.Begun {
-				seg.Open++
+			if r.state == recovery.Started {
+				seg.OpenRuns++
 				seg.open[r.print] = struct{}{}
 			} else {
 				for _, o := range s.segments {
 					if _, is := o.open[r.print]; is {
 						delete(o.open, r.print)
-						o.Open--
+						o.OpenRuns--
 					}
 				}
 			}
 		}
-		full := seg.Bytes >= s.bounds.Segment
+		full := seg.Bytes >= s.bounds.SegmentBytes
 		s.mu.Unlock()
 		for i := range batch {
 			batch[i].done(nil)
@@ -509,27 +509,27 @@
 	}
 	s.mu.Unlock()
 	for i := range batch {
-		batch[i].done(fmt.Errorf("%w: %w", ErrNotKept, err))
+		batch[i].done(fmt.Errorf("%w: %w", ErrNotDurable, err))
 	}
 }
 
-// State is how a store stands.
-type State struct {
+// Status is how a store stands.
+type Status struct {
 	Counts
-	Health   recovery.Health
-	Used     float64
-	Reserve  float64
-	Segments int
-	Entries  int // of the index, with those that are over
-	IndexKB  float64
-	Suspect  float64
+	Health       recovery.Health
+	Used         float64
+	Reserved     float64
+	Segments     int
+	Entries      int // of the index, with those that are over
+	IndexKB      float64
+	SuspectUntil float64
 }
 
-// State returns how it stands.
-func (s *Store) State() State {
+// Status returns how it stands.
+func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return State{s.counts, s.health, s.used, s.reserve, len(s.segments), s.index.used, float64(16*len(s.index.slots)) / 1024, s.suspect}
+	return Status{s.counts, s.health, s.used, s.reserve, len(s.segments), s.index.used, float64(16*len(s.index.slots)) / 1024, s.suspect}
 }
 
 // Close writes what is on its way and ends.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,13 +23,13 @@
 
 const window = 10e3
 
-var usual = store.Bounds{Bytes: 1 << 20, Segment: 8 << 10, Answer: 1 << 10, Window: window, Tolerance: 500}
+var usual = store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: window, ClockTolerance: 500}
 
 // rig is a store on a disk that fails, with a clock of its own.
 type rig struct {
 	t      interface{ Fatalf(string, ...any) }
 	disk   *standin.Disk
-	b      store.Bounds
+	b      store.Limits
 	s      *store.Store
 	mu     sync.Mutex
 	at     float64
@@ -65,7 +65,7 @@
 	}
 }
 
-func start(t interface{ Fatalf(string, ...any) }, b store.Bounds) *rig {
+func start(t interface{ Fatalf(string, ...any) }, b store.Limits) *rig {
 	r := &rig{t: t, disk: standin.NewDisk(1), b: b, at: 1.7e12}
 	r.must()
 	return r
@@ -80,37 +80,37 @@
 }
 
 func (r *rig) begin(key string, body uint64) error {
-	if x := r.s.May(); x != nil {
-		return errors.New(x.Why)
+	if x := r.s.Reserve(); x != nil {
+		return errors.New(x.Reason)
 	}
 	done := make(chan error, 1)
-	r.s.Begin(store.PrintOf(key), body, r.now()+window, func(err error) { done <- err })
+	r.s.RecordStart(store.FingerprintOf(key), body, r.now()+window, func(err error) { done <- err })
 	return <-done
 }
 
 func (r *rig) end(key string, state recovery.State, body uint64, result string) error {
 	done := make(chan error, 1)
-	r.s.End(store.PrintOf(key), state, body, r.now()+window, []byte("head"), []byte(result), func(err error) { done <- err })
+	r.s.RecordEnd(store.FingerprintOf(key), state, body, r.now()+window, []byte("head"), []byte(result), func(err error) { done <- err })
 	return <-done
 }
 
 // says is what a repeat is told, in short.
 func (r *rig) says(key string, body uint64) string {
-	f, has, err := r.s.Find(store.PrintOf(key))
+	f, has, err := r.s.Lookup(store.FingerprintOf(key))
 	switch {
 	case err != nil:
 		return "unreadable"
 	case !has:
 		return "unknown"
 	}
-	switch recovery.Tell(f.Entry, r.now(), body, r.window, r.b.Tolerance) {
-	case recovery.Answer:
+	switch recovery.Resolve(f.Entry, r.now(), body, r.window, r.b.ClockTolerance) {
+	case recovery.ReplayResult:
 		return "answer " + string(f.Result)
-	case recovery.MayRun:
+	case recovery.MayHaveRun:
 		return "may have run"
 	case recovery.HasRun:
 		return "has run"
-	case recovery.OtherBody:
+	case recovery.BodyMismatch:
 		return "other body"
 	}
 	return "unknown"
@@ -143,14 +143,14 @@
 	}{
 		{"a restart", func(r *rig) {
 			r.begin("a", 7)
-			r.end("a", recovery.Done, 7, strings.Repeat("x", 600))
+			r.end("a", recovery.Succeeded, 7, strings.Repeat("x", 600))
 			r.begin("b", 7)
 			r.begin("c", 7)
 			r.end("c", recovery.Failed, 7, "")
 			r.begin("d", 7)
-			r.end("d", recovery.Done, 7, strings.Repeat("x", 2000))
+			r.end("d", recovery.Succeeded, 7, strings.Repeat("x", 2000))
 			r.begin("e", 7)
-			r.end("e", recovery.Forgotten, 7, "")
+			r.end("e", recovery.NeverRan, 7, "")
 			r.crash()
 			r.expect("answer "+strings.Repeat("x", 600), "a")
 			r.expect("may have run", "b")
@@ -165,13 +165,13 @@
 		{"entries age out, and their segments go", func(r *rig) {
 			for i := range 100 {
 				r.begin(fmt.Sprint(i), 7)
-				r.end(fmt.Sprint(i), recovery.Done, 7, "x")
+				r.end(fmt.Sprint(i), recovery.Succeeded, 7, "x")
 			}
-			before := r.s.State()
+			before := r.s.Status()
 			r.pass(window + 1000)
 			r.expect("unknown", "1")
-			r.s.May()
-			if after := r.s.State(); before.Segments < 2 || after.Segments != 1 || after.Used > 9000 {
+			r.s.Reserve()
+			if after := r.s.Status(); before.Segments < 2 || after.Segments != 1 || after.Used > 9000 {
 				r.t.Fatalf("before %+v, after %+v", before, after)
 			}
 		}},
@@ -179,17 +179,17 @@
 			r.begin("long", 7)
 			for i := range 200 {
 				r.begin(fmt.Sprint(i), 7)
-				r.end(fmt.Sprint(i), recovery.Done, 7, "x")
+				r.end(fmt.Sprint(i), recovery.Succeeded, 7, "x")
 			}
 			r.pass(window + 1000)
-			r.s.May()
-			if n := r.s.State().Segments; n < 2 {
+			r.s.Reserve()
+			if n := r.s.Status().Segments; n < 2 {
 				r.t.Fatalf("%d segments", n)
 			}
-			r.end("long", recovery.Done, 7, "late")
-			r.s.May()
+			r.end("long", recovery.Succeeded, 7, "late")
+			r.s.Reserve()
 			r.expect("answer late", "long")
-			if n := r.s.State().Segments; n != 1 {
+			if n := r.s.Status().Segments; n != 1 {
 				r.t.Fatalf("%d segments", n)
 			}
 		}},
@@ -202,7 +202,7 @@
 			r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = false })
 			r.crash()
 			r.expect("may have run", "a")
-			if x := r.s.May(); x != nil {
+			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v", x)
 			}
 		}},
@@ -212,12 +212,12 @@
 			}
 			r.disk.FlipBit(r.segment(-1), 100)
 			r.crash()
-			x := r.s.May()
-			if x == nil || x.After < window {
+			x := r.s.Reserve()
+			if x == nil || x.RetryAfter < window {
 				r.t.Fatalf("%+v", x)
 			}
 			r.pass(window + 501)
-			if x := r.s.May(); x != nil {
+			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v", x)
 			}
 		}},
@@ -231,13 +231,13 @@
 		{"a sync that fails once: what it was to keep has not begun, and a new segment takes over", func(r *rig) {
 			r.begin("a", 7)
 			r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
-			if err := r.begin("b", 7); !errors.Is(err, store.ErrNotKept) {
+			if err := r.begin("b", 7); !errors.Is(err, store.ErrNotDurable) {
 				r.t.Fatalf("%v", err)
 			}
-			if x := r.s.May(); x == nil {
+			if x := r.s.Reserve(); x == nil {
 				r.t.Fatalf("it may begin on a broken disk")
 			}
-			r.end("a", recovery.Done, 7, "x") // which begins the new segment
+			r.end("a", recovery.Succeeded, 7, "x") // which begins the new segment
 			if err := r.begin("c", 7); err != nil {
 				r.t.Fatalf("%v", err)
 			}
@@ -253,25 +253,25 @@
 					break
 				}
 			}
-			x := r.s.May()
-			if x == nil || !strings.Contains(x.Why, "full") || n == 1000 {
+			x := r.s.Reserve()
+			if x == nil || !strings.Contains(x.Reason, "full") || n == 1000 {
 				r.t.Fatalf("%+v after %d", x, n)
 			}
 			incompressible := make([]byte, 1000)
 			rand.New(rand.NewSource(1)).Read(incompressible)
 			for i := range n {
-				if err := r.end(fmt.Sprint(i), recovery.Done, 7, string(incompressible)); err != nil {
+				if err := r.end(fmt.Sprint(i), recovery.Succeeded, 7, string(incompressible)); err != nil {
 					r.t.Fatalf("end %d of %d: %v", i, n, err)
 				}
 			}
-			if st := r.s.State(); st.Used > r.b.Bytes+r.b.Segment || st.Reserve > 1 {
+			if st := r.s.Status(); st.Used > r.b.MaxBytes+r.b.SegmentBytes || st.Reserved > 1 {
 				r.t.Fatalf("%+v", st)
 			}
-			if x = r.s.May(); x != nil && x.After > window+1000 {
+			if x = r.s.Reserve(); x != nil && x.RetryAfter > window+1000 {
 				r.t.Fatalf("%+v", x)
 			}
 			r.pass(window + 1000)
-			if x := r.s.May(); x != nil {
+			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v once all is over", x)
 			}
 		}},
@@ -283,7 +283,7 @@
 			}
 			r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = -1 })
 			for end := time.Now().Add(10 * time.Second); r.begin("c", 7) != nil; time.Sleep(time.Millisecond) {
-				r.end("x", recovery.Forgotten, 7, "")
+				r.end("x", recovery.NeverRan, 7, "")
 				if time.Now().After(end) {
 					r.t.Fatalf("never written again")
 				}
@@ -325,7 +325,7 @@
 		}},
 		{"a clock stepped back by more than a window, and forward", func(r *rig) {
 			r.begin("a", 7)
-			r.end("a", recovery.Done, 7, "x")
+			r.end("a", recovery.Succeeded, 7, "x")
 			r.pass(-3 * window)
 			r.crash()
 			r.expect("answer x", "a") // kept longer, never shorter
@@ -337,12 +337,12 @@
 		}},
 		{"a window longer than before in the new settings", func(r *rig) {
 			r.begin("a", 7)
-			r.end("a", recovery.Done, 7, "x")
+			r.end("a", recovery.Succeeded, 7, "x")
 			r.s.Close()
-			r.b.Window, r.window = 3*window, 3*window
+			r.b.MaxWindow, r.window = 3*window, 3*window
 			r.must()
 			r.pass(2 * window)
-			if r.s.May(); r.s.State().Segments != 2 {
+			if r.s.Reserve(); r.s.Status().Segments != 2 {
 				r.t.Fatalf("its segment is gone")
 			}
 			r.expect("answer x", "a")
@@ -351,24 +351,24 @@
 		}},
 		{"the power goes again and again while it is read", func(r *rig) {
 			r.begin("a", 7)
-			r.end("a", recovery.Done, 7, "x")
+			r.end("a", recovery.Succeeded, 7, "x")
 			for range 20 {
 				r.crash()
 			}
 			r.expect("answer x", "a")
-			if x := r.s.May(); x != nil {
+			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v", x)
 			}
 		}},
 		{"closed while records are on their way", func(r *rig) {
-			r.s.May()
+			r.s.Reserve()
 			done := make(chan error, 1)
-			r.s.Begin(store.PrintOf("a"), 7, r.now()+window, func(err error) { done <- err })
+			r.s.RecordStart(store.FingerprintOf("a"), 7, r.now()+window, func(err error) { done <- err })
 			r.s.Close()
 			if err := <-done; err != nil {
 				r.t.Fatalf("%v", err)
 			}
-			r.s.Begin(store.PrintOf("b"), 7, r.now()+window, func(err error) { done <- err })
+			r.s.RecordStart(store.FingerprintOf("b"), 7, r.now()+window, func(err error) { done <- err })
 			if err := <-done; err == nil {
 				r.t.Fatalf("begun after the end")
 			}
@@ -391,7 +391,7 @@
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := usual
-		b.Segment = 600
+		b.SegmentBytes = 600
 		r := start(t, b)
 		defer func() { r.s.Close() }()
 		r.disk.Configure(func(d *standin.Disk) {})
@@ -423,7 +423,7 @@
 				if k.sure != "may have run" {
 					continue
 				}
-				if err := r.end(key, recovery.Done, 7, key); err == nil {
+				if err := r.end(key, recovery.Succeeded, 7, key); err == nil {
 					k.sure = "answer " + key
 				} else {
 					k.sure, k.maybe = "", map[string]bool{"answer " + key: true, "may have run": true}
@@ -431,11 +431,11 @@
 			case 3:
 				r.crash()
 			case 4: // the power goes while records are on their way
-				if k.sure != "unknown" || r.s.May() != nil {
+				if k.sure != "unknown" || r.s.Reserve() != nil {
 					continue
 				}
 				done := make(chan error, 1)
-				r.s.Begin(store.PrintOf(key), 7, r.now()+window, func(err error) { done <- err })
+				r.s.RecordStart(store.FingerprintOf(key), 7, r.now()+window, func(err error) { done <- err })
 				r.crash()
 				if <-done == nil {
 					k.sure = "may have run"
@@ -483,7 +483,7 @@
 
 // Many at once share syncs.
 func TestGroupCommit(t *testing.T) {
-	r := start(t, store.Bounds{Bytes: 1 << 24, Segment: 1 << 22, Answer: 1 << 10, Window: window, Tolerance: 500})
+	r := start(t, store.Limits{MaxBytes: 1 << 24, SegmentBytes: 1 << 22, MaxResultBytes: 1 << 10, MaxWindow: window, ClockTolerance: 500})
 	defer r.s.Close()
 	r.disk.Configure(func(d *standin.Disk) { d.Delay = 2 * time.Millisecond })
 	var wg sync.WaitGroup
@@ -497,7 +497,7 @@
 		}()
 	}
 	wg.Wait()
-	if st := r.s.State(); st.Syncs > 50 || st.Records != 200 {
+	if st := r.s.Status(); st.Syncs > 50 || st.Records != 200 {
 		t.Errorf("%+v", st)
 	}
 }
@@ -506,7 +506,7 @@
 	for _, n := range []int{100000, 1000000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := b.TempDir()
-			bounds := store.Bounds{Bytes: 4 << 30, Segment: 16 << 20, Answer: 1 << 10, Window: 1e9, Tolerance: 500}
+			bounds := store.Limits{MaxBytes: 4 << 30, SegmentBytes: 16 << 20, MaxResultBytes: 1 << 10, MaxWindow: 1e9, ClockTolerance: 500}
 			open := func() *store.Store {
 				fs, err := store.OpenDir(path)
 				if err != nil {
@@ -522,18 +522,18 @@
 			var wg sync.WaitGroup
 			for i := range n {
 				wg.Add(1)
-				s.End(store.PrintOf(fmt.Sprint(i)), recovery.Done, 7, 2e12, nil, []byte("bought for 20 dollars"), func(error) { wg.Done() })
+				s.RecordEnd(store.FingerprintOf(fmt.Sprint(i)), recovery.Succeeded, 7, 2e12, nil, []byte("bought for 20 dollars"), func(error) { wg.Done() })
 			}
 			wg.Wait()
 			s.Close()
-			var st store.State
+			var st store.Status
 			for b.Loop() {
 				s := open()
-				st = s.State()
+				st = s.Status()
 				s.Close()
 			}
 			b.ReportMetric(st.IndexKB*1024/float64(n), "B/entry")
-			b.ReportMetric(st.Took.Seconds(), "s")
+			b.ReportMetric(st.RecoveryTime.Seconds(), "s")
 		})
 	}
 }
--- a/valve/fleetvalve/fleetvalve_test.go
+++ b/valve/fleetvalve/fleetvalve_test.go
@@ -24,18 +24,18 @@
 	}
 	var parts []*fleetvalve.Fleet
 	for i, name := range []string{"shop-1", "shop-2"} {
-		f, err := fleetvalve.Join(fleetvalve.Options{Name: name, Zone: "akl-1", Listen: addrs[i], Seeds: addrs, Expect: 2})
+		f, err := fleetvalve.Join(fleetvalve.Options{Name: name, Zone: "akl-1", Listen: addrs[i], Seeds: addrs, ExpectedServers: 2})
 		if err != nil {
 			panic(err)
 		}
 		defer f.Close()
 		parts = append(parts, f)
 	}
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && parts[0].View().State != fleetvalve.Whole; {
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && parts[0].View().State != fleetvalve.Complete; {
 		time.Sleep(20 * time.Millisecond)
 	}
 	v := parts[0].View()
-	fmt.Println(v.State, v.AtLeast, v.AtMost, v.Zones[0].Heard)
+	fmt.Println(v.State, v.MinServers, v.MaxServers, v.Zones[0].InContact)
 	// Output: whole 2 2 2
 }
 
--- a/valve/gauges.go
+++ b/valve/gauges.go
@@ -76,5 +76,5 @@
 	use := float64(used-g.used[first]) / float64(gap) / g.cores
 	metrics.Read(g.samples)
 	on := float64(g.samples[0].Value.Uint64()+g.samples[1].Value.Uint64()) - 1 // but the one that looks
-	return Gauges{CoreUse: min(1, use), OnCores: max(0, on)}, true
+	return Gauges{CPUUtilization: min(1, use), Runnable: max(0, on)}, true
 }
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -20,9 +20,9 @@
 
 func engine(t testing.TB, o httpvalve.Options, change ...func(*valve.Options)) (*gin.Engine, *valve.Valve) {
 	vo := valve.Options{
-		Methods: []valve.Method{{Name: "view", LatencyTarget: 300 * time.Millisecond, Deadline: 300 * time.Millisecond},
-			{Name: "buy", Repeat: valve.Tokened, Window: time.Minute, Criticality: 3}},
-		Cores: 64, RetryAfter: time.Second,
+		Methods: []valve.Method{{Name: "view", LatencyObjective: 300 * time.Millisecond, Deadline: 300 * time.Millisecond},
+			{Name: "buy", Idempotency: valve.IdempotencyKeyed, DedupWindow: time.Minute, Criticality: 3}},
+		Cores: 64, MaxRetryAfter: time.Second,
 	}
 	for _, c := range change {
 		c(&vo)
@@ -59,7 +59,7 @@
 func TestGin(t *testing.T) {
 	runs := 0
 	release := make(chan struct{})
-	e, v := engine(t, httpvalve.Options{KeepBytes: 100})
+	e, v := engine(t, httpvalve.Options{CacheBytes: 100})
 	e.Any("/view/:id", func(c *gin.Context) {
 		runs++
 		switch c.Param("id") {
@@ -107,8 +107,8 @@
 			t.Errorf("buy: %d %s", w.Code, w.Body)
 		}
 	}
-	if runs != 1 || v.InHand() != 0 {
-		t.Errorf("%d runs, %d in hand", runs, v.InHand())
+	if runs != 1 || v.InFlight() != 0 {
+		t.Errorf("%d runs, %d in hand", runs, v.InFlight())
 	}
 }
 
@@ -140,7 +140,7 @@
 		serve(b, e, 200)
 	})
 	b.Run("pushed back", func(b *testing.B) {
-		e, v := engine(b, httpvalve.Options{}, func(o *valve.Options) { o.Grace = time.Nanosecond })
+		e, v := engine(b, httpvalve.Options{}, func(o *valve.Options) { o.DrainGrace = time.Nanosecond })
 		e.GET("/view/:id", handler)
 		v.Drain(time.Hour)
 		time.Sleep(10 * time.Millisecond)
--- a/valve/httpvalve/guard.go
+++ b/valve/httpvalve/guard.go
@@ -133,8 +133,8 @@
 // Push and the deadlines of a ResponseController go to the server's writer.
 func (g *guard) Unwrap() http.ResponseWriter { return g.w }
 
-// Final hears that the valve gave the RPC an end.
-func (g *guard) Final(err error) { go g.giveUp(err) }
+// HandleFinal hears that the valve gave the RPC an end.
+func (g *guard) HandleFinal(err error) { go g.giveUp(err) }
 
 // giveUp answers in the handler's place, if that has not begun. What has begun is the handler's to end.
 func (g *guard) giveUp(err error) {
@@ -146,9 +146,9 @@
 	g.given = true
 	h := g.w.Header()
 	clear(h)
-	var pushed *valve.PushedBack
+	var pushed *valve.RejectedError
 	if errors.As(err, &pushed) { // it ran, or may have: that is never said to have been pushed back
-		err = &valve.Aborted{Why: "it may have run"}
+		err = &valve.AbortedError{Reason: "it may have run"}
 	}
 	g.m.failed(g.w, err)
 	http.NewResponseController(g.w).Flush() // the handler may go on for long
@@ -181,13 +181,13 @@
 	}
 	switch {
 	case g.status >= 500:
-		run.End(valve.Failed, valve.Answer{})
+		run.Complete(valve.Failed, valve.Result{})
 	case g.most == 0:
-		run.End(valve.Succeeded, valve.Answer{})
+		run.Complete(valve.Succeeded, valve.Result{})
 	case g.given || g.large || g.taken:
-		run.EndUnkept()
+		run.CompleteUncached()
 	default:
-		run.End(valve.Succeeded, valve.Answer{Head: headOf(g.status, g.sent), Body: g.kept})
+		run.Complete(valve.Succeeded, valve.Result{Head: headOf(g.status, g.sent), Body: g.kept})
 	}
 }
 
@@ -205,7 +205,7 @@
 	"Date": true, "Content-Length": true}
 
 // replay writes a kept answer.
-func replay(w http.ResponseWriter, a valve.Answer) {
+func replay(w http.ResponseWriter, a valve.Result) {
 	status, rest, ok := bytes.Cut(a.Head, []byte("\r\n"))
 	code := http.StatusOK
 	if ok && len(status) >= 12 {
--- a/valve/httpvalve/httpvalve.go
+++ b/valve/httpvalve/httpvalve.go
@@ -24,11 +24,11 @@
 
 // Options are those of one middleware. The zero value of a field has the default named beside it.
 type Options struct {
-	Routes     []route.Rule  // how a message becomes an RPC; see Identify
-	Unrouted   bool          // what fits no route passes without admission; else it is answered 404
-	KeepBytes  int           // the longest answer that is kept for repeats, head and body; 64 KiB
-	BodyBytes  int64         // the longest body of a tokened RPC, which is read before it is admitted; 64 KiB
-	BodyWithin time.Duration // in which that must come; 5 s
+	Routes       []route.Rule  // how a message becomes an RPC; see Identify
+	PassUnrouted bool          // what fits no route passes without admission; else it is answered 404
+	CacheBytes   int           // the longest answer that is kept for repeats, head and body; 64 KiB
+	MaxBodyBytes int64         // the longest body of a tokened RPC, which is read before it is admitted; 64 KiB
+	BodyTimeout  time.Duration // in which that must come; 5 s
 
 	// Identify makes an RPC of a message instead of Routes; false for one that passes without admission.
 	Identify func(*http.Request) (valve.RPC, bool)
@@ -43,14 +43,14 @@
 
 // New returns a middleware. The error names routes that Check finds fault with.
 func New(v *valve.Valve, o Options) (*Middleware, error) {
-	if o.KeepBytes == 0 {
-		o.KeepBytes = 64 << 10
+	if o.CacheBytes == 0 {
+		o.CacheBytes = 64 << 10
 	}
-	if o.BodyBytes == 0 {
-		o.BodyBytes = 64 << 10
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = 64 << 10
 	}
-	if o.BodyWithin == 0 {
-		o.BodyWithin = 5 * time.Second
+	if o.BodyTimeout == 0 {
+		o.BodyTimeout = 5 * time.Second
 	}
 	m := &Middleware{v: v, o: o}
 	if o.Identify != nil {
@@ -67,7 +67,7 @@
 		if !has {
 			return nil, fmt.Errorf("httpvalve: Routes[%d] (%s): method: the valve has no %q", i, r.Name, r.Method)
 		}
-		if method.Repeat == valve.Tokened && r.Token.Variable+r.Token.Segment+r.Token.Query == "" {
+		if method.Idempotency == valve.IdempotencyKeyed && r.Token.Variable+r.Token.Segment+r.Token.Query == "" {
 			return nil, fmt.Errorf("httpvalve: Routes[%d] (%s): token: %s is tokened", i, r.Name, r.Method)
 		}
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	method, _ := m.v.Method(rpc.Method)
-	tokened := method.Repeat == valve.Tokened
+	tokened := method.Idempotency == valve.IdempotencyKeyed
 	if tokened {
 		if rpc.Body, status, err = m.body(w, q); err != nil {
 			refuse(w, status, err.Error())
@@ -109,26 +109,26 @@
 		m.failed(w, err)
 		return
 	}
-	if kept, is := run.Kept(); is {
+	if kept, is := run.Cached(); is {
 		replay(w, kept)
 		return
 	}
 	g := &guard{m: m, w: w}
 	if tokened {
-		g.most = m.o.KeepBytes
+		g.most = m.o.CacheBytes
 	}
-	run.Notify(g)
+	run.NotifyFinal(g)
 	ctx := q.Context()
 	defer func() {
 		p := recover()
 		if ctx.Err() != nil { // its client has left meanwhile
-			run.Leave()
+			run.Cancel()
 		}
 		switch {
 		case p != nil:
-			run.End(valve.Failed, valve.Answer{})
+			run.Complete(valve.Failed, valve.Result{})
 			if p != http.ErrAbortHandler { // which asks for no answer
-				g.giveUp(&valve.Aborted{Why: "the handler panicked"})
+				g.giveUp(&valve.AbortedError{Reason: "the handler panicked"})
 			}
 			panic(p)
 		default:
@@ -167,7 +167,7 @@
 	}
 	f, err := m.routes.Resolve(&route.Message{Host: strings.ToLower(host), Path: q.URL.Path, Verb: q.Method, Query: q.URL.RawQuery, Variables: variables{q}})
 	switch {
-	case errors.Is(err, route.ErrNoRoute) && m.o.Unrouted:
+	case errors.Is(err, route.ErrNoRoute) && m.o.PassUnrouted:
 		return rpc, passes, nil
 	case errors.Is(err, route.ErrNoRoute):
 		return rpc, http.StatusNotFound, err
@@ -178,10 +178,10 @@
 	}
 	rpc = valve.RPC{
 		Method: f.Method, Customer: f.Customer, Caller: f.Caller, Subject: f.Subject, Token: f.Token, Retry: f.Retry,
-		Work: time.Duration(f.Hint * float64(time.Millisecond)),
+		CostHint: time.Duration(f.Hint * float64(time.Millisecond)),
 	}
 	if f.Door > 0 {
-		rpc.Arrived = time.UnixMicro(int64(f.Door * 1000))
+		rpc.ArrivedAt = time.UnixMicro(int64(f.Door * 1000))
 	}
 	return rpc, 0, nil
 }
@@ -220,12 +220,12 @@
 		return nil, 0, nil
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(m.o.BodyWithin)) // where the server knows one
-	b, err = io.ReadAll(http.MaxBytesReader(w, q.Body, m.o.BodyBytes))
+	control.SetReadDeadline(time.Now().Add(m.o.BodyTimeout)) // where the server knows one
+	b, err = io.ReadAll(http.MaxBytesReader(w, q.Body, m.o.MaxBodyBytes))
 	var long *http.MaxBytesError
 	switch {
 	case errors.As(err, &long):
-		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("the body is longer than %d bytes", m.o.BodyBytes)
+		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("the body is longer than %d bytes", m.o.MaxBodyBytes)
 	case err != nil: // the server would wait for the rest of it before it answers
 		w.Header().Set("Connection", "close")
 		return nil, http.StatusBadRequest, errors.New("the body did not come whole")
@@ -242,27 +242,27 @@
 
 // failed answers an RPC that is not run.
 func (m *Middleware) failed(w http.ResponseWriter, err error) {
-	var pushed *valve.PushedBack
-	var aborted *valve.Aborted
+	var pushed *valve.RejectedError
+	var aborted *valve.AbortedError
 	h := w.Header()
 	switch {
 	case errors.As(err, &pushed):
-		if pushed.After > 0 {
-			h.Set("Retry-After", strconv.FormatInt(max(1, int64((pushed.After+time.Second-1)/time.Second)), 10))
-			h.Set("Valve-Away-Ms", strconv.FormatInt(int64((pushed.After+time.Millisecond-1)/time.Millisecond), 10))
+		if pushed.RetryAfter > 0 {
+			h.Set("Retry-After", strconv.FormatInt(max(1, int64((pushed.RetryAfter+time.Second-1)/time.Second)), 10))
+			h.Set("Valve-Away-Ms", strconv.FormatInt(int64((pushed.RetryAfter+time.Millisecond-1)/time.Millisecond), 10))
 		}
-		if pushed.Last {
+		if pushed.NoRetry {
 			h.Set("Valve-Last", "1")
 		}
 		empty(w, http.StatusServiceUnavailable)
 	case errors.As(err, &aborted):
-		h.Set("Valve-Why", aborted.Why)
-		if aborted.Late {
+		h.Set("Valve-Why", aborted.Reason)
+		if aborted.Overdue {
 			empty(w, http.StatusGatewayTimeout)
 		} else {
 			empty(w, http.StatusInternalServerError)
 		}
-	case errors.Is(err, valve.ErrSenseless):
+	case errors.Is(err, valve.ErrInvalidRPC):
 		refuse(w, http.StatusBadRequest, err.Error())
 	case errors.Is(err, valve.ErrClosed):
 		empty(w, http.StatusServiceUnavailable)
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -44,11 +44,11 @@
 
 func start(t *testing.T, handler http.HandlerFunc, change ...func(*valve.Options, *Options, *httptest.Server)) *rig {
 	vo := valve.Options{
-		Methods: []valve.Method{{Name: "view", LatencyTarget: 200 * time.Millisecond, Deadline: 400 * time.Millisecond},
-			{Name: "buy", LatencyTarget: 2 * time.Second, Repeat: valve.Tokened, Window: time.Minute, Criticality: 3}},
-		Cores: 1, RunsACore: 1, RetryAfter: 1500 * time.Millisecond, Gauges: func() (valve.Gauges, bool) { return valve.Gauges{}, false },
+		Methods: []valve.Method{{Name: "view", LatencyObjective: 200 * time.Millisecond, Deadline: 400 * time.Millisecond},
+			{Name: "buy", LatencyObjective: 2 * time.Second, Idempotency: valve.IdempotencyKeyed, DedupWindow: time.Minute, Criticality: 3}},
+		Cores: 1, MaxRunsPerCore: 1, MaxRetryAfter: 1500 * time.Millisecond, Gauges: func() (valve.Gauges, bool) { return valve.Gauges{}, false },
 	}
-	o := Options{Routes: routes, KeepBytes: 1000, BodyBytes: 100}
+	o := Options{Routes: routes, CacheBytes: 1000, MaxBodyBytes: 100}
 	r := &rig{T: t}
 	r.s = httptest.NewUnstartedServer(nil)
 	r.s.Config.ErrorLog = log.New(io.Discard, "", 0)
@@ -112,9 +112,9 @@
 
 func (r *rig) quiet() {
 	r.Helper()
-	for end := time.Now().Add(soon); r.v.InHand() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(soon); r.v.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("%d in hand", r.v.InHand())
+			r.Fatalf("%d in hand", r.v.InFlight())
 		}
 	}
 }
@@ -262,8 +262,8 @@
 	if gone := time.Since(began); gone > 2*time.Second {
 		t.Errorf("after %v", gone)
 	}
-	if r.v.InHand() != 1 {
-		t.Errorf("%d in hand", r.v.InHand())
+	if r.v.InFlight() != 1 {
+		t.Errorf("%d in hand", r.v.InFlight())
 	}
 	close(release)
 	if err := <-wrote; err != http.ErrHandlerTimeout {
@@ -297,11 +297,11 @@
 			a.Body.Close()
 		}
 	}()
-	for r.v.InHand() < 2 {
+	for r.v.InFlight() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	leave()
-	for r.v.InHand() > 1 {
+	for r.v.InFlight() > 1 {
 		time.Sleep(time.Millisecond)
 	}
 	h := r.expect("503", "GET", "/view/held", "")
@@ -328,8 +328,8 @@
 		inner := r.s.Config.Handler
 		r.s.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
 		r.expect("503 outer", "GET", "/view/1", "")
-		if r.v.InHand() != 1 {
-			t.Errorf("%d in hand", r.v.InHand())
+		if r.v.InFlight() != 1 {
+			t.Errorf("%d in hand", r.v.InFlight())
 		}
 		once.Do(func() { close(release) })
 		r.quiet()
@@ -345,13 +345,13 @@
 	t.Run("Shutdown while one runs and one is held", func(t *testing.T) {
 		hold := make(chan struct{})
 		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; io.WriteString(w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
-			v.Methods[0].Deadline, v.Methods[0].LatencyTarget = time.Minute, time.Minute
+			v.Methods[0].Deadline, v.Methods[0].LatencyObjective = time.Minute, time.Minute
 		})
 		answers := make(chan string, 2)
 		for range 2 {
 			go func() { s, _ := r.got("GET", "/view/1", ""); answers <- s }()
 		}
-		for r.v.InHand() < 2 {
+		for r.v.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		r.v.Drain(time.Minute)
@@ -421,7 +421,7 @@
 		for range 2 {
 			go func() { s, _ := r.got("POST", "/buy", "x", key...); answers <- s }()
 		}
-		for r.v.InHand() < 2 {
+		for r.v.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		close(release)
@@ -437,7 +437,7 @@
 }
 
 func TestNew(t *testing.T) {
-	v, err := valve.New(valve.Options{Methods: []valve.Method{{Name: "view"}, {Name: "buy", Repeat: valve.Tokened, Window: time.Second}}})
+	v, err := valve.New(valve.Options{Methods: []valve.Method{{Name: "view"}, {Name: "buy", Idempotency: valve.IdempotencyKeyed, DedupWindow: time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -456,7 +456,7 @@
 
 // A client that sends half a tokened body and stays is answered, and reaches nothing.
 func TestHalfBody(t *testing.T) {
-	r := start(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyWithin = 30 * time.Millisecond })
+	r := start(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyTimeout = 30 * time.Millisecond })
 	c, err := net.Dial("tcp", r.s.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -471,7 +471,7 @@
 }
 
 func Example() {
-	v, err := valve.New(valve.Options{Methods: []valve.Method{{Name: "account-view", LatencyTarget: 500 * time.Millisecond}}})
+	v, err := valve.New(valve.Options{Methods: []valve.Method{{Name: "account-view", LatencyObjective: 500 * time.Millisecond}}})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -13,38 +13,38 @@
 )
 
 // What happened.
-type What int
+type EventKind int
 
 const (
-	Arrived  What = iota // an RPC was admitted to the decisions
-	Began                // its run was asked for
-	Joined               // it waits for the try that it repeats
-	Pushed               // it was pushed back
-	GivenUp              // it was aborted
-	Withdrew             // its caller left
-	Ended                // its run or join ended
+	Arrived   EventKind = iota // an RPC was admitted to the decisions
+	Started                    // its run was asked for
+	Joined                     // it waits for the try that it repeats
+	Rejected                   // it was pushed back
+	GaveUp                     // it was aborted
+	Cancelled                  // its caller left
+	Completed                  // its run or join ended
 )
 
-// Observed is one thing that happened. RPC numbers count from 1 for each Valve.
-type Observed struct {
+// Event is one thing that happened. RPC numbers count from 1 for each Valve.
+type Event struct {
 	At     time.Duration // since the Valve began
-	What   What
+	Kind   EventKind
 	RPC    uint32
 	Method string // Arrived
 }
 
-// Trace says where all that the decisions are told and say is recorded: no bodies, tokens as hashes. The file is read by
+// TraceOptions says where all that the decisions are told and say is recorded: no bodies, tokens as hashes. The file is read by
 // the daemon's trace commands.
-type Trace struct {
+type TraceOptions struct {
 	Path      string
 	FileBytes int64       // the next file begins when one is so long; 64 MiB if 0
 	Files     int         // that are kept; 4 if 0
-	Failed    func(error) // hears that the file can't be written; may be nil
+	OnError   func(error) // hears that the file can't be written; may be nil
 }
 
 // watch is the gate's tracer.
 type watch struct {
-	see     func(Observed)
+	see     func(Event)
 	rec     *trace.Recorder
 	methods []string
 }
@@ -68,22 +68,22 @@
 	at := time.Duration(now * float64(time.Millisecond))
 	switch ev.Kind {
 	case control.Arrived:
-		w.see(Observed{at, Arrived, ev.RPC, w.methods[ev.Method]})
+		w.see(Event{at, Arrived, ev.RPC, w.methods[ev.Method]})
 	case control.CallerGone:
-		w.see(Observed{At: at, What: Withdrew, RPC: ev.RPC})
+		w.see(Event{At: at, Kind: Cancelled, RPC: ev.RPC})
 	case control.Completed:
-		w.see(Observed{At: at, What: Ended, RPC: ev.RPC})
+		w.see(Event{At: at, Kind: Completed, RPC: ev.RPC})
 	}
 	for _, a := range actions {
 		switch a.Kind {
 		case control.Run:
-			w.see(Observed{At: at, What: Began, RPC: a.RPC})
+			w.see(Event{At: at, Kind: Started, RPC: a.RPC})
 		case control.Join:
-			w.see(Observed{At: at, What: Joined, RPC: a.RPC})
+			w.see(Event{At: at, Kind: Joined, RPC: a.RPC})
 		case control.Reject:
-			w.see(Observed{At: at, What: Pushed, RPC: a.RPC})
+			w.see(Event{At: at, Kind: Rejected, RPC: a.RPC})
 		case control.Abort:
-			w.see(Observed{At: at, What: GivenUp, RPC: a.RPC})
+			w.see(Event{At: at, Kind: GaveUp, RPC: a.RPC})
 		}
 	}
 }
@@ -101,6 +101,6 @@
 	if v.kept == nil {
 		return StoreState{}, false
 	}
-	s := v.kept.State()
-	return StoreState{s.Health == recovery.Broken, int64(s.Used), int64(s.Reserve), s.Segments, s.Records, s.Syncs, s.Dropped, s.Failures}, true
+	s := v.kept.Status()
+	return StoreState{s.Health == recovery.Broken, int64(s.Used), int64(s.Reserved), s.Segments, s.Records, s.Syncs, s.SegmentsDropped, s.Failures}, true
 }
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -24,24 +24,24 @@
 	"sorrelvalve/internal/trace"
 )
 
-// Repeat says whether an RPC of a method may run again.
-type Repeat int
+// Idempotency says whether an RPC of a method may run again.
+type Idempotency int
 
 const (
-	Idempotent    Repeat = iota // may run again
-	Tokened                     // bears a token by which a repeat is known
-	NonIdempotent               // must never run twice, and bears no token
+	Idempotent       Idempotency = iota // may run again
+	IdempotencyKeyed                    // bears a token by which a repeat is known
+	NonIdempotent                       // must never run twice, and bears no token
 )
 
 // Method is one that the program serves.
 type Method struct {
-	Name          string
-	Repeat        Repeat
-	LatencyTarget time.Duration // its answer is wanted within this; 1 s if 0
-	Deadline      time.Duration // its client gives up after this; twice the latency target if 0
-	Window        time.Duration // Tokened: a repeat may come this long after the first try's arrival
-	Criticality   float64       // what an answer in time counts for; 1 if 0
-	LateShare     float64       // the part of that which an answer between latency target and deadline keeps
+	Name             string
+	Idempotency      Idempotency
+	LatencyObjective time.Duration // its answer is wanted within this; 1 s if 0
+	Deadline         time.Duration // its client gives up after this; twice the latency target if 0
+	DedupWindow      time.Duration // Tokened: a repeat may come this long after the first try's arrival
+	Criticality      float64       // what an answer in time counts for; 1 if 0
+	LateFraction     float64       // the part of that which an answer between latency target and deadline keeps
 }
 
 // Customer is one on whose behalf RPCs come. RPCs beyond its quota count for less, and are the first to go.
@@ -52,55 +52,55 @@
 
 // Gauges are the machine's. CoreUse is the share of the cores that was busy over the last half second, OnCores the
 // work that has or wants a core now.
-type Gauges struct{ CoreUse, OnCores float64 }
+type Gauges struct{ CPUUtilization, Runnable float64 }
 
 // Options are what a Valve is made from. The zero value of a field has the default named beside it.
 type Options struct {
 	Methods   []Method   // at least one
 	Customers []Customer // none: RPCs name no customer
 
-	Cores   int   // that the RPCs run on; GOMAXPROCS
-	Memory  int64 // bytes that they may take, running and held; 1 GiB
-	Kept    int64 // bytes that kept results of tokened RPCs may take; 16 MiB
-	Callers int   // processes that call this one, as far as known; 4
-	Servers int   // in the fleet, this one included; 1
+	Cores      int   // that the RPCs run on; GOMAXPROCS
+	Memory     int64 // bytes that they may take, running and held; 1 GiB
+	CacheBytes int64 // bytes that kept results of tokened RPCs may take; 16 MiB
+	Callers    int   // processes that call this one, as far as known; 4
+	Servers    int   // in the fleet, this one included; 1
 
-	Cold   bool          // just started and not yet at full speed: callers are taken in a rising share
-	WarmBy time.Duration // after which a cold one is at full speed; 20 s
+	WarmingUp  bool          // just started and not yet at full speed: callers are taken in a rising share
+	WarmUpTime time.Duration // after which a cold one is at full speed; 20 s
 
-	RetryAfter time.Duration // longest advice to stay away that callers heed; 0 for none
-	OverShare  float64       // what an RPC beyond its customer's quota keeps of its criticality; 1
-	Grace      time.Duration // after Drain, in which RPCs are still taken; 2 s
-	RunsACore  float64       // at most, however they wait; 8
-	Settle     time.Duration // after which a held RPC is not pushed back for another; 0 for no such time
+	MaxRetryAfter     time.Duration // longest advice to stay away that callers heed; 0 for none
+	OverQuotaFraction float64       // what an RPC beyond its customer's quota keeps of its criticality; 1
+	DrainGrace        time.Duration // after Drain, in which RPCs are still taken; 2 s
+	MaxRunsPerCore    float64       // at most, however they wait; 8
+	DisplaceableFor   time.Duration // after which a held RPC is not pushed back for another; 0 for no such time
 
 	Seed   uint64                    // of all chance; the same seed and events give the same verdicts
 	Clock  func() time.Time          // nil: time.Now, and the Valve ticks by itself; else the program calls Tick
 	Gauges func() (Gauges, bool)     // nil: those of this process; false: not to be had just now
 	Log    func(text, detail string) // nil: nothing is said
 
-	Observe func(Observed) // hears of each event, under a lock: it must not block, nor call the Valve; may be nil
-	Trace   *Trace         // nil: nothing is recorded
-	Store   *Store         // nil: tokens are kept in memory only
+	Observer func(Event)   // hears of each event, under a lock: it must not block, nor call the Valve; may be nil
+	Trace    *TraceOptions // nil: nothing is recorded
+	Store    *StoreOptions // nil: tokens are kept in memory only
 }
 
-// Store keeps tokens and their answers over restarts, in a folder on a disk that lasts and that no other process uses.
-type Store struct {
-	Dir       string
-	Server    string                       // the name of this server; one that was copied from another is an error
-	Bytes     int64                        // on disk; 256 MiB if 0
-	Answer    int                          // longest answer that is kept; 16 KiB if 0
-	Tolerance time.Duration                // by which the clock may step while the program is down; 2 s if 0
-	Log       func(text string, err error) // nil: nothing is said
+// StoreOptions keeps tokens and their answers over restarts, in a folder on a disk that lasts and that no other process uses.
+type StoreOptions struct {
+	Dir            string
+	Server         string                       // the name of this server; one that was copied from another is an error
+	MaxBytes       int64                        // on disk; 256 MiB if 0
+	MaxResultBytes int                          // longest answer that is kept; 16 KiB if 0
+	ClockTolerance time.Duration                // by which the clock may step while the program is down; 2 s if 0
+	Log            func(text string, err error) // nil: nothing is said
 }
 
 // open reads what stands there.
-func (t *Store) open(methods []control.Method) (*store.Store, error) {
-	b := store.Bounds{Bytes: float64(positive(t.Bytes, 256<<20)), Answer: positive(t.Answer, 16<<10), Tolerance: millis(positive(t.Tolerance, 2*time.Second))}
-	b.Segment = b.Bytes / 32
+func (t *StoreOptions) open(methods []control.Method) (*store.Store, error) {
+	b := store.Limits{MaxBytes: float64(positive(t.MaxBytes, 256<<20)), MaxResultBytes: positive(t.MaxResultBytes, 16<<10), ClockTolerance: millis(positive(t.ClockTolerance, 2*time.Second))}
+	b.SegmentBytes = b.MaxBytes / 32
 	for _, m := range methods {
 		if m.Idempotency == control.IdempotencyKeyed {
-			b.Window = max(b.Window, m.DedupWindow+m.Deadline)
+			b.MaxWindow = max(b.MaxWindow, m.DedupWindow+m.Deadline)
 		}
 	}
 	log := t.Log
@@ -133,21 +133,21 @@
 
 // RPC is what Admit is told.
 type RPC struct {
-	Method   string
-	Customer string
-	Caller   uint64        // a hash of who calls: the ramp of a cold start goes by it
-	Subject  uint64        // a hash of what it is about; 0 for none
-	Token    string        // the same in all tries of a tokened RPC
-	Body     []byte        // Tokened: by which two tries are known to be the same; it is not kept
-	Arrived  time.Time     // when it reached the machine; now if zero
-	Work     time.Duration // expected on one core; 0 if it is not known
-	Memory   int64         // bytes that it takes while it is held; 16 KiB if 0
-	Retry    bool          // marked as a further try
+	Method    string
+	Customer  string
+	Caller    uint64        // a hash of who calls: the ramp of a cold start goes by it
+	Subject   uint64        // a hash of what it is about; 0 for none
+	Token     string        // the same in all tries of a tokened RPC
+	Body      []byte        // Tokened: by which two tries are known to be the same; it is not kept
+	ArrivedAt time.Time     // when it reached the machine; now if zero
+	CostHint  time.Duration // expected on one core; 0 if it is not known
+	Memory    int64         // bytes that it takes while it is held; 16 KiB if 0
+	Retry     bool          // marked as a further try
 }
 
-// Answer is a whole one, kept for the repeats of a tokened RPC. Head is what the program puts before the body, in a
+// Result is a whole one, kept for the repeats of a tokened RPC. Head is what the program puts before the body, in a
 // form of its own.
-type Answer struct{ Head, Body []byte }
+type Result struct{ Head, Body []byte }
 
 // Outcome is what became of a run.
 type Outcome int
@@ -156,40 +156,40 @@
 	Failed     Outcome = iota // it may have had its effect
 	Succeeded                 //
 	NotStarted                // nothing ran
-	Full                      // nothing ran: there was no room for it, which may pass
+	NoCapacity                // nothing ran: there was no room for it, which may pass
 )
 
 // What Admit's errors are, for errors.Is.
 var (
-	ErrPushedBack = errors.New("valve: pushed back") // it never ran; a *PushedBack tells when to return
+	ErrRejected   = errors.New("valve: pushed back") // it never ran; a *PushedBack tells when to return
 	ErrAborted    = errors.New("valve: aborted")     // an *Aborted tells why
-	ErrSenseless  = errors.New("valve: no sense")    // the method, customer or token is wrong
+	ErrInvalidRPC = errors.New("valve: no sense")    // the method, customer or token is wrong
 	ErrClosed     = errors.New("valve: closed")
 )
 
-// PushedBack is the error for an RPC that never ran.
-type PushedBack struct {
-	After time.Duration // the caller should stay away so long; 0 for no advice
-	Last  bool          // it should not go elsewhere: others are full, too
+// RejectedError is the error for an RPC that never ran.
+type RejectedError struct {
+	RetryAfter time.Duration // the caller should stay away so long; 0 for no advice
+	NoRetry    bool          // it should not go elsewhere: others are full, too
 }
 
-func (e *PushedBack) Error() string {
-	return fmt.Sprintf("valve: pushed back, return after %v", e.After)
+func (e *RejectedError) Error() string {
+	return fmt.Sprintf("valve: pushed back, return after %v", e.RetryAfter)
 }
 
 // Is makes errors.Is(err, ErrPushedBack) true.
-func (e *PushedBack) Is(target error) bool { return target == ErrPushedBack }
+func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// Aborted is the error for an RPC that gets no result.
-type Aborted struct {
-	Why  string
-	Late bool // its answer was due
+// AbortedError is the error for an RPC that gets no result.
+type AbortedError struct {
+	Reason  string
+	Overdue bool // its answer was due
 }
 
-func (e *Aborted) Error() string { return "valve: aborted: " + e.Why }
+func (e *AbortedError) Error() string { return "valve: aborted: " + e.Reason }
 
 // Is makes errors.Is(err, ErrAborted) true.
-func (e *Aborted) Is(target error) bool { return target == ErrAborted }
+func (e *AbortedError) Is(target error) bool { return target == ErrAborted }
 
 // New returns a Valve that takes RPCs at once, and must be closed. The error names the option at fault.
 func New(o Options) (*Valve, error) {
@@ -202,8 +202,8 @@
 		log = o.Log
 	}
 	kept := int64(16 << 20)
-	if o.Kept > 0 {
-		kept = o.Kept
+	if o.CacheBytes > 0 {
+		kept = o.CacheBytes
 	}
 	v := &Valve{
 		methods: map[string]Method{}, clock: time.Now, gauges: o.Gauges, stop: make(chan struct{}),
@@ -223,19 +223,19 @@
 		if v.kept, err = o.Store.open(told.Methods); err != nil {
 			return nil, fmt.Errorf("valve: Store: %w", err)
 		}
-		v.g.Keep(store.Keeper{Store: v.kept})
+		v.g.UseTokenStore(store.TokenStore{Store: v.kept})
 	}
 	if t := o.Trace; t != nil {
-		failed := t.Failed
+		failed := t.OnError
 		if failed == nil {
 			failed = func(error) {}
 		}
 		v.rec = trace.NewRecorder(t.Path, trace.FileLimits{MaxFileBytes: positive(t.FileBytes, 64<<20), MaxFiles: positive(t.Files, 4)}, "library", failed)
 	}
-	if o.Observe != nil || v.rec != nil {
-		v.g.Trace(&watch{see: o.Observe, rec: v.rec})
+	if o.Observer != nil || v.rec != nil {
+		v.g.UseTracer(&watch{see: o.Observer, rec: v.rec})
 	}
-	v.g.Start(o.Cold, 0)
+	v.g.Start(o.WarmingUp, 0)
 	if o.Clock == nil {
 		v.ended.Add(1)
 		go v.ticks()
@@ -258,9 +258,9 @@
 		return nil, errors.New("valve: Methods: at least one expected")
 	}
 	for name, v := range map[string]float64{
-		"Cores": float64(o.Cores), "Memory": float64(o.Memory), "Kept": float64(o.Kept), "Callers": float64(o.Callers),
-		"Servers": float64(o.Servers), "WarmBy": float64(o.WarmBy), "RetryAfter": float64(o.RetryAfter), "Grace": float64(o.Grace),
-		"RunsACore": o.RunsACore, "Settle": float64(o.Settle), "OverShare": o.OverShare,
+		"Cores": float64(o.Cores), "Memory": float64(o.Memory), "CacheBytes": float64(o.CacheBytes), "Callers": float64(o.Callers),
+		"Servers": float64(o.Servers), "WarmUpTime": float64(o.WarmUpTime), "MaxRetryAfter": float64(o.MaxRetryAfter), "DrainGrace": float64(o.DrainGrace),
+		"MaxRunsPerCore": o.MaxRunsPerCore, "DisplaceableFor": float64(o.DisplaceableFor), "OverQuotaFraction": o.OverQuotaFraction,
 	} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return nil, fmt.Errorf("valve: %s: a number from 0 up expected, %g there", name, v)
@@ -268,14 +268,14 @@
 	}
 	t := &startup.Config{
 		Node: control.Node{
-			Seed: o.Seed, InitialSpeed: 0.2, WarmUpTime: millis(positive(o.WarmBy, 20*time.Second)), Cores: positive(o.Cores, cores()),
+			Seed: o.Seed, InitialSpeed: 0.2, WarmUpTime: millis(positive(o.WarmUpTime, 20*time.Second)), Cores: positive(o.Cores, cores()),
 			MemoryKB: float64(positive(o.Memory, 1<<30)) / 1024, RunMemoryFactor: 1, TokenKB: 0, Tick: 1,
 		},
 		Fleet: control.Fleet{
 			Peers: positive(o.Servers, 1), Callers: positive(o.Callers, 4), MarksRetries: true, FeedbackTTL: 1000, IdleTimeout: 30e3,
-			MaxRetryAfter: millis(o.RetryAfter), OverQuotaFraction: positive(o.OverShare, 1),
+			MaxRetryAfter: millis(o.MaxRetryAfter), OverQuotaFraction: positive(o.OverQuotaFraction, 1),
 		},
-		Limits:      control.Limits{DrainGrace: millis(positive(o.Grace, 2*time.Second)), MaxRunsPerCore: positive(o.RunsACore, 8), DisplaceableFor: millis(o.Settle)},
+		Limits:      control.Limits{DrainGrace: millis(positive(o.DrainGrace, 2*time.Second)), MaxRunsPerCore: positive(o.MaxRunsPerCore, 8), DisplaceableFor: millis(o.DisplaceableFor)},
 		Gauges:      []string{"core_use", "on_cores"},
 		AnswerSlack: 80, // ms: two ticks, in which what is due is answered
 	}
@@ -287,23 +287,23 @@
 		switch {
 		case m.Name == "" || seen[m.Name]:
 			return nil, bad("Name", "one of its own")
-		case m.LatencyTarget < 0 || m.Deadline < 0 || m.Window < 0:
-			return nil, bad("LatencyTarget, Deadline, Window", "a time from 0 up")
+		case m.LatencyObjective < 0 || m.Deadline < 0 || m.DedupWindow < 0:
+			return nil, bad("LatencyObjective, Deadline, DedupWindow", "a time from 0 up")
 		case !(m.Criticality >= 0) || math.IsInf(m.Criticality, 0):
 			return nil, bad("Criticality", "a number from 0 up")
-		case !(m.LateShare >= 0 && m.LateShare <= 1):
-			return nil, bad("LateShare", "a number from 0 to 1")
-		case m.Repeat < Idempotent || m.Repeat > NonIdempotent:
-			return nil, bad("Repeat", "Idempotent, Tokened or NonIdempotent")
-		case m.Repeat == Tokened && m.Window == 0:
-			return nil, bad("Window", "how long a repeat may come")
+		case !(m.LateFraction >= 0 && m.LateFraction <= 1):
+			return nil, bad("LateFraction", "a number from 0 to 1")
+		case m.Idempotency < Idempotent || m.Idempotency > NonIdempotent:
+			return nil, bad("Idempotency", "Idempotent, IdempotencyKeyed or NonIdempotent")
+		case m.Idempotency == IdempotencyKeyed && m.DedupWindow == 0:
+			return nil, bad("DedupWindow", "how long a repeat may come")
 		}
 		seen[m.Name] = true
-		target := positive(m.LatencyTarget, time.Second)
+		target := positive(m.LatencyObjective, time.Second)
 		t.Methods = append(t.Methods, control.Method{
-			Name: m.Name, Idempotency: control.Idempotency(m.Repeat), LatencyObjective: millis(target),
-			Deadline: millis(positive(m.Deadline, 2*target)), DedupWindow: millis(m.Window), Criticality: positive(m.Criticality, 1),
-			LateFraction: m.LateShare,
+			Name: m.Name, Idempotency: control.Idempotency(m.Idempotency), LatencyObjective: millis(target),
+			Deadline: millis(positive(m.Deadline, 2*target)), DedupWindow: millis(m.DedupWindow), Criticality: positive(m.Criticality, 1),
+			LateFraction: m.LateFraction,
 		})
 	}
 	for i, c := range o.Customers {
@@ -320,28 +320,28 @@
 // ended first, in which case nothing runs.
 func (v *Valve) Admit(ctx context.Context, r RPC) (*Run, error) {
 	now := v.clock()
-	if r.Arrived.IsZero() {
-		r.Arrived = now
+	if r.ArrivedAt.IsZero() {
+		r.ArrivedAt = now
 	}
 	if r.Memory == 0 {
 		r.Memory = 16 << 10
 	}
-	t, err := v.g.Enter(gate.RPC{
+	t, err := v.g.Submit(gate.RPC{
 		Method: r.Method, Customer: r.Customer, Body: r.Body, Token: r.Token, Subject: r.Subject, Retry: r.Retry,
-		Caller: uint16(r.Caller ^ r.Caller>>16 ^ r.Caller>>32 ^ r.Caller>>48),
-		Door:   float64(r.Arrived.UnixNano()) / 1e6, Hint: millis(r.Work), HeldKB: float64(r.Memory) / 1024,
+		Caller:    uint16(r.Caller ^ r.Caller>>16 ^ r.Caller>>32 ^ r.Caller>>48),
+		ArrivedMs: float64(r.ArrivedAt.UnixNano()) / 1e6, CostHintMs: millis(r.CostHint), QueuedKB: float64(r.Memory) / 1024,
 	})
 	if errors.Is(err, gate.ErrClosed) {
 		return nil, ErrClosed
 	} else if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrSenseless, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidRPC, err)
 	}
-	switch d := t.Wait(ctx); d.Answer {
+	switch d := t.Wait(ctx); d.Kind {
 	case gate.Run:
 		return &Run{v: v, t: t}, nil
 	case gate.OK:
-		return &Run{kept: &Answer{d.Head, d.Result}}, nil
-	case gate.Gone:
+		return &Run{kept: &Result{d.Head, d.Result}}, nil
+	case gate.CallerGone:
 		return nil, ctx.Err()
 	default:
 		return nil, errorOf(d)
@@ -350,11 +350,11 @@
 
 // errorOf is the error that tells of a final verdict.
 func errorOf(d gate.Verdict) error {
-	switch d.Answer {
-	case gate.PushedBack:
-		return &PushedBack{After: time.Duration(d.Away * float64(time.Millisecond)), Last: d.Last}
+	switch d.Kind {
+	case gate.Rejected:
+		return &RejectedError{RetryAfter: time.Duration(d.RetryAfterMs * float64(time.Millisecond)), NoRetry: d.NoRetry}
 	case gate.Aborted:
-		return &Aborted{Why: d.Why, Late: d.Late}
+		return &AbortedError{Reason: d.Reason, Overdue: d.Overdue}
 	}
 	return nil
 }
@@ -363,15 +363,15 @@
 type Run struct {
 	v    *Valve
 	t    *gate.Ticket
-	kept *Answer
+	kept *Result
 
-	final Finisher
+	final FinalHandler
 }
 
-// Kept is the answer of the try that this one repeats. There is nothing to run then, and End does nothing.
-func (r *Run) Kept() (Answer, bool) {
+// Cached is the answer of the try that this one repeats. There is nothing to run then, and End does nothing.
+func (r *Run) Cached() (Result, bool) {
 	if r.kept == nil {
-		return Answer{}, false
+		return Result{}, false
 	}
 	return *r.kept, true
 }
@@ -381,51 +381,51 @@
 	if r.t == nil {
 		return time.Time{}
 	}
-	return time.UnixMicro(int64(r.t.Due() * 1000))
+	return time.UnixMicro(int64(r.t.DueMs() * 1000))
 }
 
-// Finisher hears of an end that a Valve gave.
-type Finisher interface{ Final(error) }
+// FinalHandler hears of an end that a Valve gave.
+type FinalHandler interface{ HandleFinal(error) }
 
-// Notify has f told if the Valve gives the RPC an end before End does: as its answer is due, or the Valve closes. The
+// NotifyFinal has f told if the Valve gives the RPC an end before End does: as its answer is due, or the Valve closes. The
 // program must answer with that error then, and still call End when the work is over, which counts until then. f must
 // not block, nor call the Valve. Notify must be called before End, and once.
-func (r *Run) Notify(f Finisher) {
+func (r *Run) NotifyFinal(f FinalHandler) {
 	if r.t != nil {
 		r.final = f
-		r.t.OnFinal((*notified)(r))
+		r.t.NotifyFinal((*notified)(r))
 	}
 }
 
 // notified is a Run as the gate tells it of its end.
 type notified Run
 
-func (r *notified) Final(d gate.Verdict) {
+func (r *notified) HandleFinal(d gate.Verdict) {
 	if err := errorOf(d); err != nil {
-		r.final.Final(err)
+		r.final.HandleFinal(err)
 	}
 }
 
-// Leave tells that the caller no longer waits; End is still owed.
-func (r *Run) Leave() {
+// Cancel tells that the caller no longer waits; End is still owed.
+func (r *Run) Cancel() {
 	if r.t != nil {
-		r.t.Leave()
+		r.t.Cancel()
 	}
 }
 
-// End tells what became of the run. It returns false if the Valve had given the RPC an end before: its caller has been
+// Complete tells what became of the run. It returns false if the Valve had given the RPC an end before: its caller has been
 // answered, and must not be again. Of a tokened RPC that succeeded the answer is kept for its repeats, the caller of
 // which must not change it after. The first End counts.
-func (r *Run) End(how Outcome, a Answer) bool { return r.end(gate.Outcome(how), a) }
+func (r *Run) Complete(how Outcome, a Result) bool { return r.end(gate.Outcome(how), a) }
 
-// EndUnkept is End for one that succeeded with an answer that can't be kept: its repeats hear that it ran.
-func (r *Run) EndUnkept() bool { return r.end(gate.Unkept, Answer{}) }
+// CompleteUncached is End for one that succeeded with an answer that can't be kept: its repeats hear that it ran.
+func (r *Run) CompleteUncached() bool { return r.end(gate.SucceededUncached, Result{}) }
 
-func (r *Run) end(how gate.Outcome, a Answer) bool {
+func (r *Run) end(how gate.Outcome, a Result) bool {
 	if r.t == nil {
 		return false
 	}
-	return r.t.End(how, 0, a.Head, a.Body)
+	return r.t.Complete(how, 0, a.Head, a.Body)
 }
 
 // ticks moves the clock of the decisions until Close.
@@ -450,25 +450,25 @@
 	if !known {
 		return v.g.Tick(nil)
 	}
-	return v.g.Tick([]float64{g.CoreUse, g.OnCores})
+	return v.g.Tick([]float64{g.CPUUtilization, g.Runnable})
 }
 
 // Drain tells that the program will stop after a while: what arrives past the grace is pushed back, and all is answered
 // before the stop. It does not block.
 func (v *Valve) Drain(stop time.Duration) { v.g.Drain(stop) }
 
-// Good is what a health check should be told.
-func (v *Valve) Good() bool { return v.g.Good() }
+// Healthy is what a health check should be told.
+func (v *Valve) Healthy() bool { return v.g.Healthy() }
 
-// InHand is the number of RPCs that have no final answer, or a run that has not ended.
-func (v *Valve) InHand() int { return v.g.InHand() }
+// InFlight is the number of RPCs that have no final answer, or a run that has not ended.
+func (v *Valve) InFlight() int { return v.g.InFlight() }
 
 // Method returns what the Valve was told of a method.
 func (v *Valve) Method(name string) (Method, bool) { m, has := v.methods[name]; return m, has }
 
-// Advice bounds advice of the program's own to what callers heed.
-func (v *Valve) Advice(away time.Duration) time.Duration {
-	return time.Duration(v.g.Advice(millis(away)) * float64(time.Millisecond))
+// CapRetryAfter bounds advice of the program's own to what callers heed.
+func (v *Valve) CapRetryAfter(away time.Duration) time.Duration {
+	return time.Duration(v.g.CapRetryAfter(millis(away)) * float64(time.Millisecond))
 }
 
 // Close ends the Valve: what is held is pushed back, what runs is aborted as far as its caller goes, and nothing more is
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -40,8 +40,8 @@
 func open(t *testing.T, change ...func(*Options)) (*Valve, *clock) {
 	c := &clock{at: time.UnixMilli(1_700_000_000_000)}
 	o := Options{
-		Methods: []Method{{Name: "view", LatencyTarget: time.Second}, {Name: "buy", LatencyTarget: time.Second, Repeat: Tokened, Window: 8 * time.Second, Criticality: 3}},
-		Cores:   1, Clock: c.now, RetryAfter: time.Second, Gauges: func() (Gauges, bool) { return Gauges{}, false },
+		Methods: []Method{{Name: "view", LatencyObjective: time.Second}, {Name: "buy", LatencyObjective: time.Second, Idempotency: IdempotencyKeyed, DedupWindow: 8 * time.Second, Criticality: 3}},
+		Cores:   1, Clock: c.now, MaxRetryAfter: time.Second, Gauges: func() (Gauges, bool) { return Gauges{}, false },
 	}
 	for _, f := range change {
 		f(&o)
@@ -63,7 +63,7 @@
 		*Run
 		error
 	}, 1)
-	before := v.InHand()
+	before := v.InFlight()
 	go func() {
 		run, err := v.Admit(ctx, r)
 		got <- struct {
@@ -71,7 +71,7 @@
 			error
 		}{run, err}
 	}()
-	for v.InHand() == before && len(got) == 0 {
+	for v.InFlight() == before && len(got) == 0 {
 		runtime.Gosched()
 	}
 	return got
@@ -79,7 +79,7 @@
 
 type finisher func(error)
 
-func (f finisher) Final(err error) { f(err) }
+func (f finisher) HandleFinal(err error) { f(err) }
 
 func TestAdmit(t *testing.T) {
 	ctx := context.Background()
@@ -97,8 +97,8 @@
 	}{
 		{"a run, ended once", func(t *testing.T, v *Valve, _ *clock) {
 			r := must(t, v, RPC{Method: "view"})
-			if !r.End(Succeeded, Answer{}) || r.End(Failed, Answer{}) || v.InHand() != 0 {
-				t.Errorf("%d in hand", v.InHand())
+			if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
+				t.Errorf("%d in hand", v.InFlight())
 			}
 		}},
 		{"held until the first ends", func(t *testing.T, v *Valve, _ *clock) {
@@ -107,11 +107,11 @@
 			if len(b) > 0 {
 				t.Fatal("not held")
 			}
-			a.End(Succeeded, Answer{})
+			a.Complete(Succeeded, Result{})
 			if got := <-b; got.error != nil {
 				t.Error(got.error)
 			} else {
-				got.End(Succeeded, Answer{})
+				got.Complete(Succeeded, Result{})
 			}
 		}},
 		{"its context ends while it is held", func(t *testing.T, v *Valve, _ *clock) {
@@ -122,83 +122,83 @@
 			if got := <-b; !errors.Is(got.error, context.Canceled) {
 				t.Error(got.error)
 			}
-			a.End(Succeeded, Answer{})
+			a.Complete(Succeeded, Result{})
 		}},
 		{"pushed back when it is late for its target", func(t *testing.T, v *Valve, c *clock) {
 			a := must(t, v, RPC{Method: "view"})
 			b := later(v, ctx, RPC{Method: "view"})
 			c.pass(v, 1500*time.Millisecond)
 			got := <-b
-			var p *PushedBack
-			if !errors.Is(got.error, ErrPushedBack) || !errors.As(got.error, &p) || p.After <= 0 {
+			var p *RejectedError
+			if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &p) || p.RetryAfter <= 0 {
 				t.Error(got.error)
 			}
-			a.End(Succeeded, Answer{})
+			a.Complete(Succeeded, Result{})
 		}},
 		{"given up when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
 			r := must(t, v, RPC{Method: "view"})
 			var got error
-			r.Notify(finisher(func(err error) { got = err }))
+			r.NotifyFinal(finisher(func(err error) { got = err }))
 			c.pass(v, 1900*time.Millisecond)
 			if got != nil {
 				t.Fatal(got)
 			}
 			c.pass(v, 100*time.Millisecond)
-			var a *Aborted
-			if !errors.As(got, &a) || !a.Late || !errors.Is(got, ErrAborted) || v.InHand() != 1 {
-				t.Errorf("error %v, %d in hand", got, v.InHand())
+			var a *AbortedError
+			if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
+				t.Errorf("error %v, %d in hand", got, v.InFlight())
 			}
-			if r.End(Succeeded, Answer{}) || v.InHand() != 0 {
-				t.Errorf("%d in hand", v.InHand())
+			if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
+				t.Errorf("%d in hand", v.InFlight())
 			}
 		}},
 		{"repeats get the answer that was kept", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
 			b := later(v, ctx, RPC{Method: "buy", Token: "k", Body: []byte("x")})
-			a.End(Succeeded, Answer{[]byte("h"), []byte("done")})
+			a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
 			for _, r := range []*Run{(<-b).Run, must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
-				if kept, is := r.Kept(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.End(Failed, Answer{}) {
+				if kept, is := r.Cached(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.Complete(Failed, Result{}) {
 					t.Errorf("kept %+v", kept)
 				}
 			}
-			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrSenseless) {
+			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
 				t.Error(err)
 			}
 		}},
 		{"an answer that can't be kept: repeats hear that it ran", func(t *testing.T, v *Valve, _ *clock) {
-			must(t, v, RPC{Method: "buy", Token: "k"}).EndUnkept()
-			var a *Aborted
-			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Why, "has run") {
+			must(t, v, RPC{Method: "buy", Token: "k"}).CompleteUncached()
+			var a *AbortedError
+			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Reason, "has run") {
 				t.Error(err)
 			}
 		}},
 		{"no room below", func(t *testing.T, v *Valve, _ *clock) {
 			r := must(t, v, RPC{Method: "buy", Token: "k"})
-			r.End(Full, Answer{})
-			must(t, v, RPC{Method: "buy", Token: "k"}).End(Succeeded, Answer{})
+			r.Complete(NoCapacity, Result{})
+			must(t, v, RPC{Method: "buy", Token: "k"}).Complete(Succeeded, Result{})
 		}},
 		{"what makes no sense", func(t *testing.T, v *Valve, _ *clock) {
 			for _, r := range []RPC{{Method: "sell"}, {Method: "buy"}} {
-				if _, err := v.Admit(ctx, r); !errors.Is(err, ErrSenseless) {
+				if _, err := v.Admit(ctx, r); !errors.Is(err, ErrInvalidRPC) {
 					t.Error(err)
 				}
 			}
 		}},
 		{"past the drain's grace", func(t *testing.T, v *Valve, c *clock) {
 			v.Drain(5 * time.Second)
-			must(t, v, RPC{Method: "view"}).End(Succeeded, Answer{})
+			must(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
 			c.pass(v, 2100*time.Millisecond)
-			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrPushedBack) || v.Good() {
+			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrRejected) || v.Healthy() {
 				t.Error(err)
 			}
 		}},
 		{"closed while one runs and one is held", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "view"})
 			told := make(chan error, 1)
-			a.Notify(finisher(func(err error) { told <- err }))
+			a.NotifyFinal(finisher(func(err error) { told <- err }))
 			b := later(v, ctx, RPC{Method: "view"})
 			v.Close()
-			if got := <-b; !errors.Is(got.error, ErrPushedBack) {
+			if got := <-b; !errors.Is(got.error, ErrRejected) {
 				t.Error(got.error)
 			}
 			if err := <-told; !errors.Is(err, ErrAborted) {
@@ -207,8 +207,8 @@
 			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrClosed) {
 				t.Error(err)
 			}
-			if a.End(Succeeded, Answer{}) || v.InHand() != 0 {
-				t.Errorf("%d in hand", v.InHand())
+			if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
+				t.Errorf("%d in hand", v.InFlight())
 			}
 		}},
 	}
@@ -224,13 +224,13 @@
 	for want, change := range map[string]func(*Options){
 		"Methods: at least one": func(o *Options) { o.Methods = nil },
 		"Name: one of its own":  func(o *Options) { o.Methods[1].Name = "view" },
-		"Window: how long":      func(o *Options) { o.Methods[1].Window = 0 },
+		"DedupWindow: how long": func(o *Options) { o.Methods[1].DedupWindow = 0 },
 		"Criticality":           func(o *Options) { o.Methods[0].Criticality = -1 },
-		"LateShare":             func(o *Options) { o.Methods[0].LateShare = 2 },
+		"LateFraction":          func(o *Options) { o.Methods[0].LateFraction = 2 },
 		"Memory":                func(o *Options) { o.Memory = -1 },
 		"Customers[0]":          func(o *Options) { o.Customers = []Customer{{}} },
 	} {
-		o := Options{Methods: []Method{{Name: "view"}, {Name: "buy", Repeat: Tokened, Window: time.Second}}}
+		o := Options{Methods: []Method{{Name: "view"}, {Name: "buy", Idempotency: IdempotencyKeyed, DedupWindow: time.Second}}}
 		change(&o)
 		if _, err := New(o); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want %q", err, want)
@@ -242,7 +242,7 @@
 func TestByItself(t *testing.T) {
 	var all []*Valve
 	for range 3 {
-		v, err := New(Options{Methods: []Method{{Name: "view"}}, Cores: 4, RunsACore: 64})
+		v, err := New(Options{Methods: []Method{{Name: "view"}}, Cores: 4, MaxRunsPerCore: 64})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -260,15 +260,15 @@
 						continue
 					}
 					runtime.Gosched()
-					r.End(Succeeded, Answer{})
+					r.Complete(Succeeded, Result{})
 				}
 			}()
 		}
 	}
 	wg.Wait()
 	for _, v := range all {
-		if v.InHand() != 0 {
-			t.Errorf("%d in hand", v.InHand())
+		if v.InFlight() != 0 {
+			t.Errorf("%d in hand", v.InFlight())
 		}
 		v.Close()
 		v.Close()
@@ -279,15 +279,15 @@
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	kept := func(server string) func(*Options) {
-		return func(o *Options) { o.Store, o.Clock = &Store{Dir: dir, Server: server}, time.Now }
+		return func(o *Options) { o.Store, o.Clock = &StoreOptions{Dir: dir, Server: server}, time.Now }
 	}
 	v, _ := open(t, kept("a"))
 	r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.End(Succeeded, Answer{[]byte("h"), []byte("done")})
-	for v.InHand() > 0 {
+	r.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
+	for v.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if s, has := v.StoreState(); !has || s.Records != 2 || s.Broken || s.Segments != 1 {
@@ -297,11 +297,11 @@
 	v, _ = open(t, kept("a"))
 	if r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")}); err != nil {
 		t.Error(err)
-	} else if a, is := r.Kept(); !is || string(a.Body) != "done" || string(a.Head) != "h" {
+	} else if a, is := r.Cached(); !is || string(a.Body) != "done" || string(a.Head) != "h" {
 		t.Errorf("kept %+v", a)
 	}
 	v.Close()
-	o := Options{Methods: []Method{{Name: "view"}}, Store: &Store{Dir: dir, Server: "b"}}
+	o := Options{Methods: []Method{{Name: "view"}}, Store: &StoreOptions{Dir: dir, Server: "b"}}
 	if _, err := New(o); err == nil || !strings.Contains(err.Error(), "another server") {
 		t.Error(err)
 	}
@@ -328,31 +328,31 @@
 		}
 		return got
 	}
-	if busy := look(700*time.Millisecond, true); busy.CoreUse < 0.3 {
+	if busy := look(700*time.Millisecond, true); busy.CPUUtilization < 0.3 {
 		t.Errorf("busy %+v", busy)
 	}
-	if idle := look(700*time.Millisecond, false); idle.CoreUse > 0.3 {
+	if idle := look(700*time.Millisecond, false); idle.CPUUtilization > 0.3 {
 		t.Errorf("idle %+v", idle)
 	}
 }
 
 func ExampleValve_Admit() {
-	v, err := New(Options{Methods: []Method{{Name: "account-view", LatencyTarget: 500 * time.Millisecond}}})
+	v, err := New(Options{Methods: []Method{{Name: "account-view", LatencyObjective: 500 * time.Millisecond}}})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	defer v.Close()
 	run, err := v.Admit(context.Background(), RPC{Method: "account-view"})
-	var pushed *PushedBack
+	var pushed *RejectedError
 	switch {
 	case errors.As(err, &pushed):
-		fmt.Println("return after", pushed.After)
+		fmt.Println("return after", pushed.RetryAfter)
 	case err != nil:
 		fmt.Println(err)
 	default:
 		fmt.Println("runs")
-		run.End(Succeeded, Answer{})
+		run.Complete(Succeeded, Result{})
 	}
 	// Output: runs
 }
