--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -39,7 +39,7 @@
 		{"fleet-hearing", "eight real processes that know one another, behind relays: killed, cut, stopped, healed", FleetFailureDetection},
 		{"fleet-sim", "simulated fleets under random faults, how they grow, and a twin of real processes", FleetSim},
 		{"fleet-twin", "the same schedules through eight processes and through the simulator", FleetTwin},
-		{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", FleetBudgets},
+		{"fleet-budgets", "a quota, further tries and calls in hand that servers share: four ways simulated, and processes", FleetQuota},
 		{"fleet-judge", "a pool of which members turn bad, judged by each server for itself and by the fleet together", FleetOutlierDetection},
 		{"fleet-drain", "a fleet of processes drained one by one by permits of three keepers, with faults, beside one without drains", FleetDrain},
 		{"fleet-release", "versions of the settings in waves: judged, in fixed waves, at once; simulated, and processes", FleetRelease},
--- a/internal/experiment/sim.go
+++ b/internal/experiment/sim.go
@@ -35,7 +35,7 @@
 		last = max(last, float64(x.At)/1e6)
 	}
 	return fleetsim.Options{Servers: servers, Zones: 3, Seed: uint64(seed), DurationMs: last + 25e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: s,
-		Quota: budgetsOf(servers, fleetsim.PeerLeases)}
+		Quota: simulatedQuota(servers, fleetsim.PeerLeases)}
 }
 
 // FleetSim is the experiment fleet-sim.
