--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -1,6 +1,7 @@
 package health
 
 import (
+	"encoding/json"
 	"fmt"
 	"slices"
 	"testing"
@@ -8,250 +9,250 @@
 	"pgregory.net/rapid"
 )
 
-// bed is one instance on a virtual clock, whose peers speak while they are told to.
-type bed struct {
+// fixture is a Detector on a virtual clock; the peers in responding answer at each tick.
+type fixture struct {
 	*testing.T
-	h         *Detector
-	now, wall float64
-	speak     []string
+	detector   *Detector
+	now, wall  float64
+	responding []string
 }
 
-func newBed(t *testing.T, peers ...string) *bed {
-	b := &bed{T: t, h: New(DefaultConfig, "self", "a", 0, 1e12), wall: 1e12, speak: peers}
+func newFixture(t *testing.T, peers ...string) *fixture {
+	b := &fixture{T: t, detector: New(DefaultConfig, "self", "a", 0, 1e12), wall: 1e12, responding: peers}
 	for _, p := range peers {
-		b.h.AddMember(0, p, map[bool]string{true: "a", false: "b"}[p < "m"], 1, 7)
-		b.h.MarkAlive(0, p)
+		b.detector.AddMember(0, p, map[bool]string{true: "a", false: "b"}[p < "m"], 1, 7)
+		b.detector.MarkAlive(0, p)
 	}
 	return b
 }
 
-// run lets time pass by ticks of 100 ms.
-func (b *bed) run(ms float64) {
+// advance lets time pass by ticks of 100 ms.
+func (b *fixture) advance(ms float64) {
 	for end := b.now + ms; b.now < end; {
 		b.now, b.wall = b.now+100, b.wall+100
-		b.h.Tick(b.now, b.wall)
-		for _, p := range b.speak {
-			b.h.RecordAck(b.now, p)
+		b.detector.Tick(b.now, b.wall)
+		for _, p := range b.responding {
+			b.detector.RecordAck(b.now, p)
 		}
 	}
 }
 
-func (b *bed) want(state ClusterState, atLeast, atMost int) {
+func (b *fixture) expect(state ClusterState, minServers, maxServers int) {
 	b.Helper()
-	if v := b.h.View(b.now); v.State != state || v.MinServers != atLeast || v.MaxServers != atMost {
-		b.Errorf("at %g ms: %s, %d to %d servers; want %s, %d to %d", b.now, v.State, v.MinServers, v.MaxServers, state, atLeast, atMost)
+	if v := b.detector.View(b.now); v.State != state || v.MinServers != minServers || v.MaxServers != maxServers {
+		b.Errorf("at %g ms: %s, %d to %d servers; want %s, %d to %d", b.now, v.State, v.MinServers, v.MaxServers, state, minServers, maxServers)
 	}
 }
 
 func TestStates(t *testing.T) {
-	b := newBed(t, "b", "x", "y")
-	b.run(DefaultConfig.GracePeriod - 100)
-	b.want(Isolated, 1, 4) // listens first, though all are there
-	b.run(DefaultConfig.StabilizationPeriod + 200)
-	b.want(Complete, 4, 4)
-	b.h.MarkSuspect(b.now, "y")
-	b.want(Partitioned, 3, 4) // down at once
-	if z := b.h.View(b.now).Zones; !slices.Equal(z, []Zone{{"a", 2, 2}, {"b", 2, 1}}) {
+	b := newFixture(t, "b", "x", "y")
+	b.advance(DefaultConfig.GracePeriod - 100)
+	b.expect(Isolated, 1, 4) // grace period first, though all are alive
+	b.advance(DefaultConfig.StabilizationPeriod + 200)
+	b.expect(Complete, 4, 4)
+	b.detector.MarkSuspect(b.now, "y")
+	b.expect(Partitioned, 3, 4) // down at once
+	if z := b.detector.View(b.now).Zones; !slices.Equal(z, []Zone{{"a", 2, 2}, {"b", 2, 1}}) {
 		t.Errorf("zones %v", z)
 	}
-	b.h.MarkAlive(b.now, "y")
-	b.want(Partitioned, 4, 4) // up after Settle
-	b.run(DefaultConfig.StabilizationPeriod + 100)
-	b.want(Complete, 4, 4)
-	b.speak = nil // cut off: alone before the detector has called anybody silent
-	b.run(DefaultConfig.SilenceTimeout + 100)
-	b.want(Isolated, 1, 4)
+	b.detector.MarkAlive(b.now, "y")
+	b.expect(Partitioned, 4, 4) // up after StabilizationPeriod
+	b.advance(DefaultConfig.StabilizationPeriod + 100)
+	b.expect(Complete, 4, 4)
+	b.responding = nil // cut off: isolated before the prober has suspected anybody
+	b.advance(DefaultConfig.SilenceTimeout + 100)
+	b.expect(Isolated, 1, 4)
 	for _, p := range []string{"b", "x", "y"} {
-		b.h.MarkSuspect(b.now, p)
+		b.detector.MarkSuspect(b.now, p)
 	}
-	if p := b.h.Peers(b.now)[0]; p.SuspicionCount != 0 {
-		t.Error("a server that hears nothing holds losses against its peers")
+	if p := b.detector.Peers(b.now)[0]; p.SuspicionCount != 0 {
+		t.Error("an isolated server counts suspicions against its peers")
 	}
-	b.h.MarkAlive(b.now, "x") // the detector takes it for alive, and not a word comes: who hears nobody joins everybody
-	if got := b.h.RejoinCandidates(); !slices.Equal(got, []string{"b", "x", "y"}) {
-		t.Errorf("alone, and joins %v", got)
+	b.detector.MarkAlive(b.now, "x") // the prober takes it for alive, and no message comes: an isolated server rejoins everybody
+	if got := b.detector.RejoinCandidates(); !slices.Equal(got, []string{"b", "x", "y"}) {
+		t.Errorf("isolated, and rejoins %v", got)
 	}
-	b.h.MarkDeparted(b.now, "y", 1, Left)
-	b.want(Isolated, 1, 3)
-	b.h.AddMember(b.now, "y", "b", 1, 7) // an old record does not bring it back
-	b.want(Isolated, 1, 3)
-	b.h.AddMember(b.now, "y", "b", 2, 9) // its next life does
-	b.want(Isolated, 1, 4)
+	b.detector.MarkDeparted(b.now, "y", 1, Left)
+	b.expect(Isolated, 1, 3)
+	b.detector.AddMember(b.now, "y", "b", 1, 7) // an old record does not bring it back
+	b.expect(Isolated, 1, 3)
+	b.detector.AddMember(b.now, "y", "b", 2, 9) // its next incarnation does
+	b.expect(Isolated, 1, 4)
 }
 
-// Whoever stalled has heard nothing, and holds nothing against anybody.
+// A server that stalled has observed nothing, and counts nothing against anybody.
 func TestOwnStall(t *testing.T) {
-	for name, stop := range map[string]func(b *bed){
-		"stopped for 5 s":       func(b *bed) { b.now, b.wall = b.now+5000, b.wall+5000 },
-		"ticks 1.1 s late":      func(b *bed) { b.now, b.wall = b.now+1100, b.wall+1100 },
-		"machine suspended":     func(b *bed) { b.now, b.wall = b.now+100, b.wall+60e3 },
-		"wall clock steps back": func(b *bed) { b.now, b.wall = b.now+100, b.wall-5000 },
+	for name, stop := range map[string]func(b *fixture){
+		"stopped for 5 s":       func(b *fixture) { b.now, b.wall = b.now+5000, b.wall+5000 },
+		"ticks 1.1 s late":      func(b *fixture) { b.now, b.wall = b.now+1100, b.wall+1100 },
+		"machine suspended":     func(b *fixture) { b.now, b.wall = b.now+100, b.wall+60e3 },
+		"wall clock steps back": func(b *fixture) { b.now, b.wall = b.now+100, b.wall-5000 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBed(t, "b", "x")
-			b.run(5000)
-			b.want(Complete, 3, 3)
+			b := newFixture(t, "b", "x")
+			b.advance(5000)
+			b.expect(Complete, 3, 3)
 			stop(b)
-			if !b.h.Tick(b.now, b.wall) {
+			if !b.detector.Tick(b.now, b.wall) {
 				t.Fatal("it did not see its own stall")
 			}
-			b.want(Isolated, 1, 3)
-			b.h.MarkSuspect(b.now, "x") // the detector's old knowledge
-			if !b.h.InGracePeriod(b.now) || b.h.Peers(b.now)[1].SuspicionCount != 0 {
-				t.Error("it judges by what it knew before")
+			b.expect(Isolated, 1, 3)
+			b.detector.MarkSuspect(b.now, "x") // the prober's knowledge from before the stall
+			if !b.detector.InGracePeriod(b.now) || b.detector.Peers(b.now)[1].SuspicionCount != 0 {
+				t.Error("it goes by what it knew before")
 			}
-			b.h.MarkAlive(b.now, "b")
-			b.h.MarkAlive(b.now, "x")
-			b.run(DefaultConfig.GracePeriod + DefaultConfig.StabilizationPeriod + 200)
-			b.want(Complete, 3, 3)
+			b.detector.MarkAlive(b.now, "b")
+			b.detector.MarkAlive(b.now, "x")
+			b.advance(DefaultConfig.GracePeriod + DefaultConfig.StabilizationPeriod + 200)
+			b.expect(Complete, 3, 3)
 		})
 	}
-	b := newBed(t, "b")
-	b.run(5000)
-	b.now, b.wall = b.now+900, b.wall+900 // a pause that no judgement can have come from
-	if b.h.Tick(b.now, b.wall); b.h.View(b.now).StallCount != 0 {
+	b := newFixture(t, "b")
+	b.advance(5000)
+	b.now, b.wall = b.now+900, b.wall+900 // a pause too short to have caused a suspicion
+	if b.detector.Tick(b.now, b.wall); b.detector.View(b.now).StallCount != 0 {
 		t.Error("a pause of 0.9 s counts as a stall")
 	}
 }
 
-// A fresh server knows that it does not know; one that is told how many to expect does not take a part for the whole.
-func TestBlind(t *testing.T) {
-	b := newBed(t)
-	b.run(5000)
-	if v := b.h.View(b.now); !v.MaxUnknown || v.State != Isolated {
+// A fresh server reports that its upper bound is unknown; one with ExpectedServers does not take a part for all.
+func TestMaxUnknown(t *testing.T) {
+	b := newFixture(t)
+	b.advance(5000)
+	if v := b.detector.View(b.now); !v.MaxUnknown || v.State != Isolated {
 		t.Errorf("%+v", v)
 	}
-	b.h.MarkAlive(b.now, "x")
-	b.speak = []string{"x"}
-	b.run(2000)
-	b.want(Complete, 2, 2)
-	b.h.r.ExpectedServers = 4
-	b.h.settle(b.now)
-	b.want(Partitioned, 2, 4)
+	b.detector.MarkAlive(b.now, "x")
+	b.responding = []string{"x"}
+	b.advance(2000)
+	b.expect(Complete, 2, 2)
+	b.detector.config.ExpectedServers = 4
+	b.detector.updateState(b.now)
+	b.expect(Partitioned, 2, 4)
 }
 
 func TestContact(t *testing.T) {
-	b := newBed(t, "b", "c", "d", "e")
-	b.speak = nil
-	b.run(20e3)
+	b := newFixture(t, "b", "c", "d", "e")
+	b.responding = nil
+	b.advance(20e3)
 	for range 20 {
-		b.run(100)
-		b.h.RecordAck(b.now, "b")
-		b.h.RecordMessage(b.now, "c") // its packets come, ours do not get there
-		b.h.RecordIndirect(b.now, "d", "b")
-		b.h.RecordMessage(b.now, "") // an unknown sender says nothing of anybody
+		b.advance(100)
+		b.detector.RecordAck(b.now, "b")
+		b.detector.RecordMessage(b.now, "c") // its packets arrive, ours do not
+		b.detector.RecordIndirect(b.now, "d", "b")
+		b.detector.RecordMessage(b.now, "") // an unknown sender proves contact with nobody
 	}
-	b.h.MarkSuspect(b.now, "e")
+	b.detector.MarkSuspect(b.now, "e")
 	for name, want := range map[string]Contact{"b": Bidirectional, "c": InboundOnly, "d": IndirectContact, "e": NoContact, "nobody": NoContact} {
-		if got := b.h.Contact(b.now, name); got != want {
+		if got := b.detector.Contact(b.now, name); got != want {
 			t.Errorf("%s: contact %s, want %s", name, got, want)
 		}
 	}
-	if p := b.h.Peers(b.now); p[2].Via != "b" || p[0].LastContactAge != 0 || !p[3].Unconfirmed {
+	if p := b.detector.Peers(b.now); p[2].Via != "b" || p[0].LastContactAge != 0 || !p[3].Unconfirmed {
 		t.Errorf("%+v", p)
 	}
 }
 
 func TestFlapping(t *testing.T) {
-	b := newBed(t, "b", "x")
-	b.run(5000)
+	b := newFixture(t, "b", "x")
+	b.advance(5000)
 	flap := func() {
-		b.h.MarkSuspect(b.now, "x")
-		b.run(500)
-		b.h.MarkAlive(b.now, "x")
-		b.run(1500)
+		b.detector.MarkSuspect(b.now, "x")
+		b.advance(500)
+		b.detector.MarkAlive(b.now, "x")
+		b.advance(1500)
 	}
 	for range 8 {
 		flap()
-		b.run(8000)
-		b.want(Complete, 3, 3) // each 10 s: faults of their own
+		b.advance(8000)
+		b.expect(Complete, 3, 3) // each 10 s: faults of their own
 	}
 	for range 4 {
 		flap()
 	}
-	if p := b.h.Peers(b.now)[1]; !p.FlapDamped || p.Reachable {
+	if p := b.detector.Peers(b.now)[1]; !p.FlapDamped || p.Reachable {
 		t.Errorf("four times in eight seconds, and it still counts: %+v", p)
 	}
-	b.want(Partitioned, 2, 3)
-	b.run(longestSettle + 1000)
-	b.want(Complete, 3, 3)
+	b.expect(Partitioned, 2, 3)
+	b.advance(maxHoldDown + 1000)
+	b.expect(Complete, 3, 3)
 }
 
-func TestTwins(t *testing.T) {
-	b := newBed(t, "b")
-	for i, life := range []uint64{7, 9, 7} { // each goes before the other's start, in turn
-		b.h.AddMember(b.now, "b", "a", uint64(i+1), life)
-		b.run(500)
+func TestDuplicateNames(t *testing.T) {
+	b := newFixture(t, "b")
+	for i, incarnation := range []uint64{7, 9, 7} { // each supersedes the other in turn
+		b.detector.AddMember(b.now, "b", "a", uint64(i+1), incarnation)
+		b.advance(500)
 	}
-	if !b.h.Peers(b.now)[0].DuplicateName {
-		t.Error("two lives that speak in turn are not told from a restart")
+	if !b.detector.Peers(b.now)[0].DuplicateName {
+		t.Error("two incarnations that speak in turn are not told from a restart")
 	}
-	b = newBed(t, "b")
-	b.h.AddMember(b.now, "b", "a", 2, 9)
-	b.h.AddMember(b.now, "b", "a", 3, 11)
-	if b.h.Peers(b.now)[0].DuplicateName {
+	b = newFixture(t, "b")
+	b.detector.AddMember(b.now, "b", "a", 2, 9)
+	b.detector.AddMember(b.now, "b", "a", 3, 11)
+	if b.detector.Peers(b.now)[0].DuplicateName {
 		t.Error("two restarts are taken for two processes")
 	}
 }
 
 func TestIdentity(t *testing.T) {
-	i := Identity{Generation: 1, Incarnation: 5}
-	if raised, _ := i.Refute(0, 1, 5); raised {
-		t.Error("it gives way to itself")
+	id := Identity{Generation: 1, Incarnation: 5}
+	if refuted, _ := id.Refute(0, 1, 5); refuted {
+		t.Error("it refutes itself")
 	}
-	if raised, twin := i.Refute(0, 4, 99); !raised || twin || i.Generation != 5 {
-		t.Errorf("after a restart: start %d", i.Generation)
+	if refuted, duplicate := id.Refute(0, 4, 99); !refuted || duplicate || id.Generation != 5 {
+		t.Errorf("after a restart: generation %d", id.Generation)
 	}
-	if raised, _ := i.Refute(10, 4, 99); raised {
-		t.Error("an older record of the former life raises it again")
+	if refuted, _ := id.Refute(10, 4, 99); refuted {
+		t.Error("an older record of the former incarnation raises it again")
 	}
-	twin := false
+	duplicate := false
 	for n := range 6 {
-		_, twin = i.Refute(float64(100*n), i.Generation, 99)
+		_, duplicate = id.Refute(float64(100*n), id.Generation, 99)
 	}
-	if !twin {
-		t.Error("a name that another keeps taking is not seen")
+	if !duplicate {
+		t.Error("a name that another process keeps using is not detected")
 	}
 }
 
-// Whatever happens, in whatever order: the safe ends hold, the table is bounded, nothing counts as there that has left or
-// that the detector lost, and two instances told the same say the same.
-func TestAnything(t *testing.T) {
+// Whatever happens, in whatever order: the bounds hold, the list is bounded, nothing counts as reachable that departed or
+// that the prober suspects, and two instances with the same input report the same.
+func TestAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := DefaultConfig
-		r.MaxPeers = 5
-		a, b := New(r, "self", "z", 0, 0), New(r, "self", "z", 0, 0)
+		config := DefaultConfig
+		config.MaxPeers = 5
+		a, b := New(config, "self", "z", 0, 0), New(config, "self", "z", 0, 0)
 		now := 0.0
 		for range rapid.IntRange(1, 80).Draw(t, "acts") {
 			name := rapid.SampledFrom([]string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "self", ""}).Draw(t, "name")
 			act := rapid.IntRange(0, 8).Draw(t, "act")
 			dt := rapid.SampledFrom([]float64{0, 50, 100, 400, 900, 1200}).Draw(t, "dt")
-			start := rapid.Uint64Range(0, 3).Draw(t, "start")
+			generation := rapid.Uint64Range(0, 3).Draw(t, "start")
 			now += dt
-			for _, h := range []*Detector{a, b} {
+			for _, d := range []*Detector{a, b} {
 				switch act {
 				case 0, 1:
-					h.Tick(now, now)
+					d.Tick(now, now)
 				case 2:
-					h.AddMember(now, name, "z", start, start*3)
+					d.AddMember(now, name, "z", generation, generation*3)
 				case 3, 4:
-					h.MarkAlive(now, name)
+					d.MarkAlive(now, name)
 				case 5:
-					h.MarkSuspect(now, name)
+					d.MarkSuspect(now, name)
 				case 6:
-					h.MarkDeparted(now, name, start, Left)
+					d.MarkDeparted(now, name, generation, Left)
 				case 7:
-					h.RecordAck(now, name)
+					d.RecordAck(now, name)
 				case 8:
-					h.RecordIndirect(now, name, "n0")
+					d.RecordIndirect(now, name, "n0")
 				}
 			}
 			v := a.View(now)
-			if v.MinServers < 1 || v.MinServers > v.MaxServers || len(a.order) > 5 || len(a.order) != len(a.peers) {
-				t.Fatalf("%+v with %d names", v, len(a.order))
+			if v.MinServers < 1 || v.MinServers > v.MaxServers || len(a.sorted) > 5 || len(a.sorted) != len(a.byName) {
+				t.Fatalf("%+v with %d names", v, len(a.sorted))
 			}
 			if fmt.Sprint(v, a.Peers(now)) != fmt.Sprint(b.View(now), b.Peers(now)) {
-				t.Fatal("two instances that were told the same differ")
+				t.Fatal("two instances with the same input differ")
 			}
 			roster, heard := 1, 1
 			for _, p := range a.Peers(now) {
@@ -269,8 +270,19 @@
 				t.Fatalf("counted %d of %d, kept %+v", heard, roster, v)
 			}
 			if v.InGracePeriod && v.State != Isolated {
-				t.Fatalf("it listens, and says %s", v.State)
+				t.Fatalf("in its grace period, and reports %s", v.State)
 			}
 		}
 	})
 }
+
+// Fleet status prints zones as JSON under these names.
+func TestZoneJSON(t *testing.T) {
+	got, err := json.Marshal(Zone{Name: "a", Members: 3, Reachable: 2})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := `{"Name":"a","Roster":3,"Heard":2}`; string(got) != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+}
--- a/decision/health/identity.go
+++ b/decision/health/identity.go
@@ -1,38 +1,40 @@
 package health
 
-// This file owns which start of its name a server is. Nothing that lasts tells it, and no clock: it learns from its peers
-// which starts they have seen, and goes one further. It must never give way to a former life of its own.
+// This file determines which generation of its name a server is. No durable state and no clock tells it: a server learns
+// from its peers which generations they have seen, and takes the next one, as SWIM members refute suspicions by raising
+// their incarnation number. It must never give way to a former incarnation of its own.
 
-// Identity is a server's own.
+// Identity is a server's own generation and incarnation.
 type Identity struct {
-	Generation, Incarnation uint64 // the start's number, and a draw that tells two processes of one number apart
-	raised                  []float64
+	Generation  uint64 // counts starts of this name; raised by Refute
+	Incarnation uint64 // random, tells apart two processes of one generation
+	refutations []float64
 }
 
-// Two processes that bear one name raise their starts against each other without end; one that restarted raises its own
-// once for what its former life left, perhaps once more for what was still under way.
+// Two processes with one name raise their generations against each other without end. One that restarted raises its own
+// once for what its former incarnation left, perhaps once more for records that were still in transit.
 const (
-	twinRaises = 4
-	twinWithin = 10e3 // ms
+	duplicateRefutations = 4
+	duplicatePeriod      = 10e3 // ms
 )
 
-// Refute is told of a record of the own name. raised: the own start had to be raised, and all that was said must be said
-// again under it. twin: another process bears the name.
-func (i *Identity) Refute(now float64, start, life uint64) (raised, twin bool) {
-	if life == i.Incarnation || start < i.Generation {
+// Refute takes a record under the server's own name. refuted: the server's generation had to be raised, and all its
+// records must be published again under it. duplicate: another process uses the name.
+func (id *Identity) Refute(now float64, generation, incarnation uint64) (refuted, duplicate bool) {
+	if incarnation == id.Incarnation || generation < id.Generation {
 		return false, false
 	}
-	i.Generation = start + 1
-	keep := i.raised[:0]
-	for _, at := range i.raised {
-		if now-at < twinWithin {
-			keep = append(keep, at)
+	id.Generation = generation + 1
+	recent := id.refutations[:0]
+	for _, at := range id.refutations {
+		if now-at < duplicatePeriod {
+			recent = append(recent, at)
 		}
 	}
-	i.raised = append(keep, now)
-	if len(i.raised) > twinRaises {
-		i.raised = i.raised[1:]
+	id.refutations = append(recent, now)
+	if len(id.refutations) > duplicateRefutations {
+		id.refutations = id.refutations[1:]
 		return true, true
 	}
-	return true, len(i.raised) == twinRaises
+	return true, len(id.refutations) == duplicateRefutations
 }
