--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -11,6 +12,9 @@
 	"sorrelvalve/internal/simwire"
 )
 
+// readBufferSize is that of standard input, in bytes.
+const readBufferSize = 1 << 16
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
@@ -20,41 +24,49 @@
 
 // serve answers each batch of in with one reply on out, until in ends.
 func serve(in io.Reader, out io.Writer) error {
-	r := simwire.NewReader(bufio.NewReaderSize(in, 1<<16))
-	live := map[uint16]*control.Controller{}
+	reader := simwire.NewReader(bufio.NewReaderSize(in, readBufferSize))
+	instances := map[uint16]*control.Controller{}
 	var reply simwire.Reply
 	for {
-		now, err := r.Batch()
-		if err == io.EOF {
+		now, err := reader.Batch()
+		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
 		reply.Reset()
-		for {
-			ev, more, err := r.Next()
-			if err != nil {
-				return err
-			}
-			if !more {
-				break
-			}
-			switch ev.Record {
-			case simwire.InstanceExited:
-				delete(live, ev.Instance)
-				continue
-			case simwire.InstanceOpened:
-				o := ev.Config
-				live[ev.Instance] = control.New(o.Node, o.Fleet, o.Dependency, o.Limits, o.Methods, o.Customers)
-			}
-			c := live[ev.Instance]
-			if c == nil {
-				return fmt.Errorf("event for instance %d: it was never opened", ev.Instance)
-			}
-			reply.Add(ev.Instance, c.Handle(now, ev.Event))
+		if err := answer(reader, now, instances, &reply); err != nil {
+			return err
 		}
 		if _, err := reply.WriteTo(out); err != nil {
 			return err
 		}
 	}
 }
+
+// answer gives the events of one batch to their instances and adds their actions to the reply.
+func answer(reader *simwire.Reader, now float64, instances map[uint16]*control.Controller, reply *simwire.Reply) error {
+	for {
+		ev, more, err := reader.Next()
+		if err != nil {
+			return err
+		}
+		if !more {
+			return nil
+		}
+		switch ev.Record {
+		case simwire.InstanceExited:
+			delete(instances, ev.Instance)
+			continue
+		case simwire.InstanceOpened:
+			c := ev.Config
+			instances[ev.Instance] = control.New(c.Node, c.Fleet, c.Dependency, c.Limits, c.Methods, c.Customers)
+		}
+		controller := instances[ev.Instance]
+		if controller == nil {
+			return fmt.Errorf("event for instance %d: it was never opened", ev.Instance)
+		}
+		reply.Add(ev.Instance, controller.Handle(now, ev.Event))
+	}
+}
--- a/control/callertimeout.go
+++ b/control/callertimeout.go
@@ -24,8 +24,8 @@
 
 // estimate is the caller's timeout in ms; infinite if its abandoned attempts show no common one.
 func (t callerTimeout) estimate() float64 {
-	const maxSpread = 0.2 // of the mean: a caller that leaves at such different ages has reasons of its own
-	if t.mean == 0 || t.deviation > maxSpread*t.mean {
+	const maxDeviation = 0.2 // of the mean: a caller that leaves at such different ages has reasons of its own
+	if t.mean == 0 || t.deviation > maxDeviation*t.mean {
 		return math.Inf(1)
 	}
 	return t.mean
--- a/control/log.go
+++ b/control/log.go
@@ -23,20 +23,20 @@
 
 // logConditions logs the conditions that have begun or ended since the last timer.
 func (c *Controller) logConditions() {
-	holds := [conditionCount]bool{
+	conditions := [conditionCount]bool{
 		conditionSlowStart:        !c.slowStart.complete,
 		conditionAdmissionReduced: c.pressure.admitFraction < 1,
 		conditionUnhealthy:        !c.health.healthy,
 		conditionMemoryShort:      c.memoryShort,
 		conditionCallsReduced:     c.calls.reduced(),
 	}
-	for i, held := range holds {
-		if c.logged[i] == held {
+	for i, active := range conditions {
+		if c.logged[i] == active {
 			continue
 		}
-		c.logged[i] = held
+		c.logged[i] = active
 		event := conditionEvents[i].end
-		if held {
+		if active {
 			event = conditionEvents[i].begin
 		}
 		c.emit(Action{Kind: LogEvent, Message: event})
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -22,7 +23,7 @@
 func readAll(b []byte) (evs []Event, err error) {
 	r := NewReader(bytes.NewReader(b))
 	for {
-		if _, err := r.Batch(); err == io.EOF {
+		if _, err := r.Batch(); errors.Is(err, io.EOF) {
 			return evs, nil
 		} else if err != nil {
 			return evs, err
@@ -64,7 +65,7 @@
 			},
 		},
 		{
-			name: "no customers, no word on the time that is left, an unmarked retry, no hint",
+			name: "no customers, no propagated deadline, an unmarked retry, no hint",
 			frame: "0000003e 0000000000000000 00000001 1e 00000039 0003 5d3a91c4 0001 0000 0000000000000000 0000000000000000 0000000000000000" +
 				"41c40000 3f200000 00 0011 0000000000000000 00000000",
 			want: []control.Event{{Kind: control.Arrived, RPC: 0x5d3a91c4, Method: 1, QueuedKB: 24.5, Caller: 17}},
@@ -76,12 +77,12 @@
 			want: []control.Event{{Kind: control.Arrived, RPC: 0x5d3a91c4, Method: 1, QueuedKB: 24.5, Caller: 17, Retry: true}},
 		},
 		{
-			name:  "a run that was stopped",
+			name:  "a run that was preempted",
 			frame: "00000014 0000000000000000 00000001 32 0000000f 0003 5d3a91c4 06 00000000011a49a0",
 			want:  []control.Event{{Kind: control.Completed, RPC: 0x5d3a91c4, Outcome: control.OutcomeCancelled, Elapsed: 18.5}},
 		},
 		{
-			name:  "a call below whose run has ended, and one that was interrupted",
+			name:  "a dependency call that never ran, and one that was reset",
 			frame: "00000028 0000000000000000 00000002 46 0000000f 0003 5d3a91c4 04 0000000000000000 46 0000000f 0003 5d3a91c4 05 0000000000000000",
 			want:  []control.Event{{Kind: control.CallCompleted, RPC: 0x5d3a91c4, Outcome: control.OutcomeUnreachable}, {Kind: control.CallCompleted, RPC: 0x5d3a91c4, Outcome: control.OutcomeReset}},
 		},
--- a/internal/startup/config_test.go
+++ b/internal/startup/config_test.go
@@ -47,21 +47,21 @@
 		name, text string
 		holds      func(o *Config) bool
 	}{
-		{"work that can be stopped and is lost", "family_info.halt=abort", func(o *Config) bool { return o.Node.Preemption == control.PreemptAbort }},
-		{"a share of the usual traffic for callers", "family_info.say=share_of", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackShare }},
-		{"a level for callers", "family_info.say=threshold", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackLevel }},
+		{"work that can be preempted and is lost", "family_info.halt=abort", func(o *Config) bool { return o.Node.Preemption == control.PreemptAbort }},
+		{"feedback as a share of the usual traffic", "family_info.say=share_of", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackShare }},
+		{"feedback as an admission level", "family_info.say=threshold", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackLevel }},
 		{"reports with checks only", "report.how=probe\nreport.columns=waiting,avg_ms", func(o *Config) bool { return o.Fleet.Feedback == control.FeedbackNone }},
 		{"checks that do real work", "family_info.real_checks=true", func(o *Config) bool { return len(o.Methods) == 1 }},
 		{"no customers", "", func(o *Config) bool { return len(o.Customers) == 0 }},
 		{"an empty list of customers", "customers.count=0", func(o *Config) bool { return len(o.Customers) == 0 }},
-		{"callers that do not say how long they wait", "family_info.passes_deadline=false", func(o *Config) bool { return !o.Fleet.PropagatesDeadline }},
+		{"callers that do not propagate deadlines", "family_info.passes_deadline=false", func(o *Config) bool { return !o.Fleet.PropagatesDeadline }},
 		{"nor whether they do", "", func(o *Config) bool { return !o.Fleet.PropagatesDeadline }},
-		{"callers that say so", "family_info.passes_deadline=true", func(o *Config) bool { return o.Fleet.PropagatesDeadline }},
+		{"callers that propagate deadlines", "family_info.passes_deadline=true", func(o *Config) bool { return o.Fleet.PropagatesDeadline }},
 		{"retries without a mark", "client_habits.marks_retry=false", func(o *Config) bool { return !o.Fleet.MarksRetries }},
 		{"a shared dependency", "family_info.below=shared\nfamily_info.call_share=0.4\nfamily_info.linger=200000000", func(o *Config) bool {
 			return o.Dependency.ConcurrencyShare == 0.4 && o.Dependency.Linger == 200
 		}},
-		{"a tier below, of which no share is told", "family_info.below=tier\nfamily_info.call_share=0.4", func(o *Config) bool { return o.Dependency.ConcurrencyShare == 0 }},
+		{"a tier that it calls, of which no share is set", "family_info.below=tier\nfamily_info.call_share=0.4", func(o *Config) bool { return o.Dependency.ConcurrencyShare == 0 }},
 		{"answers without the call", "family_info.worth_without=0.6", func(o *Config) bool { return o.Methods[0].DegradedFraction == 0.6 }},
 		{"worth by request", "value_by=request", func(o *Config) bool { return o.Methods[0].Criticality == 1 }},
 		{"no reading of what is not known", "tier.new=1\nfam.shared_thrash=0.4", func(o *Config) bool { return o.Node.Cores == 6 }},
@@ -157,10 +157,10 @@
 	}
 }
 
-func TestStays(t *testing.T) {
+func TestRestartOnlyChanges(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"nothing changed", "", "", "[]"},
-		{"what moves", "127.0.0.2:4400", "127.0.0.2:4401", "[]"},
+		{"what can be reloaded", "127.0.0.2:4400", "127.0.0.2:4401", "[]"},
 		{"another seed", "8c1f", "8c1e", "[seed]"},
 		{"one value of a list", `"late_worth":0.2`, `"late_worth":0.3`, "[settings.classes.0.late_worth]"},
 		{"another key", `"memory_mb"`, `"x":1,"memory_mb"`, "[limits.x]"},
@@ -176,7 +176,7 @@
 				t.Fatal(err)
 			}
 			if got := fmt.Sprint(was.RestartOnlyChanges(next)); got != c.want {
-				t.Errorf("stay %s, want %s", got, c.want)
+				t.Errorf("restart only %s, want %s", got, c.want)
 			}
 			if back := fmt.Sprint(next.RestartOnlyChanges(was)); back != c.want {
 				t.Errorf("the other way %s, want %s", back, c.want)
