--- a/internal/fleetsim/events.go
+++ b/internal/fleetsim/events.go
@@ -1,80 +1,86 @@
 package fleetsim
 
-// This file owns the events in the order of their times. Of two at one time the one that was put first comes first, so that a
-// run is the same each time. It must never allocate once it has grown.
+// This file holds the event queue. Events of the same time come in the order in which they were put, so that a run is
+// reproducible; once the heap has grown, nothing is allocated.
 
-// eventKind is what an event is.
+// eventKind tells what an event is; its fields subject and detail depend on it.
 type eventKind uint8
 
 const (
-	eventPacket             eventKind = iota // a: the packet's place
-	eventHealthTick                          // the fleet's part ticks
-	eventGateTick                            // the decisions tick
-	eventHealthCheck                         // the detector asks its next peer
-	eventHealthCheckTimeout                  // a: the peer, b: the probe's number; no answer has come yet
-	eventHealthCheckEnd                      // a, b as above
-	eventSuspicionTimeout                    // a: the peer, b: the incarnation
-	eventHeartbeat                           // the own record is said anew
-	eventGossipRound                         //
-	eventPushPull                            // the detector's exchange of states with somebody
-	eventJoin                                // a: whom
-	eventJobDone                             // a: the engine's version
+	eventPacket             eventKind = iota // subject: index of the packet
+	eventHealthTick                          // decision/health ticks
+	eventGateTick                            // the gate ticks
+	eventHealthCheck                         // the detector checks its next peer
+	eventHealthCheckTimeout                  // subject: peer, detail: number of the check, which has no answer yet
+	eventHealthCheckEnd                      // subject: peer, detail: number of the check
+	eventSuspicionTimeout                    // subject: peer
+	eventHeartbeat                           // the server publishes its own record anew
+	eventGossipRound                         // queued updates go to some peers
+	eventPushPull                            // full exchange of states with a peer
+	eventJoin                                // subject: peer, detail: attempt
+	eventJobDone                             // subject: version of the job schedule
 	eventRPCArrival                          // an RPC reaches a router
-	eventRPCRead                             // a: the RPC reaches the server; b: the try
-	eventResponse                            // a: the RPC's answer reaches the router; b: the try
-	eventRPCDeadline                         // a: the RPC
-	eventAnswerDue                           // a: the RPC, b: the try; by now its answer must have been given
-	eventQuotaTick                           // the budgets tick
-	eventQuotaRequest                        // a: the budget
-	eventQuotaArrival                        // the next RPC of the budgets' load
-	eventBackendCall                         // an RPC for the pool below
-	eventAttemptDone                         // a: the try; b: the member
-	eventAttemptLate                         // a: a try without an answer long after the usual; b: which of those at that place
-	eventBackendTick                         // a server looks at the pool below
-	eventCountEjections                      // who is out is counted
-	eventDrainDeadline                       // a: the server whose time to stop has come
-	eventScriptStep                          // a: the step of the script
-	eventCheck                               // the checkers look
+	eventRPCRead                             // subject: RPC that reaches its server, detail: attempt
+	eventResponse                            // subject: RPC whose response reaches the router, detail: attempt
+	eventRPCDeadline                         // subject: RPC
+	eventAnswerDue                           // subject: RPC, detail: attempt, which must have been answered by now
+	eventQuotaTick                           // decision/quota ticks
+	eventQuotaRequest                        // subject: customer
+	eventQuotaArrival                        // the next RPC of the quota load
+	eventBackendCall                         // the next RPC for the backend pool
+	eventAttemptDone                         // subject: attempt, detail: member
+	eventAttemptLate                         // subject: attempt much later than usual, detail: its number
+	eventBackendTick                         // a server's pool and outlier detection tick
+	eventCountEjections                      // ejected members are counted
+	eventDrainDeadline                       // subject: server whose drain ends
+	eventScriptStep                          // subject: step of the script
+	eventCheck                               // the checkers run
 )
 
-// event is one thing that is to happen.
+// event is something that happens at a time. Without pointers it costs the garbage collector nothing.
 type event struct {
-	at              float64 // ms
-	seq             uint64
-	subject, detail int32
-	server          int32  // server; -1 for none
-	incarnation     uint32 // of the server's process that set it; it is void in the next
-	kind            eventKind
+	at          float64 // virtual time in ms
+	sequence    uint64  // order among events of the same time
+	subject     int32
+	detail      int32
+	server      int32  // or noServer
+	incarnation uint32 // of the process that scheduled it: void in a later one
+	kind        eventKind
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
+}
+
+// heapArity is the number of children of a node: four halve the depth of a binary heap, and lie in two cache lines.
+const heapArity = 4
 
-// queue is a heap with four children a node: half the depth of a binary one, and its children lie in two cache lines.
+// queue is a d-ary heap of events.
 type queue struct {
-	heap []event
-	seq  uint64
+	heap         []event
+	lastSequence uint64
 }
 
 func (q *queue) len() int { return len(q.heap) }
 
-// put adds an event; its place among those of one time is the order of the calls.
+// put adds an event; events of the same time are taken in the order of the calls.
 func (q *queue) put(e event) {
-	q.seq++
-	e.seq = q.seq
+	q.lastSequence++
+	e.sequence = q.lastSequence
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&q.heap[up]) {
+		parent := (i - 1) / heapArity
+		if !e.before(&q.heap[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
 	q.heap[i] = e
 }
 
-// take removes the first event.
+// take removes the first event. The queue must not be empty.
 func (q *queue) take() event {
 	first := q.heap[0]
 	last := q.heap[len(q.heap)-1]
@@ -85,21 +91,21 @@
 	}
 	i := 0
 	for {
-		c := 4*i + 1
-		if c >= n {
+		child := heapArity*i + 1
+		if child >= n {
 			break
 		}
-		least := c
-		for k := c + 1; k < min(c+4, n); k++ {
-			if q.heap[k].before(&q.heap[least]) {
-				least = k
+		smallest := child
+		for k := child + 1; k < min(child+heapArity, n); k++ {
+			if q.heap[k].before(&q.heap[smallest]) {
+				smallest = k
 			}
 		}
-		if !q.heap[least].before(&last) {
+		if !q.heap[smallest].before(&last) {
 			break
 		}
-		q.heap[i] = q.heap[least]
-		i = least
+		q.heap[i] = q.heap[smallest]
+		i = smallest
 	}
 	q.heap[i] = last
 	return first
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -38,7 +38,7 @@
 	for i := range 5000 {
 		e := event{at: float64(chance.IntN(300)), subject: int32(i)}
 		q.put(e)
-		e.seq = uint64(i + 1)
+		e.sequence = uint64(i + 1)
 		all = append(all, e)
 		if chance.IntN(3) == 0 {
 			sort.Slice(all, func(i, k int) bool { return all[i].before(&all[k]) })
@@ -203,7 +203,7 @@
 	b.Run("container/heap", func(b *testing.B) {
 		var h plainHeap
 		for i := range held {
-			heap.Push(&h, event{at: chance.Float64(), seq: uint64(i)})
+			heap.Push(&h, event{at: chance.Float64(), sequence: uint64(i)})
 		}
 		b.ReportAllocs()
 		for b.Loop() {
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -1,18 +1,16 @@
 package fleetsim
 
-// This file owns what becomes of a packet on its way between two servers: the same rules as the fault bed's relay, by sets
-// instead of pairs, since fleets here are large. It must never deliver what is cut.
+import "math/rand/v2"
 
-import (
-	"math/rand/v2"
-)
+// This file models the network between servers. It has the rules of the test bed's relays, but for sets of servers instead of
+// pairs, since simulated fleets are large.
 
-// serverSet is some servers, by number.
+// serverSet is a bit set of server indexes; nil holds every server.
 type serverSet []uint64
 
-func newServerSet(n int, all []int32) serverSet {
+func newServerSet(n int, indexes []int32) serverSet {
 	s := make(serverSet, (n+63)/64)
-	for _, i := range all {
+	for _, i := range indexes {
 		s[i/64] |= 1 << (i % 64)
 	}
 	return s
@@ -20,21 +18,23 @@
 
 func (s serverSet) has(i int32) bool { return s == nil || s[i/64]&(1<<(i%64)) != 0 }
 
-// networkRule is what happens between two sets; nil is everybody.
+// networkRule is a fault on the way from one set of servers to another. Rates are probabilities.
 type networkRule struct {
-	from, to              serverSet
-	cut                   bool
-	dropRate, disturbRate float64
-	delayMs, jitterMs     float64 // ms
+	from        serverSet
+	to          serverSet
+	cut         bool
+	dropRate    float64
+	disturbRate float64 // each of: corrupted, duplicated, reordered
+	delayMs     float64 // added to every packet
+	jitterMs    float64 // and evenly up to so much more
 }
 
-// The network without rules: half a millisecond on the way, and up to as much again.
 const (
-	networkDelayMs = 0.5
-	reorderDelayMs = 60.0
+	networkDelayMs = 0.5  // without rules, and evenly up to as much again
+	reorderDelayMs = 60.0 // added to a packet that others overtake
 )
 
-// network is the network.
+// network carries packets. Packets never pass a cut.
 type network struct {
 	rules     []networkRule
 	rand      *rand.Rand
@@ -42,7 +42,7 @@
 	dropped   uint64
 }
 
-// isOpen tells whether nothing is cut on a way.
+// isOpen reports whether no rule cuts a direction.
 func (n *network) isOpen(from, to int32) bool {
 	for i := range n.rules {
 		if r := &n.rules[i]; r.cut && r.from.has(from) && r.to.has(to) {
@@ -52,9 +52,9 @@
 	return true
 }
 
-// transmit is after how long a packet arrives, and again if it is doubled; negative for never.
-func (n *network) transmit(from, to int32) (first, again float64) {
-	first, again = networkDelayMs+networkDelayMs*n.rand.Float64(), -1
+// transmit draws the delay in ms after which a packet arrives, and the one of its duplicate; negative for never.
+func (n *network) transmit(from, to int32) (first, duplicate float64) {
+	first, duplicate = networkDelayMs+networkDelayMs*n.rand.Float64(), -1
 	for i := range n.rules {
 		r := &n.rules[i]
 		if !r.from.has(from) || !r.to.has(to) {
@@ -68,19 +68,20 @@
 		if r.jitterMs > 0 {
 			first += r.jitterMs * n.rand.Float64()
 		}
-		if r.disturbRate > 0 {
-			if n.rand.Float64() < r.disturbRate { // spoilt: the sum at its end does not fit, and it is dropped
-				n.dropped++
-				return -1, -1
-			}
-			if n.rand.Float64() < r.disturbRate {
-				again = first + networkDelayMs
-			}
-			if n.rand.Float64() < r.disturbRate {
-				first += reorderDelayMs
-			}
+		if r.disturbRate <= 0 {
+			continue
+		}
+		if n.rand.Float64() < r.disturbRate { // corrupted: the receiver drops it for its checksum
+			n.dropped++
+			return -1, -1
+		}
+		if n.rand.Float64() < r.disturbRate {
+			duplicate = first + networkDelayMs
+		}
+		if n.rand.Float64() < r.disturbRate {
+			first += reorderDelayMs
 		}
 	}
 	n.delivered++
-	return first, again
+	return first, duplicate
 }
--- a/internal/fleetsim/swim.go
+++ b/internal/fleetsim/swim.go
@@ -1,31 +1,34 @@
 package fleetsim
 
-// This file owns a model of the detector that the servers run, memberlist's SWIM with the figures of internal/fleet: probes,
-// asking through others, suspicion that its subject refutes, news passed on a bounded number of times, exchanges of states.
-// It is a model and must never be run by a server; what is made of its findings is the servers' own code.
+import "math"
 
-import (
-	"math"
-
-	"sorrelvalve/decision/quota"
-)
+// This file models memberlist's failure detector with the figures of internal/fleet: SWIM (Das, Gupta, Motivala: "SWIM:
+// Scalable Weakly-consistent Infection-style Process Group Membership Protocol", 2002) with Lifeguard's health penalty and
+// shrinking suspicion timeouts (Dadgar, Phillips, Currey, 2017). Only the simulator uses it; what the servers make of its
+// reports is their own code (membership.go).
 
+// The figures of internal/fleet and of memberlist's defaults. Times are in ms.
 const (
 	healthCheckIntervalMs = 500.0
-	healthCheckTimeoutMs  = 300.0
+	healthCheckTimeoutMs  = 300.0 // then indirect checks begin
 	gossipIntervalMs      = 200.0
 	pushPullIntervalMs    = 30e3
-	suspicionMult         = 4.0
-	suspicionMaxMult      = 3.0
-	wantedConfirmations   = 2 // of others, after which a suspicion is as short as it gets
+	suspicionMult         = 4.0 // minimum suspicion, in check intervals and logarithms of the fleet's size
+	suspicionMaxMult      = 3.0 // maximum over minimum
+	wantedConfirmations   = 2   // of other servers, after which a suspicion lasts the minimum
 	indirectChecks        = 3
 	gossipFanout          = 3
-	retransmitMult        = 4 // memberlist's own news
+	retransmitMult        = 4
 	updatesPerPacket      = 16
-	maxHealthPenalty      = 7 // steps by which a server that misses answers waits longer
+	maxHealthPenalty      = 7 // each step lets a health check take one interval more
+	noTarget              = -1
+	noPeer                = -1
 )
 
-// memberState of a peer as a detector has it.
+// Full exchanges become rarer in fleets of more than 32 servers: memberlist's push-pull scale.
+const pushPullThresholdLog = 5
+
+// memberState is the state of a peer in a detector.
 type memberState uint8
 
 const (
@@ -34,70 +37,54 @@
 	suspect
 	dead
 	left
-	heartbeat // not a state: a server's own record has come anew
+	heartbeat // no state: marks the update that carries a server's own record
 )
 
+// member is what a detector knows of a peer.
 type member struct {
-	version     uint32
+	version     uint32 // SWIM's incarnation number, by which a server refutes suspicions
 	state       memberState
-	incarnation uint32 // the life that was heard
-	heartbeat   uint32 // the last record
+	incarnation uint32 // of the peer's process
+	heartbeat   uint32 // number of its latest record
 }
 
-// update is one piece of news.
+// update is one gossiped statement.
 type update struct {
 	subject     int32
-	version     uint32
+	version     uint32 // SWIM's incarnation number, or the number of a heartbeat
 	incarnation uint32
 	state       memberState
 	reporter    int32 // who suspects
 }
 
+// suspicion is a running one.
 type suspicion struct {
 	version   uint32
-	reporters []int32 // who confirmed it
-	startedAt float64 // local ms
+	reporters []int32 // the first one, and those that confirmed it
+	startedAt float64 // of the server's clock, as is deadline
 	deadline  float64
 }
 
+// detector is a server's failure detector.
 type detector struct {
-	members         []member
-	version         uint32
-	checkIndex      uint32 // in the round of probes
+	members         []member // by index within the fleet
+	version         uint32   // its own
+	checkIndex      uint32   // member checked last
 	checkStride     uint32
-	checkNumber     int32 // of the probe under way
-	checkTarget     int32
+	checkNumber     int32 // of the check under way
+	checkTarget     int32 // peer of the check under way, or noTarget
 	checkAnswered   bool
 	healthPenalty   int
 	updates         updateQueue
-	gossipScheduled bool // an event for the next round is set
+	gossipScheduled bool
 	suspicions      map[int32]*suspicion
-	aliveCount      int
+	aliveCount      int // peers alive or suspected
 }
 
-// packetKind is what a packet is.
-type packetKind uint8
-
-const (
-	ping packetKind = iota
-	ack
-	indirectRequest // ask somebody for me
-	indirectPing    // for another
-	indirectAck     // the asked one's answer to who asked for another
-	indirectResult  // and its way back
-	gossipOnly
-	leaseMessages // said about budgets, to this one alone
-)
-
-type packet struct {
-	from, to    int32
-	subject     int32 // of those through others: whom, or for whom
-	checkNumber int32
-	kind        packetKind
-	updates     []update
-	leases      []quota.KeyedMessage
-}
+// member returns what a server's detector knows of a peer.
+func (s *server) member(peer int32) *member { return &s.detector.members[peer-s.fleetFirst] }
 
+// resetDetector starts a detector that knows nobody.
 func (sim *Simulation) resetDetector(s *server) {
 	d := &s.detector
 	n := int(s.fleetSize)
@@ -107,11 +94,17 @@
 		clear(d.members)
 	}
 	d.updates.reset(s.fleetFirst, s.fleetSize)
-	d.suspicions, d.aliveCount, d.healthPenalty, d.gossipScheduled = map[int32]*suspicion{}, 0, 0, false
+	d.suspicions = map[int32]*suspicion{}
+	d.aliveCount = 0
+	d.healthPenalty = 0
+	d.gossipScheduled = false
 	d.checkNumber++
-	// A round of probes goes through all servers by a step that has no divisor in common with their number.
+	d.checkTarget = noTarget
+	// A round of checks visits each server once, by a stride that is coprime to their number.
 	d.checkIndex = uint32(s.rand.IntN(n))
-	for d.checkStride = uint32(1 + s.rand.IntN(n)); gcd(d.checkStride, uint32(n)) != 1; d.checkStride++ {
+	d.checkStride = uint32(1 + s.rand.IntN(n))
+	for gcd(d.checkStride, uint32(n)) != 1 {
+		d.checkStride++
 	}
 }
 
@@ -122,11 +115,12 @@
 	return a
 }
 
+// retransmitLimit is how often an update is passed on.
 func (d *detector) retransmitLimit() uint8 {
 	return uint8(retransmitMult * math.Ceil(math.Log10(float64(d.aliveCount+2))))
 }
 
-// broadcast puts news on its way, in place of older news of the same.
+// broadcast queues an update for gossip; it replaces an older one of the same subject.
 func (sim *Simulation) broadcast(s *server, u update) {
 	s.detector.updates.add(u)
 	sim.scheduleGossip(s)
@@ -139,29 +133,31 @@
 	}
 }
 
-// randomPeers draws peers that are not dead.
-func (sim *Simulation) randomPeers(s *server, n int, but int32) (all [8]int32, found int) {
+// randomPeers draws up to n different peers (at most eight) that are alive or suspected, without the one excluded.
+func (sim *Simulation) randomPeers(s *server, n int, excluded int32) (peers [8]int32, found int) {
 	for range 6 * n {
-		p := s.fleetFirst + int32(s.rand.IntN(int(s.fleetSize)))
-		if st := s.detector.members[p-s.fleetFirst].state; p == s.index || p == but || st != alive && st != suspect {
+		peer := s.fleetFirst + int32(s.rand.IntN(int(s.fleetSize)))
+		state := s.member(peer).state
+		if peer == s.index || peer == excluded || state != alive && state != suspect {
 			continue
 		}
-		double := false
-		for _, x := range all[:found] {
-			double = double || x == p
+		drawn := false
+		for _, p := range peers[:found] {
+			drawn = drawn || p == peer
 		}
-		if double {
+		if drawn {
 			continue
 		}
-		all[found] = p
-		if found++; found == n {
+		peers[found] = peer
+		found++
+		if found == n {
 			break
 		}
 	}
-	return all, found
+	return peers, found
 }
 
-// takeUpdates takes news for one packet.
+// takeUpdates appends the updates for one packet.
 func (d *detector) takeUpdates(into []update) []update {
 	if d.updates.pending == 0 {
 		return into
@@ -169,67 +165,74 @@
 	return d.updates.take(into, updatesPerPacket, int(d.retransmitLimit()))
 }
 
+// gossipRound sends queued updates to some peers.
 func (sim *Simulation) gossipRound(s *server) {
 	s.detector.gossipScheduled = false
 	if !sim.awake(s) {
 		return
 	}
-	peers, n := sim.randomPeers(s, gossipFanout, -1)
-	for _, p := range peers[:n] {
+	peers, n := sim.randomPeers(s, gossipFanout, noPeer)
+	for _, peer := range peers[:n] {
 		if s.detector.updates.pending == 0 {
 			break
 		}
-		sim.sendPacket(s, packet{to: p, kind: gossipOnly})
+		sim.sendPacket(s, packet{to: peer, kind: gossipOnly})
 	}
 	sim.scheduleGossip(s)
 }
 
-// startHealthCheck asks the next peer of the round.
+// startHealthCheck pings the next peer of the round, unless the last check has not ended.
 func (sim *Simulation) startHealthCheck(s *server) {
 	d := &s.detector
 	sim.scheduleAfter(s, healthCheckIntervalMs, eventHealthCheck, 0, 0)
-	if !sim.awake(s) || d.checkTarget >= 0 { // the last one has not ended yet
+	if !sim.awake(s) || d.checkTarget >= 0 {
 		return
 	}
 	n := uint32(s.fleetSize)
 	for range n {
 		d.checkIndex = (d.checkIndex + d.checkStride) % n
-		p := s.fleetFirst + int32(d.checkIndex)
-		if st := d.members[p-s.fleetFirst].state; p != s.index && (st == alive || st == suspect) {
-			d.checkNumber++
-			d.checkTarget, d.checkAnswered = p, false
-			sim.sendPacket(s, packet{to: p, kind: ping, checkNumber: d.checkNumber})
-			if d.members[p-s.fleetFirst].state == suspect {
-				sim.broadcast(s, update{subject: p, version: d.members[p-s.fleetFirst].version, state: suspect, reporter: s.index})
-			}
-			sim.scheduleAfter(s, healthCheckTimeoutMs, eventHealthCheckTimeout, p, d.checkNumber)
-			sim.scheduleAfter(s, healthCheckIntervalMs*float64(d.healthPenalty+1), eventHealthCheckEnd, p, d.checkNumber)
-			return
+		peer := s.fleetFirst + int32(d.checkIndex)
+		m := s.member(peer)
+		if peer == s.index || m.state != alive && m.state != suspect {
+			continue
 		}
+		d.checkNumber++
+		d.checkTarget = peer
+		d.checkAnswered = false
+		sim.sendPacket(s, packet{to: peer, kind: ping, checkNumber: d.checkNumber})
+		if m.state == suspect {
+			sim.broadcast(s, update{subject: peer, version: m.version, state: suspect, reporter: s.index})
+		}
+		sim.scheduleAfter(s, healthCheckTimeoutMs, eventHealthCheckTimeout, peer, d.checkNumber)
+		sim.scheduleAfter(s, healthCheckIntervalMs*float64(d.healthPenalty+1), eventHealthCheckEnd, peer, d.checkNumber)
+		return
 	}
 }
 
-// healthCheckTimeout asks through others, and by a stream.
-func (sim *Simulation) healthCheckTimeout(s *server, p, number int32) {
+// healthCheckTimeout checks a peer through others, and by a stream, which makes up for lost packets.
+func (sim *Simulation) healthCheckTimeout(s *server, peer, number int32) {
 	d := &s.detector
 	if number != d.checkNumber || d.checkAnswered || !sim.awake(s) {
 		return
 	}
-	peers, n := sim.randomPeers(s, indirectChecks, p)
-	for _, k := range peers[:n] {
-		sim.sendPacket(s, packet{to: k, kind: indirectRequest, subject: p, checkNumber: number})
+	helpers, n := sim.randomPeers(s, indirectChecks, peer)
+	for _, helper := range helpers[:n] {
+		sim.sendPacket(s, packet{to: helper, kind: indirectRequest, subject: peer, checkNumber: number})
 	}
-	if o := &sim.servers[p]; o.up && !o.stopped && sim.network.isOpen(s.index, p) && sim.network.isOpen(p, s.index) && !o.muted {
-		d.checkAnswered = true // streams make up for loss
+	p := &sim.servers[peer]
+	reachable := sim.network.isOpen(s.index, peer) && sim.network.isOpen(peer, s.index)
+	if p.up && !p.stopped && !p.muted && reachable {
+		d.checkAnswered = true
 	}
 }
 
-func (sim *Simulation) finishHealthCheck(s *server, p, number int32) {
+// finishHealthCheck suspects a peer that has not answered.
+func (sim *Simulation) finishHealthCheck(s *server, peer, number int32) {
 	d := &s.detector
 	if number != d.checkNumber {
 		return
 	}
-	d.checkTarget = -1
+	d.checkTarget = noTarget
 	if !sim.awake(s) {
 		return
 	}
@@ -238,129 +241,137 @@
 		return
 	}
 	d.healthPenalty = min(maxHealthPenalty, d.healthPenalty+1)
-	sim.onSuspect(s, p, d.members[p-s.fleetFirst].version, s.index)
+	sim.onSuspect(s, peer, s.member(peer).version, s.index)
 }
 
-// onSuspect hears that somebody suspects a peer.
-func (sim *Simulation) onSuspect(s *server, p int32, inc uint32, from int32) {
+// onSuspect handles the report that somebody suspects a peer.
+func (sim *Simulation) onSuspect(s *server, peer int32, version uint32, reporter int32) {
+	if peer == s.index {
+		sim.refute(s, version)
+		return
+	}
 	d := &s.detector
-	m := &d.members[p-s.fleetFirst]
-	if p == s.index {
-		sim.refute(s, inc)
+	m := s.member(peer)
+	if m.state == unknown || version < m.version {
 		return
 	}
-	if m.state == unknown || inc < m.version {
+	if running := d.suspicions[peer]; running != nil && m.state == suspect {
+		sim.confirmSuspicion(s, peer, running, version, reporter)
 		return
 	}
-	if x := d.suspicions[p]; x != nil && m.state == suspect {
-		if inc > x.version {
-			x.version = inc
-		}
-		for _, f := range x.reporters {
-			if f == from {
-				return
-			}
-		}
-		if len(x.reporters) > wantedConfirmations {
+	if m.state != alive {
+		return
+	}
+	m.state = suspect
+	m.version = version
+	started := &suspicion{version: version, reporters: []int32{reporter}, startedAt: sim.localClock(s)}
+	d.suspicions[peer] = started
+	sim.broadcast(s, update{subject: peer, version: version, state: suspect, reporter: reporter})
+	sim.scheduleSuspicion(s, peer, started)
+}
+
+// confirmSuspicion adds a reporter to a running suspicion, which shortens it.
+func (sim *Simulation) confirmSuspicion(s *server, peer int32, running *suspicion, version uint32, reporter int32) {
+	running.version = max(running.version, version)
+	for _, r := range running.reporters {
+		if r == reporter {
 			return
 		}
-		x.reporters = append(x.reporters, from)
-		sim.broadcast(s, update{subject: p, version: inc, state: suspect, reporter: from})
-		sim.scheduleSuspicion(s, p, x)
-		return
 	}
-	if m.state != alive {
+	if len(running.reporters) > wantedConfirmations {
 		return
 	}
-	m.state, m.version = suspect, inc
-	x := &suspicion{version: inc, reporters: []int32{from}, startedAt: sim.localClock(s)}
-	d.suspicions[p] = x
-	sim.broadcast(s, update{subject: p, version: inc, state: suspect, reporter: from})
-	sim.scheduleSuspicion(s, p, x)
+	running.reporters = append(running.reporters, reporter)
+	sim.broadcast(s, update{subject: peer, version: version, state: suspect, reporter: reporter})
+	sim.scheduleSuspicion(s, peer, running)
 }
 
-// scheduleSuspicion sets when a suspicion becomes a death: the sooner, the more confirm it.
-func (sim *Simulation) scheduleSuspicion(s *server, p int32, x *suspicion) {
-	least := suspicionMult * max(1, math.Log10(float64(s.detector.aliveCount+1))) * healthCheckIntervalMs
-	most := suspicionMaxMult * least
-	wait := most
-	if s.detector.aliveCount+1 > wantedConfirmations+2 {
-		share := math.Log(float64(len(x.reporters)-1)+1) / math.Log(wantedConfirmations+1)
-		wait = max(least, most-share*(most-least))
-	} else {
-		wait = least
+// scheduleSuspicion sets when a suspicion declares its subject dead: the sooner, the more servers confirm it.
+func (sim *Simulation) scheduleSuspicion(s *server, peer int32, x *suspicion) {
+	fleet := s.detector.aliveCount + 1
+	shortest := suspicionMult * max(1, math.Log10(float64(fleet))) * healthCheckIntervalMs
+	longest := suspicionMaxMult * shortest
+	wait := shortest
+	if fleet > wantedConfirmations+2 {
+		confirmations := len(x.reporters) - 1
+		share := math.Log(float64(confirmations)+1) / math.Log(wantedConfirmations+1)
+		wait = max(shortest, longest-share*(longest-shortest))
 	}
 	x.deadline = x.startedAt + wait
-	sim.scheduleAfter(s, max(0, x.deadline-sim.localClock(s)), eventSuspicionTimeout, p, int32(x.version))
+	sim.scheduleAfter(s, max(0, x.deadline-sim.localClock(s)), eventSuspicionTimeout, peer, 0)
 }
 
-func (sim *Simulation) suspicionTimeout(s *server, p int32, inc uint32) {
-	x := s.detector.suspicions[p]
-	if x == nil || s.detector.members[p-s.fleetFirst].state != suspect || sim.localClock(s) < x.deadline-1e-6 || !sim.awake(s) {
+// suspicionTimeout declares a peer dead whose suspicion nobody refuted in time.
+func (sim *Simulation) suspicionTimeout(s *server, peer int32) {
+	const rounding = 1e-6 // ms
+	x := s.detector.suspicions[peer]
+	if x == nil || s.member(peer).state != suspect || sim.localClock(s) < x.deadline-rounding || !sim.awake(s) {
 		return
 	}
-	sim.declaredDead(s, p, x)
-	sim.onDead(s, p, x.version, dead, s.index)
+	sim.declaredDead(s, peer, x)
+	sim.onDead(s, peer, x.version, dead, s.index)
 }
 
-// onDead hears that a peer is dead or has left.
-func (sim *Simulation) onDead(s *server, p int32, inc uint32, how memberState, from int32) {
+// onDead handles the report that a peer is dead or has left, as how tells.
+func (sim *Simulation) onDead(s *server, peer int32, version uint32, how memberState, reporter int32) {
 	d := &s.detector
-	m := &d.members[p-s.fleetFirst]
-	if p == s.index { // dead, or left by a former life
+	if peer == s.index { // said of it, or of a former process that left
 		if !s.draining {
-			sim.refute(s, inc)
+			sim.refute(s, version)
 		}
 		return
 	}
-	if m.state == unknown || inc < m.version || m.state == dead || m.state == left {
+	m := s.member(peer)
+	if m.state == unknown || version < m.version || m.state == dead || m.state == left {
 		return
 	}
-	m.state, m.version = how, inc
+	m.state = how
+	m.version = version
 	d.aliveCount--
-	delete(d.suspicions, p)
-	sim.broadcast(s, update{subject: p, version: inc, state: how, reporter: from})
-	sim.onLost(s, p, how)
+	delete(d.suspicions, peer)
+	sim.broadcast(s, update{subject: peer, version: version, state: how, reporter: reporter})
+	sim.onLost(s, peer, how)
 }
 
-// onAliveUpdate hears that a peer is alive.
-func (sim *Simulation) onAliveUpdate(s *server, p int32, inc, life uint32) {
+// onAliveUpdate handles the report that a peer is alive.
+func (sim *Simulation) onAliveUpdate(s *server, peer int32, version, incarnation uint32) {
 	d := &s.detector
-	m := &d.members[p-s.fleetFirst]
-	if p == s.index {
-		if life != s.incarnation && inc >= d.version { // a former life's: go before it
-			sim.refute(s, inc)
+	if peer == s.index {
+		if incarnation != s.incarnation && version >= d.version { // of a former process
+			sim.refute(s, version)
 		}
 		return
 	}
-	if m.state != unknown && inc <= m.version {
+	m := s.member(peer)
+	if m.state != unknown && version <= m.version {
 		return
 	}
-	was := m.state
-	if life != m.incarnation {
+	if incarnation != m.incarnation {
 		m.heartbeat = 0
 	}
-	m.state, m.version, m.incarnation = alive, inc, life
-	if was != alive && was != suspect {
+	if m.state != alive && m.state != suspect {
 		d.aliveCount++
 	}
-	delete(d.suspicions, p)
-	sim.broadcast(s, update{subject: p, version: inc, incarnation: life, state: alive})
-	sim.onAlive(s, p, life)
+	m.state = alive
+	m.version = version
+	m.incarnation = incarnation
+	delete(d.suspicions, peer)
+	sim.broadcast(s, update{subject: peer, version: version, incarnation: incarnation, state: alive})
+	sim.onAlive(s, peer)
 }
 
-// refute goes before what is said of this server.
-func (sim *Simulation) refute(s *server, inc uint32) {
+// refute overrides a report about this server by a higher version.
+func (sim *Simulation) refute(s *server, version uint32) {
 	d := &s.detector
-	if inc < d.version {
+	if version < d.version {
 		return
 	}
-	d.version = inc + 1
+	d.version = version + 1
 	d.healthPenalty = min(maxHealthPenalty, d.healthPenalty+1)
 	sim.broadcast(s, update{subject: s.index, version: d.version, incarnation: s.incarnation, state: alive})
 }
 
-// applyUpdate hears one piece of it.
+// applyUpdate handles one gossiped update.
 func (sim *Simulation) applyUpdate(s *server, u *update, from int32) {
 	switch u.state {
 	case heartbeat:
@@ -374,26 +385,32 @@
 	}
 }
 
-// Records of a server's own are spread as internal/fleet does it: anew each second, more rarely from 32 servers on.
+// A server's own record is gossiped anew each second as internal/fleet does it, more rarely from 32 servers on.
 const (
 	heartbeatMs     = 1000.0
 	heartbeatRoster = 16
 )
 
+// heartbeatIntervalMs is the time between two records of a server.
+func (s *server) heartbeatIntervalMs() float64 {
+	return heartbeatMs * max(1, math.Floor(float64(s.detector.aliveCount)/heartbeatRoster))
+}
+
+// sendHeartbeat gossips a server's own record.
 func (sim *Simulation) sendHeartbeat(s *server) {
-	sim.scheduleAfter(s, heartbeatMs*max(1, math.Floor(float64(s.detector.aliveCount)/heartbeatRoster)), eventHeartbeat, 0, 0)
+	sim.scheduleAfter(s, s.heartbeatIntervalMs(), eventHeartbeat, 0, 0)
 	if sim.awake(s) {
 		s.heartbeats++
 		sim.broadcast(s, update{subject: s.index, version: s.heartbeats, incarnation: s.incarnation, state: heartbeat})
 	}
 }
 
-// onHeartbeat hears another's record, which somebody brings.
+// onHeartbeat handles a peer's record, which another peer may have passed on.
 func (sim *Simulation) onHeartbeat(s *server, u *update, from int32) {
 	if u.subject == s.index {
 		return
 	}
-	m := &s.detector.members[u.subject-s.fleetFirst]
+	m := s.member(u.subject)
 	if u.incarnation < m.incarnation || u.incarnation == m.incarnation && u.version <= m.heartbeat {
 		return
 	}
@@ -402,9 +419,22 @@
 	s.health.RecordIndirect(sim.localClock(s), sim.servers[u.subject].name, sim.servers[from].name)
 }
 
-// pushPull has two servers hear all that the other knows, and tells whether the way was open both ways.
+// pushPullRound exchanges full states with a random peer.
+func (sim *Simulation) pushPullRound(s *server) {
+	scale := math.Max(1, math.Ceil(math.Log2(float64(s.fleetSize))-pushPullThresholdLog)+1)
+	sim.scheduleAfter(s, pushPullIntervalMs*scale, eventPushPull, 0, 0)
+	if peers, n := sim.randomPeers(s, 1, noPeer); n == 1 {
+		sim.pushPull(s, &sim.servers[peers[0]])
+	}
+}
+
+// pushPull exchanges full states between two servers, and reports whether they could reach one another.
 func (sim *Simulation) pushPull(a, b *server) bool {
-	if !a.up || !b.up || a.stopped || b.stopped || !sim.network.isOpen(a.index, b.index) || !sim.network.isOpen(b.index, a.index) || !sim.awake(a) || !sim.awake(b) {
+	running := a.up && b.up && !a.stopped && !b.stopped
+	if !running || !sim.network.isOpen(a.index, b.index) || !sim.network.isOpen(b.index, a.index) {
+		return false
+	}
+	if !sim.awake(a) || !sim.awake(b) {
 		return false
 	}
 	sim.mergeState(b, a)
@@ -414,55 +444,23 @@
 	return true
 }
 
-// mergeState has one hear another's whole state; what that calls dead is suspected only.
+// mergeState merges another server's full state into a server's; what that calls dead is only suspected.
 func (sim *Simulation) mergeState(s, from *server) {
 	sim.onAliveUpdate(s, from.index, from.detector.version, from.incarnation)
 	for i := range from.detector.members {
 		m := &from.detector.members[i]
-		p := from.fleetFirst + int32(i)
-		if p == from.index {
+		peer := from.fleetFirst + int32(i)
+		if peer == from.index {
 			continue
 		}
 		switch m.state {
 		case alive:
-			sim.onAliveUpdate(s, p, m.version, m.incarnation)
+			sim.onAliveUpdate(s, peer, m.version, m.incarnation)
 		case suspect, dead:
-			sim.onKnown(s, p, m.incarnation)
-			sim.onSuspect(s, p, m.version, from.index)
+			sim.onKnown(s, peer, m.incarnation)
+			sim.onSuspect(s, peer, m.version, from.index)
 		case left:
-			sim.onDead(s, p, m.version, left, from.index)
-		}
-	}
-}
-
-// receivePacket has a server take a packet.
-func (sim *Simulation) receivePacket(s *server, p *packet) {
-	if !sim.awake(s) {
-		return
-	}
-	sim.onPacketFrom(s, p.from)
-	for i := range p.updates {
-		sim.applyUpdate(s, &p.updates[i], p.from)
-	}
-	switch p.kind {
-	case leaseMessages:
-		sim.receiveQuota(s, p)
-	case ping:
-		sim.sendPacket(s, packet{to: p.from, kind: ack, checkNumber: p.checkNumber})
-	case ack:
-		if p.checkNumber == s.detector.checkNumber && p.from == s.detector.checkTarget {
-			s.detector.checkAnswered = true
-			sim.onAnswered(s, p.from)
-		}
-	case indirectRequest:
-		sim.sendPacket(s, packet{to: p.subject, kind: indirectPing, subject: p.from, checkNumber: p.checkNumber})
-	case indirectPing:
-		sim.sendPacket(s, packet{to: p.from, kind: indirectAck, subject: p.subject, checkNumber: p.checkNumber})
-	case indirectAck:
-		sim.sendPacket(s, packet{to: p.subject, kind: indirectResult, subject: p.from, checkNumber: p.checkNumber})
-	case indirectResult:
-		if p.checkNumber == s.detector.checkNumber && p.subject == s.detector.checkTarget {
-			s.detector.checkAnswered = true
+			sim.onDead(s, peer, m.version, left, from.index)
 		}
 	}
 }
--- a/internal/fleetsim/updates.go
+++ b/internal/fleetsim/updates.go
@@ -1,19 +1,26 @@
 package fleetsim
 
-// This file owns the news that a server passes on: the least sent first, of one time in the order of their coming, each a
-// bounded number of times; newer news of a server takes the place of older. It is buckets by how often they were sent, so
-// that a packet costs what it takes and not what there is. It must never pass on what has been replaced.
+// This file holds the updates that a server still gossips, as memberlist's transmit-limited queue does: the least transmitted
+// first, those alike in the order of their arrival, each a bounded number of times. They lie in buckets by their number of
+// transmissions, so that filling a packet costs what it takes and not what is queued.
 
-// updateQueue is one server's. Entries that were replaced lie in their buckets until they come up, or until there are too many.
+// updateQueue is one server's queue. Replaced entries stay in their buckets until they come up or there are too many.
 type updateQueue struct {
-	buckets      []bucket
-	pending      int // that are still passed on
-	stored       int // with those that were replaced
-	first        int32
-	latest       [][2]uint32 // the number of the live entry by whom it is about, from low on: of states, and of records; 0 for none
+	buckets      []bucket // by the number of transmissions
+	pending      int      // entries that are still transmitted
+	stored       int      // entries in the buckets, replaced ones included
+	first        int32    // lowest subject
+	latest       []sequences
 	lastSequence uint32
 }
 
+// sequences are the numbers of the current entries about one subject; 0 for none.
+type sequences struct {
+	state     uint32
+	heartbeat uint32
+}
+
+// bucket holds entries in the order of their arrival; those before head have been taken.
 type bucket struct {
 	entries []entry
 	head    int
@@ -24,125 +31,150 @@
 	sequence uint32
 }
 
-// reset forgets all; what comes is about so many, from low on.
-func (n *updateQueue) reset(low, many int32) {
-	if n.latest == nil {
-		n.first, n.latest = low, make([][2]uint32, many)
+// staleEntries is how many replaced entries a queue may hold beyond twice those pending.
+const staleEntries = 64
+
+// reset empties the queue, for subjects from first on.
+func (q *updateQueue) reset(first, subjects int32) {
+	if q.latest == nil {
+		q.first = first
+		q.latest = make([]sequences, subjects)
 	}
-	for i := range n.buckets {
-		n.buckets[i] = bucket{entries: n.buckets[i].entries[:0]}
+	for i := range q.buckets {
+		q.buckets[i] = bucket{entries: q.buckets[i].entries[:0]}
 	}
-	n.pending, n.stored = 0, 0
-	clear(n.latest)
+	q.pending = 0
+	q.stored = 0
+	clear(q.latest)
 }
 
-func (n *updateQueue) latestOf(u *update) *uint32 {
-	if m := &n.latest[u.subject-n.first]; u.state == heartbeat {
-		return &m[1]
-	} else {
-		return &m[0]
+// latestOf returns where the number of the current entry of an update's subject stands.
+func (q *updateQueue) latestOf(u *update) *uint32 {
+	s := &q.latest[u.subject-q.first]
+	if u.state == heartbeat {
+		return &s.heartbeat
 	}
+	return &s.state
 }
 
-// add adds one, never sent, in place of an older one.
-func (n *updateQueue) add(u update) {
-	mark := n.latestOf(&u)
-	if *mark == 0 {
-		n.pending++
+// add queues an update that was never sent, in place of an older one.
+func (q *updateQueue) add(u update) {
+	latest := q.latestOf(&u)
+	if *latest == 0 {
+		q.pending++
 	}
-	n.lastSequence++
-	*mark = n.lastSequence
-	n.push(0, entry{u, n.lastSequence})
-	if n.stored > 2*n.pending+64 {
-		n.compact()
+	q.lastSequence++
+	*latest = q.lastSequence
+	q.push(0, entry{u, q.lastSequence})
+	if q.stored > 2*q.pending+staleEntries {
+		q.compact()
 	}
 }
 
-func (n *updateQueue) push(sent int, e entry) {
-	for len(n.buckets) <= sent {
-		n.buckets = append(n.buckets, bucket{})
+func (q *updateQueue) push(transmissions int, e entry) {
+	for len(q.buckets) <= transmissions {
+		q.buckets = append(q.buckets, bucket{})
 	}
-	n.buckets[sent].entries = append(n.buckets[sent].entries, e)
-	n.stored++
+	b := &q.buckets[transmissions]
+	b.entries = append(b.entries, e)
+	q.stored++
 }
 
-func (n *updateQueue) isCurrent(e *entry) bool { return *n.latestOf(&e.update) == e.sequence }
+func (q *updateQueue) isCurrent(e *entry) bool { return *q.latestOf(&e.update) == e.sequence }
+
+// retire ends an entry's transmissions.
+func (q *updateQueue) retire(e *entry) {
+	*q.latestOf(&e.update) = 0
+	q.pending--
+}
 
-// retire is an entry that is not passed on any more.
-func (n *updateQueue) retire(e *entry) {
-	*n.latestOf(&e.update) = 0
-	n.pending--
+// transmissionLimit is how often an entry is sent: heartbeats half as often.
+func transmissionLimit(e *entry, limit int) int {
+	if e.state == heartbeat {
+		return (limit + 1) / 2
+	}
+	return limit
 }
 
-// take appends up to most of them, each of which is passed on limit times, half as often if it is a record.
-func (n *updateQueue) take(into []update, most, limit int) []update {
-	times := func(e *entry) int {
-		if e.state == heartbeat {
-			return (limit + 1) / 2
+// take appends updates until there are maxUpdates, each of which is sent limit times.
+func (q *updateQueue) take(into []update, maxUpdates, limit int) []update {
+	lastBucket, fromLast := q.plan(maxUpdates-len(into), limit)
+	// From the last bucket down, so that an entry that moves up is not met again.
+	for sent := min(lastBucket, len(q.buckets)-1); sent >= 0; sent-- {
+		count := maxUpdates
+		if sent == lastBucket {
+			count = fromLast
 		}
-		return limit
+		into = q.takeFrom(sent, into, count, limit)
 	}
-	// From the last bucket down, so that what is taken is not met again.
-	room := most - len(into)
-	upTo, part := 0, 0 // all of the buckets below upTo are taken, and part of that one
-	for ; upTo < len(n.buckets) && room > 0; upTo++ {
+	return into
+}
+
+// plan returns the bucket at which a packet is full, and how many entries it takes from that one; it takes all those of the
+// buckets before.
+func (q *updateQueue) plan(capacity, limit int) (lastBucket, fromLast int) {
+	for ; lastBucket < len(q.buckets) && capacity > 0; lastBucket++ {
 		count := 0
-		b := &n.buckets[upTo]
-		for i := b.head; i < len(b.entries) && count < room; i++ {
-			if n.isCurrent(&b.entries[i]) && upTo < times(&b.entries[i]) {
+		b := &q.buckets[lastBucket]
+		for i := b.head; i < len(b.entries) && count < capacity; i++ {
+			e := &b.entries[i]
+			if q.isCurrent(e) && lastBucket < transmissionLimit(e, limit) {
 				count++
 			}
 		}
-		if part = count; count == room {
+		fromLast = count
+		if count == capacity {
 			break
 		}
-		room -= count
+		capacity -= count
 	}
-	for sent := min(upTo, len(n.buckets)-1); sent >= 0; sent-- {
-		left := most
-		if sent == upTo {
-			left = part
+	return lastBucket, fromLast
+}
+
+// takeFrom appends up to count updates of one bucket and moves them to the next.
+func (q *updateQueue) takeFrom(sent int, into []update, count, limit int) []update {
+	b := &q.buckets[sent]
+	for b.head < len(b.entries) && count > 0 {
+		e := b.entries[b.head]
+		b.head++
+		q.stored--
+		if !q.isCurrent(&e) {
+			continue
 		}
-		b := &n.buckets[sent]
-		for b.head < len(b.entries) && left > 0 {
-			e := b.entries[b.head]
-			b.head++
-			n.stored--
-			if !n.isCurrent(&e) {
-				continue
-			}
-			if sent >= times(&e) { // the limit has become less
-				n.retire(&e)
-				continue
-			}
-			left--
-			into = append(into, e.update)
-			if sent+1 < times(&e) {
-				n.push(sent+1, e)
-				b = &n.buckets[sent]
-			} else {
-				n.retire(&e)
-			}
+		allowed := transmissionLimit(&e, limit)
+		if sent >= allowed { // the limit has fallen meanwhile
+			q.retire(&e)
+			continue
 		}
-		if b.head > len(b.entries)/2 {
-			b.entries, b.head = append(b.entries[:0], b.entries[b.head:]...), 0
+		count--
+		into = append(into, e.update)
+		if sent+1 < allowed {
+			q.push(sent+1, e)
+			b = &q.buckets[sent] // push may have moved the buckets
+		} else {
+			q.retire(&e)
 		}
 	}
+	if b.head > len(b.entries)/2 {
+		b.entries = append(b.entries[:0], b.entries[b.head:]...)
+		b.head = 0
+	}
 	return into
 }
 
-// compact drops what was replaced.
-func (n *updateQueue) compact() {
-	n.stored = 0
-	for i := range n.buckets {
-		b := &n.buckets[i]
-		keep := b.entries[:0]
+// compact drops replaced entries.
+func (q *updateQueue) compact() {
+	q.stored = 0
+	for i := range q.buckets {
+		b := &q.buckets[i]
+		current := b.entries[:0]
 		for _, e := range b.entries[b.head:] {
-			if n.isCurrent(&e) {
-				keep = append(keep, e)
+			if q.isCurrent(&e) {
+				current = append(current, e)
 			}
 		}
-		b.entries, b.head = keep, 0
-		n.stored += len(keep)
+		b.entries = current
+		b.head = 0
+		q.stored += len(current)
 	}
 }
