--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -86,7 +86,7 @@
 			return nil, err
 		}
 	}
-	p.Log.WithField("fleet", x.Listen).Info("fleet: begins")
+	p.Log.WithField("listen", x.Listen).Info("fleet.started")
 	return y, nil
 }
 
--- /dev/null
+++ b/internal/fleet/gossip_test.go
@@ -0,0 +1,23 @@
+package fleet
+
+import "testing"
+
+// A packet that gives its relay's name a length of 254 or 255 is read like any other, or ignored; the sum of that byte and one overflowed
+// once, which ended the process.
+func TestLongestRelayName(t *testing.T) {
+	for _, length := range []int{0, 1, 253, 254, 255} {
+		packet := make([]byte, 1+length+3)
+		packet[0] = byte(length)
+		name, rest, ok := cutName(packet)
+		if !ok || len(name) != length || len(rest) != 3 {
+			t.Errorf("length %d: %q, %d bytes left, %v", length, name, len(rest), ok)
+		}
+		if _, _, ok := cutName(packet[:length]); ok {
+			t.Errorf("length %d: a packet cut short is read", length)
+		}
+		in := &instance{fleet: &Fleet{options: Options{Name: "n0"}}}
+		in.NotifyMsg(packet)
+		in.NotifyMsg(append([]byte{directMark, channelLeases}, packet...))
+		in.MergeRemoteState(packet, false)
+	}
+}
