--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,6 +20,14 @@
 
 const soon = 10 * time.Second // bounds what must come at once
 
+// noError fails the test on an error of what must work.
+func noError(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
 // lines is a front that answers each line by itself.
 type lines struct {
 	ConnState
@@ -86,8 +94,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(soon))
-	t.Cleanup(func() { conn.Close() })
+	noError(t, conn.SetDeadline(time.Now().Add(soon)))
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	return conn
 }
 
@@ -98,13 +106,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() { noError(t, ln.Close()) }()
 	peer = dial(t, ln.Addr().String())
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close() })
+	t.Cleanup(func() { _ = nc.Close() }) // the test may have closed it
 	return peer, nc.(*net.TCPConn)
 }
 
@@ -113,19 +121,19 @@
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err == nil {
-		c.SetReadDeadline(time.Now().Add(soon))
+		noError(t, c.SetReadDeadline(time.Now().Add(soon)))
 		err = raw.Read(func(fd uintptr) bool {
 			n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK)
 			return n > 0 || err != syscall.EAGAIN
 		})
-		c.SetReadDeadline(time.Time{})
+		noError(t, c.SetReadDeadline(time.Time{}))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Bytes that lie unread as a connection is closed, by whatever decision, reset nothing: the peer reads its answers and
+// Bytes that are unread as a connection is closed, for whatever reason, reset nothing: the peer reads its responses and
 // then the end.
 func TestBytesCrossClose(t *testing.T) {
 	cases := []struct {
@@ -139,13 +147,15 @@
 		}},
 		{"ended", func(s *ConnState) { s.RequestClose() }},
 		{"cut", func(s *ConnState) { s.Abort(time.Now().Add(soon)) }},
-		{"served to its end", func(s *ConnState) {}},
+		{"served to its end", func(*ConnState) {}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			peer, nc := pair(t)
 			s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now(), ReceivedRPC: true}
-			io.WriteString(peer, "half a li")
+			if _, err := io.WriteString(peer, "half a li"); err != nil {
+				t.Fatal(err)
+			}
 			arrived(t, nc)
 			if !s.Send([]byte("an ans"), []byte("wer\n")) {
 				t.Fatal("not sent")
@@ -157,7 +167,7 @@
 			if string(b) != "an answer\n" || err != nil {
 				t.Errorf("read %q, error %v", b, err)
 			}
-			peer.Close()
+			noError(t, peer.Close())
 			select {
 			case <-over:
 			case <-time.After(soon):
@@ -170,7 +180,7 @@
 	}
 }
 
-// Neither a reader's own deadline nor a second end changes how long a closing connection is read on.
+// Neither a reader's own deadline nor a second request to close changes how long a closing connection is read on.
 func TestEndOnce(t *testing.T) {
 	_, nc := pair(t)
 	s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}
@@ -196,7 +206,7 @@
 	}
 }
 
-// A connection that the machine accepts between the last accept and the close of the listening socket is served.
+// A connection that the kernel accepts between the last accept and the close of the listening socket is served.
 func TestLastLook(t *testing.T) {
 	table, addr := serve(t, 1024)
 	got := make(chan string, 1)
@@ -208,9 +218,9 @@
 			return
 		}
 		go func() {
-			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(soon))
-			fmt.Fprintln(conn, "late")
+			defer func() { _ = conn.Close() }() // the test may have ended
+			noError(t, conn.SetDeadline(time.Now().Add(soon)))
+			_, _ = fmt.Fprintln(conn, "late") // the read below tells whether it came
 			line, err := bufio.NewReader(conn).ReadString('\n')
 			got <- fmt.Sprint(line, err)
 		}()
@@ -221,11 +231,13 @@
 	}
 }
 
-// A peer that rests on its connection is closed in time to read what crosses that, and a shutdown waits no longer.
+// The connection of an idle peer is closed early enough to read what crosses that, and a shutdown waits no longer.
 func TestRestingPeer(t *testing.T) {
 	table, addr := serve(t, 1024)
 	conn := dial(t, addr)
-	fmt.Fprintln(conn, "a")
+	if _, err := fmt.Fprintln(conn, "a"); err != nil {
+		t.Fatal(err)
+	}
 	in := bufio.NewReader(conn)
 	if line, err := in.ReadString('\n'); line != "a\n" {
 		t.Fatal(line, err)
@@ -235,7 +247,7 @@
 		if b, err := io.ReadAll(in); len(b) > 0 || err != nil {
 			t.Errorf("read %q, error %v", b, err)
 		}
-		conn.Close()
+		_ = conn.Close() // the test may have ended
 	}()
 	shutdown(t, table, within)
 	if gone := time.Since(began); gone > within-abortTimeout {
@@ -249,7 +261,7 @@
 	conn := dial(t, addr)
 	line := append(make([]byte, 1<<16), '\n')
 	for sent := 0; ; sent++ { // until both ways are full
-		conn.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
+		noError(t, conn.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
 		if _, err := conn.Write(line); err != nil {
 			break
 		}
@@ -267,7 +279,7 @@
 	}
 }
 
-// Where descriptors run out before the limit, idle connections make way, and the server's own dials get theirs.
+// Where descriptors run out before the limit, idle connections are evicted, and the server's own dials get theirs.
 func TestDescriptorsRunOut(t *testing.T) {
 	table, addr := serve(t, 1024)
 	var was syscall.Rlimit
@@ -280,17 +292,21 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
+	defer func() { noError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)) }()
 	answered := func(conn net.Conn) error {
-		conn.SetDeadline(time.Now().Add(soon))
-		fmt.Fprintln(conn, "a")
+		if err := conn.SetDeadline(time.Now().Add(soon)); err != nil {
+			return err
+		}
+		if _, err := fmt.Fprintln(conn, "a"); err != nil {
+			return err
+		}
 		_, err := bufio.NewReader(conn).ReadString('\n')
 		return err
 	}
 	var conns []net.Conn
 	defer func() {
 		for _, c := range conns {
-			c.Close()
+			noError(t, c.Close())
 		}
 	}()
 	ran := false
@@ -319,7 +335,7 @@
 		conn, err := net.Dial("tcp", addr)
 		if err == nil {
 			err = answered(conn)
-			conn.Close()
+			_ = conn.Close() // the next dial is what counts
 		}
 		if err == nil {
 			break
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -10,79 +10,76 @@
 	"time"
 )
 
-// Readily is how readily a connection is given up for another.
-type EvictionClass int
-
 const (
-	Busy                 EvictionClass = iota // something is open, or may be on its way
-	Idle                                      // it has carried RPCs
-	AwaitingFirstMessage                      // its first message may be on its way: that is waited for before any idle one is given up
-	Closing                                   // given up, and not yet gone
-	Unused                                    // never more than silence, nonsense or a check, each of which has a connection of its own
-)
-
-// Crossing is how long a connection without anything open is kept at the limit, as an RPC may be on its way: twice
-// the time in which one that crosses a close is sent again, and enough for a first message.
-const TransitTime = 100 * time.Millisecond
-
-// Lingers is how long a connection stays open after its closing notice and its last answer, for its peer to close
-// it; far above the 50 ms in which an RPC may cross the notice.
-const LingerTimeout = 1500 * time.Millisecond
-
-const (
-	// lingerTime is for a peer to take its last answers and to close: twice Crossing, as what crossed must be read.
+	// finishLinger is how long a peer has to read its last responses and to close: twice TransitTime, as what crossed the
+	// close must be read.
 	finishLinger = 2 * TransitTime
-	// lingerEvicted is that for one that is evicted: a crowd of such that never closes must not keep others out for
+	// evictedLinger is the same for an evicted connection: a crowd of such that never close must not keep others out for
 	// longer than an RPC may cross a close.
-	evictedLinger  = TransitTime / 2
-	maxLingerBytes = 1 << 20 // bytes that a peer may send meanwhile
+	evictedLinger = TransitTime / 2
+	// maxLingerBytes is how much a peer may send meanwhile.
+	maxLingerBytes = 1 << 20
 )
 
-// ConnState is the state of one connection, to be embedded. One goroutine owns it: the reader, which alone closes it,
-// by Finish. All others ask for that by End. The fields are guarded by Mu.
+// wakeReader is a deadline in the past: it ends a read that is in progress at once.
+var wakeReader = time.Unix(1, 0)
+
+// ConnState is the state of one connection, to be embedded. One goroutine owns it: the reader, which alone closes it, by
+// Finish. All others ask for that by RequestClose. The fields are guarded by Mu.
+//
+// Errors of the connection's Set…Deadline methods are dropped throughout: they come only from a closed connection, whose
+// reads and writes fail by themselves.
 type ConnState struct {
 	net.Conn
-	WriteTimeout time.Duration // for one answer: past the longest deadline told, so that only a dead peer meets it
+	WriteTimeout time.Duration // for one message: past the longest deadline known, so that only a dead peer meets it
 
 	Mu              sync.Mutex
-	InFlight        int       // RPCs in hand, and answers that are being written
-	LastActivity    time.Time // when something was read or answered
-	ReceivedMessage bool      // a whole message has come
-	ReceivedRPC     bool      // and a sound RPC
+	InFlight        int       // RPCs in flight, and responses that are being written
+	LastActivity    time.Time // when something was last read or answered
+	ReceivedMessage bool      // a complete message has come
+	ReceivedRPC     bool      // and a valid RPC
 	PartialMessage  bool      // a part of the next message has come
-	GoAwayAt        time.Time // when the peer was asked for no more
-	CloseRequested  bool      // it ends: nothing more is taken, as its peer may send it again; set once, by End
-	abortDeadline   time.Time // if set, all reading and writing on it is over then
-	evicted         bool      // it is closed for another that waits
-	lingering       bool      // Finish reads on
-
-	writing      sync.Mutex
-	writesClosed bool // nothing more may be written; guarded by writing
+	GoAwayAt        time.Time // when the peer was told that no more RPCs are wanted; zero before
+	CloseRequested  bool      // nothing more is taken, as the peer may send it again elsewhere; set once, by requestClose
+
+	abortDeadline time.Time // if set, all reading and writing ends then
+	evicted       bool      // it is closed for another connection that waits
+	lingering     bool      // Finish reads on
+
+	writing      sync.Mutex // held while a message is written
+	writesClosed bool       // nothing more may be written; guarded by writing
 }
 
-// Room is how readily the connection is given up for another, and when something last came or went on it.
-func (s *ConnState) EvictionPriority(now time.Time) (readily EvictionClass, last time.Time) {
+// EvictionPriority implements Conn.
+func (s *ConnState) EvictionPriority(now time.Time) (class EvictionClass, last time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
+	return s.evictionClass(now), s.LastActivity
+}
+
+func (s *ConnState) evictionClass(now time.Time) EvictionClass {
 	quiet := now.Sub(s.LastActivity) > TransitTime
 	switch {
 	case s.CloseRequested && s.ReceivedRPC:
-		return Closing, s.LastActivity
-	case s.CloseRequested: // its room is waited for before any idle one is given up
-		return AwaitingFirstMessage, s.LastActivity
-	case s.InFlight > 0 || s.PartialMessage && s.ReceivedRPC:
-		return Busy, s.LastActivity
+		return Closing
+	case s.CloseRequested: // its capacity is waited for before any idle one is evicted
+		return AwaitingFirstMessage
+	case s.busy():
+		return Busy
 	case !s.ReceivedRPC && (s.ReceivedMessage || quiet):
-		return Unused, s.LastActivity
+		return Unused
 	case !s.ReceivedRPC:
-		return AwaitingFirstMessage, s.LastActivity
+		return AwaitingFirstMessage
 	case quiet:
-		return Idle, s.LastActivity
+		return Idle
 	}
-	return Busy, s.LastActivity
+	return Busy
 }
 
-// Tell books that the peer is asked for no more, and tells whether that is the first time.
+// busy reports whether something is in flight, or the rest of a message of a peer that has sent RPCs before.
+func (s *ConnState) busy() bool { return s.InFlight > 0 || s.PartialMessage && s.ReceivedRPC }
+
+// MarkGoAway records that the peer is told that no more RPCs are wanted, and reports whether that is the first time.
 func (s *ConnState) MarkGoAway() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -93,36 +90,40 @@
 	return first
 }
 
-// Evict has the connection closed unless something has come on it. What crosses that is sent again: it is not taken here.
+// Evict implements Conn. An RPC that crosses the close is not taken here, and its peer sends it again.
 func (s *ConnState) Evict(last time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if s.InFlight == 0 && !(s.PartialMessage && s.ReceivedRPC) && !s.CloseRequested && s.LastActivity.Equal(last) {
+	if !s.busy() && !s.CloseRequested && s.LastActivity.Equal(last) {
 		s.evicted = true
 		s.requestClose()
 	}
 }
 
-// Begins books that a part of the next message has come: what is on its way is waited for, for as long as the front lets
-// a message take.
+// BeginMessage records that a part of the next message has come. Its rest is waited for, for as long as the front lets a
+// message take.
 func (s *ConnState) BeginMessage() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if !s.PartialMessage {
-		s.PartialMessage, s.LastActivity = true, time.Now()
+		s.PartialMessage = true
+		s.LastActivity = time.Now()
 	}
 }
 
-// Rested has the connection closed if its peer was asked for no more and nothing has been open on it for so long.
-func (s *ConnState) CloseIfDrained(lingers time.Duration) {
+// CloseIfDrained closes the connection if its peer was told to go away and nothing has been in flight for linger.
+func (s *ConnState) CloseIfDrained(linger time.Duration) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	if s.InFlight == 0 && !s.PartialMessage && !s.GoAwayAt.IsZero() && time.Since(s.LastActivity) > lingers && time.Since(s.GoAwayAt) > lingers {
+	if s.InFlight > 0 || s.PartialMessage || s.GoAwayAt.IsZero() {
+		return
+	}
+	if time.Since(s.LastActivity) > linger && time.Since(s.GoAwayAt) > linger {
 		s.requestClose()
 	}
 }
 
-// End has the connection closed by its owner, whatever is open on it. It does not block.
+// RequestClose has the connection closed by its owner, whatever is in flight on it. It does not block.
 func (s *ConnState) RequestClose() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -130,41 +131,44 @@
 }
 
 func (s *ConnState) requestClose() {
-	if !s.CloseRequested { // later on the deadline is Finish's
-		s.CloseRequested = true
-		s.Conn.SetReadDeadline(time.Unix(1, 0)) // wakes the owner
+	if s.CloseRequested { // from then on the deadline is Finish's
+		return
 	}
+	s.CloseRequested = true
+	_ = s.SetReadDeadline(wakeReader) // see ConnState
 }
 
-// Ended tells whether the connection is to be closed: a deadline that its reader meets may be no silence.
+// Ending reports whether the connection is to be closed: a deadline that its reader meets may then mean no silence.
 func (s *ConnState) Ending() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return s.CloseRequested
 }
 
-// Cut ends the connection, and bounds all that is still written on it and its closing.
-func (s *ConnState) Abort(by time.Time) {
+// Abort implements Conn: it bounds all that is still written on the connection and its closing.
+func (s *ConnState) Abort(deadline time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
-	s.abortDeadline = by
-	s.Conn.SetWriteDeadline(by)
-	if s.requestClose(); s.lingering {
-		s.Conn.SetReadDeadline(by)
+	s.abortDeadline = deadline
+	_ = s.SetWriteDeadline(deadline) // see ConnState
+	s.requestClose()
+	if s.lingering {
+		_ = s.SetReadDeadline(deadline) // see ConnState
 	}
 }
 
-// ReadBy bounds the owner's next reads, the zero time not at all; once the connection is to end it changes nothing.
-func (s *ConnState) BoundReads(t time.Time) {
+// BoundReads sets the deadline of the owner's next reads, none for the zero time. Once the connection is to be closed it
+// changes nothing.
+func (s *ConnState) BoundReads(deadline time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	if !s.CloseRequested {
-		s.Conn.SetReadDeadline(t)
+		_ = s.SetReadDeadline(deadline) // see ConnState
 	}
 }
 
-// Send writes one message in parts, whole or not at all as far as the peer reads it, and tells whether that went well.
-// After an error nothing more is written and the connection ends: nobody is left to answer.
+// Send writes one message in parts, complete or not at all as far as the peer reads it, and reports whether that went
+// well. After an error nothing more is written and the connection ends: nobody is left to answer.
 func (s *ConnState) Send(parts ...[]byte) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -172,10 +176,10 @@
 		return false
 	}
 	s.Mu.Lock()
-	s.Conn.SetWriteDeadline(s.earliest(s.WriteTimeout))
+	_ = s.SetWriteDeadline(s.earliest(s.WriteTimeout)) // see ConnState
 	s.Mu.Unlock()
-	b := net.Buffers(parts)
-	if _, err := b.WriteTo(s.Conn); err != nil {
+	message := net.Buffers(parts)
+	if _, err := message.WriteTo(s.Conn); err != nil {
 		s.writesClosed = true
 		s.RequestClose()
 		return false
@@ -183,7 +187,7 @@
 	return true
 }
 
-// within is the time after d, or the end of all if that comes first. Mu is held.
+// earliest returns the time after d, or the deadline of Abort if that is earlier. Mu is held.
 func (s *ConnState) earliest(d time.Duration) time.Time {
 	t := time.Now().Add(d)
 	if !s.abortDeadline.IsZero() && s.abortDeadline.Before(t) {
@@ -192,17 +196,17 @@
 	return t
 }
 
-// Finish is the one closing path. The owner calls it once nothing is in hand any more: what is being written is
-// written whole, the writing side ends, and what the peer still sends is read and dropped until it closes, for a bounded
-// time. A close over unread bytes would reset the connection and take answers along that the peer has not read yet; an
-// RPC among them crossed the close, and its peer sends it again.
+// Finish is the one closing path. The owner calls it once nothing is in flight any more: what is being written is
+// written to its end, the writing side is closed, and what the peer still sends is read and dropped until it closes, for a
+// bounded time. A close over unread bytes would reset the connection and take responses along that the peer has not read
+// yet; an RPC among them crossed the close, and its peer sends it again.
 func (s *ConnState) Finish() {
 	s.RequestClose()
 	s.writing.Lock()
 	s.writesClosed = true
 	s.writing.Unlock()
-	if t, ok := s.Conn.(interface{ CloseWrite() error }); ok {
-		t.CloseWrite()
+	if half, ok := s.Conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // fails only if the peer has gone, which the reads below meet as well
 	}
 	s.Mu.Lock()
 	linger := finishLinger
@@ -210,8 +214,8 @@
 		linger = evictedLinger
 	}
 	s.lingering = true
-	s.Conn.SetReadDeadline(s.earliest(linger))
+	_ = s.SetReadDeadline(s.earliest(linger)) // see ConnState
 	s.Mu.Unlock()
-	io.CopyN(io.Discard, s.Conn, maxLingerBytes)
-	s.Conn.Close()
+	_, _ = io.CopyN(io.Discard, s.Conn, maxLingerBytes) // ends with the peer's close, the deadline or the bound
+	_ = s.Close()                                       // nothing is left to do about an error
 }
