--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -117,18 +117,22 @@
 	}
 	for name, p := range s.Permits {
 		was, had := before[name]
-		if !had && !(c.Kind == Acquire && c.Subject == name && a.OK) {
+		acquired := c.Kind == Acquire && c.Subject == name && a.OK
+		if !had && !acquired {
 			t.Fatalf("%s has a permit after %+v", name, c)
 		}
 		if had && was.ID != p.ID {
 			t.Fatalf("the permit of %s was granted twice", name)
 		}
-		if p.Begun && (!had || !was.Begun) && !(c.Kind == Begin && c.Subject == name && c.PermitID == p.ID && c.Incarnation == p.Incarnation && s.HaltReason == "") {
+		begun := c.Kind == Begin && c.Subject == name && c.PermitID == p.ID && c.Incarnation == p.Incarnation && s.HaltReason == ""
+		if p.Begun && (!had || !was.Begun) && !begun {
 			t.Fatalf("%s has begun after %+v", name, c)
 		}
 	}
-	for name := range before {
-		if s.Permits[name] == nil && !(a.OK && c.Subject == name && (c.Kind == Return && (c.PermitID == before[name].ID || c.PermitID == 0 && c.Incarnation > before[name].Incarnation) || c.Kind == Free)) {
+	for name, was := range before {
+		returned := c.Kind == Return && (c.PermitID == was.ID || c.PermitID == 0 && c.Incarnation > was.Incarnation)
+		released := a.OK && c.Subject == name && (returned || c.Kind == Free)
+		if s.Permits[name] == nil && !released {
 			t.Fatalf("the permit of %s is gone after %+v", name, c)
 		}
 	}
@@ -193,7 +197,10 @@
 	key := func(s *State) string {
 		x := *s
 		x.Index, x.Results, x.ResultOrder, x.History = 0, nil, nil, nil
-		b, _ := json.Marshal(x)
+		b, err := json.Marshal(x)
+		if err != nil {
+			t.Fatal(err)
+		}
 		return string(b)
 	}
 	clone := func(s *State) *State {
@@ -207,7 +214,7 @@
 	}
 	first := fresh(t, 3, Limits{Fleet: Limit{MaxCount: 2}})
 	seen, edge, steps := map[string]bool{key(first): true}, []*State{first}, 0
-	const mostPermits = 3
+	const maxPermits = 3
 	for len(edge) > 0 {
 		s := edge[0]
 		edge = edge[1:]
@@ -216,7 +223,7 @@
 			for start := uint64(1); start <= 2; start++ {
 				for _, loss := range [][]Observation{nil, {{Name: "n2", OutOfService: 1}}} {
 					all = append(all, Command{Kind: Acquire, Subject: name, Actor: "x", Incarnation: start, Observations: loss})
-					for p := uint64(1); p <= mostPermits; p++ {
+					for p := uint64(1); p <= maxPermits; p++ {
 						all = append(all, Command{Kind: Begin, Subject: name, PermitID: p, Incarnation: start, Observations: loss}, Command{Kind: Return, Subject: name, PermitID: p, Incarnation: start})
 					}
 				}
@@ -225,7 +232,7 @@
 		}
 		all = append(all, Command{Kind: Halt, Reason: "w"}, Command{Kind: Resume})
 		for _, c := range all {
-			if c.Kind == Acquire && s.LastPermitID >= mostPermits {
+			if c.Kind == Acquire && s.LastPermitID >= maxPermits {
 				continue
 			}
 			c.ID = "c"
