--- a/cmd/sorrelvalve/main.go
+++ b/cmd/sorrelvalve/main.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	fmt.Printf("ok: %s listens on %s; %d methods, %d customers; %d MB, %d sockets, %g cores\n",
-		p.Name, p.Listen, len(p.Config.Methods), len(p.Config.Customers), p.MemoryMB, p.Sockets, p.Cores)
+		p.Name, p.Listen, len(p.Settings.Methods), len(p.Settings.Customers), p.MemoryMB, p.Sockets, p.Cores)
 	fmt.Printf("a running process takes %s anew on SIGHUP\n", strings.Join(startup.ReloadableKeys, ", "))
 	return nil
 }
--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return nil, err
 		}
-		known = operator.KnownNames(p.Config)
+		known = operator.KnownNames(p.Settings)
 	}
 	f, faults := cuefile.Compile(s.Files, known)
 	for _, e := range faults {
--- a/internal/daemon/extras.go
+++ b/internal/daemon/extras.go
@@ -25,47 +25,47 @@
 )
 
 // extras are the parts that an operator's file sets.
-type extras struct {
-	core  *configure.Store // of the reload's goroutine
-	log   *logrus.Entry
-	pools *pools.Backends
-	run   gate.Runner
-	web   *uwsgi.Server // nil without a front
-	ln    *net.TCPListener
+type operatorParts struct {
+	versions *configure.Store // of the reload's goroutine
+	log      *logrus.Entry
+	pools    *pools.Backends
+	run      gate.Runner
+	web      *uwsgi.Server // nil without a front
+	listener *net.TCPListener
 
-	mu       sync.Mutex // of what follows, and of core
-	file     string     // hash of what the platform's file said last
-	own      *operator.File
-	released *operator.Record // in force in place of it, if that is not nil
-	laid     *operator.File   // as it was laid over the own file
-	carried  *carried
+	mu             sync.Mutex // of what follows, and of core
+	platformHash   string     // hash of what the platform's file said last
+	ownFile        *operator.File
+	releasedRecord *operator.Record // in force in place of it, if that is not nil
+	effectiveFile  *operator.File   // as it was laid over the own file
+	load           *loadSampler
 }
 
-func newExtras(
+func newOperatorParts(
 	ctx context.Context, t Config, table *front.ConnTable, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
-) (*extras, error) {
+) (*operatorParts, error) {
 	f := &t.Operator.File
 	tree, err := operator.Tree(f)
 	if err != nil {
 		return nil, err
 	}
-	set, known := f.Descriptors(), operator.KnownNames(t.Config)
-	x := &extras{log: log, pools: pools.New(t.Config.Node.Seed, log), file: t.Operator.Hash, own: f, carried: newCarried(g, t.Config)}
-	x.core, err = configure.New(configure.Version{Number: 1, CommittedMS: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Violation {
-		return wrong(t, known, set)
+	set, known := f.Descriptors(), operator.KnownNames(t.Settings)
+	x := &operatorParts{log: log, pools: pools.New(t.Settings.Node.Seed, log), platformHash: t.Operator.Hash, ownFile: f, load: newLoadSampler(g, t.Settings)}
+	x.versions, err = configure.New(configure.Version{Number: 1, CommittedMS: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}, func(t configure.Tree) []configure.Violation {
+		return validate(t, known, set)
 	}, func(was, is configure.Tree) []string {
 		a, errA := operator.FromTree(was)
 		b, errB := operator.FromTree(is)
 		if errA != nil || errB != nil {
 			return nil // the checks say so
 		}
-		return configure.Guard(limitsOf(a, float64(t.Config.Node.Cores)), limitsOf(b, float64(t.Config.Node.Cores)), x.carried.figures(time.Now()))
-	}, operator.RestartOnly, versionsKept)
+		return configure.Guard(guardedLimits(a, float64(t.Settings.Node.Cores)), guardedLimits(b, float64(t.Settings.Node.Cores)), x.load.rates(time.Now()))
+	}, operator.RestartOnly, maxVersions)
 	if err != nil {
 		return nil, fmt.Errorf("operator: %w", err)
 	}
 	x.pools.Set(f)
-	methods := t.Config.Methods
+	methods := t.Settings.Methods
 	x.run = x.pools.Runner(engine, func(name string) bool {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == name })
 		return i >= 0 && methods[i].Idempotency == control.Idempotent
@@ -75,25 +75,25 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: uwsgi.listen: %w", err)
 		}
-		x.ln = ln.(*net.TCPListener)
-		x.web = uwsgi.New(table, g, x.run, f, t.Config.Node.Seed, log)
+		x.listener = ln.(*net.TCPListener)
+		x.web = uwsgi.New(table, g, x.run, f, t.Settings.Node.Seed, log)
 	}
 	go x.pools.Serve(ctx)
 	return x, nil
 }
 
 // listen lets the front accept.
-func (x *extras) listen(table *front.ConnTable) {
+func (x *operatorParts) listen(table *front.ConnTable) {
 	if x.web != nil {
-		table.AddListener(x.ln, x.web.Open)
+		table.AddListener(x.listener, x.web.Open)
 	}
 }
 
 // versionsKept are as many as an operator goes back over: a day's changes.
-const versionsKept = 20
+const maxVersions = 20
 
 // wrong names what is wrong with settings for this process, of which so many descriptors were set aside.
-func wrong(t configure.Tree, known route.Catalog, set int) (faults []configure.Violation) {
+func validate(t configure.Tree, known route.Catalog, set int) (faults []configure.Violation) {
 	f, err := operator.FromTree(t)
 	if err != nil {
 		return []configure.Violation{{Text: err.Error()}}
@@ -109,29 +109,29 @@
 }
 
 // set takes a new file, whole or not at all, and returns the number of the version that runs.
-func (x *extras) set(next Config) (version int, err error) {
+func (x *operatorParts) reload(next Config) (version int, err error) {
 	if next.Operator == nil {
 		return 0, errors.New("operator: the record is gone")
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if next.Operator.Hash == x.file && x.released != nil { // the platform's news are not the operator's: a released version stays
-		return x.core.Running().Number, nil
+	if next.Operator.Hash == x.platformHash && x.releasedRecord != nil { // the platform's news are not the operator's: a released version stays
+		return x.versions.Running().Number, nil
 	}
 	number, err := x.commit(&next.Operator.File, "reload", true)
 	if err == nil {
-		x.file, x.own, x.released = next.Operator.Hash, &next.Operator.File, nil
+		x.platformHash, x.ownFile, x.releasedRecord = next.Operator.Hash, &next.Operator.File, nil
 	}
 	return number, err
 }
 
 // commit puts a file in force. The lock is held. What was meant is not held against what the last minutes carried.
-func (x *extras) commit(f *operator.File, origin string, meant bool) (int, error) {
+func (x *operatorParts) commit(f *operator.File, origin string, meant bool) (int, error) {
 	tree, err := operator.Tree(f)
 	if err != nil {
 		return 0, err
 	}
-	v, err := x.core.Commit(tree, x.core.Running().Number, float64(time.Now().UnixMilli()), origin, meant)
+	v, err := x.versions.Commit(tree, x.versions.Running().Number, float64(time.Now().UnixMilli()), origin, meant)
 	if err != nil {
 		return v.Number, fmt.Errorf("operator: %w", err)
 	}
@@ -144,16 +144,16 @@
 
 // release puts a version of the fleet's in force, or what the own file says if it is nil. What only a start can change stays as the own
 // file has it, unless the version says otherwise: then it is refused, as is one that starves a method.
-func (x *extras) release(r *operator.Record, origin string) (*operator.File, error) {
+func (x *operatorParts) release(r *operator.Record, origin string) (*operator.File, error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	f := *x.own
+	f := *x.ownFile
 	if r != nil {
-		f = r.File.Overlay(x.own)
+		f = r.File.Overlay(x.ownFile)
 	}
 	if _, err := x.commit(&f, origin, r == nil); err != nil { // the way back is never barred
 		return nil, err
 	}
-	x.released, x.laid = r, &f
+	x.releasedRecord, x.effectiveFile = r, &f
 	return &f, nil
 }
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -17,25 +17,25 @@
 )
 
 // limited drops lines of a kind that come too fast, and counts them on the next one that is written.
-type limited struct {
+type rateLimitedFormatter struct {
 	logrus.Formatter
-	mu    sync.Mutex
-	kinds map[string]*kind
+	mu       sync.Mutex
+	limiters map[string]*eventLimiter
 }
 
-type kind struct {
+type eventLimiter struct {
 	*rate.Limiter
 	dropped int
 }
 
 // Format writes one line or none. The texts of lines are constants, so there are few kinds.
-func (f *limited) Format(e *logrus.Entry) ([]byte, error) {
+func (f *rateLimitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.kinds[e.Message]
+	k := f.limiters[e.Message]
 	if k == nil {
-		k = &kind{Limiter: rate.NewLimiter(logRate, logBurst)}
-		f.kinds[e.Message] = k
+		k = &eventLimiter{Limiter: rate.NewLimiter(logRate, logBurst)}
+		f.limiters[e.Message] = k
 	}
 	if !k.AllowN(e.Time, 1) {
 		k.dropped++
@@ -53,11 +53,11 @@
 func NewLog(out io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(out)
-	l.SetFormatter(&limited{
+	l.SetFormatter(&rateLimitedFormatter{
 		Formatter: &logrus.TextFormatter{
 			DisableColors: true, FullTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00",
 		},
-		kinds: map[string]*kind{},
+		limiters: map[string]*eventLimiter{},
 	})
 	return l
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -27,15 +27,15 @@
 const (
 	// heapShare of the memory is the collector's limit; the rest is for stacks, the program itself and the
 	// kernel's buffers that count as ours.
-	heapShare = 0.6
+	heapFraction = 0.6
 	// gaugeWait is how long a tick waits for its gauges: many times what the engine takes, a quarter of the
 	// time between two ticks.
-	gaugeWait = 10 * time.Millisecond
+	gaugeTimeout = 10 * time.Millisecond
 	// spare is left of the time to the stop when the process ends. The decisions answer the last RPCs two to one of
 	// their ticks of 40 ms before the stop, so it lies under one.
-	spare = 20 * time.Millisecond
+	stopMargin = 20 * time.Millisecond
 	// windup is left of it at the least when nothing more is let in, if the grace is longer.
-	windup = 240 * time.Millisecond
+	minCompletionTime = 240 * time.Millisecond
 )
 
 // Command is the sub-command that serves.
@@ -58,19 +58,19 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	load := func() (t Config, err error) {
 		if t.Process, err = startup.Load(os.Getenv); err == nil && s.Operator != "" {
-			t.Operator, err = operator.Load(s.Operator, t.Config)
+			t.Operator, err = operator.Load(s.Operator, t.Settings)
 		}
 		return t, err
 	}
 	if s.StandIn {
-		own, end, err := standIn()
+		own, end, err := startDemo()
 		if err != nil {
 			return err
 		}
 		defer end()
 		load = func() (t Config, err error) {
 			if t, err = own(); err == nil && s.Operator != "" {
-				t.Operator, err = operator.Load(s.Operator, t.Config)
+				t.Operator, err = operator.Load(s.Operator, t.Settings)
 			}
 			return t, err
 		}
@@ -100,12 +100,12 @@
 func serve(t Config, log *logrus.Entry, stop, reread <-chan os.Signal, load func() (Config, error), extra Extension) error {
 	p := t.Process
 	runtime.GOMAXPROCS(int(math.Ceil(p.Cores)))
-	debug.SetMemoryLimit(int64(heapShare * float64(p.MemoryMB) * (1 << 20)))
-	if absent := mprpc.RemoveUnsupported(p.Config); len(absent) > 0 {
+	debug.SetMemoryLimit(int64(heapFraction * float64(p.MemoryMB) * (1 << 20)))
+	if absent := mprpc.RemoveUnsupported(p.Settings); len(absent) > 0 {
 		log.WithField("absent", strings.Join(absent, ", ")).Warn("server: not carried by this protocol")
 	}
 	ln, err := listen(p.Listen, stop, func() { log.WithField("listen", p.Listen).Warn("serve: waits for the address, which is in use") })
-	if err == errStopped {
+	if err == errStopSignal {
 		log.Info("serve: told to stop before it began")
 		return nil
 	}
@@ -130,18 +130,18 @@
 			next, err := load()
 			number := 0
 			if err == nil {
-				number, err = x.set(next)
+				number, err = x.reload(next)
 			}
 			if err != nil {
 				log.WithError(err).Error("reload: the configuration is wrong, the old one stays")
 				continue
 			}
 			if stays := p.RestartOnlyChanges(next.Process); len(stays) > 0 {
-				log.WithField("keys", brief(stays)).Warn("reload: keys that only a new start can change")
+				log.WithField("keys", summarize(stays)).Warn("reload: keys that only a new start can change")
 			}
 			latest.Store(&next)
 			x.link.SetAddr(next.Engine)
-			x.report.SetAddr(x.ctx, next.Members)
+			x.reporter.SetAddr(x.ctx, next.Members)
 			done := log.WithFields(logrus.Fields{"engine": next.Engine, "members": next.Members})
 			if next.Operator != nil {
 				done = done.WithFields(logrus.Fields{"version": next.Operator.File.Version, "hash": next.Operator.Hash[:12], "number": number})
@@ -154,7 +154,7 @@
 		begins = begins.WithFields(logrus.Fields{"version": t.Operator.File.Version, "hash": t.Operator.Hash[:12]})
 	}
 	begins.Info("serve: begins")
-	if kept := x.kept; kept != nil {
+	if kept := x.tokenStore; kept != nil {
 		select {
 		case <-stop:
 			x.drain(latest.Load().Process, nil)
@@ -171,7 +171,7 @@
 		case <-stop:
 			x.drain(latest.Load().Process, nil)
 			return nil
-		case code := <-x.leave:
+		case code := <-x.leaveRequests:
 			if x.drain(latest.Load().Process, stop) {
 				if code != 0 {
 					return ExitCode(code)
@@ -183,7 +183,7 @@
 }
 
 // brief names the first few of many keys.
-func brief(keys []string) string {
+func summarize(keys []string) string {
 	const most = 8 // as many as fit a line
 	if len(keys) > most {
 		return fmt.Sprintf("%s and %d more", strings.Join(keys[:most], ", "), len(keys)-most)
@@ -195,11 +195,11 @@
 // taken back for as long as the grace lasts, and then returns false; a signal on stop begins it anew, for good.
 func (x *Server) drain(p *startup.Process, stop <-chan os.Signal) (over bool) {
 	began := time.Now()
-	x.phase.draining.Store(true)
+	x.lifecycle.draining.Store(true)
 	x.Gate.Drain(p.StopTimeout)
 	x.log.WithField("ms", p.StopTimeout.Milliseconds()).Info("drain: begins")
-	grace := time.Duration(p.Config.Limits.DrainGrace * float64(time.Millisecond))
-	grace = max(0, min(grace, p.StopTimeout-windup))
+	grace := time.Duration(p.Settings.Limits.DrainGrace * float64(time.Millisecond))
+	grace = max(0, min(grace, p.StopTimeout-minCompletionTime))
 	if stop == nil {
 		time.Sleep(grace)
 	} else {
@@ -208,16 +208,16 @@
 		select {
 		case <-stop:
 			return x.drain(p, nil)
-		case told := <-x.back:
+		case told := <-x.cancelRequests:
 			x.Gate.CancelDrain()
-			x.phase.draining.Store(false)
+			x.lifecycle.draining.Store(false)
 			x.log.WithField("ms", time.Since(began).Milliseconds()).Info("drain: taken back")
 			told <- nil
 			return false
 		case <-wait.C:
 		}
 	}
-	ctx, end := context.WithDeadline(context.Background(), began.Add(p.StopTimeout-spare))
+	ctx, end := context.WithDeadline(context.Background(), began.Add(p.StopTimeout-stopMargin))
 	defer end()
 	x.table.Shutdown(ctx)
 	x.log.WithField("ms", time.Since(began).Milliseconds()).WithField("in_hand", x.Gate.InFlight()).Info("drain: over")
@@ -230,26 +230,26 @@
 func (e ExitCode) Error() string { return fmt.Sprintf("ends with code %d", int(e)) }
 
 // leaves is Parts.Leave.
-func (x *Server) leaves(code int) {
+func (x *Server) requestLeave(code int) {
 	select {
-	case x.leave <- code:
+	case x.leaveRequests <- code:
 	default: // it has been told
 	}
 }
 
 // errNotLeaving is what Stay answers if there is nothing to take back, or no longer.
-var errNotLeaving = errors.New("no drain that could be taken back goes on: none has begun by permit, or its grace is over")
+var errNoDrain = errors.New("no drain that could be taken back goes on: none has begun by permit, or its grace is over")
 
 // stay is Parts.CancelDrain.
-func (x *Server) stay() error {
+func (x *Server) cancelDrain() error {
 	told := make(chan error, 1)
 	select {
-	case x.back <- told:
+	case x.cancelRequests <- told:
 		return <-told
-	case <-time.After(stayWait):
-		return errNotLeaving
+	case <-time.After(cancelDrainTimeout):
+		return errNoDrain
 	}
 }
 
 // stayWait is far over what a drain takes from its being asked for to its select.
-const stayWait = 100 * time.Millisecond
+const cancelDrainTimeout = 100 * time.Millisecond
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -32,7 +32,7 @@
 
 // answering is an engine that ends each run at once with its body as the result, but for bodies that say to wait:
 // these end when wait is closed.
-func answering(ln net.Listener, wait <-chan struct{}) {
+func serveEngine(ln net.Listener, wait <-chan struct{}) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -85,21 +85,21 @@
 }
 
 // whole is a server with its stand-ins, and one connection to it.
-type whole struct {
+type testServer struct {
 	*testing.T
-	wait   chan struct{} // closed: runs that wait go on
-	file   string
-	record string // the operator's; "" for none
-	web    string // where its front listens
-	engine net.Listener
-	reread chan os.Signal
-	loaded chan struct{}
-	phases chan string // as they were reported
-	last   string
-	conn   net.Conn
-	stop   chan os.Signal
-	over   chan error
-	lines  buffer
+	wait       chan struct{} // closed: runs that wait go on
+	configPath string
+	recordPath string // the operator's; "" for none
+	webAddress string // where its front listens
+	engine     net.Listener
+	reread     chan os.Signal
+	loaded     chan struct{}
+	phases     chan string // as they were reported
+	lastPhase  string
+	conn       net.Conn
+	stop       chan os.Signal
+	done       chan error
+	log        buffer
 }
 
 // buffer is a log that is read while it is written.
@@ -129,28 +129,28 @@
 	return ln
 }
 
-func start(t *testing.T, stopMs int, change ...func(w *whole)) *whole {
-	w := &whole{
-		T: t, wait: make(chan struct{}), stop: make(chan os.Signal, 2), reread: make(chan os.Signal), loaded: make(chan struct{}, 100), over: make(chan error, 1),
-		file: filepath.Join(t.TempDir(), "config.json"), engine: loopback(t), phases: make(chan string, 100),
+func start(t *testing.T, stopMs int, change ...func(w *testServer)) *testServer {
+	w := &testServer{
+		T: t, wait: make(chan struct{}), stop: make(chan os.Signal, 2), reread: make(chan os.Signal), loaded: make(chan struct{}, 100), done: make(chan error, 1),
+		configPath: filepath.Join(t.TempDir(), "config.json"), engine: loopback(t), phases: make(chan string, 100),
 	}
 	own := loopback(t)
 	addr := own.Addr().String()
 	own.Close()
-	go answering(w.engine, w.wait)
+	go serveEngine(w.engine, w.wait)
 	text := fmt.Sprintf(`{"name":"n0","listen":"%s","engine":"%s","members":"%s","seed":"1","stop_ms":%d,"settings":{
 		"classes":[{"name":"view","aim":1000000000,"give_up":5000000000}],"rules":{"drain_grace":300000000,"tip_multiple":8},
 		"family_info":{"cores":2,"ram_kb":100000,"below":"shared","call_share":2}}}`,
-		addr, w.engine.Addr(), w.service("first "), stopMs)
-	if err := os.WriteFile(w.file, []byte(text), 0o600); err != nil {
+		addr, w.engine.Addr(), w.membershipService("first "), stopMs)
+	if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	load := func() (Config, error) {
 		defer func() { w.loaded <- struct{}{} }()
-		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.file}[key] })
+		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.configPath}[key] })
 		t := Config{Process: p}
-		if err == nil && w.record != "" {
-			t.Operator, err = operator.Load(w.record, p.Config)
+		if err == nil && w.recordPath != "" {
+			t.Operator, err = operator.Load(w.recordPath, p.Settings)
 		}
 		return t, err
 	}
@@ -162,8 +162,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { w.over <- serve(p, NewLog(&w.lines).WithField("node", p.Name), w.stop, w.reread, load, nil) }()
-	w.reported("first UP") // which tells that it is up and started
+	go func() { w.done <- serve(p, NewLog(&w.log).WithField("node", p.Name), w.stop, w.reread, load, nil) }()
+	w.awaitReport("first UP") // which tells that it is up and started
 	if w.conn, err = net.Dial("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 }
 
 // service is a membership service, which names itself with each phase that it hears; its address is returned.
-func (w *whole) service(name string) string {
+func (w *testServer) membershipService(name string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
 		var report struct{ Phase string }
 		if json.NewDecoder(q.Body).Decode(&report) == nil && q.URL.Path == "/members/n0" {
@@ -186,11 +186,11 @@
 }
 
 // reload puts new text into the file in place of old, and has it read.
-func (w *whole) reload(old, new string) {
+func (w *testServer) reload(old, new string) {
 	w.Helper()
-	b, err := os.ReadFile(w.file)
+	b, err := os.ReadFile(w.configPath)
 	if err == nil {
-		err = os.WriteFile(w.file, bytes.Replace(b, []byte(old), []byte(new), 1), 0o600)
+		err = os.WriteFile(w.configPath, bytes.Replace(b, []byte(old), []byte(new), 1), 0o600)
 	}
 	if err != nil {
 		w.Fatal(err)
@@ -200,12 +200,12 @@
 }
 
 // reported waits for the first report that differs from those before.
-func (w *whole) reported(want string) {
+func (w *testServer) awaitReport(want string) {
 	w.Helper()
-	for got := ""; got != want; w.last = got {
+	for got := ""; got != want; w.lastPhase = got {
 		select {
 		case got = <-w.phases:
-			if got != want && got != w.last {
+			if got != want && got != w.lastPhase {
 				w.Fatalf("report %q, want %q", got, want)
 			}
 		case <-time.After(soon):
@@ -214,7 +214,7 @@
 	}
 }
 
-func (w *whole) answered(want string) {
+func (w *testServer) expectAnswer(want string) {
 	w.Helper()
 	got := make([]byte, len(want))
 	if n, err := io.ReadFull(w.conn, got); err != nil || string(got) != want {
@@ -222,10 +222,10 @@
 	}
 }
 
-func (w *whole) ended() {
+func (w *testServer) awaitEnd() {
 	w.Helper()
 	select {
-	case err := <-w.over:
+	case err := <-w.done:
 		if err != nil {
 			w.Error(err)
 		}
@@ -233,8 +233,8 @@
 		w.Fatal("not over")
 	}
 	for _, want := range []string{`absent="calls below"`, `msg="drain: over"`} {
-		if !strings.Contains(w.lines.String(), want) {
-			w.Errorf("logged %s", w.lines.String())
+		if !strings.Contains(w.log.String(), want) {
+			w.Errorf("logged %s", w.log.String())
 		}
 	}
 }
@@ -243,17 +243,17 @@
 func TestServe(t *testing.T) {
 	w := start(t, 5000)
 	w.conn.Write(call(1, "view", "a"))
-	w.answered("\x94\x01\x01\xc0\x92\xc4\x01a\x80")
+	w.expectAnswer("\x94\x01\x01\xc0\x92\xc4\x01a\x80")
 	w.conn.Write(call(2, "view", "wait"))
 	w.stop <- syscall.SIGTERM
-	w.reported("first OUT")
+	w.awaitReport("first OUT")
 	w.stop <- syscall.SIGTERM // changes nothing
 	close(w.wait)
-	w.answered("\x94\x01\x02\xc0\x92\xc4\x04wait\x80")
+	w.expectAnswer("\x94\x01\x02\xc0\x92\xc4\x04wait\x80")
 	w.conn.Write(call(3, "view", "b"))
-	w.answered("\x94\x01\x03\xc0\x92\xc4\x01b\x80\x93\x02\xa7closing\x90")
+	w.expectAnswer("\x94\x01\x03\xc0\x92\xc4\x01b\x80\x93\x02\xa7closing\x90")
 	w.conn.Close()
-	w.ended()
+	w.awaitEnd()
 }
 
 // A run that does not end before the stop is answered all the same.
@@ -263,13 +263,13 @@
 	w.conn.Write(call(1, "view", "wait"))
 	w.conn.Write(call(2, "view", "wait"))
 	w.stop <- syscall.SIGTERM
-	w.reported("first OUT")
-	w.answered("\x93\x02\xa7closing\x90")
+	w.awaitReport("first OUT")
+	w.expectAnswer("\x93\x02\xa7closing\x90")
 	got, err := io.ReadAll(w.conn)
 	if err != nil || bytes.Count(got, []byte("Aborted")) != 2 {
 		t.Errorf("read %q, error %v", got, err)
 	}
-	w.ended()
+	w.awaitEnd()
 }
 
 // New addresses are used at once and what is in hand goes on; a wrong file changes nothing, and what can't change
@@ -280,15 +280,15 @@
 	w.conn.Write(call(1, "view", "wait"))
 	w.reload(`"seed":"1"`, `"seed":"x"`)
 	w.reload(`"seed":"x"`, `"seed":"2"`)
-	b, _ := os.ReadFile(w.file)
+	b, _ := os.ReadFile(w.configPath)
 	_, old, _ := strings.Cut(string(b), `"members":"`)
-	w.reload(old[:strings.Index(old, `"`)], w.service("second "))
-	w.reported("second UP")
+	w.reload(old[:strings.Index(old, `"`)], w.membershipService("second "))
+	w.awaitReport("second UP")
 	w.stop <- syscall.SIGTERM
-	w.reported("second OUT")
+	w.awaitReport("second OUT")
 	next, on := loopback(t), make(chan struct{})
 	close(on)
-	go answering(next, on) // which ends the run that the first one holds
+	go serveEngine(next, on) // which ends the run that the first one holds
 	w.reload(w.engine.Addr().String(), next.Addr().String())
 	for got := []byte(nil); !bytes.Contains(got, []byte("\x94\x01\x01\xc0\x92\xc4\x04wait\x80")); {
 		b := make([]byte, 100)
@@ -298,30 +298,30 @@
 		}
 	}
 	w.conn.Close()
-	w.ended()
+	w.awaitEnd()
 	for _, want := range []string{"seed: up to 16 hex digits", "keys=seed", `msg="reload: done"`} {
-		if !strings.Contains(w.lines.String(), want) {
-			t.Errorf("no %q in the log: %s", want, w.lines.String())
+		if !strings.Contains(w.log.String(), want) {
+			t.Errorf("no %q in the log: %s", want, w.log.String())
 		}
 	}
 }
 
 // operated gives the server an operator's record with a front, and a pool for one of its methods where a member is named.
-func operated(members ...string) func(w *whole) {
-	return func(w *whole) {
+func withOperatorRecord(members ...string) func(w *testServer) {
+	return func(w *testServer) {
 		own := loopback(w.T)
-		w.web = own.Addr().String()
+		w.webAddress = own.Addr().String()
 		own.Close()
-		w.record = filepath.Join(w.TempDir(), "operator.record")
-		w.operate(members...)
+		w.recordPath = filepath.Join(w.TempDir(), "operator.record")
+		w.writeRecord(members...)
 	}
 }
 
-func (w *whole) operate(members ...string) {
+func (w *testServer) writeRecord(members ...string) {
 	w.Helper()
 	f := &operator.File{
 		Version: fmt.Sprint("members ", len(members)),
-		UWSGI: &operator.UWSGI{Listen: w.web, KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
+		UWSGI: &operator.UWSGI{Listen: w.webAddress, KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
 			ReadTimeoutMs: 1000, BodyTimeoutMs: 1000, QueuedKB: 16},
 		Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "POST", Method: "view", Type: "text/plain"}},
 	}
@@ -332,7 +332,7 @@
 	}
 	b, err := operator.Marshal(f)
 	if err == nil {
-		err = os.WriteFile(w.record, b, 0o600)
+		err = os.WriteFile(w.recordPath, b, 0o600)
 	}
 	if err != nil {
 		w.Fatal(err)
@@ -340,9 +340,9 @@
 }
 
 // page is the answer to one RPC by uwsgi.
-func (w *whole) page(body string) standin.Reply {
+func (w *testServer) callWeb(body string) standin.Reply {
 	w.Helper()
-	web := standin.NewWebTier(w.web, false)
+	web := standin.NewWebTier(w.webAddress, false)
 	defer web.Close()
 	ctx, end := context.WithTimeout(context.Background(), soon)
 	defer end()
@@ -359,61 +359,61 @@
 		t.Fatal(err)
 	}
 	defer app.Stop()
-	w := start(t, 5000, operated(app.Addr()))
+	w := start(t, 5000, withOperatorRecord(app.Addr()))
 	defer close(w.wait)
-	if got := w.page("a"); string(got.Body) != "of the pool" {
+	if got := w.callWeb("a"); string(got.Body) != "of the pool" {
 		t.Errorf("page %+v", got)
 	}
 	w.conn.Write(call(1, "view", "a"))
-	w.answered("\x94\x01\x01\xc0\x92\xc4\x0bof the pool\x81\xa4type\xaatext/plain")
-	w.operate()
+	w.expectAnswer("\x94\x01\x01\xc0\x92\xc4\x0bof the pool\x81\xa4type\xaatext/plain")
+	w.writeRecord()
 	w.reread <- syscall.SIGHUP
 	<-w.loaded
-	w.until(`hash=`, `version="members 0"`)
-	if got := w.page("b"); string(got.Body) != "b" {
+	w.awaitLog(`hash=`, `version="members 0"`)
+	if got := w.callWeb("b"); string(got.Body) != "b" {
 		t.Errorf("page %+v", got)
 	}
 	for _, wrong := range []func(){
-		func() { os.WriteFile(w.record, []byte("{"), 0o600) },
-		func() { w.operate(app.Addr(), "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3") }, // more descriptors than at the start
+		func() { os.WriteFile(w.recordPath, []byte("{"), 0o600) },
+		func() { w.writeRecord(app.Addr(), "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3") }, // more descriptors than at the start
 		func() { // another address
-			old := w.web
-			w.web = "127.0.0.1:1"
-			w.operate()
-			w.web = old
+			old := w.webAddress
+			w.webAddress = "127.0.0.1:1"
+			w.writeRecord()
+			w.webAddress = old
 		},
 	} {
 		wrong()
-		b, _ := os.ReadFile(w.file)
+		b, _ := os.ReadFile(w.configPath)
 		_, members, _ := strings.Cut(string(b), `"members":"`)
 		members = members[:strings.Index(members, `"`)]
 		w.reload(members, "127.0.0.1:9") // which must not be taken either
 		w.reload("127.0.0.1:9", members)
-		if got := w.page("c"); string(got.Body) != "c" {
+		if got := w.callWeb("c"); string(got.Body) != "c" {
 			t.Errorf("page %+v", got)
 		}
 	}
 	w.stop <- syscall.SIGTERM
-	w.reported("first OUT")
+	w.awaitReport("first OUT")
 	w.conn.Close()
-	w.ended()
+	w.awaitEnd()
 	for _, want := range []string{"no record", "more need a new start", "/uwsgi/listen: only a new start", "number=2"} {
-		if !strings.Contains(w.lines.String(), want) {
-			t.Errorf("no %q in the log: %s", want, w.lines.String())
+		if !strings.Contains(w.log.String(), want) {
+			t.Errorf("no %q in the log: %s", want, w.log.String())
 		}
 	}
-	if strings.Contains(w.lines.String(), `members="127.0.0.1:9"`) {
+	if strings.Contains(w.log.String(), `members="127.0.0.1:9"`) {
 		t.Error("a configuration was taken whose record was wrong")
 	}
 }
 
 // until waits for all of these in the log.
-func (w *whole) until(want ...string) {
+func (w *testServer) awaitLog(want ...string) {
 	w.Helper()
 	for end := time.Now().Add(soon); ; time.Sleep(time.Millisecond) {
 		left := 0
 		for _, s := range want {
-			if !strings.Contains(w.lines.String(), s) {
+			if !strings.Contains(w.log.String(), s) {
 				left++
 			}
 		}
@@ -421,7 +421,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			w.Fatalf("logged %s", w.lines.String())
+			w.Fatalf("logged %s", w.log.String())
 		}
 	}
 }
@@ -447,19 +447,19 @@
 // use, or of another server, keeps a server from starting.
 func TestStored(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "tokens")
-	stored := func(w *whole) {
-		b, err := os.ReadFile(w.file)
+	stored := func(w *testServer) {
+		b, err := os.ReadFile(w.configPath)
 		if err != nil {
 			w.Fatal(err)
 		}
 		b = bytes.Replace(b, []byte(`"give_up":5000000000}]`), []byte(`"give_up":5000000000},{"name":"buy","idempotency":"idempotency_key","window":60000000000,"aim":1000000000,"give_up":5000000000}]`), 1)
-		w.record = filepath.Join(w.TempDir(), "operator.record")
+		w.recordPath = filepath.Join(w.TempDir(), "operator.record")
 		record, err := operator.Marshal(&operator.File{Version: "t", Store: &operator.Store{Dir: dir, MaxMB: 4, SegmentMB: 1, MaxAnswerBytes: 4096, ToleranceMs: 100}})
 		if err == nil {
-			err = os.WriteFile(w.file, b, 0o600)
+			err = os.WriteFile(w.configPath, b, 0o600)
 		}
 		if err == nil {
-			err = os.WriteFile(w.record, record, 0o600)
+			err = os.WriteFile(w.recordPath, record, 0o600)
 		}
 		if err != nil {
 			w.Fatal(err)
@@ -477,29 +477,29 @@
 	w := start(t, 5000, stored)
 	close(w.wait)
 	w.conn.Write(buy(1))
-	w.answered("\x94\x01\x01\xc0\x92\xc4\x04wait\x80")
+	w.expectAnswer("\x94\x01\x01\xc0\x92\xc4\x04wait\x80")
 	w.stop <- syscall.SIGTERM
-	w.reported("first OUT")
+	w.awaitReport("first OUT")
 	w.conn.Close()
-	w.ended()
+	w.awaitEnd()
 	w = start(t, 5000, stored)
 	defer close(w.wait) // a run would not end before
 	w.conn.Write(buy(2))
-	w.answered("\x94\x01\x02\xc0\x92\xc4\x04wait\x80")
-	if !strings.Contains(w.lines.String(), "store: recovered") {
-		t.Errorf("logged %s", w.lines.String())
+	w.expectAnswer("\x94\x01\x02\xc0\x92\xc4\x04wait\x80")
+	if !strings.Contains(w.log.String(), "store: recovered") {
+		t.Errorf("logged %s", w.log.String())
 	}
-	if _, err := look(dir, true); err == nil { // by name of this process's own lock
+	if _, err := inspectStore(dir, true); err == nil { // by name of this process's own lock
 		t.Error("a folder in use was opened")
 	}
 	w.stop <- syscall.SIGTERM
-	w.reported("first OUT")
+	w.awaitReport("first OUT")
 	w.conn.Close()
-	w.ended()
-	if !strings.Contains(w.lines.String(), `msg="store: state"`) {
-		t.Errorf("logged %s", w.lines.String())
+	w.awaitEnd()
+	if !strings.Contains(w.log.String(), `msg="store: state"`) {
+		t.Errorf("logged %s", w.log.String())
 	}
-	if bad, err := look(dir, true); err != nil || bad != 0 {
+	if bad, err := inspectStore(dir, true); err != nil || bad != 0 {
 		t.Errorf("%d bad, error %v", bad, err)
 	}
 	if err := (verifyCmd{Dir: dir}).Run(); err != nil {
@@ -529,7 +529,7 @@
 	}
 	begin()
 	stop <- syscall.SIGTERM
-	if got := <-over; got.err != errStopped {
+	if got := <-over; got.err != errStopSignal {
 		t.Errorf("error %v after a signal to stop", got.err)
 	}
 	begin()
@@ -551,10 +551,10 @@
 // Clients that rest fill all connections while the membership service is down: new ones get in, an RPC in hand keeps its
 // connection, and once the service is back the server is listed again.
 func TestRestingCrowd(t *testing.T) {
-	w := start(t, 5000, func(w *whole) {
-		b, err := os.ReadFile(w.file)
+	w := start(t, 5000, func(w *testServer) {
+		b, err := os.ReadFile(w.configPath)
 		if err == nil {
-			err = os.WriteFile(w.file, bytes.Replace(b, []byte(`"stop_ms"`), []byte(`"limits":{"sockets":48},"stop_ms"`), 1), 0o600)
+			err = os.WriteFile(w.configPath, bytes.Replace(b, []byte(`"stop_ms"`), []byte(`"limits":{"sockets":48},"stop_ms"`), 1), 0o600)
 		}
 		if err != nil {
 			w.Fatal(err)
@@ -563,7 +563,7 @@
 	w.conn.Write(call(1, "view", "wait"))
 	down := loopback(t)
 	down.Close()
-	b, _ := os.ReadFile(w.file)
+	b, _ := os.ReadFile(w.configPath)
 	_, old, _ := strings.Cut(string(b), `"members":"`)
 	w.reload(old[:strings.Index(old, `"`)], down.Addr().String())
 	for n := range 60 { // over twice as many as may be open
@@ -578,11 +578,11 @@
 			t.Fatalf("connection %d: %v", n, err)
 		}
 	}
-	w.reload(down.Addr().String(), w.service("second "))
-	w.reported("second UP")
+	w.reload(down.Addr().String(), w.membershipService("second "))
+	w.awaitReport("second UP")
 	close(w.wait)
-	w.answered("\x94\x01\x01\xc0\x92\xc4\x04wait\x80")
+	w.expectAnswer("\x94\x01\x01\xc0\x92\xc4\x04wait\x80")
 	w.stop <- syscall.SIGTERM
-	w.reported("second OUT")
-	w.ended()
+	w.awaitReport("second OUT")
+	w.awaitEnd()
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -29,20 +29,20 @@
 type Server struct {
 	Gate *gate.Gate
 
-	ctx    context.Context
-	ends   []func()       // the last first
-	wg     sync.WaitGroup // of what serves until ctx ends
-	log    *logrus.Entry
-	table  *front.ConnTable
-	link   *engine.Link
-	report *members.Reporter
-	more   *extras  // nil without an operator's file
-	kept   *opened  // nil without a store
-	added  Addition // nil if the command adds nothing
-	phase  phase
+	ctx           context.Context
+	closers       []func()       // the last first
+	wg            sync.WaitGroup // of what serves until ctx ends
+	log           *logrus.Entry
+	table         *front.ConnTable
+	link          *engine.Link
+	reporter      *members.Reporter
+	operatorParts *operatorParts // nil without an operator's file
+	tokenStore    *tokenStore    // nil without a store
+	addition      Addition       // nil if the command adds nothing
+	lifecycle     lifecycle
 
-	leave chan int        // an added part may have the server leave,
-	back  chan chan error // and stay after all
+	leaveRequests  chan int        // an added part may have the server leave,
+	cancelRequests chan chan error // and stay after all
 }
 
 // Extension is what a command adds to the daemon. It is called once the other parts stand, before RPCs are let in.
@@ -74,29 +74,29 @@
 }
 
 // phase is where the server is in its life.
-type phase struct {
-	ramp     float64 // ms
-	began    atomic.Pointer[time.Time]
-	draining atomic.Bool
+type lifecycle struct {
+	slowStartMs float64 // ms
+	startedAt   atomic.Pointer[time.Time]
+	draining    atomic.Bool
 }
 
 // starts notes how the decisions began.
-func (p *phase) starts(cold bool, ago time.Duration) {
+func (p *lifecycle) start(cold bool, ago time.Duration) {
 	at := time.Now().Add(-ago)
 	if !cold {
 		at = time.Time{}
 	}
-	p.began.CompareAndSwap(nil, &at)
+	p.startedAt.CompareAndSwap(nil, &at)
 }
 
-func (p *phase) now() (ramp float64, draining bool) {
-	at := p.began.Load()
+func (p *lifecycle) phase() (ramp float64, draining bool) {
+	at := p.startedAt.Load()
 	switch {
 	case at == nil:
-	case at.IsZero() || p.ramp <= 0:
+	case at.IsZero() || p.slowStartMs <= 0:
 		ramp = 1
 	default:
-		ramp = min(max(float64(time.Since(*at))/1e6/p.ramp, 0), 1)
+		ramp = min(max(float64(time.Since(*at))/1e6/p.slowStartMs, 0), 1)
 	}
 	return ramp, p.draining.Load()
 }
@@ -113,18 +113,18 @@
 }
 
 func assemble(t Config, ln net.Listener, log *logrus.Entry, extra Extension, keeper gate.TokenStore) (x *Server, err error) {
-	p, settings, sockets := t.Process, *t.Config, t.Sockets
+	p, settings, sockets := t.Process, *t.Settings, t.Sockets
 	if t.Operator != nil {
 		t.Operator.File.Apply(&settings)
-		if sockets -= t.Operator.File.Descriptors(); sockets < leastSockets {
+		if sockets -= t.Operator.File.Descriptors(); sockets < minSockets {
 			return nil, fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", t.Operator.File.Descriptors(), p.Sockets)
 		}
 		if t.Operator.File.Fleet != nil && extra == nil {
 			return nil, fmt.Errorf("operator: fleet: this command serves without one; valvefleet serve takes the same configuration")
 		}
 	}
-	x = &Server{log: log, leave: make(chan int, 1), back: make(chan chan error)}
-	x.phase.ramp = settings.Node.WarmUpTime
+	x = &Server{log: log, leaveRequests: make(chan int, 1), cancelRequests: make(chan chan error)}
+	x.lifecycle.slowStartMs = settings.Node.WarmUpTime
 	ctx, end := context.WithCancel(context.Background())
 	x.ctx = ctx
 	defer func() {
@@ -132,7 +132,7 @@
 			x.Close()
 		}
 	}()
-	x.ends = append(x.ends, func() { end(); x.wg.Wait() })
+	x.closers = append(x.closers, func() { end(); x.wg.Wait() })
 	g := gate.New(&settings, p.MemoryMB, func(text, detail string) {
 		if detail == "" {
 			log.Info(text)
@@ -148,66 +148,66 @@
 		rec := trace.NewRecorder(t.Operator.File.Trace.Path, TraceBounds(t.Operator.File.Trace), BuildVersion(), func(err error) {
 			log.WithError(err).Error("trace: not recorded")
 		})
-		x.ends = append(x.ends, func() { rec.Close() })
+		x.closers = append(x.closers, func() { rec.Close() })
 		g.UseTracer(rec)
 	}
 	begun := g.Start
 	if t.Operator != nil && t.Operator.File.Store != nil { // until it has been read, the server listens and pushes back
-		kept := openStore(t.Operator.File.Store, &settings, p.Name, log)
-		x.kept = kept
-		x.ends = append(x.ends, kept.close, func() { kept.tell(log) }) // as it stood at the end
-		go kept.tells(ctx, log)
+		kept := openTokenStore(t.Operator.File.Store, &settings, p.Name, log)
+		x.tokenStore = kept
+		x.closers = append(x.closers, kept.close, func() { kept.reportState(log) }) // as it stood at the end
+		go kept.reportPeriodically(ctx, log)
 		begun = func(cold bool, ago time.Duration) {
 			since := time.Now()
 			if <-kept.ready; kept.err == nil {
 				if !g.Started() {
-					g.UseTokenStore(store.TokenStore{Store: kept.s})
+					g.UseTokenStore(store.TokenStore{Store: kept.store})
 				}
 				g.Start(cold, ago+time.Since(since))
 			}
 		}
 	}
 	link := engine.New(p.Engine, log, func(cold bool, ago time.Duration) {
-		x.phase.starts(cold, ago)
+		x.lifecycle.start(cold, ago)
 		begun(cold, ago)
 	})
 	x.link = link
 	x.table = front.NewConnTable(sockets, g.IdleTimeout, log)
 	run := link.Runner()
 	if t.Operator != nil {
-		if x.more, err = newExtras(ctx, t, x.table, g, run, log); err != nil {
+		if x.operatorParts, err = newOperatorParts(ctx, t, x.table, g, run, log); err != nil {
 			return nil, err
 		}
-		run = x.more.run
+		run = x.operatorParts.run
 	}
 	if extra != nil {
-		parts := Parts{Config: t, Log: log, Build: BuildVersion(), Gate: g, Pools: x.Pools(), Phase: x.phase.now, Leave: x.leaves, CancelDrain: x.stay, Release: x.release, SampleLoad: x.sample}
-		if x.added, err = extra(parts); err != nil {
+		parts := Parts{Config: t, Log: log, Build: BuildVersion(), Gate: g, Pools: x.Pools(), Phase: x.lifecycle.phase, Leave: x.requestLeave, CancelDrain: x.cancelDrain, Release: x.release, SampleLoad: x.sampleLoad}
+		if x.addition, err = extra(parts); err != nil {
 			return nil, err
 		}
-		if x.added != nil {
-			if x.more != nil && x.more.laid != nil { // a version that was kept went in force before the part was there
-				x.added.Set(x.more.laid)
+		if x.addition != nil {
+			if x.operatorParts != nil && x.operatorParts.effectiveFile != nil { // a version that was kept went in force before the part was there
+				x.addition.Set(x.operatorParts.effectiveFile)
 			}
-			x.ends = append(x.ends, x.added.Close)
+			x.closers = append(x.closers, x.addition.Close)
 		}
 	}
 	srv := mprpc.New(x.table, g, run, log)
-	x.serves(link.Serve)
+	x.runPart(link.Serve)
 	if p.Members != "" {
-		x.report = members.New(p.Members, p.Name, log, g.Healthy, g.Started, g.HealthChanged())
-		x.serves(x.report.Serve)
+		x.reporter = members.New(p.Members, p.Name, log, g.Healthy, g.Started, g.HealthChanged())
+		x.runPart(x.reporter.Serve)
 	}
-	x.serves(func(ctx context.Context) { tick(ctx, g, link) })
+	x.runPart(func(ctx context.Context) { tick(ctx, g, link) })
 	x.table.AddListener(ln.(*net.TCPListener), srv.Open)
-	if x.more != nil {
-		x.more.listen(x.table)
+	if x.operatorParts != nil {
+		x.operatorParts.listen(x.table)
 	}
 	return x, nil
 }
 
 // serves has a part serve beside the others, to be waited for at the end.
-func (x *Server) serves(part func(context.Context)) {
+func (x *Server) runPart(part func(context.Context)) {
 	x.wg.Add(1)
 	go func() {
 		defer x.wg.Done()
@@ -217,10 +217,10 @@
 
 // Close ends all parts. What is in hand is not waited for: Shutdown does that.
 func (x *Server) Close() {
-	for i := len(x.ends) - 1; i >= 0; i-- {
-		x.ends[i]()
+	for i := len(x.closers) - 1; i >= 0; i-- {
+		x.closers[i]()
 	}
-	x.ends = nil
+	x.closers = nil
 }
 
 // Shutdown lets nothing more in and waits for what is in hand until ctx ends.
@@ -228,54 +228,54 @@
 
 // Pools are those of the operator's file; nil without one.
 func (x *Server) Pools() *pools.Backends {
-	if x.more == nil {
+	if x.operatorParts == nil {
 		return nil
 	}
-	return x.more.pools
+	return x.operatorParts.pools
 }
 
 // Web is where the front for uwsgi listens; "" without one.
 func (x *Server) WebAddress() string {
-	if x.more == nil || x.more.ln == nil {
+	if x.operatorParts == nil || x.operatorParts.listener == nil {
 		return ""
 	}
-	return x.more.ln.Addr().String()
+	return x.operatorParts.listener.Addr().String()
 }
 
 // set takes a new operator's file, whole or not at all, and returns the number of the version that runs.
-func (x *Server) set(next Config) (int, error) {
-	if x.more == nil {
+func (x *Server) reload(next Config) (int, error) {
+	if x.operatorParts == nil {
 		return 0, nil
 	}
-	number, err := x.more.set(next)
-	if err == nil && x.added != nil {
-		x.added.Set(&next.Operator.File)
+	number, err := x.operatorParts.reload(next)
+	if err == nil && x.addition != nil {
+		x.addition.Set(&next.Operator.File)
 	}
 	return number, err
 }
 
 // release is Parts.Release.
 func (x *Server) release(r *operator.Record, origin string) error {
-	if x.more == nil {
+	if x.operatorParts == nil {
 		return errors.New("no operator's file: nothing of it can be released")
 	}
-	f, err := x.more.release(r, origin)
-	if err == nil && x.added != nil {
-		x.added.Set(f)
+	f, err := x.operatorParts.release(r, origin)
+	if err == nil && x.addition != nil {
+		x.addition.Set(f)
 	}
 	return err
 }
 
 // sample is Parts.SampleLoad.
-func (x *Server) sample() {
-	if x.more != nil {
-		x.more.carried.sample(time.Now())
+func (x *Server) sampleLoad() {
+	if x.operatorParts != nil {
+		x.operatorParts.load.sample(time.Now())
 	}
 }
 
 // leastSockets are left for the fronts beside what the operator's file may take: with the platform's least, 48, a
 // dozen connections.
-const leastSockets = 40
+const minSockets = 40
 
 // tick moves the clock of the decisions, with fresh gauges if the engine gives them in time.
 func tick(ctx context.Context, g *gate.Gate, link *engine.Link) {
@@ -286,6 +286,6 @@
 			return
 		case <-wait.C:
 		}
-		wait.Reset(g.Tick(link.Gauges(gaugeWait)))
+		wait.Reset(g.Tick(link.Gauges(gaugeTimeout)))
 	}
 }
--- a/internal/daemon/standin.go
+++ b/internal/daemon/standin.go
@@ -29,7 +29,7 @@
 const demoRate, demoWork = 130.0, 40.0
 
 // standIn starts the stand-ins and returns where the server gets its configuration from, and what ends them.
-func standIn() (load func() (Config, error), end func(), err error) {
+func startDemo() (load func() (Config, error), end func(), err error) {
 	cores := standin.NewCores(4, 8)
 	rules := standin.NewInvariantChecker("topup-buy")
 	engine, err := standin.NewEngine(cores, standin.WorkFromBody, rules)
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -21,15 +21,15 @@
 )
 
 // opened is a store that is being opened.
-type opened struct {
+type tokenStore struct {
 	ready chan struct{}
-	s     *store.Store
+	store *store.Store
 	err   error
 }
 
 // openStore reads what stands in the folder, beside the start of the rest.
-func openStore(o *operator.Store, told *startup.Config, name string, log *logrus.Entry) *opened {
-	x := &opened{ready: make(chan struct{})}
+func openTokenStore(o *operator.Store, told *startup.Config, name string, log *logrus.Entry) *tokenStore {
+	x := &tokenStore{ready: make(chan struct{})}
 	go func() {
 		defer close(x.ready)
 		fs, err := store.OpenDir(o.Dir)
@@ -37,13 +37,13 @@
 			x.err = err
 			return
 		}
-		x.s, x.err = store.Open(fs, storeBounds(o, told.Methods), name, func() float64 { return float64(time.Now().UnixNano()) / 1e6 },
+		x.store, x.err = store.Open(fs, storeBounds(o, told.Methods), name, func() float64 { return float64(time.Now().UnixNano()) / 1e6 },
 			func(text string, err error) { log.WithError(err).Error(text) })
 		if x.err != nil {
 			fs.Close()
 			return
 		}
-		st := x.s.Status()
+		st := x.store.Status()
 		log.WithFields(logrus.Fields{"entries": st.Recovered, "ms": st.RecoveryTime.Milliseconds(), "segments": st.Segments}).Info("store: recovered")
 	}()
 	return x
@@ -60,42 +60,42 @@
 }
 
 // tellEvery is how often a store's state is told: often enough to see it fill up within a window or two of minutes.
-const tellEvery = time.Minute
+const reportPeriod = time.Minute
 
 // tells logs how the store stands until ctx ends.
-func (x *opened) tells(ctx context.Context, log *logrus.Entry) {
-	t := time.NewTicker(tellEvery)
+func (x *tokenStore) reportPeriodically(ctx context.Context, log *logrus.Entry) {
+	t := time.NewTicker(reportPeriod)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			x.tell(log)
+			x.reportState(log)
 		}
 	}
 }
 
 // tell logs how the store stands, once it has been read.
-func (x *opened) tell(log *logrus.Entry) {
+func (x *tokenStore) reportState(log *logrus.Entry) {
 	select {
 	case <-x.ready:
 	default:
 		return
 	}
-	if x.s == nil {
+	if x.store == nil {
 		return
 	}
-	st := x.s.Status()
+	st := x.store.Status()
 	log.WithFields(logrus.Fields{"health": st.Health, "used": int64(st.Used), "reserved": int64(st.Reserved), "segments": st.Segments,
 		"records": st.Records, "syncs": st.Syncs, "dropped": st.SegmentsDropped, "failures": st.Failures, "index_kb": int64(st.IndexKB)}).Info("store: state")
 }
 
 // close ends the store once nothing more can ask for it.
-func (x *opened) close() {
+func (x *tokenStore) close() {
 	<-x.ready
-	if x.s != nil {
-		x.s.Close()
+	if x.store != nil {
+		x.store.Close()
 	}
 }
 
@@ -110,21 +110,21 @@
 	Dir string `arg:"" type:"existingdir"`
 }
 
-func (c inspectCmd) Run() error { _, err := look(c.Dir, true); return err }
+func (c inspectCmd) Run() error { _, err := inspectStore(c.Dir, true); return err }
 
 type verifyCmd struct {
 	Dir string `arg:"" type:"existingdir"`
 }
 
 func (c verifyCmd) Run() error {
-	bad, err := look(c.Dir, false)
+	bad, err := inspectStore(c.Dir, false)
 	if err == nil && bad > 0 {
 		err = fmt.Errorf("%d segments are not sound to their end; a torn tail of the last one is what a crash leaves", bad)
 	}
 	return err
 }
 
-func look(dir string, list bool) (bad int, err error) {
+func inspectStore(dir string, list bool) (bad int, err error) {
 	fs, err := store.OpenDir(dir)
 	if err != nil {
 		return 0, err
--- a/internal/daemon/trace.go
+++ b/internal/daemon/trace.go
@@ -60,40 +60,42 @@
 }
 
 // steps feeds a trace to a replay. A trace that ends early is replayed as far as it goes; why is told then.
-type steps struct {
+type traceSteps struct {
 	*trace.Reader
-	why     error
-	dropped int
+	truncation error
+	dropped    int
 }
 
-func openSteps(file string) (*steps, error) {
+func openTrace(file string) (*traceSteps, error) {
 	r, err := trace.Open(trace.Files(file)...)
 	if err != nil {
 		return nil, err
 	}
-	return &steps{Reader: r}, nil
+	return &traceSteps{Reader: r}, nil
 }
 
-func (s *steps) next() (replay.Step, error) {
+func (s *traceSteps) next() (replay.Step, error) {
 	e, err := s.Next()
 	s.dropped += e.Dropped
 	if errors.Is(err, trace.ErrTorn) || errors.Is(err, trace.ErrDamaged) {
-		s.why, err = err, io.EOF
+		s.truncation, err = err, io.EOF
 	}
 	return replay.Step{Now: e.Now, Event: e.Event, Token: e.Token, Actions: e.Actions}, err
 }
 
-func (s *steps) settings() *replay.Settings { return settingsOf(&s.Header.Startup, s.Header.SlowStart) }
+func (s *traceSteps) settings() *replay.Settings {
+	return replaySettings(&s.Header.Startup, s.Header.SlowStart)
+}
 
-func settingsOf(o *startup.Config, cold bool) *replay.Settings {
+func replaySettings(o *startup.Config, cold bool) *replay.Settings {
 	s := &replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
 	s.Node.WarmingUp = cold
 	return s
 }
 
-func (s *steps) close() {
-	if s.why != nil {
-		fmt.Fprintf(os.Stderr, "the trace ends early: %v\n", s.why)
+func (s *traceSteps) close() {
+	if s.truncation != nil {
+		fmt.Fprintf(os.Stderr, "the trace ends early: %v\n", s.truncation)
 	}
 	if s.dropped > 0 {
 		fmt.Fprintf(os.Stderr, "%d entries were dropped when it was recorded\n", s.dropped)
@@ -106,7 +108,7 @@
 }
 
 func (c replayCmd) Run() error {
-	s, err := openSteps(c.File)
+	s, err := openTrace(c.File)
 	if err != nil {
 		return err
 	}
@@ -161,11 +163,11 @@
 			if err != nil {
 				return err
 			}
-			if len(p.Config.Methods) != len(o.Methods) {
-				return fmt.Errorf("%s: %d methods expected, as in the trace, %d there", c.Settings, len(o.Methods), len(p.Config.Methods))
+			if len(p.Settings.Methods) != len(o.Methods) {
+				return fmt.Errorf("%s: %d methods expected, as in the trace, %d there", c.Settings, len(o.Methods), len(p.Settings.Methods))
 			}
 			seed := o.Node.Seed
-			*o = *p.Config
+			*o = *p.Settings
 			o.Node.Seed = seed
 		}
 		if c.Operator != "" {
@@ -184,7 +186,7 @@
 }
 
 // ends are the ends of all arrivals, by their number: two bytes each.
-type ends struct {
+type outcomes struct {
 	verdict []replay.Verdict
 	method  []uint8
 	second  []uint32
@@ -195,8 +197,8 @@
 	criticality float64
 }
 
-func (c diffCmd) model(change func(*startup.Config) error) (*ends, []methodName, error) {
-	s, err := openSteps(c.File)
+func (c diffCmd) model(change func(*startup.Config) error) (*outcomes, []methodName, error) {
+	s, err := openTrace(c.File)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -207,8 +209,8 @@
 			return nil, nil, err
 		}
 	}
-	set := settingsOf(&o, s.Header.SlowStart)
-	e := &ends{}
+	set := replaySettings(&o, s.Header.SlowStart)
+	e := &outcomes{}
 	err = replay.Simulate(set, s.next, func(f replay.Completion) {
 		for len(e.verdict) <= f.ArrivalIndex {
 			e.verdict, e.method, e.second = append(e.verdict, replay.CallerLeft), append(e.method, 0), append(e.second, 0)
@@ -222,7 +224,7 @@
 	return e, names, err
 }
 
-func (c diffCmd) print(was, is *ends, names []methodName) error {
+func (c diffCmd) print(was, is *outcomes, names []methodName) error {
 	type row struct{ n, okWas, okIs, onlyWas, onlyIs int }
 	rows := make([]row, len(names))
 	seconds := map[uint32]*row{}
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -15,11 +15,11 @@
 // and the rest replayed.
 func TestTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
-	w := start(t, 5000, func(w *whole) {
-		w.record = filepath.Join(w.TempDir(), "operator.record")
+	w := start(t, 5000, func(w *testServer) {
+		w.recordPath = filepath.Join(w.TempDir(), "operator.record")
 		b, err := operator.Marshal(&operator.File{Version: "t", Trace: &operator.Trace{Path: path, MaxFileMB: 1, MaxFiles: 2}})
 		if err == nil {
-			err = os.WriteFile(w.record, b, 0o600)
+			err = os.WriteFile(w.recordPath, b, 0o600)
 		}
 		if err != nil {
 			w.Fatal(err)
@@ -28,11 +28,11 @@
 	defer close(w.wait)
 	for id := uint64(1); id <= 5; id++ {
 		w.conn.Write(call(id, "view", "a"))
-		w.answered("\x94\x01" + string(rune(id)) + "\xc0\x92\xc4\x01a\x80")
+		w.expectAnswer("\x94\x01" + string(rune(id)) + "\xc0\x92\xc4\x01a\x80")
 	}
 	w.stop <- syscall.SIGTERM
 	w.conn.Close()
-	w.ended()
+	w.awaitEnd()
 	if err := (replayCmd{File: path}).Run(); err != nil {
 		t.Error(err)
 	}
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	t := daemon.Config{
-		Process:  &startup.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Config: o},
+		Process:  &startup.Process{Name: "lab", Engine: engineAddr, MemoryMB: 256, Sockets: 4096, Settings: o},
 		Operator: &operator.Record{File: own},
 	}
 	whole, err := daemon.NewWithTokenStore(t, ln, logger.WithField("node", "lab"), k)
--- a/internal/fleet/extra.go
+++ b/internal/fleet/extra.go
@@ -69,7 +69,7 @@
 	y := &daemonFleet{fleet: f, budgets: f.ShareBudgets(p.Config.Operator.File.Budgets)}
 	p.Gate.UseQuota(y.budgets)
 	p.Pools.UseOutlierDetection(f.DetectOutliers())
-	methods := p.Config.Config.Methods
+	methods := p.Config.Settings.Methods
 	p.Pools.UseBudgets(y.budgets, func(method string) float64 {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
 		return methods[max(0, i)].Criticality
--- a/internal/startup/config_test.go
+++ b/internal/startup/config_test.go
@@ -128,7 +128,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			o := p.Config
+			o := p.Settings
 			if p.Name != "n3" || p.Listen != "127.0.0.9:1" || p.StopTimeout.Milliseconds() != 3200 || p.Cores != 0.5 ||
 				p.MemoryMB != 128 || p.Sockets != 512 || o.Node.Seed != 0x8c1f30d27a5be964 || o.Node.Cores != 6 ||
 				o.Node.Preemption != control.PreemptSuspend || !o.Fleet.MarksRetries || o.Fleet.MaxRetryAfter != 1000 ||
--- a/internal/startup/process.go
+++ b/internal/startup/process.go
@@ -20,7 +20,7 @@
 	Cores       float64
 	MemoryMB    int
 	Sockets     int // the most file descriptors that connections may take
-	Config      *Config
+	Settings    *Config
 
 	read map[string]value // all values that it was made of
 }
@@ -90,8 +90,8 @@
 		v.fail("settings", "an object", settings.text)
 	}
 	v.prefix = "settings."
-	p.Config = v.config()
-	p.Config.Node.Seed = seed
+	p.Settings = v.config()
+	p.Settings.Node.Seed = seed
 	return p, v.err
 }
 
