--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -357,8 +357,9 @@
 
 // CountRange is what a fleet's servers count under a key: at least and at most so many a second, or in hand.
 type CountRange struct {
-	Key             string
-	AtLeast, AtMost float64
+	Key     string
+	AtLeast float64 `json:"AtLeast"`
+	AtMost  float64 `json:"AtMost"`
 }
 
 // localCounts is what this server counts for the others.
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -329,11 +329,11 @@
 type MemberStatus struct {
 	Name         string
 	Reason       string   `json:"Why"`
-	Ejected      bool     `json:"Out"`   // ejected
-	CallerShare  float64  `json:"Share"` // of the callers that may use it, from 0 to 1
-	ForMs        float64  // ejected, or back; negative for as long as this server runs
-	UntilMs      float64  // ejected: time left before it may return
-	Weight       float64  // of the evidence
+	Ejected      bool     `json:"Out"`     // ejected
+	CallerShare  float64  `json:"Share"`   // of the callers that may use it, from 0 to 1
+	ForMs        float64  `json:"ForMs"`   // ejected, or back; negative for as long as this server runs
+	UntilMs      float64  `json:"UntilMs"` // ejected: time left before it may return
+	Weight       float64  `json:"Weight"`  // of the evidence
 	FaultShare   float64  `json:"Against"` // share of the evidence that is bad
 	ReportedBy   []string `json:"By"`      // servers that saw it fail
 	HealthChecks bool     `json:"Probes"`  // this server sends it health checks
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -30,27 +30,27 @@
 	Name           string
 	Zone           string
 	Version        string // of the program
-	Settings       string // hash of the operator's record
-	Start          uint64
+	Settings       string `json:"Settings"` // hash of the operator's record
+	Start          uint64 `json:"Start"`
 	Incarnation    string `json:"Life"` // incarnation, hexadecimal
 	Phase          string
 	WarmupProgress float64 `json:"Ramp"`  // warm-up progress from 0 to 1
 	Connectivity   string  `json:"Hears"` // alone, part or whole
 	// Listening tells that this server has just started or stalled, and reports nothing about others yet.
-	Listening       bool
-	ForMs           float64 // in this connectivity state
-	Roster          int     // members of the fleet, this server included
-	Reachable       int     `json:"Heard"` // of these, reachable
-	AtLeast         int
-	AtMost          int
-	Blind           bool // never in contact, nor given the fleet's expected size
+	Listening       bool    `json:"Listening"`
+	ForMs           float64 `json:"ForMs"`  // in this connectivity state
+	Roster          int     `json:"Roster"` // members of the fleet, this server included
+	Reachable       int     `json:"Heard"`  // of these, reachable
+	AtLeast         int     `json:"AtLeast"`
+	AtMost          int     `json:"AtMost"`
+	Blind           bool    `json:"Blind"` // never in contact, nor given the fleet's expected size
 	Zones           []health.Zone
 	Peers           []PeerStatus
 	DuplicateNames  []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
 	ExclusionReason string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
-	Stalls          int      // times that this server found that it had stalled
-	PeersLost       uint64   `json:"Lost"` // times that the failure detector lost a peer
-	Changes         int      // of the connectivity state
+	Stalls          int      `json:"Stalls"`            // times that this server found that it had stalled
+	PeersLost       uint64   `json:"Lost"`              // times that the failure detector lost a peer
+	Changes         int      `json:"Changes"`           // of the connectivity state
 	Records         RecordStatus
 	Traffic         Traffic
 	Budgets         *BudgetStatus   `json:",omitempty"`
@@ -63,20 +63,20 @@
 	Name           string
 	Zone           string
 	Version        string
-	Settings       string
+	Settings       string `json:"Settings"`
 	Phase          string
 	Addr           string
-	Start          uint64
-	WarmupProgress float64 `json:"Ramp"`  // warm-up progress from 0 to 1
-	Reachable      bool    `json:"Heard"` // reachable
-	Damped         bool    // flapped, and counts as unreachable for a while
-	DuplicateName  bool    `json:"Twin"` // two servers bear the name
+	Start          uint64  `json:"Start"`
+	WarmupProgress float64 `json:"Ramp"`   // warm-up progress from 0 to 1
+	Reachable      bool    `json:"Heard"`  // reachable
+	Damped         bool    `json:"Damped"` // flapped, and counts as unreachable for a while
+	DuplicateName  bool    `json:"Twin"`   // two servers bear the name
 	Contact        string  // direct, one way, through others or none
 	RelayedBy      string  `json:"Through"` // the peer that relayed its last record
-	AgeMs          float64 // since the last sign of it
-	ForMs          float64 // in its present state
-	Losses         int
-	Departed       string `json:"Away,omitempty"` // left or declared gone
+	AgeMs          float64 `json:"AgeMs"`   // since the last sign of it
+	ForMs          float64 `json:"ForMs"`   // in its present state
+	Losses         int     `json:"Losses"`
+	Departed       string  `json:"Away,omitempty"` // left or declared gone
 }
 
 // RecordStatus is the state of the table of gossiped records.
