--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -357,9 +357,9 @@
 
 // CountRange is what a fleet's servers count under a key: at least and at most so many a second, or in hand.
 type CountRange struct {
-	Key     string
-	AtLeast float64 `json:"AtLeast"`
-	AtMost  float64 `json:"AtMost"`
+	Key string
+	Min float64 `json:"AtLeast"`
+	Max float64 `json:"AtMost"`
 }
 
 // localCounts is what this server counts for the others.
@@ -454,6 +454,6 @@
 		r := sum.Sum(now, key, roster)
 		all = append(all, CountRange{key, r.Min, r.Max})
 	}
-	slices.SortStableFunc(all, func(a, b CountRange) int { return cmp.Compare(b.AtLeast, a.AtLeast) })
+	slices.SortStableFunc(all, func(a, b CountRange) int { return cmp.Compare(b.Min, a.Min) })
 	return all[:min(most, len(all))]
 }
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -109,7 +109,7 @@
 	}
 	wait(t, "counts", func() bool {
 		s := fleet[2].Status()
-		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].AtLeast > 50
+		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].Min > 50
 	})
 	var text strings.Builder
 	WriteViews(&text, []Status{s})
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -102,7 +102,7 @@
 	}
 	same("server.bin", server.appendTo(nil))
 
-	away := removal{name: "n17", start: 7, operator: "me", reason: "scrapped"}
+	away := removal{name: "n17", generation: 7, operator: "me", reason: "scrapped"}
 	if got, ok := parseRemoval(written(t, "gone.bin")); !ok || got != away {
 		t.Errorf("gone: %+v %v", got, ok)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -157,8 +157,8 @@
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Crash()
 	b = open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	wait(t, "b raises its start", func() bool { return b.Status().Start == 2 })
-	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Start == 2 && s.Connectivity == "whole" })
+	wait(t, "b raises its start", func() bool { return b.Status().Generation == 2 })
+	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Generation == 2 && s.Connectivity == "whole" })
 	if _, _, has := a.Get("b", "x"); has {
 		t.Error("what its former life said is still held")
 	}
@@ -204,12 +204,12 @@
 	b.Crash()
 	wait(t, "b silent, on the roster", func() bool {
 		st, err := FetchStatus(ctx, path)
-		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Roster == 2 && !st.Peers[0].Reachable
+		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Members == 2 && !st.Peers[0].Reachable
 	})
 	if err := RequestRemoval(ctx, path, "name=b&who=me&why=scrapped"); err != nil {
 		t.Fatal(err)
 	}
-	if st, _ := FetchStatus(ctx, path); st.Roster != 1 || st.Peers[0].Departed != "declared gone" {
+	if st, _ := FetchStatus(ctx, path); st.Members != 1 || st.Peers[0].Departed != "declared gone" {
 		t.Errorf("%+v", st)
 	}
 	// More readers than there are places, none of which reads on: the rest hear no at once, and all end.
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -204,7 +204,7 @@
 	case keyRemoval:
 		declaration, ok := parseRemoval(record.Body)
 		if ok && declaration.name != f.options.Name {
-			f.detector.MarkDeparted(nowMs, declaration.name, declaration.start, health.DeclaredDead)
+			f.detector.MarkDeparted(nowMs, declaration.name, declaration.generation, health.DeclaredDead)
 		}
 	}
 }
--- a/internal/fleet/judge.go
+++ b/internal/fleet/judge.go
@@ -327,16 +327,16 @@
 
 // MemberStatus is the outlier state of one member of a pool.
 type MemberStatus struct {
-	Name         string
-	Reason       string   `json:"Why"`
-	Ejected      bool     `json:"Out"`     // ejected
-	CallerShare  float64  `json:"Share"`   // of the callers that may use it, from 0 to 1
-	ForMs        float64  `json:"ForMs"`   // ejected, or back; negative for as long as this server runs
-	UntilMs      float64  `json:"UntilMs"` // ejected: time left before it may return
-	Weight       float64  `json:"Weight"`  // of the evidence
-	FaultShare   float64  `json:"Against"` // share of the evidence that is bad
-	ReportedBy   []string `json:"By"`      // servers that saw it fail
-	HealthChecks bool     `json:"Probes"`  // this server sends it health checks
+	Name                string
+	Reason              string   `json:"Why"`
+	Ejected             bool     `json:"Out"`     // ejected
+	CallerShare         float64  `json:"Share"`   // of the callers that may use it, from 0 to 1
+	StateDurationMs     float64  `json:"ForMs"`   // ejected, or back; negative for as long as this server runs
+	EjectionRemainingMs float64  `json:"UntilMs"` // ejected: time left before it may return
+	EvidenceWeight      float64  `json:"Weight"`  // of the evidence
+	FaultShare          float64  `json:"Against"` // share of the evidence that is bad
+	ReportedBy          []string `json:"By"`      // servers that saw it fail
+	HealthChecks        bool     `json:"Probes"`  // this server sends it health checks
 }
 
 func (j *OutlierDetectors) status() (all []OutlierStatus) {
@@ -346,13 +346,13 @@
 	for name, p := range j.pools {
 		s := OutlierStatus{Pool: name}
 		for _, m := range p.detector.Members() {
-			x := MemberStatus{Name: sanitize(m.Name), Reason: m.Condition.String(), Ejected: m.Ejected, CallerShare: p.detector.TrafficFraction(now, m), ForMs: now - m.Since, Weight: m.EvidenceWeight, FaultShare: m.FailureFraction,
+			x := MemberStatus{Name: sanitize(m.Name), Reason: m.Condition.String(), Ejected: m.Ejected, CallerShare: p.detector.TrafficFraction(now, m), StateDurationMs: now - m.Since, EvidenceWeight: m.EvidenceWeight, FaultShare: m.FailureFraction,
 				ReportedBy: slices.Clone(m.Accusers), HealthChecks: m.HealthChecker}
 			if math.IsInf(m.Since, -1) {
-				x.ForMs = -1
+				x.StateDurationMs = -1
 			}
 			if m.Ejected {
-				x.CallerShare, x.UntilMs = 0, math.Max(0, m.EjectedUntil-now)
+				x.CallerShare, x.EjectionRemainingMs = 0, math.Max(0, m.EjectedUntil-now)
 			}
 			s.Members = append(s.Members, x)
 		}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -196,7 +196,7 @@
 		}
 	}
 	now := time.Now()
-	declaration := removal{name: name, start: generation, operator: operator, reason: reason}
+	declaration := removal{name: name, generation: generation, operator: operator, reason: reason}
 	if err := f.publish(now, keyRemoval, declaration.appendTo(nil)); err != nil {
 		return err
 	}
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -119,7 +119,7 @@
 	do(t, b, "0s split n0,n1,n2|n3,n4,n5")
 	await(t, b, n, testbed.ExpectView("part", 3))
 	for _, name := range n {
-		if s, err := b.Status(name); err != nil || s.Roster != 6 || s.AtMost != 6 || s.AtLeast != 3 {
+		if s, err := b.Status(name); err != nil || s.Members != 6 || s.MaxServers != 6 || s.MinServers != 3 {
 			t.Errorf("%s: %+v %v", name, s, err)
 		}
 	}
@@ -172,7 +172,7 @@
 	defer w.Close()
 	do(t, b, "0s stop n1,n4")
 	await(t, b, []string{"n0", "n2", "n3", "n5"}, func(p *testbed.Observation) bool {
-		return p.Connectivity == "part" && len(p.AliveNames) == 3 && p.Roster == 6
+		return p.Connectivity == "part" && len(p.AliveNames) == 3 && p.Members == 6
 	})
 	woke := w.Elapsed()
 	do(t, b, "0s cont n1,n4")
@@ -183,13 +183,13 @@
 		if p.At < woke || p.Name != "n1" && p.Name != "n4" {
 			continue
 		}
-		if p.Stalls == 0 && p.Connectivity != "whole" {
+		if p.StallCount == 0 && p.Connectivity != "whole" {
 			t.Errorf("%s hears %s %v by what it knew before", p.Name, p.Connectivity, p.AliveNames)
 		}
-		if p.Stalls > 0 {
+		if p.StallCount > 0 {
 			seen++
 			for _, x := range p.Peers {
-				if x.Losses > 0 && !last[p.Name] {
+				if x.SuspicionCount > 0 && !last[p.Name] {
 					last[p.Name] = true
 					t.Errorf("%s holds a loss against %s", p.Name, x.Name)
 				}
@@ -201,7 +201,7 @@
 	}
 	for _, name := range []string{"n0", "n2", "n3", "n5"} {
 		for _, x := range must(b.Status(name)).Peers {
-			if sound := x.Name != "n1" && x.Name != "n4"; sound && x.Losses > 0 {
+			if sound := x.Name != "n1" && x.Name != "n4"; sound && x.SuspicionCount > 0 {
 				t.Errorf("%s lost %s, which ran all the time", name, x.Name)
 			}
 		}
@@ -221,11 +221,11 @@
 	do(t, b, "0s kill n2\n0s start n2")
 	await(t, b, n, func(p *testbed.Observation) bool {
 		for _, x := range p.Peers {
-			if x.Name == "n2" && x.Start != 2 {
+			if x.Name == "n2" && x.Generation != 2 {
 				return false
 			}
 		}
-		return p.Connectivity == "whole" && len(p.AliveNames) == 3 && (p.Name != "n2" || p.Start == 2)
+		return p.Connectivity == "whole" && len(p.AliveNames) == 3 && (p.Name != "n2" || p.Generation == 2)
 	})
 	do(t, b, "0s kill n0,n1,n2,n3\n0s start n0,n1,n2,n3") // all at once
 	await(t, b, n, testbed.ExpectView("whole", 4))
@@ -236,7 +236,7 @@
 	if how, err := b.Processes.WaitExit("n3", within); err != nil || how != "exit 0" {
 		t.Errorf("a server that is asked to stop: %s %v", how, err)
 	}
-	await(t, b, n[:3], func(p *testbed.Observation) bool { return p.Connectivity == "whole" && p.Roster == 3 })
+	await(t, b, n[:3], func(p *testbed.Observation) bool { return p.Connectivity == "whole" && p.Members == 3 })
 }
 
 // Seeds that are down when all others start, and come later; before that, servers are alone and serve.
@@ -244,7 +244,7 @@
 	n := cachedNames(4)
 	b := lay(t, testbed.Options{Names: n, Seed: 6, Seeds: n[:1]})
 	do(t, b, "0s start n1,n2,n3")
-	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Connectivity == "alone" && !p.Listening })
+	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Connectivity == "alone" && !p.InGracePeriod })
 	do(t, b, "0s start n0")
 	await(t, b, n, testbed.ExpectView("whole", 4))
 }
--- a/internal/fleet/server.go
+++ b/internal/fleet/server.go
@@ -115,13 +115,13 @@
 // removal is an operator's word.
 type removal struct {
 	name             string
-	start            uint64
+	generation       uint64
 	operator, reason string
 }
 
 func (g *removal) appendTo(b []byte) []byte {
 	b = appendStringField(b, 1, g.name)
-	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), g.start)
+	b = protowire.AppendVarint(protowire.AppendTag(b, 2, protowire.VarintType), g.generation)
 	return appendStringField(appendStringField(b, 3, g.operator), 4, g.reason)
 }
 
@@ -131,7 +131,7 @@
 		case 1:
 			g.name = string(v)
 		case 2:
-			g.start = n
+			g.generation = n
 		case 3:
 			g.operator = string(v)
 		case 4:
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -30,27 +30,27 @@
 	Name           string
 	Zone           string
 	Version        string // of the program
-	Settings       string `json:"Settings"` // hash of the operator's record
-	Start          uint64 `json:"Start"`
+	SettingsHash   string `json:"Settings"` // hash of the operator's record
+	Generation     uint64 `json:"Start"`
 	Incarnation    string `json:"Life"` // incarnation, hexadecimal
 	Phase          string
 	WarmupProgress float64 `json:"Ramp"`  // warm-up progress from 0 to 1
 	Connectivity   string  `json:"Hears"` // alone, part or whole
 	// Listening tells that this server has just started or stalled, and reports nothing about others yet.
-	Listening       bool    `json:"Listening"`
-	ForMs           float64 `json:"ForMs"`  // in this connectivity state
-	Roster          int     `json:"Roster"` // members of the fleet, this server included
+	InGracePeriod   bool    `json:"Listening"`
+	StateDurationMs float64 `json:"ForMs"`  // in this connectivity state
+	Members         int     `json:"Roster"` // members of the fleet, this server included
 	Reachable       int     `json:"Heard"`  // of these, reachable
-	AtLeast         int     `json:"AtLeast"`
-	AtMost          int     `json:"AtMost"`
-	Blind           bool    `json:"Blind"` // never in contact, nor given the fleet's expected size
+	MinServers      int     `json:"AtLeast"`
+	MaxServers      int     `json:"AtMost"`
+	MaxUnknown      bool    `json:"Blind"` // never in contact, nor given the fleet's expected size
 	Zones           []health.Zone
 	Peers           []PeerStatus
 	DuplicateNames  []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
 	ExclusionReason string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
-	Stalls          int      `json:"Stalls"`            // times that this server found that it had stalled
+	StallCount      int      `json:"Stalls"`            // times that this server found that it had stalled
 	PeersLost       uint64   `json:"Lost"`              // times that the failure detector lost a peer
-	Changes         int      `json:"Changes"`           // of the connectivity state
+	StateChanges    int      `json:"Changes"`           // of the connectivity state
 	Records         RecordStatus
 	Traffic         Traffic
 	Budgets         *BudgetStatus   `json:",omitempty"`
@@ -60,23 +60,23 @@
 
 // PeerStatus is what this server knows of one other.
 type PeerStatus struct {
-	Name           string
-	Zone           string
-	Version        string
-	Settings       string `json:"Settings"`
-	Phase          string
-	Addr           string
-	Start          uint64  `json:"Start"`
-	WarmupProgress float64 `json:"Ramp"`   // warm-up progress from 0 to 1
-	Reachable      bool    `json:"Heard"`  // reachable
-	Damped         bool    `json:"Damped"` // flapped, and counts as unreachable for a while
-	DuplicateName  bool    `json:"Twin"`   // two servers bear the name
-	Contact        string  // direct, one way, through others or none
-	RelayedBy      string  `json:"Through"` // the peer that relayed its last record
-	AgeMs          float64 `json:"AgeMs"`   // since the last sign of it
-	ForMs          float64 `json:"ForMs"`   // in its present state
-	Losses         int     `json:"Losses"`
-	Departed       string  `json:"Away,omitempty"` // left or declared gone
+	Name             string
+	Zone             string
+	Version          string
+	SettingsHash     string `json:"Settings"`
+	Phase            string
+	Addr             string
+	Generation       uint64  `json:"Start"`
+	WarmupProgress   float64 `json:"Ramp"`   // warm-up progress from 0 to 1
+	Reachable        bool    `json:"Heard"`  // reachable
+	FlapDamped       bool    `json:"Damped"` // flapped, and counts as unreachable for a while
+	DuplicateName    bool    `json:"Twin"`   // two servers bear the name
+	Contact          string  // direct, one way, through others or none
+	RelayedBy        string  `json:"Through"` // the peer that relayed its last record
+	LastContactAgeMs float64 `json:"AgeMs"`   // since the last sign of it
+	StatusDurationMs float64 `json:"ForMs"`   // in its present state
+	SuspicionCount   int     `json:"Losses"`
+	Departed         string  `json:"Away,omitempty"` // left or declared gone
 }
 
 // RecordStatus is the state of the table of gossiped records.
@@ -122,23 +122,23 @@
 	v := f.detector.View(now)
 	phase, ramp := f.options.Phase()
 	s := Status{
-		Name: f.options.Name, Zone: f.options.Zone, Version: f.options.Version, Settings: f.options.SettingsHash, Start: f.identity.Generation,
+		Name: f.options.Name, Zone: f.options.Zone, Version: f.options.Version, SettingsHash: f.options.SettingsHash, Generation: f.identity.Generation,
 		Incarnation: strconv.FormatUint(f.identity.Incarnation, 16), Phase: phase.String(), WarmupProgress: ramp, Connectivity: v.State.String(),
-		Listening: v.InGracePeriod, ForMs: v.StateDuration, Roster: v.Members, Reachable: v.Reachable, AtLeast: v.MinServers, AtMost: v.MaxServers, Blind: v.MaxUnknown,
-		Zones: v.Zones, DuplicateNames: append([]string(nil), f.duplicateNames...), Stalls: v.StallCount, PeersLost: f.peersLost, Changes: v.StateChanges,
+		InGracePeriod: v.InGracePeriod, StateDurationMs: v.StateDuration, Members: v.Members, Reachable: v.Reachable, MinServers: v.MinServers, MaxServers: v.MaxServers, MaxUnknown: v.MaxUnknown,
+		Zones: v.Zones, DuplicateNames: append([]string(nil), f.duplicateNames...), StallCount: v.StallCount, PeersLost: f.peersLost, StateChanges: v.StateChanges,
 	}
 	if f.exclusion != nil {
 		s.ExclusionReason = f.exclusion.Error()
 	}
 	for _, p := range f.detector.Peers(now) {
 		x := PeerStatus{
-			Name: sanitize(p.Name), Zone: sanitize(p.Zone), Start: p.Generation, Reachable: p.Reachable, Damped: p.FlapDamped, DuplicateName: p.DuplicateName,
-			Contact: p.Contact.String(), RelayedBy: sanitize(p.Via), AgeMs: p.LastContactAge, ForMs: p.StatusDuration, Losses: p.SuspicionCount,
+			Name: sanitize(p.Name), Zone: sanitize(p.Zone), Generation: p.Generation, Reachable: p.Reachable, FlapDamped: p.FlapDamped, DuplicateName: p.DuplicateName,
+			Contact: p.Contact.String(), RelayedBy: sanitize(p.Via), LastContactAgeMs: p.LastContactAge, StatusDurationMs: p.StatusDuration, SuspicionCount: p.SuspicionCount,
 			Departed: [...]string{"", "left", "declared gone"}[p.Departure],
 		}
 		if r, _, has := f.records.Get(now, p.Name, keyServer); has {
 			if d, ok := parseServer(r.Body); ok {
-				x.Version, x.Settings, x.Phase, x.WarmupProgress, x.Addr = sanitize(d.Version), sanitize(d.SettingsHash), d.Phase.String(), d.WarmupProgress, sanitize(d.Addr)
+				x.Version, x.SettingsHash, x.Phase, x.WarmupProgress, x.Addr = sanitize(d.Version), sanitize(d.SettingsHash), d.Phase.String(), d.WarmupProgress, sanitize(d.Addr)
 			}
 		}
 		s.Peers = append(s.Peers, x)
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -56,14 +56,14 @@
 			zones[i] = fmt.Sprintf("%s %d/%d", or(z.Name, "-"), z.Reachable, z.Members)
 		}
 		notes := slices.Clone(v.DuplicateNames)
-		if v.Listening {
+		if v.InGracePeriod {
 			notes = append(notes, "listens, says nothing of others yet")
 		}
 		if v.ExclusionReason != "" {
 			notes = append(notes, v.ExclusionReason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s\n", v.Name, or(v.Zone, "-"), v.Start, phaseText(v.Phase, v.WarmupProgress), v.Connectivity,
-			v.Reachable, v.Roster, strings.Join(zones, " "), secondsText(v.ForMs), v.Stalls, strings.Join(notes, "; "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s\n", v.Name, or(v.Zone, "-"), v.Generation, phaseText(v.Phase, v.WarmupProgress), v.Connectivity,
+			v.Reachable, v.Members, strings.Join(zones, " "), secondsText(v.StateDurationMs), v.StallCount, strings.Join(notes, "; "))
 	}
 	w.Flush()
 	if len(views) == 1 {
@@ -73,7 +73,7 @@
 			switch {
 			case p.Departed != "":
 				heard = p.Departed
-			case p.Damped:
+			case p.FlapDamped:
 				heard = "flaps"
 			case p.DuplicateName:
 				heard += ", two of the name"
@@ -82,8 +82,8 @@
 			if p.RelayedBy != "" {
 				how = "through " + p.RelayedBy
 			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", p.Name, or(p.Zone, "-"), p.Start, phaseText(p.Phase, p.WarmupProgress), heard, how,
-				secondsText(p.AgeMs), p.Losses, or(p.Version, "-"), or(p.Settings, "-"))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", p.Name, or(p.Zone, "-"), p.Generation, phaseText(p.Phase, p.WarmupProgress), heard, how,
+				secondsText(p.LastContactAgeMs), p.SuspicionCount, or(p.Version, "-"), or(p.SettingsHash, "-"))
 		}
 		w.Flush()
 	}
@@ -109,18 +109,18 @@
 			use, ends := "in use", ""
 			switch {
 			case m.Ejected:
-				use, ends = "out", fmt.Sprintf("probed well, after %s", secondsText(m.UntilMs))
+				use, ends = "out", fmt.Sprintf("probed well, after %s", secondsText(m.EjectionRemainingMs))
 			case m.CallerShare < 1:
 				use, ends = fmt.Sprintf("%.0f%% of callers", 100*m.CallerShare), "its ramp is over"
 			}
 			since := "-"
-			if m.ForMs >= 0 {
-				since = secondsText(m.ForMs)
+			if m.StateDurationMs >= 0 {
+				since = secondsText(m.StateDurationMs)
 			}
 			if m.HealthChecks {
 				ends += "; this server asks"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s\n", p.Pool, m.Name, m.Reason, use, since, m.FaultShare, m.Weight, or(strings.Join(m.ReportedBy, " "), "-"), ends)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s\n", p.Pool, m.Name, m.Reason, use, since, m.FaultShare, m.EvidenceWeight, or(strings.Join(m.ReportedBy, " "), "-"), ends)
 		}
 	}
 	w.Flush()
@@ -151,7 +151,7 @@
 		if i == 0 {
 			fmt.Fprintln(w, "\nover the fleet\tat least\tat most")
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\n", x.Key, x.AtLeast, x.AtMost)
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\n", x.Key, x.Min, x.Max)
 	}
 	w.Flush()
 }
@@ -179,7 +179,7 @@
 	of := map[string]*said{}
 	starts := map[string]map[uint64][]string{}
 	for _, v := range views {
-		if v.Listening {
+		if v.InGracePeriod {
 			continue
 		}
 		for _, p := range v.Peers {
@@ -190,7 +190,7 @@
 			}
 			if p.Reachable {
 				s.heard = append(s.heard, v.Name)
-				starts[p.Name][p.Start] = append(starts[p.Name][p.Start], v.Name)
+				starts[p.Name][p.Generation] = append(starts[p.Name][p.Generation], v.Name)
 			} else if p.Departed == "" {
 				s.not = append(s.not, v.Name)
 			}
@@ -211,7 +211,7 @@
 	}
 	settings := map[string][]string{}
 	for _, v := range views {
-		settings[v.Settings] = append(settings[v.Settings], v.Name)
+		settings[v.SettingsHash] = append(settings[v.SettingsHash], v.Name)
 	}
 	if len(settings) > 1 {
 		var parts []string
--- a/internal/fleet/views_test.go
+++ b/internal/fleet/views_test.go
@@ -10,13 +10,13 @@
 // Where views differ is named; a server that listens first has no view yet.
 func TestDifferences(t *testing.T) {
 	view := func(name, settings string, listening bool, peers ...PeerStatus) Status {
-		return Status{Name: name, Settings: settings, Connectivity: "part", Listening: listening, Peers: peers}
+		return Status{Name: name, SettingsHash: settings, Connectivity: "part", InGracePeriod: listening, Peers: peers}
 	}
 	heard := func(name string, start uint64) PeerStatus {
-		return PeerStatus{Name: name, Start: start, Reachable: true}
+		return PeerStatus{Name: name, Generation: start, Reachable: true}
 	}
 	a := view("a", "s1", false, heard("b", 2), heard("c", 1))
-	b := view("b", "s1", false, heard("a", 1), PeerStatus{Name: "c", Start: 1})
+	b := view("b", "s1", false, heard("a", 1), PeerStatus{Name: "c", Generation: 1})
 	c := view("c", "s2", true, PeerStatus{Name: "a"}, heard("b", 1))
 	d := view("d", "s1", false, heard("b", 1), PeerStatus{Name: "c", Departed: "left"})
 	want := []string{"b is known by 2 different starts", "c is heard by a and not by b", "settings: s1 at a b d, s2 at c"}
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -307,7 +307,7 @@
 			if wanted(&p) {
 				good++
 			} else {
-				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Connectivity, p.AliveNames, s.Listening, s.Stalls)
+				last += fmt.Sprintf("%s hears %s %v, listening %v, stalls %d; ", name, s.Connectivity, p.AliveNames, s.InGracePeriod, s.StallCount)
 			}
 		}
 		if good == len(viewers) && good > 0 {
--- a/internal/testbed/demo.go
+++ b/internal/testbed/demo.go
@@ -183,7 +183,7 @@
 				case p.Name != other:
 				case p.Departed != "":
 					cells[k] = p.Departed
-				case p.Damped:
+				case p.FlapDamped:
 					cells[k] = "flaps"
 				case p.Reachable:
 					cells[k] = map[string]string{"both ways": "yes", "one way": "in", "through others": "via"}[p.Contact]
@@ -195,8 +195,8 @@
 				cells[k] = "self"
 			}
 		}
-		state := fmt.Sprintf("%s %d/%d", v.Connectivity, v.Reachable, v.Roster)
-		if v.Listening {
+		state := fmt.Sprintf("%s %d/%d", v.Connectivity, v.Reachable, v.Members)
+		if v.InGracePeriod {
 			state = "listens"
 		}
 		fmt.Fprintf(w, "%s\t%s %.0f%%\t%s\t%s\n", name, v.Phase, 100*v.WarmupProgress, state, strings.Join(cells, "\t"))
