--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -136,7 +136,7 @@
 	own := *sim.settings
 	own.Node.Seed = s.rand.Uint64()
 	s.gate = gate.New(&own, tokenCapacity, func(text, _ string) {
-		if text == "gate: an RPC was overdue" {
+		if text == "gate.rpc_overdue" {
 			s.overdue++
 		}
 	})
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -12,15 +12,15 @@
 	"sorrelvalve/internal/startup"
 )
 
-const told = "classes.count=2\nclasses.0.name=view\nclasses.0.aim=1000000000\nclasses.0.give_up=2000000000\n" +
+const testSettings = "classes.count=2\nclasses.0.name=view\nclasses.0.aim=1000000000\nclasses.0.give_up=2000000000\n" +
 	"classes.1.name=buy\nclasses.1.aim=1000000000\nclasses.1.give_up=2000000000\n" +
 	"classes.1.idempotency=idempotency_key\nclasses.1.window=8000000000\n" +
 	"customers.count=1\ncustomers.0.name=acme\nfamily_info.cores=2\nfamily_info.ram_kb=100000\n" +
 	"family_info.meters=core_use,on_cores\nrules.tip_multiple=8\nrules.drain_grace=1000000000\n" +
 	"limits.max_retry_after=1000000000\nrules.cold=10000000000\n"
 
-// world is a gate with a clock of its own.
-type world struct {
+// testGate is a gate with a clock that the test moves.
+type testGate struct {
 	*testing.T
 	*Gate
 	at    time.Time
@@ -28,12 +28,12 @@
 	mu    sync.Mutex
 }
 
-func open(t *testing.T, started bool) *world {
-	o, err := startup.Parse(told)
+func open(t *testing.T, started bool) *testGate {
+	o, err := startup.Parse(testSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, at: time.UnixMilli(1_700_000_000_000)}
+	w := &testGate{T: t, at: time.UnixMilli(1_700_000_000_000)}
 	w.Gate = New(o, 64, func(s, _ string) {
 		w.mu.Lock()
 		w.lines = append(w.lines, s)
@@ -46,23 +46,23 @@
 	return w
 }
 
-// pass lets time go by, with a tick at each 10 ms.
-func (w *world) pass(d time.Duration) {
+// advance moves the clock, with a tick every 10 ms.
+func (w *testGate) advance(d time.Duration) {
 	for end := w.at.Add(d); w.at.Before(end); {
 		w.at = w.at.Add(10 * time.Millisecond)
 		w.Tick(nil)
 	}
 }
 
-// enter reads an RPC that has just come.
-func (w *world) enter(method, token string) *Ticket {
-	return w.enterAt(method, token, w.at)
+// submit submits an RPC that arrives now.
+func (w *testGate) submit(method, token string) *Ticket {
+	return w.submitAt(method, token, w.at)
 }
 
-func (w *world) enterAt(method, token string, door time.Time) *Ticket {
+func (w *testGate) submitAt(method, token string, arrived time.Time) *Ticket {
 	w.Helper()
 	t, err := w.Submit(RPC{
-		Method: method, Customer: "acme", Caller: 1, ArrivedMs: unixMs(door), QueuedKB: 10, Token: token, CostHintMs: 100,
+		Method: method, Customer: "acme", Caller: 1, ArrivedMs: unixMillis(arrived), QueuedKB: 10, Token: token, CostHintMs: 100,
 	})
 	if err != nil {
 		w.Fatal(err)
@@ -70,8 +70,8 @@
 	return t
 }
 
-// expect checks the next verdict without waiting for it; -1 stands for none.
-func (w *world) expect(t *Ticket, want VerdictKind) Verdict {
+// expect checks the next verdict without waiting for it; -1 stands for none of any kind.
+func (w *testGate) expect(t *Ticket, want VerdictKind) Verdict {
 	w.Helper()
 	select {
 	case <-t.verdicts:
@@ -91,42 +91,42 @@
 func TestVerdicts(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(w *world)
+		do   func(w *testGate)
 	}{
-		{"ok", func(w *world) {
-			a := w.enter("view", "")
+		{"ok", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Report(Succeeded, 100, []byte("r"))
 			if v := w.expect(a, OK); string(v.Result) != "r" {
 				w.Errorf("result %q", v.Result)
 			}
 		}},
-		{"a failed run", func(w *world) {
-			a := w.enter("view", "")
+		{"a failed run", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Report(Failed, 100, nil)
 			w.expect(a, Aborted)
 		}},
-		{"an end that is told twice", func(w *world) {
-			a := w.enter("view", "")
+		{"an end that is told twice", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Report(Failed, 100, nil)
 			a.Report(Succeeded, 100, nil)
 			w.expect(a, Aborted)
 			w.expect(a, -1)
 		}},
-		{"given up when due, the run's end comes later", func(w *world) {
-			a := w.enter("view", "")
+		{"given up when due, the run's end comes later", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
-			w.pass(1900 * time.Millisecond)
+			w.advance(1900 * time.Millisecond)
 			w.expect(a, -1)
-			w.pass(100 * time.Millisecond)
+			w.advance(100 * time.Millisecond)
 			w.expect(a, Aborted)
 			a.Report(Succeeded, 2000, nil)
 			w.expect(a, -1)
 		}},
-		{"cancelled while held: what waits behind it runs", func(w *world) {
-			a, b, c, d := w.enter("view", ""), w.enter("view", ""), w.enter("view", ""), w.enter("view", "")
+		{"cancelled while held: what waits behind it runs", func(w *testGate) {
+			a, b, c, d := w.submit("view", ""), w.submit("view", ""), w.submit("view", ""), w.submit("view", "")
 			w.expect(a, Run)
 			w.expect(b, Run)
 			w.expect(c, -1)
@@ -135,42 +135,42 @@
 			a.Report(Succeeded, 100, nil)
 			w.expect(d, Run)
 		}},
-		{"cancelled while it runs", func(w *world) {
-			a := w.enter("view", "")
+		{"cancelled while it runs", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Cancel()
 			w.expect(a, CallerGone)
 			a.Report(Succeeded, 100, nil)
 			w.expect(a, -1)
 		}},
-		{"an answer before the cancel", func(w *world) {
-			a := w.enter("view", "")
+		{"an answer before the cancel", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Report(Succeeded, 100, nil)
 			a.Cancel()
 			w.expect(a, OK)
 			w.expect(a, -1)
 		}},
-		{"overdue, as the module never looked", func(w *world) {
-			a := w.enter("view", "")
+		{"overdue, as the module never looked", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
-			w.decide.Handle(w.clock(w.at), control.Event{Kind: control.CallerGone, RPC: a.id}) // it has lost it
-			w.pass(2100 * time.Millisecond)
+			w.controller.Handle(w.elapsedMs(w.at), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
+			w.advance(2100 * time.Millisecond)
 			w.expect(a, Aborted)
 		}},
-		{"drained: within the grace and after", func(w *world) {
+		{"drained: within the grace and after", func(w *testGate) {
 			w.Drain(3 * time.Second)
 			if w.Healthy() {
 				w.Error("health is good in a drain")
 			}
-			a := w.enter("view", "")
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			a.Report(Succeeded, 10, nil)
-			w.pass(1010 * time.Millisecond)
-			w.expect(w.enter("view", ""), Rejected)
+			w.advance(1010 * time.Millisecond)
+			w.expect(w.submit("view", ""), Rejected)
 		}},
-		{"a stall is made up for by one tick", func(w *world) {
-			a := w.enter("view", "")
+		{"a stall is made up for by one tick", func(w *testGate) {
+			a := w.submit("view", "")
 			w.expect(a, Run)
 			w.at = w.at.Add(5 * time.Second)
 			if next := w.Tick(nil); next > 50*time.Millisecond {
@@ -178,16 +178,16 @@
 			}
 			w.expect(a, Aborted)
 		}},
-		{"a clock of the callers that is wrong", func(w *world) {
-			w.expect(w.enterAt("view", "", w.at.Add(time.Hour)), Run)
-			w.expect(w.enterAt("view", "", w.at.Add(-time.Hour)), Rejected)
+		{"a clock of the callers that is wrong", func(w *testGate) {
+			w.expect(w.submitAt("view", "", w.at.Add(time.Hour)), Run)
+			w.expect(w.submitAt("view", "", w.at.Add(-time.Hour)), Rejected)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, true)
 			c.do(w)
-			w.pass(20 * time.Second)
+			w.advance(20 * time.Second)
 			for _, left := range w.tickets {
 				if !left.final {
 					t.Error("one in hand at the end, without an answer")
@@ -200,145 +200,145 @@
 func TestTokens(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(w *world, first *Ticket)
+		do   func(w *testGate, first *Ticket)
 	}{
-		{"a repeat waits for the run", func(w *world, first *Ticket) {
-			a := w.enter("buy", "k")
+		{"a repeat waits for the run", func(w *testGate, first *Ticket) {
+			a := w.submit("buy", "k")
 			w.expect(a, -1)
 			first.Report(Succeeded, 10, []byte("r"))
 			if v := w.expect(a, OK); string(v.Result) != "r" {
 				w.Errorf("result %q", v.Result)
 			}
 		}},
-		{"a repeat gets the result kept", func(w *world, first *Ticket) {
+		{"a repeat gets the result kept", func(w *testGate, first *Ticket) {
 			first.Report(Succeeded, 10, []byte("r"))
-			w.pass(7 * time.Second)
-			if v := w.expect(w.enter("buy", "k"), OK); string(v.Result) != "r" {
+			w.advance(7 * time.Second)
+			if v := w.expect(w.submit("buy", "k"), OK); string(v.Result) != "r" {
 				w.Errorf("result %q", v.Result)
 			}
 		}},
-		{"another token runs", func(w *world, first *Ticket) {
-			w.expect(w.enter("buy", "other"), Run)
+		{"another token runs", func(w *testGate, _ *Ticket) {
+			w.expect(w.submit("buy", "other"), Run)
 		}},
-		{"past the window it runs again", func(w *world, first *Ticket) {
+		{"past the window it runs again", func(w *testGate, first *Ticket) {
 			first.Report(Succeeded, 10, nil)
-			w.pass(8020 * time.Millisecond)
-			w.expect(w.enter("buy", "k"), Run)
+			w.advance(8020 * time.Millisecond)
+			w.expect(w.submit("buy", "k"), Run)
 		}},
-		{"written within the window, read after it", func(w *world, first *Ticket) {
+		{"written within the window, read after it", func(w *testGate, first *Ticket) {
 			first.Report(Succeeded, 10, []byte("r"))
 			door := w.at.Add(7990 * time.Millisecond)
-			w.pass(8500 * time.Millisecond)
-			w.expect(w.enterAt("buy", "k", door), OK)
+			w.advance(8500 * time.Millisecond)
+			w.expect(w.submitAt("buy", "k", door), OK)
 		}},
-		{"a failed run is not run again", func(w *world, first *Ticket) {
+		{"a failed run is not run again", func(w *testGate, first *Ticket) {
 			first.Report(Failed, 10, nil)
-			w.expect(w.enter("buy", "k"), Aborted)
+			w.expect(w.submit("buy", "k"), Aborted)
 		}},
-		{"a run that never began leaves nothing", func(w *world, first *Ticket) {
-			a := w.enter("buy", "k")
+		{"a run that never began leaves nothing", func(w *testGate, first *Ticket) {
+			a := w.submit("buy", "k")
 			first.Report(NotStarted, 0, nil)
 			w.expect(a, Aborted)
-			w.expect(w.enter("buy", "k"), Run)
+			w.expect(w.submit("buy", "k"), Run)
 		}},
-		{"a run given up serves a later repeat", func(w *world, first *Ticket) {
-			w.pass(2 * time.Second)
+		{"a run given up serves a later repeat", func(w *testGate, first *Ticket) {
+			w.advance(2 * time.Second)
 			w.expect(first, Aborted)
-			a := w.enter("buy", "k")
+			a := w.submit("buy", "k")
 			w.expect(a, -1)
 			first.Report(Succeeded, 2100, []byte("r"))
 			w.expect(a, OK)
 		}},
-		{"a repeat given up while it waits", func(w *world, first *Ticket) {
-			a := w.enter("buy", "k")
+		{"a repeat given up while it waits", func(w *testGate, first *Ticket) {
+			a := w.submit("buy", "k")
 			a.Cancel()
 			w.expect(a, CallerGone)
 			first.Report(Succeeded, 10, nil)
 			w.expect(a, -1)
 		}},
-		{"a repeat in a drain is not pushed back", func(w *world, first *Ticket) {
+		{"a repeat in a drain is not pushed back", func(w *testGate, _ *Ticket) {
 			w.Drain(3 * time.Second)
-			w.pass(1100 * time.Millisecond)
-			w.expect(w.enter("buy", "k"), Aborted)
+			w.advance(1100 * time.Millisecond)
+			w.expect(w.submit("buy", "k"), Aborted)
 		}},
-		{"a try that left the hold is forgotten", func(w *world, first *Ticket) {
-			b, c := w.enter("view", ""), w.enter("buy", "held")
+		{"a try that left the hold is forgotten", func(w *testGate, first *Ticket) {
+			b, c := w.submit("view", ""), w.submit("buy", "held")
 			w.expect(b, Run)
 			w.expect(c, -1)
 			c.Cancel()
 			first.Report(Succeeded, 10, nil)
-			w.expect(w.enter("buy", "held"), Run)
+			w.expect(w.submit("buy", "held"), Run)
 		}},
-		{"a try far older than its deadline", func(w *world, first *Ticket) {
+		{"a try far older than its deadline", func(w *testGate, first *Ticket) {
 			first.Report(Succeeded, 10, []byte("r"))
 			door := w.at
-			w.pass(9 * time.Second)
-			w.expect(w.enterAt("buy", "k", door), OK)
+			w.advance(9 * time.Second)
+			w.expect(w.submitAt("buy", "k", door), OK)
 		}},
-		{"the table is full", func(w *world, first *Ticket) {
+		{"the table is full", func(w *testGate, first *Ticket) {
 			first.Report(Succeeded, 10, nil)
-			w.keptKB = tokenKB - 1
-			w.expect(w.enter("buy", "other"), Rejected)
-			w.expect(w.enter("buy", "k"), OK)
+			w.cacheFreeKB = tokenKB - 1
+			w.expect(w.submit("buy", "other"), Rejected)
+			w.expect(w.submit("buy", "k"), OK)
 		}},
-		{"a result too large to keep: its own caller gets it, a repeat hears that it ran", func(w *world, first *Ticket) {
-			late := w.enter("buy", "k")
+		{"a result too large to keep: its own caller gets it, a repeat hears that it ran", func(w *testGate, first *Ticket) {
+			late := w.submit("buy", "k")
 			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
 			if v := w.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
 				w.Errorf("%d bytes, head %q", len(v.Result), v.Head)
 			}
-			for _, t := range []*Ticket{late, w.enter("buy", "k")} {
+			for _, t := range []*Ticket{late, w.submit("buy", "k")} {
 				if v := w.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
 					w.Errorf("why %q", v.Reason)
 				}
 			}
 		}},
-		{"larger results count for what they take, and give it back", func(w *world, first *Ticket) {
-			before := w.keptKB
+		{"larger results count for what they take, and give it back", func(w *testGate, first *Ticket) {
+			before := w.cacheFreeKB
 			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 100<<10))
 			w.expect(first, OK)
-			if took := before - w.keptKB; took < 90 || took > 100 {
+			if took := before - w.cacheFreeKB; took < 90 || took > 100 {
 				w.Errorf("took %g KB", took)
 			}
-			if v := w.expect(w.enter("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
+			if v := w.expect(w.submit("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
 				w.Errorf("repeat got %d bytes, head %q", len(v.Result), v.Head)
 			}
-			w.pass(12 * time.Second)
-			if w.keptKB != before+tokenKB || len(w.tokens) != 0 {
-				w.Errorf("%g KB left of %g, %d tokens", w.keptKB, before+tokenKB, len(w.tokens))
+			w.advance(12 * time.Second)
+			if w.cacheFreeKB != before+tokenKB || len(w.tokens) != 0 {
+				w.Errorf("%g KB left of %g, %d tokens", w.cacheFreeKB, before+tokenKB, len(w.tokens))
 			}
 		}},
-		{"no room below: pushed back, its token is free", func(w *world, first *Ticket) {
-			late := w.enter("buy", "k")
+		{"no room below: pushed back, its token is free", func(w *testGate, first *Ticket) {
+			late := w.submit("buy", "k")
 			first.Report(NoCapacity, 0, nil)
 			if v := w.expect(first, Rejected); v.RetryAfterMs <= 0 {
 				w.Errorf("away %g", v.RetryAfterMs)
 			}
 			w.expect(late, Aborted)
-			w.expect(w.enter("buy", "k"), Run)
+			w.expect(w.submit("buy", "k"), Run)
 		}},
-		{"the module asks for a second run", func(w *world, first *Ticket) {
-			a := w.enter("buy", "other")
+		{"the module asks for a second run", func(w *testGate, first *Ticket) {
+			a := w.submit("buy", "other")
 			w.expect(a, Run)
-			a.running, a.key, a.door = false, first.key, first.door
-			w.carryOut(control.Action{Kind: control.Run, RPC: a.id})
+			a.running, a.tokenKey, a.arrivedMs = false, first.tokenKey, first.arrivedMs
+			w.execute(control.Action{Kind: control.Run, RPC: a.id})
 			w.expect(a, Aborted)
 		}},
-		{"the module pushes back what has run", func(w *world, first *Ticket) {
-			w.carryOut(control.Action{Kind: control.Reject, RPC: first.id})
+		{"the module pushes back what has run", func(w *testGate, first *Ticket) {
+			w.execute(control.Action{Kind: control.Reject, RPC: first.id})
 			w.expect(first, Aborted)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, true)
-			first := w.enter("buy", "k")
+			first := w.submit("buy", "k")
 			w.expect(first, Run)
 			c.do(w, first)
 			first.Report(Failed, 10, nil)
-			w.pass(30 * time.Second)
+			w.advance(30 * time.Second)
 			for key, k := range w.tokens {
-				if k.over {
+				if k.completed {
 					t.Errorf("token %q is still kept", key)
 				}
 			}
@@ -379,12 +379,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, false)
-			w.expect(w.enter("view", ""), Rejected) // before the start
+			w.expect(w.submit("view", ""), Rejected) // before the start
 			w.Start(c.cold, c.ago)
 			w.Start(!c.cold, 0) // a new link tells it again
 			taken := 0
 			for i := range 100 {
-				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMs(w.at)})
+				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMillis(w.at)})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -400,16 +400,16 @@
 	}
 }
 
-// A panic in the module costs one RPC.
+// A panic in the decisions costs one RPC.
 func TestPanic(t *testing.T) {
 	w := open(t, true)
-	a := w.enter("view", "")
+	a := w.submit("view", "")
 	w.expect(a, Run)
-	good := w.decide
-	w.decide = &control.Controller{} // any event makes it panic
-	b := w.enter("view", "")
+	good := w.controller
+	w.controller = &control.Controller{} // which panics at any event
+	b := w.submit("view", "")
 	w.expect(b, Aborted)
-	w.decide = good
+	w.controller = good
 	a.Report(Succeeded, 10, nil)
 	w.expect(a, OK)
 	if len(w.lines) == 0 || !strings.Contains(w.lines[0], "panic") {
@@ -421,7 +421,7 @@
 func TestOneAnswer(t *testing.T) {
 	w := open(t, true)
 	w.now = time.Now
-	w.decide = nil
+	w.controller = nil
 	w.Start(false, 0)
 	var all sync.WaitGroup
 	runs := map[string]int{}
@@ -429,7 +429,7 @@
 		token := fmt.Sprint("k", i/3)
 		ctx, leave := context.WithCancel(context.Background())
 		all.Go(func() {
-			a, v, err := w.SubmitAndWait(ctx, RPC{Method: []string{"view", "buy"}[i%2], Customer: "acme", ArrivedMs: unixMs(time.Now()), Token: token})
+			a, v, err := w.SubmitAndWait(ctx, RPC{Method: []string{"view", "buy"}[i%2], Customer: "acme", ArrivedMs: unixMillis(time.Now()), Token: token})
 			if err != nil {
 				t.Error(err)
 				return
@@ -481,19 +481,19 @@
 		if w.Healthy() {
 			t.Error("good in a drain")
 		}
-		if a := w.enter("view", ""); !cold {
+		if a := w.submit("view", ""); !cold {
 			w.expect(a, Run)
 			a.Report(Succeeded, 10, nil)
 			w.expect(a, OK)
 		}
 		w.at = w.at.Add(600 * time.Millisecond)
-		w.expect(w.enter("view", ""), Rejected)
+		w.expect(w.submit("view", ""), Rejected)
 
 		late := open(t, false)
 		late.Drain(3 * time.Second)
 		late.at = late.at.Add(1100 * time.Millisecond)
 		late.Start(cold, 0)
-		late.expect(late.enter("buy", "u"), Rejected)
+		late.expect(late.submit("buy", "u"), Rejected)
 	}
 }
 
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -7,141 +7,174 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// Report tells what became of a run that a verdict asked for. The verdict that answers it comes by Wait,
-// if the RPC has none yet.
-func (t *Ticket) Report(how Outcome, spent float64, result []byte) {
-	t.ReportWithHead(how, spent, nil, result)
+// noCapacityRetryAfterMs is the retry-after for an RPC that found no capacity at the backend: a few run times, in which a
+// place comes free.
+const noCapacityRetryAfterMs = 500.0
+
+// The reasons of aborted verdicts, which clients get to see.
+const (
+	reasonMayHaveRun = "it may have run"
+	reasonUncached   = "the try that it repeats has run; its result was too large to keep"
+)
+
+// controlOutcome is what the controller hears of each outcome.
+var controlOutcome = [...]control.Outcome{
+	Failed:            control.OutcomeError,
+	Succeeded:         control.OutcomeOK,
+	NotStarted:        control.OutcomeNotStarted,
+	NoCapacity:        control.OutcomeNotStarted,
+	SucceededUncached: control.OutcomeOK,
+}
+
+// tokenState is what the token store records of each outcome.
+var tokenState = [...]recovery.State{
+	Failed:            recovery.Failed,
+	Succeeded:         recovery.Succeeded,
+	NotStarted:        recovery.NeverRan,
+	NoCapacity:        recovery.NeverRan,
+	SucceededUncached: recovery.SucceededUncached,
+}
+
+// Report is ReportWithHead without a head.
+func (t *Ticket) Report(outcome Outcome, elapsedMs float64, result []byte) {
+	t.ReportWithHead(outcome, elapsedMs, nil, result)
 }
 
-// ReportWithHead is Report with what the back put before the result: the head of an HTTP answer, say. It is kept and
-// handed on with the result, and never looked at here.
-// Spent is the time that the run took in ms; 0 for the time since it was asked for.
-func (t *Ticket) ReportWithHead(how Outcome, spent float64, head, result []byte) {
-	t.Complete(how, spent, head, result)
+// ReportWithHead is Complete in the form of a Runner's callback.
+func (t *Ticket) ReportWithHead(outcome Outcome, elapsedMs float64, head, result []byte) {
+	t.Complete(outcome, elapsedMs, head, result)
 }
 
-// Complete is ReportHead, and returns whether the verdict that the caller hears is that of the run. With a store it is heard
-// once the end is on disk, and the return value tells only that no other verdict had been given by then.
-func (t *Ticket) Complete(how Outcome, spent float64, head, result []byte) bool {
-	g := t.g
+// Complete reports the end of a run that a verdict asked for. The verdict that answers it comes by Wait if the RPC has no
+// final one yet. The head is what the backend put before the result, such as the head of an HTTP response; it is cached and
+// returned with the result and never interpreted. elapsedMs is the time that the run took; 0 stands for the time since it was
+// asked for.
+//
+// Complete returns whether the verdict that the caller gets is that of the run. With a token store that verdict comes once
+// the end is durable, and the return value tells only that there was no other by the time of the call.
+func (t *Ticket) Complete(outcome Outcome, elapsedMs float64, head, result []byte) bool {
+	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !t.running {
 		return false
 	}
 	t.running = false
-	if spent == 0 {
-		spent = g.clock(g.now()) - t.began
+	if elapsedMs == 0 {
+		elapsedMs = g.elapsedMs(g.now()) - t.runStarted
 	}
 	own := !t.final
-	if t.begun {
-		t.keep(how, head, result)
+	if t.recorded {
+		t.recordEnd(outcome, head, result)
 	} else {
-		t.over(how, head, result)
+		t.completeRun(outcome, head, result)
 	}
-	g.ran[t.method].RunMs += spent
-	outcome := [...]control.Outcome{control.OutcomeError, control.OutcomeOK, control.OutcomeNotStarted, control.OutcomeNotStarted, control.OutcomeOK}[how]
-	g.handle(g.clock(g.now()), control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome, Elapsed: spent})
+	g.methodStats[t.method].RunMs += elapsedMs
+	g.handleNow(control.Event{Kind: control.Completed, RPC: t.id, Outcome: controlOutcome[outcome], Elapsed: elapsedMs})
 	return own
 }
 
-// keep has the end of a run that was begun on disk written there, and gives the verdict once it is. An end that can't
-// be made durable is told as one that may have run: that is what a repeat would hear after a restart.
-func (t *Ticket) keep(how Outcome, head, result []byte) {
-	g := t.g
-	k := g.tokens[t.key]
-	if k == nil || k.id != t.id { // its token has been dropped meanwhile: its window is over
-		k = &token{until: t.door + g.told.Methods[t.method].DedupWindow}
+// recordEnd has the end of a recorded run written to the token store and gives the verdict once it is durable. An end that
+// can't be made durable counts as a run that may have had its effect: a duplicate would hear that after a restart.
+func (t *Ticket) recordEnd(outcome Outcome, head, result []byte) {
+	g := t.gate
+	until := t.arrivedMs + g.startup.Methods[t.method].DedupWindow
+	if k := g.tokens[t.tokenKey]; k != nil && k.id == t.id { // else it has been evicted meanwhile, as its window is over
+		until = k.untilMs
 	}
-	state := [...]recovery.State{recovery.Failed, recovery.Succeeded, recovery.NeverRan, recovery.NeverRan, recovery.SucceededUncached}[how]
-	t.keeping = true
-	g.store.RecordEnd(t.key, state, t.stored, k.until, head, result, func(err error) {
+	t.recordingEnd = true
+	g.store.RecordEnd(t.tokenKey, tokenState[outcome], t.storeBodyHash, until, head, result, func(err error) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		t.keeping = false
-		if err != nil && (how == Succeeded || how == SucceededUncached) {
-			how = Failed
+		t.recordingEnd = false
+		if err != nil && (outcome == Succeeded || outcome == SucceededUncached) {
+			outcome = Failed
 		}
-		t.over(how, head, result)
+		t.completeRun(outcome, head, result)
 	})
 }
 
-// over gives the verdict of a run that has ended, to its caller and to those that joined it.
-func (t *Ticket) over(how Outcome, head, result []byte) {
-	g := t.g
-	if k := g.tokens[t.key]; k != nil && k.id == t.id {
-		if how == NotStarted || how == NoCapacity {
-			g.forget(k)
+// completeRun gives the verdict of a run that has ended, to its caller and to the duplicates that wait for it.
+func (t *Ticket) completeRun(outcome Outcome, head, result []byte) {
+	g := t.gate
+	if k := g.tokens[t.tokenKey]; k != nil && k.id == t.id {
+		if outcome == NotStarted || outcome == NoCapacity {
+			g.dropToken(k)
 		} else {
-			g.keep(k, how, head, result)
-			g.settle(k)
+			g.cacheResult(k, outcome, head, result)
+			g.answerDuplicates(k)
 		}
 	}
-	t.told = nil // the verdict is the run's own
-	switch how {
+	t.finalHandler = nil // the verdict is the run's own
+	switch outcome {
 	case Succeeded, SucceededUncached:
 		t.finish(Verdict{Kind: OK, Head: head, Result: result})
 	case NoCapacity:
-		t.finish(Verdict{Kind: Rejected, RetryAfterMs: g.CapRetryAfter(math.Max(fullAway, t.away))})
+		t.finish(Verdict{Kind: Rejected, RetryAfterMs: g.CapRetryAfter(math.Max(noCapacityRetryAfterMs, t.retryAfterMs))})
 	default:
 		t.finish(Verdict{Kind: Aborted, Reason: "the run failed"})
 	}
-	g.drop(t)
+	g.removeTicket(t)
 }
 
-// fullAway is the ms to stay away for one that found no room below: a few run times, in which a place comes free.
-const fullAway = 500.0
-
-// run starts an RPC, unless another try of it has run within its window: that guards the rule against
-// any fault in what the module remembers.
-func (g *Gate) run(t *Ticket) {
-	k := g.tokens[t.key]
-	if k != nil && k.id != t.id && k.ran && t.door < k.until {
-		g.log("gate: a second run of a tokened RPC was stopped", "")
-		g.ended(t, Verdict{Kind: Aborted, Reason: "another try has run"})
+// startRun gives the verdict to run, unless another attempt has run within the window of its token: that upholds at most one
+// run a token against any fault in what the controller remembers.
+func (g *Gate) startRun(t *Ticket) {
+	k := g.tokens[t.tokenKey]
+	own := k != nil && k.id == t.id
+	if k != nil && !own && k.ran && t.arrivedMs < k.untilMs {
+		g.log("gate.second_run_prevented", "")
+		g.completeUnrun(t, Verdict{Kind: Aborted, Reason: "another try has run"})
 		return
 	}
-	t.running, t.began = true, g.clock(g.now())
-	if k == nil || k.id != t.id || g.store == nil {
-		if k != nil && k.id == t.id {
-			k.ran = true
-		}
-		t.give(Verdict{Kind: Run})
+	t.running = true
+	t.runStarted = g.elapsedMs(g.now())
+	if own && g.store != nil {
+		g.recordStart(t, k)
 		return
 	}
-	if no := g.store.Reserve(); no != nil { // what can't be remembered is not run
-		t.away = no.RetryAfter
-		t.notRun()
+	if own {
+		k.ran = true
+	}
+	t.deliver(Verdict{Kind: Run})
+}
+
+// recordStart has the start of a run written to the token store and gives the verdict to run once it is durable: what can't
+// be recorded is not run.
+func (g *Gate) recordStart(t *Ticket, k *token) {
+	if rejection := g.store.Reserve(); rejection != nil {
+		t.retryAfterMs = rejection.RetryAfter
+		t.abandonRun()
 		return
 	}
 	k.ran = true // it may have, from here on
-	g.store.RecordStart(t.key, t.stored, k.until, func(err error) {
+	g.store.RecordStart(t.tokenKey, t.storeBodyHash, k.untilMs, func(err error) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		switch {
 		case err != nil:
 			k.ran = false
-			t.notRun()
-		case t.final: // its caller has left, or was answered: nothing runs any more
+			t.abandonRun()
+		case t.final: // its caller has left or been answered: it is not run any more
 			k.ran = false
-			g.store.RecordEnd(t.key, recovery.NeverRan, t.stored, k.until, nil, nil, func(error) {})
-			t.notRun()
+			g.store.RecordEnd(t.tokenKey, recovery.NeverRan, t.storeBodyHash, k.untilMs, nil, nil, func(error) {})
+			t.abandonRun()
 		default:
-			t.begun = true
-			t.give(Verdict{Kind: Run})
+			t.recorded = true
+			t.deliver(Verdict{Kind: Run})
 		}
 	})
 }
 
-// notRun ends a run that the store has kept from beginning.
-func (t *Ticket) notRun() {
+// abandonRun ends a run that the token store has kept from starting.
+func (t *Ticket) abandonRun() {
 	t.running = false
-	t.over(NoCapacity, nil, nil)
-	t.g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
+	t.completeRun(NoCapacity, nil, nil)
+	t.gate.handleNow(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
 }
 
-// ended gives a held or joined RPC its verdict and tells the module that it is over.
-func (g *Gate) ended(t *Ticket, v Verdict) {
+// completeUnrun gives a queued or joined RPC its final verdict and tells the controller that it is over.
+func (g *Gate) completeUnrun(t *Ticket, v Verdict) {
 	if !t.finish(v) {
 		return
 	}
@@ -149,5 +182,5 @@
 	if v.Kind == OK {
 		outcome = control.OutcomeOK
 	}
-	g.later(control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome})
+	g.handleNow(control.Event{Kind: control.Completed, RPC: t.id, Outcome: outcome})
 }
--- a/internal/gate/stats.go
+++ b/internal/gate/stats.go
@@ -1,65 +1,67 @@
 package gate
 
-import (
-	"slices"
-)
+import "slices"
 
-// Flow counts RPCs since the start, by their final verdicts; those whose caller left are not in it. The most critical method is the one
-// of the largest criticality, or the first of several.
+// Counts are numbers of RPCs since the start by their final verdicts. Those whose caller left are not counted. The critical
+// method is that of the largest criticality, the first of several.
 type Counts struct {
-	Total, Rejected, Aborted, Late uint64 // Late: ok past their latency target
-	Critical, CriticalFailed       uint64 // of the most critical method, and not ok
+	Total          uint64
+	Rejected       uint64
+	Aborted        uint64
+	Late           uint64 // answered with OK past their latency objective
+	Critical       uint64 // of the critical method
+	CriticalFailed uint64 // of these, not answered with OK
 }
 
-// MethodStats is what a method carried since the start.
+// MethodStats are the counts of one method since the start.
 type MethodStats struct {
-	OK        uint64
-	RunMs     float64  // of all of its runs
-	Customers []uint64 // ok, by customer as the settings have them; the last is for those without one
+	OK        uint64   // RPCs answered with OK
+	RunMs     float64  // total time of its runs
+	Customers []uint64 // RPCs answered with OK by customer, as in the start-up configuration; the last is for all others
 }
 
-// Counts returns the counts.
+// Counts returns the counts over all methods.
 func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.flow
+	return g.counts
 }
 
-// MethodStats returns what each method carried, as the settings have them.
+// MethodStats returns the counts of each method in the order of the start-up configuration. The caller may keep them.
 func (g *Gate) MethodStats() []MethodStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := slices.Clone(g.ran)
+	all := slices.Clone(g.methodStats)
 	for i := range all {
 		all[i].Customers = slices.Clone(all[i].Customers)
 	}
 	return all
 }
 
-// count notes a final verdict.
+// count counts a final verdict.
 func (g *Gate) count(t *Ticket, v *Verdict) {
 	if v.Kind == CallerGone || v.Kind == Run {
 		return
 	}
-	f := &g.flow
-	f.Total++
-	if t.method == g.top {
-		f.Critical++
+	c := &g.counts
+	c.Total++
+	if t.method == g.criticalMethod {
+		c.Critical++
 		if v.Kind != OK {
-			f.CriticalFailed++
+			c.CriticalFailed++
 		}
 	}
 	switch v.Kind {
 	case Rejected:
-		f.Rejected++
+		c.Rejected++
 	case Aborted:
-		f.Aborted++
+		c.Aborted++
 	case OK:
-		if unixMs(g.now())-t.door > g.told.Methods[t.method].LatencyObjective {
-			f.Late++
+		if unixMillis(g.now())-t.arrivedMs > g.startup.Methods[t.method].LatencyObjective {
+			c.Late++
 		}
-		r := &g.ran[t.method]
-		r.OK++
-		r.Customers[min(t.customer, len(r.Customers)-1)]++
+		m := &g.methodStats[t.method]
+		m.OK++
+		m.Customers[min(t.customer, len(m.Customers)-1)]++
 	}
 }
--- a/internal/gate/tokens.go
+++ b/internal/gate/tokens.go
@@ -1,102 +1,116 @@
 package gate
 
-import (
-	"math"
-)
+import "math"
 
-// token is a try of a tokened RPC that repeats are told of. It is of the method, whatever front its tries come by.
+// token is a cached idempotency token: the state of the attempt that may run, for its duplicates. It belongs to the method,
+// whatever front the attempts come by.
 type token struct {
-	id        uint32
-	key       string
-	body      uint64  // hash
-	until     float64 // Unix ms: no try that comes before may run
-	expiry            // its time: repeats read late are past their deadline then
-	ran, over bool
-	ok        bool
-	large     bool // it ran, and its result is too large to keep
-	head      []byte
-	result    []byte
-	kb        float64 // of these beyond tokenKB
-	joined    []*Ticket
+	expiry               // its time, past the end of the window: a duplicate that is read later is past its deadline
+	id         uint32    // of the RPC that may run
+	key        string    // as tokenKey has it
+	bodyHash   uint64    // of that RPC
+	untilMs    float64   // end of its window, in Unix ms: no attempt that arrives before may run
+	ran        bool      // its run was asked for
+	completed  bool      // its run has ended
+	succeeded  bool      // with a result that is cached
+	uncached   bool      // with a result that is not cached
+	head       []byte    // of the result
+	result     []byte    // what duplicates are answered with
+	extraKB    float64   // memory of head and result beyond tokenKB
+	duplicates []*Ticket // that wait for the end of the run
 }
 
 const (
-	// tokenKB bounds what a kept token takes: a result of up to plainResult and its entry, rounded up for the
-	// allocator. One with a larger result counts for what it takes beyond.
-	tokenKB     = 6
-	plainResult = 4 << 10
-	// keptMost is the largest share of all that may be kept that one result may take: a few large ones must not
-	// keep tokens out.
-	keptMost = 1.0 / 16
+	// tokenKB is what a cached token counts for: a head and result of up to plainResultBytes and its entry, rounded up for the
+	// allocator. A larger result counts for its excess as well.
+	tokenKB          = 6
+	plainResultBytes = 4 << 10
+	// maxResultShare is the largest share of the cache that one result may take: a few large ones must not keep tokens out.
+	maxResultShare = 1.0 / 16
+	// arrivalRoundingMs is added to a window, as times of arrival have whole ms.
+	arrivalRoundingMs = 1
 )
 
-// remember sets the token of a try; one that it takes over from is no longer named.
-func (g *Gate) remember(t *Ticket, life float64) {
-	if t.key == "" {
+// tokenKey returns the key of an RPC's token: it is unique for the method.
+func tokenKey(r *RPC) string { return r.Method + "\x00" + r.Token }
+
+// cacheToken caches the token of an RPC for some ms at least, in place of an earlier one that is over.
+func (g *Gate) cacheToken(t *Ticket, ms float64) {
+	if t.tokenKey == "" {
 		return
 	}
-	if k := g.tokens[t.key]; k != nil {
-		if k.ran && t.door < k.until {
+	if k := g.tokens[t.tokenKey]; k != nil {
+		if k.ran && t.arrivedMs < k.untilMs {
 			return
 		}
-		g.forget(k)
+		g.dropToken(k)
+	}
+	method := &g.startup.Methods[t.method]
+	k := &token{
+		id:       t.id,
+		key:      t.tokenKey,
+		bodyHash: t.bodyHash,
+		untilMs:  math.Max(unixMillis(g.now())+ms, t.arrivedMs+method.DedupWindow+arrivalRoundingMs),
 	}
-	until := math.Max(unixMs(g.now())+life, t.door+g.told.Methods[t.method].DedupWindow+1) // a door has whole ms
-	k := &token{id: t.id, key: t.key, body: t.body, until: until}
-	k.at, k.token = until+g.told.Methods[t.method].Deadline, k
-	g.tokens[t.key] = k
+	k.expiry = expiry{atMs: k.untilMs + method.Deadline, token: k}
+	g.tokens[t.tokenKey] = k
 	g.expiries.add(&k.expiry)
-	g.keptKB -= tokenKB
+	g.cacheFreeKB -= tokenKB
 }
 
-// release drops a token and what is kept with it.
-func (g *Gate) release(k *token) {
+// evictToken removes a token and its result from the cache.
+func (g *Gate) evictToken(k *token) {
 	if g.tokens[k.key] != k {
 		return
 	}
 	delete(g.tokens, k.key)
 	g.expiries.remove(&k.expiry)
-	g.keptKB += tokenKB + k.kb
+	g.cacheFreeKB += tokenKB + k.extraKB
 }
 
-// keep takes the end of a token's run, and its result if there is room for that. A repeat of one whose result is
-// not kept hears that it ran, and never runs.
-func (g *Gate) keep(k *token, how Outcome, head, result []byte) {
-	k.over, k.ok, k.large = true, how == Succeeded, how == SucceededUncached
-	if !k.ok {
+// cacheResult notes the end of a token's run and caches its result if there is memory for it. A duplicate of one whose
+// result is not cached hears that it ran, and never runs.
+func (g *Gate) cacheResult(k *token, outcome Outcome, head, result []byte) {
+	k.completed = true
+	k.succeeded = outcome == Succeeded
+	k.uncached = outcome == SucceededUncached
+	if !k.succeeded {
 		return
 	}
-	if more := float64(len(head)+len(result)-plainResult) / 1024; more > 0 {
-		most := keptMost * (g.keptKB + tokenKB*float64(len(g.tokens)))
-		if more > most || more > g.keptKB {
-			k.ok, k.large = false, true
+	extra := float64(len(head)+len(result)-plainResultBytes) / 1024
+	if extra > 0 {
+		largest := maxResultShare * (g.cacheFreeKB + tokenKB*float64(len(g.tokens)))
+		if extra > largest || extra > g.cacheFreeKB {
+			k.succeeded = false
+			k.uncached = true
 			return
 		}
-		k.kb = more
-		g.keptKB -= more
+		k.extraKB = extra
+		g.cacheFreeKB -= extra
 	}
-	k.head, k.result = head, result
+	k.head = head
+	k.result = result
 }
 
-// forget drops a token whose try never ran. Those that wait for it end with an error.
-func (g *Gate) forget(k *token) {
-	g.release(k)
-	k.over = true
-	g.settle(k)
+// dropToken evicts a token whose attempt never ran. The duplicates that wait for it are aborted.
+func (g *Gate) dropToken(k *token) {
+	g.evictToken(k)
+	k.completed = true
+	g.answerDuplicates(k)
 }
 
-// settle ends those that wait for a token's try.
-func (g *Gate) settle(k *token) {
-	joined := k.joined
-	k.joined = nil
-	for _, t := range joined {
+// answerDuplicates gives a final verdict to the duplicates that wait for a token.
+func (g *Gate) answerDuplicates(k *token) {
+	waiting := k.duplicates
+	k.duplicates = nil
+	for _, t := range waiting {
 		switch {
-		case k.ok:
-			g.ended(t, Verdict{Kind: OK, Head: k.head, Result: k.result})
-		case k.large:
-			g.ended(t, Verdict{Kind: Aborted, Reason: "the try that it repeats has run; its result was too large to keep"})
+		case k.succeeded:
+			g.completeUnrun(t, Verdict{Kind: OK, Head: k.head, Result: k.result})
+		case k.uncached:
+			g.completeUnrun(t, Verdict{Kind: Aborted, Reason: reasonUncached})
 		default:
-			g.ended(t, Verdict{Kind: Aborted, Reason: "the try that it repeats failed"})
+			g.completeUnrun(t, Verdict{Kind: Aborted, Reason: "the try that it repeats failed"})
 		}
 	}
 }
--- a/internal/gate/wheel_test.go
+++ b/internal/gate/wheel_test.go
@@ -22,9 +22,9 @@
 			case 0, 1:
 				for range rapid.IntRange(1, 5).Draw(t, "adds") {
 					span := rapid.SampledFrom([]float64{100, 20e3, 6e6, 2e9}).Draw(t, "span")
-					e := &expiry{at: now + rapid.Float64Range(-span/10, span).Draw(t, "life")}
+					e := &expiry{atMs: now + rapid.Float64Range(-span/10, span).Draw(t, "life")}
 					w.add(e)
-					plain[e] = math.Max(e.at, latest)
+					plain[e] = math.Max(e.atMs, latest)
 				}
 			case 2:
 				for e := range plain {
@@ -37,8 +37,8 @@
 				step := rapid.SampledFrom([]float64{40, 1e3, 70e3, 5e6, 1e10, -1e3, -1e7}).Draw(t, "by")
 				now = math.Max(0, now+rapid.Float64Range(0, 1).Draw(t, "part")*step)
 				w.advance(now, func(e *expiry) {
-					if e.at >= now {
-						t.Fatalf("over %g ms before its time", e.at-now)
+					if e.atMs >= now {
+						t.Fatalf("over %g ms before its time", e.atMs-now)
 					}
 					if _, in := plain[e]; !in {
 						t.Fatal("handed out twice, or after it was taken out")
@@ -62,15 +62,15 @@
 // What is due all at once is handed out in bounded parts, and all of it in the end.
 func TestWheelBurst(t *testing.T) {
 	w := newWheel(0)
-	const all = 50 * leastMoves
+	const all = 50 * minMoves
 	for i := range all {
-		w.add(&expiry{at: 20e3 + float64(i%100)})
+		w.add(&expiry{atMs: 20e3 + float64(i%100)})
 	}
 	got, looks := 0, 0
 	for now := 30e3; got < all; now += 40 {
 		before := got
 		w.advance(now, func(*expiry) { got++ })
-		if got-before > max(leastMoves, all/moveShare) {
+		if got-before > max(minMoves, all/moveShare) {
 			t.Fatalf("%d in one look", got-before)
 		}
 		if looks++; looks > 200 {
@@ -83,7 +83,7 @@
 type byTime []*expiry
 
 func (h byTime) Len() int           { return len(h) }
-func (h byTime) Less(i, k int) bool { return h[i].at < h[k].at }
+func (h byTime) Less(i, k int) bool { return h[i].atMs < h[k].atMs }
 func (h byTime) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 func (h *byTime) Push(x any)        { *h = append(*h, x.(*expiry)) }
 func (h *byTime) Pop() any {
@@ -101,16 +101,16 @@
 		b.Run(fmt.Sprintf("map/%d", size), func(b *testing.B) {
 			m := map[string]*expiry{}
 			for i := range size {
-				m[fmt.Sprint("topup-buy\x00", i)] = &expiry{at: float64(i) / float64(size) * window}
+				m[fmt.Sprint("topup-buy\x00", i)] = &expiry{atMs: float64(i) / float64(size) * window}
 			}
 			for now, i, owed := 0.0, size, 0.0; b.Loop(); now += 40 {
 				for key, e := range m {
-					if now > e.at {
+					if now > e.atMs {
 						delete(m, key)
 					}
 				}
 				for owed += each; owed >= 1; owed-- {
-					m[fmt.Sprint("topup-buy\x00", i)] = &expiry{at: now + window}
+					m[fmt.Sprint("topup-buy\x00", i)] = &expiry{atMs: now + window}
 					i++
 				}
 			}
@@ -118,26 +118,26 @@
 		b.Run(fmt.Sprintf("heap/%d", size), func(b *testing.B) {
 			h := &byTime{}
 			for i := range size {
-				heap.Push(h, &expiry{at: float64(i) / float64(size) * window})
+				heap.Push(h, &expiry{atMs: float64(i) / float64(size) * window})
 			}
 			for now, owed := 0.0, 0.0; b.Loop(); now += 40 {
-				for h.Len() > 0 && (*h)[0].at < now {
+				for h.Len() > 0 && (*h)[0].atMs < now {
 					heap.Pop(h)
 				}
 				for owed += each; owed >= 1; owed-- {
-					heap.Push(h, &expiry{at: now + window})
+					heap.Push(h, &expiry{atMs: now + window})
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("wheel/%d", size), func(b *testing.B) {
 			w := newWheel(0)
 			for i := range size {
-				w.add(&expiry{at: float64(i) / float64(size) * window})
+				w.add(&expiry{atMs: float64(i) / float64(size) * window})
 			}
 			for now, owed := 0.0, 0.0; b.Loop(); now += 40 {
 				w.advance(now, func(*expiry) {})
 				for owed += each; owed >= 1; owed-- {
-					w.add(&expiry{at: now + window})
+					w.add(&expiry{atMs: now + window})
 				}
 			}
 		})
