--- a/internal/fleetsim/backends.go
+++ b/internal/fleetsim/backends.go
@@ -1,155 +1,163 @@
 package fleetsim
 
-// This file owns the members of a pool below simulated servers, and the RPCs that these send there: the servers' own choices
-// (decision/pool, decision/evidence, decision/outlier) with what they say to one another, and beside it each server for itself. It
-// must never let a server know of a member what it did not see or hear.
-
 import (
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 
 	"sorrelvalve/decision/evidence"
 	"sorrelvalve/decision/outlier"
 	"sorrelvalve/decision/pool"
 )
 
-// Services is a pool below all of a world's servers.
+// This file calls a pool of backend members from the simulated servers: each server's own choice of members (decision/pool)
+// and its RPCs with their attempts. How the servers detect outliers together is in outliers.go, without which each detects
+// for itself. A server knows of a member only what it saw or was told.
+
+// BackendOptions configure a backend pool that all servers call.
 type BackendOptions struct {
 	Members         int
-	RatePerServer   float64 // RPCs a second from each server
-	MeanWorkMs      float64 // ms, mean
-	SharedDetection bool    // the servers judge together
+	RatePerServer   float64 // RPCs per second
+	MeanWorkMs      float64
+	SharedDetection bool // servers detect outliers together
 	PoolRules       pool.Config
 	Faults          []MemberFault
-	TargetMs        float64 // ms
-	RetryableShare  float64 // part of the RPCs that may run twice; 0 for all
-	Capacity        float64 // RPCs that a member has in hand without getting slower; 0 for no bound
-	LyingServers    []int   // servers that spread nonsense: all members are bad
+	TargetMs        float64 // latency objective
+	RetryableShare  float64 // of the RPCs; 0 means all
+	Capacity        float64 // RPCs in flight at a member before it slows down; 0 means no bound
+	LyingServers    []int   // servers that report every member as failing
 }
 
-// MemberFault is what is wrong with some members for a while.
+// MemberFault is a fault of some members for a while.
 type MemberFault struct {
-	FromMs, UntilMs float64 // ms
+	FromMs, UntilMs float64
 	Members         []int
-	FailureRate     float64 // chance that a try fails
-	Slowdown        float64 // times its work
-	NoResponse      bool    // no answer comes
-	Servers         []int   // seen by these only; nil: all
-	Zone            string  // seen from this zone only; "": all
-	FlapMs          float64 // ms: on for as long, off for as long; 0 for on
+	FailureRate     float64 // of attempts
+	Slowdown        float64 // factor on their work; 0 means none
+	NoResponse      bool
+	Servers         []int   // servers that meet the fault; nil means all
+	Zone            string  // zone whose servers meet the fault; "" means all
+	FlapMs          float64 // alternately present and absent for as long; 0 means always present
 }
 
 const (
-	backendTickMs      = 250.0 // as internal/fleet
-	evidenceIntervalMs = 1000.0
-	alertMs            = 15e3  // for which something that was heard may have to do with a judgement
-	attemptTimeoutMs   = 400.0 // after which a try has failed
+	backendTickMs        = 250.0 // as in internal/fleet
+	alertMs              = 15e3  // outlier detection runs at each tick for so long after a sign of trouble
+	attemptTimeoutMs     = 400.0
+	failedAttemptMs      = 2.0 // a failing member answers fast
+	backendAttempts      = 2
+	minWorkShare         = 0.3 // of an attempt's mean work; the rest is exponential
+	ejectionCountPhaseMs = 999.0
 )
 
-// backendClient is a server's part.
+// backendClient is a server's state for the pool.
 type backendClient struct {
 	pool         *pool.Pool
 	evidence     evidence.Recorder
-	outliers     *outlier.Detector
+	outliers     *outlier.Detector // nil without shared detection
 	reports      map[int32]*peerReport
 	alivePeers   []string
-	lastReportAt float64
-	urgent       bool
-	alertUntil   float64 // until then something bad may be known
-}
-
-// word is what was heard of another.
-type peerReport struct {
-	latest     outlier.Report
-	arrivesAt  float64
-	previous   outlier.Report // until then
-	previousAt float64
+	lastReportAt float64 // of the server's clock
+	urgent       bool    // has something to report soon
+	alertUntil   float64 // virtual time
 }
 
-// attempt is one try of an RPC.
+// attempt is one attempt of an RPC.
 type attempt struct {
 	server        int32
-	member        int
+	member        int // as the server's pool numbers it
 	startedAt     float64
 	rpcStartedAt  float64
-	attempts      int
+	attempts      int // of the RPC so far
 	failedMembers []int
 	caller        uint64
 	noResponse    bool
 	ok            bool
 	incarnation   uint32
-	number        int32 // of tries, so that what was to come for another is known
-	reportedLate  bool  // of as silent
+	number        int32 // tells it from others that used the same place
+	reportedLate  bool
 }
 
+// backendState is the simulation's state of the pool.
 type backendState struct {
 	attempts        []attempt
 	freeAttempts    []int32
 	lastAttempt     int32
-	memberInFlight  []int // by member
+	memberInFlight  []int
 	backendRand     *rand.Rand
-	BackendSeries   []BackendSecond // by second
+	BackendSeries   []BackendSecond // by second of the run
 	maxEjectedShare float64
 }
 
-// BackendSecond is one second below.
+// BackendSecond counts what happened at the pool in one second.
 type BackendSecond struct {
-	Requests, OK   int
-	Attempts       []int // tries, by member
-	EjectedAt      []int // servers that hold it out, by member, at its end
-	FaultyAttempts int   // tries to members that were failing as their server met them
-	FalseEjections int   // members out at some server that were sound
+	Requests       int
+	OK             int   // within the latency objective
+	Attempts       []int // by member
+	EjectedAt      []int // by member: how many servers eject it at the end of the second
+	FaultyAttempts int   // attempts at members whose fault the server met
+	FalseEjections int   // ejections of members without a fault, over all servers
 }
 
-func memberName(i int) string { return fmt.Sprintf("m%02d", i) }
+func memberName(member int) string { return fmt.Sprintf("m%02d", member) }
+
+// memberIndex returns the index of the member that a server's pool knows under a number.
+func (s *server) memberIndex(number int) int { return int(nameIndex(s.pool.Addr(number), "m%d")) }
 
+// startBackendLoad schedules the first RPC and the counts of ejections.
 func (sim *Simulation) startBackendLoad() {
-	v := sim.options.Backends
-	if v == nil {
+	o := sim.options.Backends
+	if o == nil {
 		return
 	}
-	sim.memberInFlight = make([]int, v.Members)
-	sim.backendRand = rand.New(rand.NewPCG(sim.options.Seed, 3))
+	sim.memberInFlight = make([]int, o.Members)
+	sim.backendRand = rand.New(rand.NewPCG(sim.options.Seed, backendStream))
 	sim.BackendSeries = make([]BackendSecond, int(sim.options.DurationMs/1000)+1)
 	for i := range sim.BackendSeries {
-		sim.BackendSeries[i].Attempts, sim.BackendSeries[i].EjectedAt = make([]int, v.Members), make([]int, v.Members)
+		sim.BackendSeries[i].Attempts = make([]int, o.Members)
+		sim.BackendSeries[i].EjectedAt = make([]int, o.Members)
 	}
 	sim.scheduleBackendCall()
-	for at := 999.0; at < sim.options.DurationMs; at += 1000 {
-		sim.queue.put(event{at: at, kind: eventCountEjections, server: -1})
+	for at := ejectionCountPhaseMs; at < sim.options.DurationMs; at += 1000 {
+		sim.queue.put(event{at: at, kind: eventCountEjections, server: noServer})
 	}
 }
 
+// startBackendClient starts the pool of a process.
 func (sim *Simulation) startBackendClient(s *server) {
-	v := sim.options.Backends
-	if v == nil {
+	o := sim.options.Backends
+	if o == nil {
 		return
 	}
 	now := sim.localClock(s)
 	var names []string
-	for i := range v.Members {
+	for i := range o.Members {
 		names = append(names, memberName(i))
 	}
-	s.pool = pool.New(v.PoolRules, names, sim.options.Seed*1000+uint64(s.index)<<8+uint64(s.incarnation), now)
-	s.evidence, s.reports = evidence.Recorder{}, map[int32]*peerReport{}
-	if v.SharedDetection {
-		r := v.PoolRules
-		s.outliers = outlier.New(outlier.Config{MinInUseFraction: r.MinHealthyShare, LatencyFactor: r.LatencyFactor, ConsecutiveFailures: r.ConsecutiveFailures, BaseEjectionTime: r.BaseEjection, RecoveryRamp: r.SlowStart}, s.name, s.zone, names, now)
+	seed := sim.options.Seed*1000 + uint64(s.index)<<8 + uint64(s.incarnation)
+	s.pool = pool.New(o.PoolRules, names, seed, now)
+	s.evidence = evidence.Recorder{}
+	s.reports = map[int32]*peerReport{}
+	if o.SharedDetection {
+		s.outliers = outlier.New(outlierConfig(&o.PoolRules), s.name, s.zone, names, now)
 		s.pool.UseFleetDecisions(now, nil, outlier.AcceptsCaller)
 	}
 	sim.scheduleAfter(s, backendTickMs*s.rand.Float64(), eventBackendTick, 0, 0)
 }
 
+// backendSecond returns the record of the current second.
 func (sim *Simulation) backendSecond() *BackendSecond {
 	return &sim.BackendSeries[min(int(sim.now/1000), len(sim.BackendSeries)-1)]
 }
 
+// scheduleBackendCall schedules the next RPC of a Poisson process.
 func (sim *Simulation) scheduleBackendCall() {
-	sim.queue.put(event{at: sim.now + sim.backendRand.ExpFloat64()*1000/(sim.options.Backends.RatePerServer*float64(len(sim.servers))), kind: eventBackendCall, server: -1})
+	wait := sim.backendRand.ExpFloat64() * 1000 / (sim.options.Backends.RatePerServer * float64(len(sim.servers)))
+	sim.queue.put(event{at: sim.now + wait, kind: eventBackendCall, server: noServer})
 }
 
-// backendCall is a new RPC at some server.
+// backendCall begins an RPC at a random server.
 func (sim *Simulation) backendCall() {
 	sim.scheduleBackendCall()
 	s := &sim.servers[sim.backendRand.IntN(len(sim.servers))]
@@ -157,53 +165,78 @@
 		return
 	}
 	sim.backendSecond().Requests++
-	sim.startAttempt(s, attempt{server: s.index, rpcStartedAt: sim.now, caller: sim.backendRand.Uint64(), incarnation: s.incarnation})
+	sim.startAttempt(s, attempt{
+		server: s.index, rpcStartedAt: sim.now, caller: sim.backendRand.Uint64(), incarnation: s.incarnation,
+	})
 }
 
-// startAttempt makes the next try of an RPC.
-func (sim *Simulation) startAttempt(s *server, t attempt) {
-	v := sim.options.Backends
-	now := sim.localClock(s)
-	member, got := 0, pool.NoCapacity
+// pickMember picks the member for an attempt: one that is due a health check, or the pool's choice.
+func (s *server) pickMember(now float64, t *attempt) (member int, ok bool) {
 	if s.outliers != nil && t.attempts == 0 {
 		for _, m := range s.outliers.Members() {
-			if m.Ejected && m.HealthChecker && s.outliers.TryHealthCheck(now, m.Name) {
-				if id, ok := s.pool.AcquireEjected(now, m.Name); ok {
-					member, got = id, pool.Granted
-				}
-				break
+			if !m.Ejected || !m.HealthChecker || !s.outliers.TryHealthCheck(now, m.Name) {
+				continue
+			}
+			if member, ok := s.pool.AcquireEjected(now, m.Name); ok {
+				return member, true
 			}
+			break
 		}
 	}
-	if got != pool.Granted {
-		if member, got = s.pool.Acquire(now, 0, t.failedMembers, t.caller); got == pool.Queued {
-			s.pool.CancelQueued(0)
-		}
+	member, result := s.pool.Acquire(now, 0, t.failedMembers, t.caller)
+	if result == pool.Queued {
+		s.pool.CancelQueued(0)
 	}
-	if got != pool.Granted {
+	return member, result == pool.Granted
+}
+
+// startAttempt starts the next attempt of an RPC; without a member the RPC fails.
+func (sim *Simulation) startAttempt(s *server, t attempt) {
+	number, ok := s.pickMember(sim.localClock(s), &t)
+	if !ok {
 		return
 	}
-	t.member, t.startedAt, t.attempts = member, sim.now, t.attempts+1
-	var i int
-	fmt.Sscanf(s.pool.Addr(member), "m%d", &i)
-	sim.backendSecond().Attempts[i]++
-	sim.memberInFlight[i]++
-	fail, slow, silent := sim.faultOn(s, i)
-	if fail > 0 || silent {
+	t.member = number
+	t.startedAt = sim.now
+	t.attempts++
+	member := s.memberIndex(number)
+	sim.backendSecond().Attempts[member]++
+	sim.memberInFlight[member]++
+	work := sim.drawOutcome(s, &t, member)
+	at := sim.allocateAttempt(t)
+	late := evidence.LateThreshold(s.pool.MedianLatency())
+	if s.outliers != nil && late > 0 && work > late {
+		sim.queue.put(event{at: sim.now + late, kind: eventAttemptLate, server: noServer, subject: at, detail: sim.lastAttempt})
+	}
+	sim.queue.put(event{at: sim.now + work, kind: eventAttemptDone, server: noServer, subject: at, detail: int32(member)})
+}
+
+// drawOutcome draws how an attempt ends, and after how many ms.
+func (sim *Simulation) drawOutcome(s *server, t *attempt, member int) (workMs float64) {
+	o := sim.options.Backends
+	fault := sim.faultOn(s, member)
+	if fault.failureRate > 0 || fault.noResponse {
 		sim.backendSecond().FaultyAttempts++
 	}
-	work := v.MeanWorkMs * (0.3 + 0.7*sim.backendRand.ExpFloat64()) * slow
-	if v.Capacity > 0 {
-		work *= math.Max(1, float64(sim.memberInFlight[i])/v.Capacity)
+	workMs = o.MeanWorkMs * (minWorkShare + (1-minWorkShare)*sim.backendRand.ExpFloat64()) * fault.slowdown
+	if o.Capacity > 0 {
+		workMs *= math.Max(1, float64(sim.memberInFlight[member])/o.Capacity)
 	}
-	t.ok, t.noResponse = sim.backendRand.Float64() >= fail, silent
-	if !t.ok && !silent {
-		work = 2 // fast in errors
+	t.ok = sim.backendRand.Float64() >= fault.failureRate
+	t.noResponse = fault.noResponse
+	if !t.ok && !t.noResponse {
+		workMs = failedAttemptMs
 	}
-	if silent || work > attemptTimeoutMs {
-		work, t.ok, t.noResponse = attemptTimeoutMs, false, true
+	if t.noResponse || workMs > attemptTimeoutMs {
+		workMs = attemptTimeoutMs
+		t.ok = false
+		t.noResponse = true
 	}
-	var at int32
+	return workMs
+}
+
+// allocateAttempt stores an attempt under a new number and returns its index.
+func (sim *Simulation) allocateAttempt(t attempt) (at int32) {
 	if n := len(sim.freeAttempts); n > 0 {
 		at = sim.freeAttempts[n-1]
 		sim.freeAttempts = sim.freeAttempts[:n-1]
@@ -212,235 +245,124 @@
 		at = int32(len(sim.attempts) - 1)
 	}
 	sim.lastAttempt++
-	t.number, t.reportedLate = sim.lastAttempt, false
+	t.number = sim.lastAttempt
+	t.reportedLate = false
 	sim.attempts[at] = t
-	if late := evidence.LateThreshold(s.pool.MedianLatency()); s.outliers != nil && late > 0 && work > late {
-		sim.queue.put(event{at: sim.now + late, kind: eventAttemptLate, server: -1, subject: at, detail: t.number})
-	}
-	sim.queue.put(event{at: sim.now + work, kind: eventAttemptDone, server: -1, subject: at, detail: int32(i)})
+	return at
 }
 
-// faultOn is what is wrong with a member as a server sees it.
-func (sim *Simulation) faultOn(s *server, member int) (fail, slow float64, silent bool) {
-	slow = 1
-	for _, t := range sim.options.Backends.Faults {
-		if sim.now < t.FromMs || sim.now >= t.UntilMs || t.Zone != "" && t.Zone != s.zone || t.FlapMs > 0 && int((sim.now-t.FromMs)/t.FlapMs)%2 == 1 {
+// memberCondition is what a server meets at a member.
+type memberCondition struct {
+	failureRate float64
+	slowdown    float64
+	noResponse  bool
+}
+
+// faulty reports whether any fault is present.
+func (c memberCondition) faulty() bool { return c.failureRate != 0 || c.slowdown != 1 || c.noResponse }
+
+// faultOn combines the faults that a server meets at a member now.
+func (sim *Simulation) faultOn(s *server, member int) memberCondition {
+	c := memberCondition{slowdown: 1}
+	for i := range sim.options.Backends.Faults {
+		f := &sim.options.Backends.Faults[i]
+		if !f.presentAt(sim.now) || !f.concerns(s, member) {
 			continue
 		}
-		mine, seen := false, t.Servers == nil
-		for _, m := range t.Members {
-			mine = mine || m == member
-		}
-		for _, i := range t.Servers {
-			seen = seen || int32(i) == s.index
-		}
-		if mine && seen {
-			fail, silent = math.Max(fail, t.FailureRate), silent || t.NoResponse
-			if t.Slowdown > 0 {
-				slow *= t.Slowdown
-			}
+		c.failureRate = math.Max(c.failureRate, f.FailureRate)
+		c.noResponse = c.noResponse || f.NoResponse
+		if f.Slowdown > 0 {
+			c.slowdown *= f.Slowdown
 		}
 	}
-	return fail, slow, silent
+	return c
+}
+
+func (f *MemberFault) presentAt(now float64) bool {
+	if now < f.FromMs || now >= f.UntilMs {
+		return false
+	}
+	return f.FlapMs <= 0 || int((now-f.FromMs)/f.FlapMs)%2 == 0
+}
+
+func (f *MemberFault) concerns(s *server, member int) bool {
+	if f.Zone != "" && f.Zone != s.zone {
+		return false
+	}
+	return slices.Contains(f.Members, member) && (f.Servers == nil || slices.Contains(f.Servers, int(s.index)))
+}
+
+// attemptServer returns the server of an attempt; nil if its process has ended since, or is stopped.
+func (sim *Simulation) attemptServer(t *attempt) *server {
+	s := &sim.servers[t.server]
+	if s.incarnation != t.incarnation || !s.up || s.stopped {
+		return nil
+	}
+	return s
 }
 
-// attemptLate is a try that has no answer yet.
+// attemptLate reports an attempt without an answer long after the usual time.
 func (sim *Simulation) attemptLate(at, number int32) {
 	t := &sim.attempts[at]
 	if t.number != number {
 		return
 	}
-	s := &sim.servers[t.server]
-	if s.incarnation != t.incarnation || !s.up || s.stopped {
+	s := sim.attemptServer(t)
+	if s == nil {
 		return
 	}
-	var i int
-	fmt.Sscanf(s.pool.Addr(t.member), "m%d", &i)
 	t.reportedLate = true
-	s.evidence.RecordFailure(sim.localClock(s), memberName(i))
-	s.urgent, s.alertUntil = true, sim.now+alertMs
+	s.evidence.RecordFailure(sim.localClock(s), memberName(s.memberIndex(t.member)))
+	sim.raiseAlert(s)
 	sim.detectOutliers(s)
 }
 
-// finishAttempt is the end of a try.
+// raiseAlert notes a failure that peers are to know of soon.
+func (sim *Simulation) raiseAlert(s *server) {
+	s.urgent = true
+	s.alertUntil = sim.now + alertMs
+}
+
+// finishAttempt ends an attempt; one that failed may be retried.
 func (sim *Simulation) finishAttempt(at, member int32) {
 	t := sim.attempts[at]
 	sim.attempts[at].number = 0
 	sim.freeAttempts = append(sim.freeAttempts, at)
 	sim.memberInFlight[member]--
-	s := &sim.servers[t.server]
-	if s.incarnation != t.incarnation || !s.up || s.stopped {
+	s := sim.attemptServer(&t)
+	if s == nil {
 		return
 	}
+	o := sim.options.Backends
 	now := sim.localClock(s)
-	how := pool.Succeeded
-	if !t.ok {
-		how = pool.Failed
-	}
-	s.pool.Complete(now, t.member, how, sim.now-t.startedAt)
+	latencyMs := sim.now - t.startedAt
 	name := memberName(int(member))
 	if t.ok {
-		s.evidence.RecordSuccess(now, name, sim.now-t.startedAt)
-		if s.outliers != nil && sim.now-t.startedAt > sim.options.Backends.MeanWorkMs*sim.options.Backends.PoolRules.LatencyFactor {
+		s.pool.Complete(now, t.member, pool.Succeeded, latencyMs)
+		s.evidence.RecordSuccess(now, name, latencyMs)
+		if s.outliers != nil && latencyMs > o.MeanWorkMs*o.PoolRules.LatencyFactor {
 			s.alertUntil = sim.now + alertMs
 		}
-		if sim.now-t.rpcStartedAt <= sim.options.Backends.TargetMs {
+		if sim.now-t.rpcStartedAt <= o.TargetMs {
 			sim.backendSecond().OK++
 		}
 		return
 	}
-	again := sim.options.Backends.RetryableShare
+	s.pool.Complete(now, t.member, pool.Failed, latencyMs)
 	if !t.reportedLate {
 		s.evidence.RecordFailure(now, name)
 	}
-	s.urgent, s.alertUntil = true, sim.now+alertMs
+	sim.raiseAlert(s)
 	if s.outliers != nil {
 		sim.detectOutliers(s)
 	}
-	if t.attempts < 2 && (again == 0 || float64(t.caller>>11)/(1<<53) < again) {
+	if t.attempts < backendAttempts && o.retryable(t.caller) {
 		t.failedMembers = append(append([]int(nil), t.failedMembers...), t.member)
 		sim.startAttempt(s, t)
 	}
 }
 
-// backendTick is internal/fleet's look at the pool, some times a second.
-func (sim *Simulation) backendTick(s *server) {
-	sim.scheduleAfter(s, backendTickMs, eventBackendTick, 0, 0)
-	now := sim.localClock(s)
-	s.pool.Update(now)
-	if s.outliers == nil {
-		return
-	}
-	if sim.now < s.alertUntil || s.pool.FollowsFleet() != s.health.CompleteFor(now, outlier.CompletePeriod) {
-		sim.detectOutliers(s) // else nothing bad is known, nor has been of late: the look would find nothing
-	}
-	bad := s.urgent
-	s.urgent = false
-	for _, m := range s.outliers.Members() {
-		bad = bad || m.Ejected || s.outliers.TrafficFraction(now, m) < 1
-	}
-	wait := 2 * heartbeatMs * max(1, math.Floor(float64(s.detector.aliveCount)/heartbeatRoster))
-	if bad {
-		wait = evidenceIntervalMs
-	}
-	if now < s.lastReportAt+wait {
-		s.urgent = bad
-		return
-	}
-	s.lastReportAt = now
-	sim.shareEvidence(s)
-}
-
-// shareEvidence spreads a record: it reaches the others by gossip, which is modelled by its end, some rounds later, over ways that are
-// open.
-func (sim *Simulation) shareEvidence(s *server) {
-	if !sim.awake(s) {
-		return
-	}
-	now := sim.localClock(s)
-	out, back := s.outliers.Announcement(now)
-	said := outlier.Report{Origin: s.name, Zone: s.zone, Summaries: s.evidence.Summaries(now), Ejected: out, Recoveries: back}
-	for _, i := range sim.options.Backends.LyingServers {
-		if int32(i) == s.index {
-			for k := range said.Summaries {
-				said.Summaries[k].Run, said.Summaries[k].Age = -evidence.MaxRun, 0
-			}
-		}
-	}
-	alarm := len(out)+len(back) > 0
-	for _, v := range said.Summaries {
-		alarm = alarm || v.Run < 0 || v.LatencySamples > 0.5 && v.LogLatencyRatio > 2*math.Ln2
-	}
-	for i := range sim.servers {
-		o := &sim.servers[i]
-		if o == s || !o.up || o.stopped || !sim.network.isOpen(s.index, o.index) {
-			continue
-		}
-		if alarm {
-			o.alertUntil = sim.now + alertMs
-		}
-		rounds := math.Max(1, math.Ceil(math.Log2(float64(len(sim.servers)))/2))
-		x := o.reports[s.index]
-		if x == nil {
-			x = &peerReport{}
-			o.reports[s.index] = x
-		}
-		if x.arrivesAt <= sim.now {
-			x.previous, x.previousAt = x.latest, x.arrivesAt
-		}
-		x.latest, x.arrivesAt = said, sim.now+gossipIntervalMs*rounds*sim.backendRand.Float64()
-	}
+// retryable draws by the caller's number whether its RPCs may run twice.
+func (o *BackendOptions) retryable(caller uint64) bool {
+	return o.RetryableShare == 0 || float64(caller>>11)/(1<<53) < o.RetryableShare
 }
-
-// detectOutliers judges, and tells the pool.
-func (sim *Simulation) detectOutliers(s *server) {
-	now := sim.localClock(s)
-	var peers []outlier.Report
-	s.alivePeers = s.health.AppendReachable(now, s.alivePeers[:0])
-	known := map[string]bool{}
-	for _, name := range s.alivePeers {
-		known[name] = true
-	}
-	for i := range sim.servers {
-		x := s.reports[int32(i)]
-		if x == nil || !known[x.latest.Origin] {
-			continue
-		}
-		said, at := x.latest, x.arrivesAt
-		if at > sim.now {
-			said, at = x.previous, x.previousAt
-		}
-		if said.Origin == "" || sim.now-at > 15e3 {
-			continue
-		}
-		said.Age = sim.now - at
-		peers = append(peers, said)
-	}
-	whole := s.health.CompleteFor(now, outlier.CompletePeriod)
-	views := s.evidence.Summaries(now)
-	s.outliers.Evaluate(now, views, peers, s.alivePeers, whole)
-	if !whole {
-		s.pool.UseLocalDetection(now)
-		return
-	}
-	s.urgent = s.urgent || outlier.Urgent(views) || s.outliers.ShouldRefute(views, s.rand.Float64(), len(s.alivePeers)+1)
-	var verdicts []pool.FleetDecision
-	for _, m := range s.outliers.Members() {
-		if part := s.outliers.TrafficFraction(now, m); m.Ejected || part < 1 {
-			verdicts = append(verdicts, pool.FleetDecision{Addr: m.Name, Ejected: m.Ejected, CallerShare: part})
-		}
-	}
-	s.outliers.Events()
-	s.pool.UseFleetDecisions(now, verdicts, outlier.AcceptsCaller)
-	s.pool.Events()
-}
-
-// countEjections notes who is out where.
-func (sim *Simulation) countEjections() {
-	x := sim.backendSecond()
-	for i := range sim.servers {
-		s := &sim.servers[i]
-		if !s.up || s.stopped {
-			continue
-		}
-		out := 0
-		for k, m := range s.pool.MemberStates(sim.localClock(s)) {
-			if m.Ejection == pool.NotEjected {
-				continue
-			}
-			out++
-			x.EjectedAt[k]++
-			if fail, slow, silent := sim.faultOn(s, k); fail == 0 && slow == 1 && !silent {
-				x.FalseEjections++
-			}
-		}
-		v := sim.options.Backends
-		sim.maxEjectedShare = math.Max(sim.maxEjectedShare, float64(out)/float64(v.Members))
-		if v.SharedDetection && float64(v.Members-out) < v.PoolRules.MinHealthyShare*float64(v.Members) {
-			sim.AddFinding("services", "%s has %d of %d members out", s.name, out, v.Members)
-		}
-	}
-}
-
-// MaxEjectedShare is the largest share of the members that any server held out at a time.
-func (sim *Simulation) MaxEjectedShare() float64 { return sim.maxEjectedShare }
--- a/internal/fleetsim/check.go
+++ b/internal/fleetsim/check.go
@@ -1,22 +1,24 @@
 package fleetsim
 
-// This file owns what a checker is, and the list of all. A checker must never change the run.
-
-// Checker looks at a run and tells what it found wrong by World.Found.
+// Checker looks for violations during a run and reports them by Simulation.AddFinding. It must not change the run, nor draw
+// from its random numbers.
 type Checker interface {
 	Name() string
-	Check(sim *Simulation)              // every so often
-	Finish(sim *Simulation)             // at the end
-	Cases() int                         // cases: none is a fault of the run
-	MustHaveCases(sim *Simulation) bool // whether this run must have had cases
+	Check(sim *Simulation)              // called every CheckIntervalMs
+	Finish(sim *Simulation)             // called once at the end
+	Cases() int                         // how many cases it has examined
+	MustHaveCases(sim *Simulation) bool // whether a run without any case is a finding
 }
 
-// deathObserver is a checker that hears of each judgement on a peer.
+// deathObserver is a checker that is told when a server declares a peer dead.
 type deathObserver interface {
-	declaredDead(sim *Simulation, s *server, p int32, x *suspicion)
+	declaredDead(sim *Simulation, s *server, peer int32, why *suspicion)
 }
 
-// AllCheckers returns one of each.
+// minCheckedMs is the length of a run from which on checkers that look at every tick must have had cases.
+const minCheckedMs = 2 * checkIntervalMs
+
+// AllCheckers returns one checker of each kind.
 func AllCheckers() []Checker {
 	return []Checker{&rpcChecker{}, &viewsChecker{}, &deathChecker{}, &boundsChecker{}, &growthChecker{}, &quotaChecker{}}
 }
--- a/internal/fleetsim/check_quota.go
+++ b/internal/fleetsim/check_quota.go
@@ -1,54 +1,71 @@
 package fleetsim
 
-// This file owns the checker of shared budgets: no second in which more was taken than bound and burst, no moment at which
-// the parts sum to more than the bound, nobody under its floor, and tables that do not grow.
-
+// quotaChecker checks the fleet quotas: in no second is more admitted than capacity and burst, at no moment do the servers'
+// parts sum to more than the capacity, no server is below its floor, and the ledgers don't grow.
 type quotaChecker struct{ cases int }
 
-func (*quotaChecker) Name() string { return "budgets" }
-func (c *quotaChecker) Cases() int { return c.cases }
+func (*quotaChecker) Name() string       { return "budgets" }
+func (c *quotaChecker) Cases() int       { return c.cases }
+func (*quotaChecker) Finish(*Simulation) {}
 func (*quotaChecker) MustHaveCases(sim *Simulation) bool {
-	return sim.options.Quota != nil && sim.options.Quota.Scheme == PeerLeases && sim.options.DurationMs > 2*checkIntervalMs
+	o := sim.options.Quota
+	return o != nil && o.Scheme == PeerLeases && sim.options.DurationMs > minCheckedMs
 }
 
+// quotaRounding is the relative error allowed for sums of floating-point numbers.
+const quotaRounding = 1e-9
+
 func (c *quotaChecker) Check(sim *Simulation) {
-	b := sim.options.Quota
-	if b == nil || b.Scheme == GossipEstimates || b.Scheme == StaticSplit {
+	o := sim.options.Quota
+	if o == nil || o.Scheme == GossipEstimates || o.Scheme == StaticSplit {
 		return
 	}
-	r := &b.Rules
-	if sim.peakUse > 1+1e-9 {
+	if sim.peakUse > 1+quotaRounding {
 		sim.AddFinding("budgets", "within a second %.3f of bound and burst were taken", sim.peakUse)
 		sim.peakUse = 0
 	}
-	for key := range sim.admissions {
-		sum := 0.0
-		for i := range sim.servers {
-			s := &sim.servers[i]
-			if !s.up {
-				continue
-			}
-			now := sim.localClock(s)
-			part := s.ledger.Capacity(now, customerName(int32(key)))
-			if sum += part; part < r.Floor*(1-1e-9) {
-				sim.AddFinding("budgets", "%s has %g, under its floor", s.name, part)
-			}
-		}
-		c.cases += len(sim.admissions[key])
-		if sum > r.Capacity*(1+1e-9) {
-			sim.AddFinding("budgets", "the parts of %s sum to %.3f of the bound", customerName(int32(key)), sum/r.Capacity)
-		}
+	for customer := range sim.admissions {
+		c.cases += len(sim.admissions[customer])
+		checkParts(sim, customerName(int32(customer)))
 	}
+	checkLedgers(sim)
+}
+
+// checkParts checks the servers' parts of one customer's quota.
+func checkParts(sim *Simulation, customer string) {
+	limit := &sim.options.Quota.Rules
+	sum := 0.0
 	for i := range sim.servers {
-		if s := &sim.servers[i]; s.up {
-			if out, in, asks := s.ledger.LeaseCounts(); out+in+asks > len(sim.admissions)*(2*extraLeases+4*len(sim.servers)) {
-				sim.AddFinding("budgets", "%s has %d loans out, %d in, %d asks", s.name, out, in, asks)
-			}
+		s := &sim.servers[i]
+		if !s.up {
+			continue
+		}
+		part := s.ledger.Capacity(sim.localClock(s), customer)
+		sum += part
+		if part < limit.Floor*(1-quotaRounding) {
+			sim.AddFinding("budgets", "%s has %g, under its floor", s.name, part)
 		}
 	}
+	if sum > limit.Capacity*(1+quotaRounding) {
+		sim.AddFinding("budgets", "the parts of %s sum to %.3f of the bound", customer, sum/limit.Capacity)
+	}
 }
 
-// extraLeases: loans given up in part, and those whose answer was lost, stand beside those in use to their end.
+// extraLeases allows for leases that were returned in part, and those whose answer was lost: they stand beside those in use
+// until they expire.
 const extraLeases = 64
 
-func (*quotaChecker) Finish(*Simulation) {}
+// checkLedgers checks that the servers' ledgers don't grow.
+func checkLedgers(sim *Simulation) {
+	maxEntries := len(sim.admissions) * (2*extraLeases + 4*len(sim.servers))
+	for i := range sim.servers {
+		s := &sim.servers[i]
+		if !s.up {
+			continue
+		}
+		granted, held, requests := s.ledger.LeaseCounts()
+		if granted+held+requests > maxEntries {
+			sim.AddFinding("budgets", "%s has %d loans out, %d in, %d asks", s.name, granted, held, requests)
+		}
+	}
+}
--- a/internal/fleetsim/check_rpcs.go
+++ b/internal/fleetsim/check_rpcs.go
@@ -1,8 +1,7 @@
 package fleetsim
 
-// This file owns the checker of the four rules. What is broken as it happens is found in callers.go; here it is counted and
-// the ends are looked at.
-
+// rpcChecker checks that each RPC is answered once and in time. Violations at one moment are found in responses.go; this
+// counts the cases and looks at what is left at the end.
 type rpcChecker struct{ cases int }
 
 func (*rpcChecker) Name() string                       { return "rules" }
@@ -10,7 +9,7 @@
 func (*rpcChecker) MustHaveCases(sim *Simulation) bool { return sim.options.RatePerServer > 0 }
 func (c *rpcChecker) Check(sim *Simulation)            { c.cases = sim.finishedRPCs }
 
-// Finish counts RPCs that never came to an end though their time is over.
+// Finish reports RPCs that were never finished though their time is over.
 func (c *rpcChecker) Finish(sim *Simulation) {
 	c.cases = sim.finishedRPCs
 	for i := range sim.rpcs {
