--- /dev/null
+++ b/internal/front/mprpc/read.go
@@ -0,0 +1,188 @@
+package mprpc
+
+// This file owns the reader of a connection: it takes messages off the wire and dispatches them. It must never wait for
+// an RPC.
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"os"
+	"runtime/debug"
+	"time"
+
+	"sorrelvalve/internal/msgpack"
+)
+
+const (
+	// maxFrame holds a body of 2 KiB and fields of some hundred bytes, with space for new ones.
+	maxFrame = 8 << 10
+	// tooManyRetryAfter in ms is the advice to an RPC beyond maxInFlight: the others are answered by then.
+	tooManyRetryAfter = 500
+	// maxFaultsUndelayed messages in a row without a valid RPC are taken at full speed: more than the cancels that cross
+	// responses.
+	maxFaultsUndelayed = 40
+	// faultDelay is waited before each message after those: fifty a second cost little.
+	faultDelay = 20 * time.Millisecond
+)
+
+// readMessages dispatches messages until an error; io.EOF is a clean end. Frames are parsed in the reader's buffer.
+//
+// A message that has begun must come complete within the message timeout, and so must the first one: a peer that sends
+// nothing, or never finishes, must not keep a descriptor.
+func (c *conn) readMessages() (err error) {
+	defer func() {
+		if v := recover(); v != nil {
+			c.server.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("server.connection_panic")
+			err = errFrame
+		}
+	}()
+	in := bufio.NewReaderSize(c.Conn, maxFrame)
+	need := 1 // bytes that must be buffered before parsing again can succeed
+	timed := true
+	c.BoundReads(time.Now().Add(c.server.messageTimeout))
+	for {
+		b, err := c.fill(in, need)
+		if err != nil {
+			return err
+		}
+		m, size, err := parseMessage(b)
+		switch {
+		case err == nil:
+			if timed {
+				timed = false
+				c.BoundReads(time.Time{})
+			}
+			if err := c.dispatch(m); err != nil {
+				return err
+			}
+			_, _ = in.Discard(size) // size bytes are buffered
+			need = 1
+			if c.faults > maxFaultsUndelayed { // only this peer waits, and what it has in flight does not
+				time.Sleep(faultDelay)
+			}
+		case errors.Is(err, msgpack.ErrTruncated):
+			need = size
+			c.BeginMessage()
+			if !timed {
+				timed = true
+				c.BoundReads(time.Now().Add(c.server.messageTimeout))
+			}
+		default:
+			c.answerBroken(b, err.Error())
+			return err
+		}
+	}
+}
+
+// fill waits until need bytes are buffered and returns all that are; they are valid until the next read.
+func (c *conn) fill(in *bufio.Reader, need int) ([]byte, error) {
+	_, err := in.Peek(need)
+	b, _ := in.Peek(in.Buffered()) // can't fail: they are buffered
+	switch {
+	case errors.Is(err, io.EOF) && len(b) > 0:
+		return nil, errTruncatedMessage
+	case errors.Is(err, os.ErrDeadlineExceeded) && c.Ending():
+		return nil, errClosedHere
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return nil, errMessageTimeout
+	case err != nil:
+		return nil, err
+	}
+	return b, nil
+}
+
+// answerBroken answers a call that can't be parsed, if its id can and is not in flight.
+func (c *conn) answerBroken(b []byte, reason string) {
+	id, ok := callID(b)
+	if !ok {
+		return
+	}
+	c.Mu.Lock()
+	_, inFlight := c.tickets[id]
+	answer := !inFlight && !c.CloseRequested
+	if answer { // an answer in flight keeps the connection from being evicted
+		c.reserve(id)
+	}
+	c.Mu.Unlock()
+	if answer {
+		c.write(errorResponse(id, "Invalid", reason))
+		c.complete(id)
+	}
+}
+
+// reserve marks a message id as in flight without a ticket. Mu is held.
+func (c *conn) reserve(id uint64) {
+	c.tickets[id] = nil
+	c.InFlight = len(c.tickets)
+}
+
+// dispatch handles one message.
+func (c *conn) dispatch(m message) error {
+	c.Mu.Lock()
+	c.LastActivity = time.Now()
+	c.ReceivedMessage = true
+	c.PartialMessage = false
+	closing := c.CloseRequested
+	_, inFlight := c.tickets[m.id]
+	full := len(c.tickets) >= maxInFlight
+	if m.kind == typeCall && !inFlight && !closing && !full {
+		c.reserve(m.id) // from here on the connection is not idle
+	}
+	c.Mu.Unlock()
+	c.faults++
+	switch {
+	case closing:
+		return errClosedHere
+	case m.kind == typeNotification:
+		if string(m.method) == "cancel" {
+			c.cancel(parseCancel(m.params))
+		}
+	case inFlight: // an answer to this id would be a second one to the first call's
+		return errDuplicateID
+	case full: // the reader writes this itself: a peer that sends on without reading waits for it
+		c.write(rejection(m.id, c.server.gate.CapRetryAfter(tooManyRetryAfter), false))
+	case string(m.method) == "health" && isHealthCheck(m.params):
+		c.faults = 0
+		c.write(healthResponse(m.id, c.server.gate.Healthy()))
+		c.complete(m.id)
+	default:
+		c.submit(m)
+	}
+	return nil
+}
+
+// cancel tells the gate that the callers of these calls no longer wait.
+func (c *conn) cancel(ids []uint64) {
+	for _, id := range ids {
+		c.Mu.Lock()
+		t := c.tickets[id]
+		c.Mu.Unlock()
+		if t != nil {
+			t.Cancel()
+			c.faults = 0
+		}
+	}
+}
+
+// submit passes the RPC of a call to the gate and starts its handler.
+func (c *conn) submit(m message) {
+	rpc, err := parseRPC(m.method, m.params)
+	if err != nil {
+		c.rejectInvalid(m.id, err)
+		return
+	}
+	t, err := c.server.gate.Submit(rpc)
+	if err != nil {
+		c.rejectInvalid(m.id, err)
+		return
+	}
+	c.faults = 0
+	c.startHandler(m.id, t, func() { c.awaitVerdicts(m.id, t, rpc) })
+}
+
+func (c *conn) rejectInvalid(id uint64, err error) {
+	c.server.log.WithField("peer", c.RemoteAddr()).WithError(err).Warn("server.invalid_rpc")
+	c.write(errorResponse(id, "Invalid", err.Error()))
+	c.complete(id)
+}
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -30,14 +31,14 @@
 // rig is a server whose runs end when the test says so, with one connection to it.
 type rig struct {
 	*testing.T
-	s     *Server
-	table *front.ConnTable
-	g     *gate.Gate
-	addr  string
-	conn  net.Conn
-	buf   []byte
-	runs  chan running
-	over  chan struct{} // closed at the end of the test
+	server *Server
+	table  *front.ConnTable
+	gate   *gate.Gate
+	addr   string
+	conn   net.Conn
+	buf    []byte
+	runs   chan running
+	over   chan struct{} // closed at the end of the test
 }
 
 type running struct {
@@ -59,11 +60,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := &rig{T: t, addr: ln.Addr().String(), runs: make(chan running, 1000), over: make(chan struct{})}
-	r.g = gate.New(o, 64, func(string, string) {})
-	r.g.Start(false, 0)
+	r.gate = gate.New(o, 64, func(string, string) {})
+	r.gate.Start(false, 0)
 	entry := log.WithField("node", "n0")
-	r.table = front.NewConnTable(sockets, r.g.IdleTimeout, entry)
-	r.s = New(r.table, r.g, func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
+	r.table = front.NewConnTable(sockets, r.gate.IdleTimeout, entry)
+	r.server = New(r.table, r.gate, func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
 		}
@@ -75,13 +76,14 @@
 			done(how, spent, head, result)
 		}}
 	}, entry)
-	for _, r.s.messageTimeout = range patience {
+	if len(patience) > 0 {
+		r.server.messageTimeout = patience[0]
 	}
-	r.table.AddListener(ln.(*net.TCPListener), r.s.Open)
+	r.table.AddListener(ln.(*net.TCPListener), r.server.Open)
 	t.Cleanup(func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
-		r.conn.Close()
+		_ = r.conn.Close() // the test may have closed it
 		r.table.Shutdown(ctx)
 		close(r.over)
 	})
@@ -89,21 +91,29 @@
 	return r
 }
 
+// noError fails the test on an error of what must work.
+func (r *rig) noError(err error) {
+	r.Helper()
+	if err != nil {
+		r.Error(err)
+	}
+}
+
 func (r *rig) dial() net.Conn {
 	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(soon))
-	r.Cleanup(func() { conn.Close() })
+	r.noError(conn.SetDeadline(time.Now().Add(soon)))
+	r.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	return conn
 }
 
-var tries atomic.Uint64
+var rpcIDs atomic.Uint64
 
 // rpc is a frame with the fields given as key, value, ... behind the usual ones.
 func rpc(id uint64, method, body string, more ...string) string {
-	f := append([]string{"txn", fmt.Sprintf("%016x", tries.Add(1)), "door", fmt.Sprint(time.Now().UnixMilli()), "lb", "4", "ram", "24.5",
+	f := append([]string{"txn", fmt.Sprintf("%016x", rpcIDs.Add(1)), "door", fmt.Sprint(time.Now().UnixMilli()), "lb", "4", "ram", "24.5",
 		"cpu", "12.50", "standing", "0.6250", "item", "7f3a9c21e0b4d655"}, more...)
 	b := msgpack.AppendString(msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendArray(nil, 4), typeCall), id), method)
 	b = msgpack.AppendMap(msgpack.AppendArray(b, 2), len(f)/2)
@@ -132,7 +142,7 @@
 		}
 		b := make([]byte, 4096)
 		n, err := r.conn.Read(b)
-		if r.buf = append(r.buf, b[:n]...); n == 0 && err == io.EOF {
+		if r.buf = append(r.buf, b[:n]...); n == 0 && errors.Is(err, io.EOF) {
 			return ""
 		} else if n == 0 {
 			r.Fatal(err)
@@ -266,7 +276,7 @@
 			}()
 			r.says(rpc(400, "view", "b"))
 			r.expect("400 ok r-b") // in spite of runs that have yet to end
-			for r.g.InFlight() > 0 {
+			for r.gate.InFlight() > 0 {
 				runtime.Gosched()
 			}
 		}},
@@ -280,7 +290,7 @@
 			}
 		}},
 		{"past the drain's grace it is pushed back", func(r *rig) {
-			r.g.Drain(time.Millisecond)
+			r.gate.Drain(time.Millisecond)
 			r.says(rpc(1, "view", "") + health)
 			for range 2 {
 				if got := r.next(); got != "1 Overloaded" && got != "99 health false" {
@@ -359,15 +369,15 @@
 		}},
 		{"a half-closed connection gets its answers", func(r *rig) {
 			r.says(rpc(1, "view", "a"))
-			r.conn.(*net.TCPConn).CloseWrite()
+			r.noError(r.conn.(*net.TCPConn).CloseWrite())
 			r.end("a")
 			r.expect("1 ok r-a", "")
 		}},
 		{"a reset connection takes nothing with it", func(r *rig) {
 			r.says(rpc(1, "view", "a"))
 			run := <-r.runs
-			r.conn.(*net.TCPConn).SetLinger(0)
-			r.conn.Close()
+			r.noError(r.conn.(*net.TCPConn).SetLinger(0))
+			r.noError(r.conn.Close())
 			r.conn = r.dial()
 			r.says(rpc(1, "view", "b"))
 			r.end("b")
@@ -386,8 +396,11 @@
 				<-r.runs
 			}
 			gone := r.dial()
-			io.WriteString(gone, many("b")) // four of them run beside the others
-			for r.g.InFlight() < 120 {
+			if _, err := io.WriteString(gone, many("b")); err != nil {
+				r.Fatal(err)
+			}
+			// four of them run beside the others
+			for r.gate.InFlight() < 120 {
 				runtime.Gosched()
 			}
 			open := func() (n int) {
@@ -401,9 +414,9 @@
 				}
 				return n
 			}
-			gone.Close() // looks half-closed until something is written
+			r.noError(gone.Close()) // looks half-closed until something is written
 			ran := 0
-			for end := time.Now().Add(soon); r.g.InFlight() > 60 && time.Now().Before(end); {
+			for end := time.Now().Add(soon); r.gate.InFlight() > 60 && time.Now().Before(end); {
 				select {
 				case run := <-r.runs:
 					left := open()
@@ -416,8 +429,8 @@
 					runtime.Gosched()
 				}
 			}
-			if ran > 30 || r.g.InFlight() != 60 {
-				r.Errorf("%d ran, %d in hand", ran, r.g.InFlight())
+			if ran > 30 || r.gate.InFlight() != 60 {
+				r.Errorf("%d ran, %d in hand", ran, r.gate.InFlight())
 			}
 		}},
 		{"a panic on an RPC", func(r *rig) {
@@ -460,7 +473,7 @@
 			c.Mu.Unlock()
 			r.says(rpc(1, "view", "a"))
 			r.expect("")
-			if n := r.g.InFlight(); n != 0 {
+			if n := r.gate.InFlight(); n != 0 {
 				r.Errorf("%d in hand", n)
 			}
 		}},
@@ -477,7 +490,7 @@
 			r.expect("1 ok r")
 			r.end("b")
 			r.expect("2 ok r-b")
-			r.conn.Close()
+			r.noError(r.conn.Close())
 			<-over
 			if _, err := net.Dial("tcp", r.addr); err == nil {
 				r.Error("still listening")
@@ -492,7 +505,7 @@
 	}
 }
 
-// A broken frame ends the connection once what came whole before it has been answered.
+// A broken frame ends the connection once what came complete before it has been answered.
 func TestBrokenFrames(t *testing.T) {
 	cases := []struct {
 		name, in string
@@ -521,7 +534,7 @@
 			r.says(rpc(1, "view", "a") + c.in)
 			if c.in == "" {
 				r.says("\x94")
-				r.conn.(*net.TCPConn).CloseWrite()
+				r.noError(r.conn.(*net.TCPConn).CloseWrite())
 			}
 			if c.answered {
 				r.expect("2 Invalid")
@@ -590,8 +603,8 @@
 	}
 }
 
-// One look gives up many that were never of use, and then none that was.
-func TestEvictSome(t *testing.T) {
+// One eviction closes many unused connections, and then none that has carried RPCs.
+func TestEvictUnused(t *testing.T) {
 	r := start(t, 1024)
 	r.says(rpc(1, "view", "a"))
 	r.end("a")
@@ -602,10 +615,10 @@
 		r.says("\x94\x00\x63\xa6health\x91\x80")
 		r.expect("99 health true")
 	}
-	for _, c := range r.table.Conns() { // an answer is heard before its server has booked it: a connection is busy until then
+	for _, c := range r.table.Conns() { // a response is read before its server has recorded it: the connection is busy until then
 		for busy := true; busy; runtime.Gosched() {
-			readily, _ := c.EvictionPriority(time.Now().Add(2 * front.TransitTime))
-			busy = readily == front.Busy
+			class, _ := c.EvictionPriority(time.Now().Add(2 * front.TransitTime))
+			busy = class == front.Busy
 		}
 	}
 	for range 2 {
@@ -620,7 +633,7 @@
 	r.expect("2 ok r-b")
 }
 
-// At the limit of connections the one that is idle for longest makes room.
+// At the limit of connections the one that is idle for longest is evicted.
 func TestConnectionLimit(t *testing.T) {
 	r := start(t, 0) // the least there is: 8
 	r.says(rpc(1, "view", "a"))
@@ -636,7 +649,7 @@
 	r.expect("1 ok r")
 }
 
-// At the end what the machine has accepted is served, too, be it still waiting for its turn at the limit.
+// At a shutdown what the kernel has accepted is served as well, even if it still waits for a permit.
 func TestShutdownAtLimit(t *testing.T) {
 	r := start(t, 0)
 	var conns []net.Conn
@@ -661,11 +674,11 @@
 				t.Fatalf("read %q", got)
 			}
 		}
-		r.conn.Close()
+		r.noError(r.conn.Close())
 	}
 }
 
-func TestAbsent(t *testing.T) {
+func TestRemoveUnsupported(t *testing.T) {
 	o := &startup.Config{}
 	if names := RemoveUnsupported(o); names != nil {
 		t.Errorf("absent %q of nothing", names)
@@ -696,8 +709,8 @@
 	})
 }
 
-// What comes once a connection is to be closed from here is not run and resets nothing: its caller reads what it was
-// answered before, and then the end.
+// What comes once a connection is to be closed from here is not run and resets nothing: its caller reads the responses
+// sent before, and then the end.
 func TestCrossingClose(t *testing.T) {
 	r := start(t, 1024)
 	r.says(rpc(1, "view", "a"))
@@ -715,7 +728,7 @@
 	if got := r.next(); got != "" {
 		t.Errorf("read %q", got)
 	}
-	r.conn.Close()
+	r.noError(r.conn.Close())
 	for len(r.table.Conns()) > 0 {
 		runtime.Gosched()
 	}
@@ -726,8 +739,8 @@
 	}
 }
 
-// An RPC of which a part has come is neither evicted with its connection nor closed with one that rests.
-func TestBegunMessage(t *testing.T) {
+// A connection on which part of an RPC has come is neither evicted nor closed as drained.
+func TestPartialMessage(t *testing.T) {
 	r := start(t, 0)
 	r.says(rpc(1, "view", "a"))
 	r.end("a")
