--- a/decision/recovery/recovery.go
+++ b/decision/recovery/recovery.go
@@ -33,9 +33,9 @@
 // Entry is what a store holds of a token. Times are Unix ms.
 type Entry struct {
 	State     State
-	Body      uint64  // hash
-	Until     float64 // no try that came to the machine before may run
-	WrittenAt float64 // when it was written
+	BodyHash  uint64  // hash
+	UntilMs   float64 // no try that came to the machine before may run
+	WrittenMs float64 // when it was written
 }
 
 // Resolve is what a try with a door and a body is told by an entry, where windows are as long as now. They may have been
@@ -43,9 +43,9 @@
 // the process was down: an entry counts that much longer.
 func Resolve(e Entry, door float64, body uint64, window, tolerance float64) Resolution {
 	switch {
-	case e.State == NeverRan, door >= math.Max(e.Until, e.WrittenAt+window)+tolerance:
+	case e.State == NeverRan, door >= math.Max(e.UntilMs, e.WrittenMs+window)+tolerance:
 		return Unknown
-	case e.Body != body:
+	case e.BodyHash != body:
 		return BodyMismatch
 	case e.State == Succeeded:
 		return ReplayResult
@@ -70,26 +70,26 @@
 
 // Disk is what is known before a token may begin. Bytes count the whole store.
 type Disk struct {
-	Health       Health
-	Used         float64
-	Capacity     float64
-	Reserved     float64 // what begun tokens may still write for their ends
-	FreesAt      float64 // Unix ms: when the oldest segment is over; 0 for none
-	SuspectUntil float64 // Unix ms: until then entries may be missing, as a part of the store was damaged
+	Health         Health
+	UsedBytes      float64
+	CapacityBytes  float64
+	ReservedBytes  float64 // what begun tokens may still write for their ends
+	FreesAtMs      float64 // Unix ms: when the oldest segment is over; 0 for none
+	SuspectUntilMs float64 // Unix ms: until then entries may be missing, as a part of the store was damaged
 }
 
 // Rejection tells why a token may not begin, and for how many ms to stay away.
 type Rejection struct {
-	Reason     string
-	RetryAfter float64
+	Reason       string
+	RetryAfterMs float64
 }
 
 const (
 	// brokenAway is the ms to stay away from a broken disk: a few times what a stall of one takes.
-	brokenAway = 1000.0
+	brokenRetryAfter = 1000.0
 	// recoverAway is that during recovery, of which a second is long.
-	recoverAway = 200.0
-	leastAway   = 50.0
+	recoveringRetryAfter = 200.0
+	minRetryAfter        = 50.0
 )
 
 // Admit tells whether a token may begin that needs so many bytes, its end included. now is Unix ms. What can't be
@@ -97,32 +97,32 @@
 func (d *Disk) Admit(now, need float64) *Rejection {
 	switch {
 	case d.Health == Recovering:
-		return &Rejection{"the store is being read", recoverAway}
+		return &Rejection{"the store is being read", recoveringRetryAfter}
 	case d.Health == Broken:
-		return &Rejection{"the store can't be written", brokenAway}
-	case now < d.SuspectUntil:
-		return &Rejection{"a part of the store was damaged: what has run can't be told", math.Max(leastAway, d.SuspectUntil-now)}
-	case d.Used+d.Reserved+need > d.Capacity:
-		after := brokenAway
-		if d.FreesAt > 0 {
-			after = d.FreesAt - now
+		return &Rejection{"the store can't be written", brokenRetryAfter}
+	case now < d.SuspectUntilMs:
+		return &Rejection{"a part of the store was damaged: what has run can't be told", math.Max(minRetryAfter, d.SuspectUntilMs-now)}
+	case d.UsedBytes+d.ReservedBytes+need > d.CapacityBytes:
+		after := brokenRetryAfter
+		if d.FreesAtMs > 0 {
+			after = d.FreesAtMs - now
 		}
-		return &Rejection{"the store is full", math.Max(leastAway, after)}
+		return &Rejection{"the store is full", math.Max(minRetryAfter, after)}
 	}
 	return nil
 }
 
 // Segment is one file of a store.
 type Segment struct {
-	LastExpiry float64 // Unix ms: the latest window of an entry in it
-	OpenRuns   int     // tokens begun in it that have no end yet
-	Bytes      float64
+	LastExpiryMs float64 // Unix ms: the latest window of an entry in it
+	OpenRuns     int     // tokens begun in it that have no end yet
+	Bytes        float64
 }
 
 // Droppable tells whether a segment may go: all windows in it are over by more than the tolerance, and no run that it
 // tells of is still going on.
 func (s *Segment) Droppable(now, tolerance float64) bool {
-	return s.OpenRuns == 0 && now > s.LastExpiry+tolerance
+	return s.OpenRuns == 0 && now > s.LastExpiryMs+tolerance
 }
 
 // SuspectUntil is until when a store may miss entries, of which a part was damaged: an entry written at the latest then may
--- a/decision/recovery/recovery_test.go
+++ b/decision/recovery/recovery_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestMay(t *testing.T) {
-	sound := Disk{Capacity: 1000, Used: 500, Reserved: 100, FreesAt: 5000}
+	sound := Disk{CapacityBytes: 1000, UsedBytes: 500, ReservedBytes: 100, FreesAtMs: 5000}
 	for _, c := range []struct {
 		name   string
 		change func(*Disk)
@@ -39,17 +39,17 @@
 	}{
 		{"room", func(*Disk) {}, 400, 0},
 		{"none with what ends may write", func(*Disk) {}, 401, 4000},
-		{"none, and nothing frees up", func(d *Disk) { d.FreesAt = 0 }, 401, brokenAway},
-		{"soon", func(d *Disk) { d.FreesAt = 1001 }, 401, leastAway},
-		{"recovery", func(d *Disk) { d.Health = Recovering }, 1, recoverAway},
-		{"broken", func(d *Disk) { d.Health = Broken }, 1, brokenAway},
-		{"suspect", func(d *Disk) { d.SuspectUntil = 3000 }, 1, 2000},
-		{"no longer suspect", func(d *Disk) { d.SuspectUntil = 1000 }, 1, 0},
+		{"none, and nothing frees up", func(d *Disk) { d.FreesAtMs = 0 }, 401, brokenRetryAfter},
+		{"soon", func(d *Disk) { d.FreesAtMs = 1001 }, 401, minRetryAfter},
+		{"recovery", func(d *Disk) { d.Health = Recovering }, 1, recoveringRetryAfter},
+		{"broken", func(d *Disk) { d.Health = Broken }, 1, brokenRetryAfter},
+		{"suspect", func(d *Disk) { d.SuspectUntilMs = 3000 }, 1, 2000},
+		{"no longer suspect", func(d *Disk) { d.SuspectUntilMs = 1000 }, 1, 0},
 	} {
 		d := sound
 		c.change(&d)
 		r := d.Admit(1000, c.need)
-		if (r == nil) != (c.after == 0) || r != nil && r.RetryAfter != c.after {
+		if (r == nil) != (c.after == 0) || r != nil && r.RetryAfterMs != c.after {
 			t.Errorf("%s: %+v, want after %g", c.name, r, c.after)
 		}
 	}
@@ -60,7 +60,7 @@
 		s    Segment
 		now  float64
 		want bool
-	}{{Segment{LastExpiry: 1000}, 1000, false}, {Segment{LastExpiry: 1000}, 1050, false}, {Segment{LastExpiry: 1000}, 1051, true}, {Segment{LastExpiry: 1000, OpenRuns: 1}, 9000, false}} {
+	}{{Segment{LastExpiryMs: 1000}, 1000, false}, {Segment{LastExpiryMs: 1000}, 1050, false}, {Segment{LastExpiryMs: 1000}, 1051, true}, {Segment{LastExpiryMs: 1000, OpenRuns: 1}, 9000, false}} {
 		if got := c.s.Droppable(c.now, 50); got != c.want {
 			t.Errorf("%+v at %g: %v", c.s, c.now, got)
 		}
--- a/internal/daemon/store.go
+++ b/internal/daemon/store.go
@@ -87,7 +87,7 @@
 		return
 	}
 	st := x.store.Status()
-	log.WithFields(logrus.Fields{"health": st.Health, "used": int64(st.Used), "reserved": int64(st.Reserved), "segments": st.Segments,
+	log.WithFields(logrus.Fields{"health": st.Health, "used": int64(st.UsedBytes), "reserved": int64(st.ReservedBytes), "segments": st.Segments,
 		"records": st.Records, "syncs": st.Syncs, "dropped": st.SegmentsDropped, "failures": st.Failures, "index_kb": int64(st.IndexKB)}).Info("store: state")
 }
 
@@ -146,7 +146,7 @@
 		}
 		if list || s.Err != nil {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", s.Name, s.Bytes, s.Records, s.States[recovery.Started], s.States[recovery.Succeeded],
-				s.States[recovery.Failed], s.States[recovery.SucceededUncached], s.States[recovery.NeverRan], time.UnixMilli(int64(s.LastExpiry)).UTC().Format(time.RFC3339), why)
+				s.States[recovery.Failed], s.States[recovery.SucceededUncached], s.States[recovery.NeverRan], time.UnixMilli(int64(s.LastExpiryMs)).UTC().Format(time.RFC3339), why)
 		}
 	}
 	w.Flush()
@@ -172,7 +172,7 @@
 	now := float64(time.Now().UnixMilli())
 	removed, kept := 0, 0
 	for _, s := range all { // the oldest first, and none behind one that stays: later records go before earlier ones
-		seg := recovery.Segment{LastExpiry: s.LastExpiry}
+		seg := recovery.Segment{LastExpiryMs: s.LastExpiryMs}
 		if s.Err != nil || !seg.Droppable(now, float64(c.Tolerance.Milliseconds())) {
 			kept = len(all) - removed
 			break
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -143,7 +143,7 @@
 // be recorded is not run.
 func (g *Gate) recordStart(t *Ticket, k *token) {
 	if rejection := g.store.Reserve(); rejection != nil {
-		t.retryAfterMs = rejection.RetryAfter
+		t.retryAfterMs = rejection.RetryAfterMs
 		t.abandonRun()
 		return
 	}
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -48,7 +48,7 @@
 		if err != nil || !has {
 			t.Fatalf("%s: %v, %v", c.key, has, err)
 		}
-		if f.State != c.state || f.Body != 7 || f.Until != 1.7e12+10e3 || f.WrittenAt != 1.7e12 || string(f.Result) != c.result {
+		if f.State != c.state || f.BodyHash != 7 || f.UntilMs != 1.7e12+10e3 || f.WrittenMs != 1.7e12 || string(f.Result) != c.result {
 			t.Errorf("%s: %+v, want state %v and result %q", c.key, f, c.state, c.result)
 		}
 		if c.result != "" && string(f.Head) != "head" {
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -5,34 +5,34 @@
 
 // slot is one entry: 16 bytes. A place in segment 0 is none.
 type slot struct {
-	print uint64
-	seg   uint32
-	off   uint32
+	fingerprint uint64
+	segment     uint32
+	offset      uint32
 }
 
 // index is a table of slots; its size is a power of two.
 type index struct {
-	slots []slot
-	used  int    // with those of segments that are gone
-	first uint32 // segments before it are gone
+	slots        []slot
+	used         int    // with those of segments that are gone
+	firstSegment uint32 // segments before it are gone
 }
 
-const leastSlots = 1024
+const minSlots = 1024
 
-func newIndex() *index { return &index{slots: make([]slot, leastSlots), first: 1} }
+func newIndex() *index { return &index{slots: make([]slot, minSlots), firstSegment: 1} }
 
-func (x *index) at(print uint64) int { return int(print >> 20 & uint64(len(x.slots)-1)) }
+func (x *index) probeStart(print uint64) int { return int(print >> 20 & uint64(len(x.slots)-1)) }
 
 // put sets the place of a fingerprint, in place of an earlier one.
 func (x *index) put(print uint64, seg, off uint32) {
 	if 4*x.used >= 3*len(x.slots) {
-		x.anew()
+		x.rebuild()
 	}
-	for i := x.at(print); ; i = (i + 1) & (len(x.slots) - 1) {
+	for i := x.probeStart(print); ; i = (i + 1) & (len(x.slots) - 1) {
 		s := &x.slots[i]
-		if s.seg == 0 {
+		if s.segment == 0 {
 			x.used++
-		} else if s.print != print {
+		} else if s.fingerprint != print {
 			continue
 		}
 		*s = slot{print, seg, off}
@@ -42,25 +42,25 @@
 
 // get is the place of a fingerprint; false if there is none, or its segment is gone.
 func (x *index) get(print uint64) (seg, off uint32, has bool) {
-	for i := x.at(print); ; i = (i + 1) & (len(x.slots) - 1) {
+	for i := x.probeStart(print); ; i = (i + 1) & (len(x.slots) - 1) {
 		s := &x.slots[i]
-		if s.seg == 0 {
+		if s.segment == 0 {
 			return 0, 0, false
 		}
-		if s.print == print {
-			return s.seg, s.off, s.seg >= x.first
+		if s.fingerprint == print {
+			return s.segment, s.offset, s.segment >= x.firstSegment
 		}
 	}
 }
 
 // drop forgets all in segments before first. The slots are freed when the table is made anew.
-func (x *index) drop(first uint32) { x.first = max(x.first, first) }
+func (x *index) dropBefore(first uint32) { x.firstSegment = max(x.firstSegment, first) }
 
 // anew makes the table anew without what is gone, twice as large if it would still be more than five eighths full.
-func (x *index) anew() {
+func (x *index) rebuild() {
 	live := 0
 	for i := range x.slots {
-		if x.slots[i].seg >= x.first {
+		if x.slots[i].segment >= x.firstSegment {
 			live++
 		}
 	}
@@ -68,14 +68,14 @@
 	for 8*live >= 5*size {
 		size *= 2
 	}
-	for size > leastSlots && 8*live < size {
+	for size > minSlots && 8*live < size {
 		size /= 2
 	}
 	old := x.slots
 	x.slots, x.used = make([]slot, size), 0
 	for _, s := range old {
-		if s.seg >= x.first {
-			x.put(s.print, s.seg, s.off)
+		if s.segment >= x.firstSegment {
+			x.put(s.fingerprint, s.segment, s.offset)
 		}
 	}
 }
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -20,7 +20,7 @@
 			plain[print] = [2]uint32{seg, uint32(i)}
 			if i%1000 == 999 {
 				first += 2
-				x.drop(first)
+				x.dropBefore(first)
 			}
 		}
 		for print, want := range plain {
--- a/internal/store/keeper.go
+++ b/internal/store/keeper.go
@@ -28,7 +28,7 @@
 	case !has:
 		return recovery.Unknown, nil, nil
 	}
-	return recovery.Resolve(f.Entry, door, body, window, k.bounds.ClockTolerance), f.Head, f.Result
+	return recovery.Resolve(f.Entry, door, body, window, k.limits.ClockTolerance), f.Head, f.Result
 }
 
 // RecordStart and End are those of the store, by key.
@@ -42,14 +42,14 @@
 
 // SegmentInfo is what stands in one segment.
 type SegmentInfo struct {
-	Name       string
-	Bytes      int64
-	Version    byte
-	Owner      uint64
-	Records    int
-	States     [recovery.NeverRan + 1]int
-	LastExpiry float64 // Unix ms: the latest window
-	Err        error   // what ended the reading early; nil at its end
+	Name         string
+	Bytes        int64
+	Version      byte
+	Owner        uint64
+	Records      int
+	States       [recovery.NeverRan + 1]int
+	LastExpiryMs float64 // Unix ms: the latest window
+	Err          error   // what ended the reading early; nil at its end
 }
 
 // InspectSegments reads all segments of a folder, and each record whole.
@@ -60,52 +60,52 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if len(name) != len(segName(1)) || name[len(name)-4:] != ".seg" {
+		if len(name) != len(segmentName(1)) || name[len(name)-4:] != ".seg" {
 			continue
 		}
 		f, err := fs.Open(name)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, look(name, f))
+		all = append(all, inspectSegment(name, f))
 		f.Close()
 	}
 	return all, nil
 }
 
-func look(name string, f File) (s SegmentInfo) {
+func inspectSegment(name string, f File) (s SegmentInfo) {
 	s.Name = name
 	if s.Bytes, s.Err = f.Size(); s.Err != nil {
 		return s
 	}
-	head := make([]byte, segHead)
+	head := make([]byte, segmentHeaderSize)
 	if _, s.Err = f.ReadAt(head, 0); s.Err != nil && s.Err != io.EOF {
 		return s
 	}
 	s.Err = nil
-	if string(head[:7]) != segMagic {
+	if string(head[:7]) != segmentMagic {
 		s.Err = errors.New("no segment of a store")
 		return s
 	}
-	s.Version, s.Owner = head[7], le64(head[8:])
+	s.Version, s.Owner = head[7], littleEndian64(head[8:])
 	if s.Version != Version {
 		s.Err = ErrVersion
 		return s
 	}
-	for at := int64(segHead); at < s.Bytes; {
-		r, err := readAt(f, at)
+	for at := int64(segmentHeaderSize); at < s.Bytes; {
+		r, err := readRecord(f, at)
 		if err != nil {
 			s.Err = err
 			return s
 		}
-		size, err := sizeAt(f, at)
+		size, err := recordSizeAt(f, at)
 		if err != nil {
 			s.Err = err
 			return s
 		}
 		s.Records++
 		s.States[r.state]++
-		s.LastExpiry = max(s.LastExpiry, r.until)
+		s.LastExpiryMs = max(s.LastExpiryMs, r.untilMs)
 		at += size
 	}
 	return s
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,25 +30,25 @@
 
 // Store is one, open.
 type Store struct {
-	fs     FS
-	bounds Limits
+	dir    FS
+	limits Limits
 	owner  uint64
 	now    func() float64 // Unix ms
 	log    func(text string, err error)
 
-	mu       sync.Mutex
-	wake     *sync.Cond
-	index    *index
-	segments map[uint32]*segment
-	number   uint32 // of the one that is written
-	health   recovery.Health
-	used     float64
-	reserve  float64
-	suspect  float64
-	queue    []op
-	closed   bool
-	over     chan struct{}
-	counts   Counts
+	mu            sync.Mutex
+	queued        *sync.Cond
+	index         *index
+	segments      map[uint32]*segment
+	current       uint32 // of the one that is written
+	health        recovery.Health
+	usedBytes     float64
+	reservedBytes float64
+	suspectUntil  float64
+	queue         []pendingRecord
+	closed        bool
+	written       chan struct{}
+	counts        Counts
 }
 
 // Counts are what a store has done.
@@ -61,16 +61,16 @@
 
 type segment struct {
 	recovery.Segment
-	file File
-	name string
-	open map[Fingerprint]struct{} // tokens begun in it without an end, from this process
+	file     File
+	name     string
+	openRuns map[Fingerprint]struct{} // tokens begun in it without an end, from this process
 }
 
 // op is one record on its way to the disk.
-type op struct {
-	r    record
-	done func(error)
-	need float64
+type pendingRecord struct {
+	record   record
+	done     func(error)
+	reserved float64
 }
 
 var (
@@ -79,35 +79,35 @@
 	// ErrVersion is that a store was written by another version.
 	ErrVersion = errors.New("store: written by another version of the format")
 	// ErrOwner is that it is another server's.
-	ErrOwner = errors.New("store: it is that of another server")
-	errOver  = errors.New("store: closed")
+	ErrOwner  = errors.New("store: it is that of another server")
+	errClosed = errors.New("store: closed")
 )
 
 // Open reads what stands in a folder and begins a new segment. owner names the server: a store copied from another one
 // is an error, as is one of another version; neither is changed. log hears of what was damaged or failed.
 func Open(fs FS, b Limits, owner string, now func() float64, log func(string, error)) (*Store, error) {
 	s := &Store{
-		fs: fs, bounds: b, owner: xxhash.Sum64String(owner), now: now, log: log, index: newIndex(), segments: map[uint32]*segment{},
-		over: make(chan struct{}),
+		dir: fs, limits: b, owner: xxhash.Sum64String(owner), now: now, log: log, index: newIndex(), segments: map[uint32]*segment{},
+		written: make(chan struct{}),
 	}
-	s.wake = sync.NewCond(&s.mu)
+	s.queued = sync.NewCond(&s.mu)
 	began := time.Now()
-	if err := s.recover(); err != nil {
+	if err := s.recoverSegments(); err != nil {
 		return nil, err
 	}
 	s.counts.RecoveryTime = time.Since(began)
-	if err := s.next(); err != nil {
+	if err := s.createSegment(); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	go s.write()
+	go s.writeLoop()
 	return s, nil
 }
 
-func segName(n uint32) string { return fmt.Sprintf("%08x.seg", n) }
+func segmentName(n uint32) string { return fmt.Sprintf("%08x.seg", n) }
 
 // recover reads all segments, the oldest first.
-func (s *Store) recover() error {
-	names, err := s.fs.List()
+func (s *Store) recoverSegments() error {
+	names, err := s.dir.List()
 	if err != nil {
 		return err
 	}
@@ -120,65 +120,65 @@
 	}
 	for _, name := range names {
 		var n uint32
-		if _, err := fmt.Sscanf(name, "%08x.seg", &n); err != nil || name != segName(n) || n == 0 {
+		if _, err := fmt.Sscanf(name, "%08x.seg", &n); err != nil || name != segmentName(n) || n == 0 {
 			continue
 		}
-		f, err := s.fs.Open(name)
+		f, err := s.dir.Open(name)
 		if err != nil {
 			return err
 		}
-		if err := s.read(n, name, f, name == last); err != nil {
+		if err := s.recoverSegment(n, name, f, name == last); err != nil {
 			f.Close()
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		s.number = max(s.number, n)
+		s.current = max(s.current, n)
 	}
 	return nil
 }
 
 // chunk is what is read of a segment at once during recovery.
-const chunk = 1 << 20
+const recoveryChunk = 1 << 20
 
 // read takes in one segment.
-func (s *Store) read(n uint32, name string, f File, last bool) error {
+func (s *Store) recoverSegment(n uint32, name string, f File, last bool) error {
 	length, err := f.Size()
 	if err != nil {
 		return err
 	}
-	seg := &segment{file: f, name: name, open: map[Fingerprint]struct{}{}}
+	seg := &segment{file: f, name: name, openRuns: map[Fingerprint]struct{}{}}
 	seg.Bytes = float64(length)
-	head := make([]byte, segHead)
+	head := make([]byte, segmentHeaderSize)
 	got, err := f.ReadAt(head, 0)
 	if err != nil && err != io.EOF {
 		return err
 	}
-	if got < segHead { // it was begun, and nothing in it was answered for
+	if got < segmentHeaderSize { // it was begun, and nothing in it was answered for
 		s.segments[n] = seg
-		s.used += seg.Bytes
+		s.usedBytes += seg.Bytes
 		return nil
 	}
-	if string(head[:7]) != segMagic {
+	if string(head[:7]) != segmentMagic {
 		return errors.New("no segment of a store")
 	}
 	if head[7] != Version {
 		return fmt.Errorf("%w: %d, this build reads %d", ErrVersion, head[7], Version)
 	}
-	if want := appendSegHead(nil, s.owner, uint64(n)); string(head[8:16]) != string(want[8:16]) {
+	if want := appendSegmentHeader(nil, s.owner, uint64(n)); string(head[8:16]) != string(want[8:16]) {
 		return ErrOwner
 	}
 	s.segments[n] = seg
-	s.used += seg.Bytes
-	buf, at := make([]byte, 0, chunk), int64(segHead) // buf holds the bytes from at on
+	s.usedBytes += seg.Bytes
+	buf, at := make([]byte, 0, recoveryChunk), int64(segmentHeaderSize) // buf holds the bytes from at on
 	written := 0.0
 	for {
-		r, size, err := parse(buf, false)
-		if err == errShort && at+int64(len(buf)) < length {
+		r, size, err := parseRecord(buf, false)
+		if err == errTruncated && at+int64(len(buf)) < length {
 			old := len(buf)
-			buf = append(buf, make([]byte, min(chunk, length-at-int64(len(buf))))...)
+			buf = append(buf, make([]byte, min(recoveryChunk, length-at-int64(len(buf))))...)
 			k, err := f.ReadAt(buf[old:], at+int64(old))
 			buf = buf[:old+k]
 			if err != nil && err != io.EOF || k == 0 {
-				s.damaged(name, written, fmt.Errorf("read: %w", err))
+				s.noteDamage(name, written, fmt.Errorf("read: %w", err))
 				return nil
 			}
 			continue
@@ -187,31 +187,31 @@
 			if len(buf) == 0 && at == length {
 				return nil
 			}
-			if recovery.Damaged(!last || soundBehind(f, at+1, length)) {
-				s.damaged(name, written, err)
+			if recovery.Damaged(!last || validRecordFollows(f, at+1, length)) {
+				s.noteDamage(name, written, err)
 			}
 			return nil
 		}
-		written = max(written, r.written)
+		written = max(written, r.writtenMs)
 		s.counts.Recovered++
-		seg.LastExpiry = max(seg.LastExpiry, r.until, r.written+s.bounds.MaxWindow) // the windows of today may be longer
-		s.index.put(r.print[0], n, uint32(at))
+		seg.LastExpiryMs = max(seg.LastExpiryMs, r.untilMs, r.writtenMs+s.limits.MaxWindow) // the windows of today may be longer
+		s.index.put(r.fingerprint[0], n, uint32(at))
 		at += int64(size)
 		buf = buf[size:]
-		if cap(buf) < chunk/2 { // the backing array is nearly used up
-			buf = append(make([]byte, 0, chunk), buf...)
+		if cap(buf) < recoveryChunk/2 { // the backing array is nearly used up
+			buf = append(make([]byte, 0, recoveryChunk), buf...)
 		}
 	}
 }
 
 // soundBehind tells whether a sound record follows somewhere behind a bad one.
-func soundBehind(f File, from, length int64) bool {
+func validRecordFollows(f File, from, length int64) bool {
 	b := make([]byte, length-from)
 	k, _ := f.ReadAt(b, from)
 	b = b[:k]
-	for i := 0; i+recHead+recFixed <= len(b); i++ {
-		if b[i] == recMagic&0xff {
-			if _, _, err := parse(b[i:], false); err == nil {
+	for i := 0; i+recordHeaderSize+recordFixedSize <= len(b); i++ {
+		if b[i] == recordMagic&0xff {
+			if _, _, err := parseRecord(b[i:], false); err == nil {
 				return true
 			}
 		}
@@ -221,64 +221,64 @@
 
 // damaged books that entries may be missing. What was written of them ended at the latest when the next segment was
 // begun; the clock of this moment bounds that.
-func (s *Store) damaged(name string, written float64, err error) {
+func (s *Store) noteDamage(name string, written float64, err error) {
 	s.log("store: a segment is damaged", fmt.Errorf("%s: %w", name, err))
 	s.counts.Failures++
-	s.suspect = max(s.suspect, recovery.SuspectUntil(s.now(), s.bounds.MaxWindow, s.bounds.ClockTolerance))
+	s.suspectUntil = max(s.suspectUntil, recovery.SuspectUntil(s.now(), s.limits.MaxWindow, s.limits.ClockTolerance))
 }
 
 // next begins a segment. It is called with no write in hand.
-func (s *Store) next() error {
-	n := s.number + 1
-	f, err := s.fs.Create(segName(n))
+func (s *Store) createSegment() error {
+	n := s.current + 1
+	f, err := s.dir.Create(segmentName(n))
 	if err != nil {
 		return err
 	}
-	head := appendSegHead(nil, s.owner, uint64(n))
+	head := appendSegmentHeader(nil, s.owner, uint64(n))
 	if _, err = f.Write(head); err == nil {
 		if err = f.Sync(); err == nil {
-			err = s.fs.Sync()
+			err = s.dir.Sync()
 		}
 	}
 	if err != nil {
 		f.Close()
-		s.fs.Remove(segName(n))
-		s.number = n // the name is not used again
+		s.dir.Remove(segmentName(n))
+		s.current = n // the name is not used again
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.number = n
-	seg := &segment{file: f, name: segName(n), open: map[Fingerprint]struct{}{}}
+	s.current = n
+	seg := &segment{file: f, name: segmentName(n), openRuns: map[Fingerprint]struct{}{}}
 	seg.Bytes = float64(len(head))
 	s.segments[n] = seg
-	s.used += seg.Bytes
-	s.drop()
+	s.usedBytes += seg.Bytes
+	s.dropSegments()
 	return nil
 }
 
 // drop removes the segments that are over. It is called with the lock held.
-func (s *Store) drop() {
-	for n := s.first(); n < s.number; n = s.first() {
+func (s *Store) dropSegments() {
+	for n := s.oldest(); n < s.current; n = s.oldest() {
 		seg := s.segments[n]
-		if !seg.Droppable(s.now(), s.bounds.ClockTolerance) {
+		if !seg.Droppable(s.now(), s.limits.ClockTolerance) {
 			return
 		}
-		if err := s.fs.Remove(seg.name); err != nil {
+		if err := s.dir.Remove(seg.name); err != nil {
 			s.log("store: a segment can't be removed", err)
 			return
 		}
 		seg.file.Close()
 		delete(s.segments, n)
-		s.index.drop(n + 1)
-		s.used -= seg.Bytes
+		s.index.dropBefore(n + 1)
+		s.usedBytes -= seg.Bytes
 		s.counts.SegmentsDropped++
 	}
 }
 
 // first is the oldest segment's number.
-func (s *Store) first() uint32 {
-	least := s.number
+func (s *Store) oldest() uint32 {
+	least := s.current
 	for n := range s.segments {
 		least = min(least, n)
 	}
@@ -286,9 +286,9 @@
 }
 
 // frees is when the oldest segment is over.
-func (s *Store) frees() float64 {
-	if seg := s.segments[s.first()]; seg != nil && seg.OpenRuns == 0 {
-		return seg.LastExpiry + s.bounds.ClockTolerance
+func (s *Store) freesAt() float64 {
+	if seg := s.segments[s.oldest()]; seg != nil && seg.OpenRuns == 0 {
+		return seg.LastExpiryMs + s.limits.ClockTolerance
 	}
 	return 0
 }
@@ -309,7 +309,7 @@
 	if !has || seg == nil {
 		return Entry{}, false, nil
 	}
-	r, err := readAt(seg.file, int64(off))
+	r, err := readRecord(seg.file, int64(off))
 	switch {
 	case err != nil:
 		s.mu.Lock()
@@ -320,24 +320,24 @@
 		}
 		s.log("store: an entry can't be read", err)
 		return Entry{}, true, err
-	case r.print != p: // another token with the same first half: one in 2^64 for each pair
+	case r.fingerprint != p: // another token with the same first half: one in 2^64 for each pair
 		return Entry{}, false, nil
 	}
-	return Entry{recovery.Entry{State: r.state, Body: r.body, Until: r.until, WrittenAt: r.written}, r.head, r.result}, true, nil
+	return Entry{recovery.Entry{State: r.state, BodyHash: r.bodyHash, UntilMs: r.untilMs, WrittenMs: r.writtenMs}, r.head, r.result}, true, nil
 }
 
 // firstRead holds most records whole.
-const firstRead = 4 << 10
+const firstReadBytes = 4 << 10
 
-func readAt(f File, off int64) (record, error) {
-	b := make([]byte, firstRead)
+func readRecord(f File, off int64) (record, error) {
+	b := make([]byte, firstReadBytes)
 	for {
 		k, err := f.ReadAt(b, off)
 		if err != nil && err != io.EOF {
 			return record{}, err
 		}
-		r, _, bad := parse(b[:k], true)
-		if bad == errShort && k == len(b) && len(b) < 2*maxRecord {
+		r, _, bad := parseRecord(b[:k], true)
+		if bad == errTruncated && k == len(b) && len(b) < 2*maxRecord {
 			b = make([]byte, 4*len(b))
 			continue
 		}
@@ -349,23 +349,23 @@
 func (s *Store) Reserve() *recovery.Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop()
-	d := recovery.Disk{Health: s.health, Used: s.used, Capacity: s.bounds.MaxBytes, Reserved: s.reserve, FreesAt: s.frees(), SuspectUntil: s.suspect}
-	need := float64(size(0) + size(s.bounds.MaxResultBytes))
+	s.dropSegments()
+	d := recovery.Disk{Health: s.health, UsedBytes: s.usedBytes, CapacityBytes: s.limits.MaxBytes, ReservedBytes: s.reservedBytes, FreesAtMs: s.freesAt(), SuspectUntilMs: s.suspectUntil}
+	need := float64(maxRecordSize(0) + maxRecordSize(s.limits.MaxResultBytes))
 	if r := d.Admit(s.now(), need); r != nil {
 		return r
 	}
-	s.reserve += need
+	s.reservedBytes += need
 	return nil
 }
 
 // RecordStart makes durable that a token's run is about to be asked for, and calls done from another goroutine. May must have
 // allowed it. On an error nothing may run.
 func (s *Store) RecordStart(p Fingerprint, body uint64, until float64, done func(error)) {
-	need := float64(size(0))
-	s.put(op{record{print: p, state: recovery.Started, body: body, until: until}, func(err error) {
+	need := float64(maxRecordSize(0))
+	s.enqueue(pendingRecord{record{fingerprint: p, state: recovery.Started, bodyHash: body, untilMs: until}, func(err error) {
 		if err != nil {
-			s.release(float64(size(s.bounds.MaxResultBytes)))
+			s.unreserve(float64(maxRecordSize(s.limits.MaxResultBytes)))
 		}
 		done(err)
 	}, need})
@@ -374,75 +374,75 @@
 // RecordEnd makes durable how a run ended and calls done. An answer that is too long is not kept. Each Begin that succeeded
 // must have one End.
 func (s *Store) RecordEnd(p Fingerprint, state recovery.State, body uint64, until float64, head, result []byte, done func(error)) {
-	r := record{print: p, state: state, body: body, until: until}
+	r := record{fingerprint: p, state: state, bodyHash: body, untilMs: until}
 	if state == recovery.Succeeded {
-		if len(head)+len(result) > s.bounds.MaxResultBytes {
+		if len(head)+len(result) > s.limits.MaxResultBytes {
 			r.state = recovery.SucceededUncached
 		} else {
 			r.head, r.result = head, result
 		}
 	}
-	s.put(op{r, done, float64(size(s.bounds.MaxResultBytes))})
+	s.enqueue(pendingRecord{r, done, float64(maxRecordSize(s.limits.MaxResultBytes))})
 }
 
-func (s *Store) release(bytes float64) {
+func (s *Store) unreserve(bytes float64) {
 	s.mu.Lock()
-	s.reserve = max(0, s.reserve-bytes)
+	s.reservedBytes = max(0, s.reservedBytes-bytes)
 	s.mu.Unlock()
 }
 
-func (s *Store) put(o op) {
+func (s *Store) enqueue(o pendingRecord) {
 	s.mu.Lock()
 	closed := s.closed
 	if !closed {
 		s.queue = append(s.queue, o)
-		s.wake.Signal()
+		s.queued.Signal()
 	}
 	s.mu.Unlock()
 	if closed {
-		go o.done(errOver)
+		go o.done(errClosed)
 	}
 }
 
 // retryBroken is the ms between two attempts at a new segment after a failure.
-const retryBroken = 200.0
+const retryPeriod = 200.0
 
 // write is the one goroutine that writes: what has gathered goes in one write and one sync.
-func (s *Store) write() {
-	defer close(s.over)
+func (s *Store) writeLoop() {
+	defer close(s.written)
 	var buf []byte
 	var offs []uint32
 	for {
 		s.mu.Lock()
 		for len(s.queue) == 0 && !s.closed {
-			s.wake.Wait()
+			s.queued.Wait()
 		}
 		batch := s.queue
 		s.queue = nil
 		broken, closed := s.health == recovery.Broken, s.closed
-		seg := s.segments[s.number]
+		seg := s.segments[s.current]
 		s.mu.Unlock()
 		if len(batch) == 0 && closed {
 			return
 		}
 		if broken { // nothing is written before a new segment has been begun and synced
-			if err := s.next(); err != nil {
-				s.fail(batch, err)
-				time.Sleep(time.Duration(retryBroken) * time.Millisecond)
+			if err := s.createSegment(); err != nil {
+				s.failBatch(batch, err)
+				time.Sleep(time.Duration(retryPeriod) * time.Millisecond)
 				continue
 			}
 			s.mu.Lock()
 			s.health = recovery.Healthy
-			seg = s.segments[s.number]
+			seg = s.segments[s.current]
 			s.mu.Unlock()
 			s.log("store: written again", nil)
 		}
 		buf, offs = buf[:0], offs[:0]
 		at := uint32(seg.Bytes)
 		for i := range batch {
-			batch[i].r.written = s.now()
+			batch[i].record.writtenMs = s.now()
 			offs = append(offs, at+uint32(len(buf)))
-			buf = batch[i].r.append(buf)
+			buf = batch[i].record.append(buf)
 		}
 		_, err := seg.file.Write(buf)
 		if err == nil {
@@ -452,46 +452,46 @@
 			s.log("store: can't be written", err)
 			s.mu.Lock()
 			s.health = recovery.Broken
-			s.used += float64(len(buf)) // some of it may stand there
+			s.usedBytes += float64(len(buf)) // some of it may stand there
 			seg.Bytes += float64(len(buf))
 			// What was not proven may be there all the same: the segment stays as long as it would with it.
 			for i := range batch {
-				seg.LastExpiry = max(seg.LastExpiry, batch[i].r.until)
+				seg.LastExpiryMs = max(seg.LastExpiryMs, batch[i].record.untilMs)
 			}
 			s.mu.Unlock()
-			s.fail(batch, err)
+			s.failBatch(batch, err)
 			continue
 		}
 		s.mu.Lock()
 		s.counts.Syncs++
 		s.counts.Bytes += uint64(len(buf))
 		seg.Bytes += float64(len(buf))
-		s.used += float64(len(buf))
+		s.usedBytes += float64(len(buf))
 		for i := range batch {
-			r := &batch[i].r
+			r := &batch[i].record
 			s.counts.Records++
-			s.index.put(r.print[0], s.number, offs[i])
-			seg.LastExpiry = max(seg.LastExpiry, r.until)
-			s.reserve = max(0, s.reserve-batch[i].need)
+			s.index.put(r.fingerprint[0], s.current, offs[i])
+			seg.LastExpiryMs = max(seg.LastExpiryMs, r.untilMs)
+			s.reservedBytes = max(0, s.reservedBytes-batch[i].reserved)
 			if r.state == recovery.Started {
 				seg.OpenRuns++
-				seg.open[r.print] = struct{}{}
+				seg.openRuns[r.fingerprint] = struct{}{}
 			} else {
 				for _, o := range s.segments {
-					if _, is := o.open[r.print]; is {
-						delete(o.open, r.print)
+					if _, is := o.openRuns[r.fingerprint]; is {
+						delete(o.openRuns, r.fingerprint)
 						o.OpenRuns--
 					}
 				}
 			}
 		}
-		full := seg.Bytes >= s.bounds.SegmentBytes
+		full := seg.Bytes >= s.limits.SegmentBytes
 		s.mu.Unlock()
 		for i := range batch {
 			batch[i].done(nil)
 		}
 		if full {
-			if err := s.next(); err != nil {
+			if err := s.createSegment(); err != nil {
 				s.log("store: no further segment", err)
 				s.mu.Lock()
 				s.health = recovery.Broken
@@ -501,11 +501,11 @@
 	}
 }
 
-func (s *Store) fail(batch []op, err error) {
+func (s *Store) failBatch(batch []pendingRecord, err error) {
 	s.mu.Lock()
 	s.counts.Failures++
 	for i := range batch {
-		s.reserve = max(0, s.reserve-batch[i].need)
+		s.reservedBytes = max(0, s.reservedBytes-batch[i].reserved)
 	}
 	s.mu.Unlock()
 	for i := range batch {
@@ -516,20 +516,20 @@
 // Status is how a store stands.
 type Status struct {
 	Counts
-	Health       recovery.Health
-	Used         float64
-	Reserved     float64
-	Segments     int
-	Entries      int // of the index, with those that are over
-	IndexKB      float64
-	SuspectUntil float64
+	Health         recovery.Health
+	UsedBytes      float64
+	ReservedBytes  float64
+	Segments       int
+	Entries        int // of the index, with those that are over
+	IndexKB        float64
+	SuspectUntilMs float64
 }
 
 // Status returns how it stands.
 func (s *Store) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Status{s.counts, s.health, s.used, s.reserve, len(s.segments), s.index.used, float64(16*len(s.index.slots)) / 1024, s.suspect}
+	return Status{s.counts, s.health, s.usedBytes, s.reservedBytes, len(s.segments), s.index.used, float64(16*len(s.index.slots)) / 1024, s.suspectUntil}
 }
 
 // Close writes what is on its way and ends.
@@ -537,16 +537,16 @@
 	s.mu.Lock()
 	was := s.closed
 	s.closed = true
-	s.wake.Signal()
+	s.queued.Signal()
 	s.mu.Unlock()
 	if was {
 		return nil
 	}
-	<-s.over
+	<-s.written
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, seg := range s.segments {
 		seg.file.Close()
 	}
-	return s.fs.Close()
+	return s.dir.Close()
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -171,7 +171,7 @@
 			r.pass(window + 1000)
 			r.expect("unknown", "1")
 			r.s.Reserve()
-			if after := r.s.Status(); before.Segments < 2 || after.Segments != 1 || after.Used > 9000 {
+			if after := r.s.Status(); before.Segments < 2 || after.Segments != 1 || after.UsedBytes > 9000 {
 				r.t.Fatalf("before %+v, after %+v", before, after)
 			}
 		}},
@@ -213,7 +213,7 @@
 			r.disk.FlipBit(r.segment(-1), 100)
 			r.crash()
 			x := r.s.Reserve()
-			if x == nil || x.RetryAfter < window {
+			if x == nil || x.RetryAfterMs < window {
 				r.t.Fatalf("%+v", x)
 			}
 			r.pass(window + 501)
@@ -264,10 +264,10 @@
 					r.t.Fatalf("end %d of %d: %v", i, n, err)
 				}
 			}
-			if st := r.s.Status(); st.Used > r.b.MaxBytes+r.b.SegmentBytes || st.Reserved > 1 {
+			if st := r.s.Status(); st.UsedBytes > r.b.MaxBytes+r.b.SegmentBytes || st.ReservedBytes > 1 {
 				r.t.Fatalf("%+v", st)
 			}
-			if x = r.s.Reserve(); x != nil && x.RetryAfter > window+1000 {
+			if x = r.s.Reserve(); x != nil && x.RetryAfterMs > window+1000 {
 				r.t.Fatalf("%+v", x)
 			}
 			r.pass(window + 1000)
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -102,5 +102,5 @@
 		return StoreState{}, false
 	}
 	s := v.kept.Status()
-	return StoreState{s.Health == recovery.Broken, int64(s.Used), int64(s.Reserved), s.Segments, s.Records, s.Syncs, s.SegmentsDropped, s.Failures}, true
+	return StoreState{s.Health == recovery.Broken, int64(s.UsedBytes), int64(s.ReservedBytes), s.Segments, s.Records, s.Syncs, s.SegmentsDropped, s.Failures}, true
 }
