--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -178,7 +178,7 @@
 
 // start starts the servers of a fleet; permitServers is nil for one without drains.
 func (x *drainExperiment) start(f *drainFleet, seed int64, permitServers []string) (err error) {
-	pool := Pool(f.members...)
+	pool := defaultPool(f.members...)
 	pool.MaxQueued = 0
 	pool.RecoveryMs = 2000
 	f.Bed, err = testbed.New(testbed.Options{
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -31,7 +31,7 @@
 // All lists the experiments in the order in which the command line shows them.
 func All() []Experiment {
 	return []Experiment{
-		{"uwsgi-mixed", "both protocols at 120% of one machine: past the valve, a plain queue, the valve", Mixed},
+		{"uwsgi-mixed", "both protocols at 120% of one machine: past the valve, a plain queue, the valve", MixedProtocols},
 		{"parity", "one sequence of arrivals through the daemon and through gin, on a virtual clock and in real time", Parity},
 		{"durable-kill", "a process with a durable store, killed at random under repeated purchases by both fronts", DurableKill},
 		{"durable-cost", "what the durable store costs: off, on, on a slow disk", DurableCost},
@@ -43,6 +43,6 @@
 		{"fleet-judge", "a pool of which members turn bad, judged by each server for itself and by the fleet together", FleetOutlierDetection},
 		{"fleet-drain", "a fleet of processes drained one by one by permits of three keepers, with faults, beside one without drains", FleetDrain},
 		{"fleet-release", "versions of the settings in waves: judged, in fixed waves, at once; simulated, and processes", FleetRelease},
-		{"pools", "five uwsgi members of which one turns bad and recovers, beside round robin without ejection", Pools},
+		{"pools", "five uwsgi members of which one turns bad and recovers, beside round robin without ejection", PoolOutlier},
 	}
 }
--- a/internal/experiment/fleet_simulation.go
+++ b/internal/experiment/fleet_simulation.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	schedule, err := ReadSchedule(o.Schedule, text, fleetsim.ServerNames(servers))
+	schedule, err := readSchedule(o.Schedule, text, fleetsim.ServerNames(servers))
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/outlier_detection_processes.go
+++ b/internal/experiment/outlier_detection_processes.go
@@ -53,7 +53,7 @@
 		f.apps = append(f.apps, app)
 		addresses = append(addresses, app.Addr())
 	}
-	pool := Pool(addresses...)
+	pool := defaultPool(addresses...)
 	pool.MaxConnections = 16
 	pool.MaxQueued = 0
 	pool.EjectionMs = 2000
--- a/internal/experiment/pool_budgets.go
+++ b/internal/experiment/pool_budgets.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	pool := Pool(x.app.Addr())
+	pool := defaultPool(x.app.Addr())
 	pool.MaxFailures = 0
 	pool.OutlierFactor = 0
 	pool.Retry = operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
--- a/internal/experiment/quota_cost.go
+++ b/internal/experiment/quota_cost.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	costCustomers = 10000   // that have a quota
-	costSenders   = 2000    // of these, that send
-	costRotation  = 50      // customers of the timed RPCs
-	costCalls     = 2000000 // RPCs
+	quotaCustomers = 10000   // that have a quota
+	quotaSenders   = 2000    // of these, that send
+	quotaRotation  = 50      // customers of the timed RPCs
+	quotaCalls     = 2000000 // RPCs
 )
 
 // measureQuotaCost measures what an RPC pays for shared quotas, and what memory a customer takes that sends.
@@ -35,7 +35,7 @@
 	}
 	defer member.Crash()
 	quotas := map[string]operator.Budget{}
-	customers := make([]string, costCustomers)
+	customers := make([]string, quotaCustomers)
 	for i := range customers {
 		customers[i] = fmt.Sprint("customer-", i)
 		quotas[customers[i]] = operator.Budget{Bound: 1e6, Burst: 1e6, Floor: 1, MaxLeaseMs: quota.DefaultLeaseDuration}
@@ -44,22 +44,22 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for i := range costSenders {
+	for i := range quotaSenders {
 		budgets.CheckQuota("account-view", customers[i], 1)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	bytes := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / costSenders
+	bytes := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / quotaSenders
 	runtime.ReadMemStats(&before)
 	began := time.Now()
-	for i := range costCalls {
-		budgets.CheckQuota("account-view", customers[i%costRotation], 1)
+	for i := range quotaCalls {
+		budgets.CheckQuota("account-view", customers[i%quotaRotation], 1)
 	}
-	nanoseconds := float64(time.Since(began).Nanoseconds()) / costCalls
+	nanoseconds := float64(time.Since(began).Nanoseconds()) / quotaCalls
 	runtime.ReadMemStats(&after)
-	allocations := float64(after.Mallocs-before.Mallocs) / costCalls
-	r.AddRow("cost for an RPC: ns; allocations", costCalls, nanoseconds, allocations)
-	r.AddRow("bytes for a customer that sends", costSenders, bytes, "")
+	allocations := float64(after.Mallocs-before.Mallocs) / quotaCalls
+	r.AddRow("cost for an RPC: ns; allocations", quotaCalls, nanoseconds, allocations)
+	r.AddRow("bytes for a customer that sends", quotaSenders, bytes, "")
 	r.AddChecks(atMost("allocations for an RPC", math.Floor(allocations*100)/100, 0)) // the fleet's own ticks allocate beside
 	return nil
 }
--- a/internal/experiment/release_processes.go
+++ b/internal/experiment/release_processes.go
@@ -104,7 +104,7 @@
 
 // releaseFile is a version of the operator's file, whose pool is one service.
 func releaseFile(version string, app *standin.App) operator.File {
-	pool := Pool(app.Addr())
+	pool := defaultPool(app.Addr())
 	pool.MaxFailures = 0
 	pool.MaxQueued = 0
 	pool.Retry.MaxAttempts = 1
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -26,7 +26,7 @@
 `
 
 // ReadSchedule reads a schedule: a file in CUE if it ends so, lines otherwise. Errors name file, line and key.
-func ReadSchedule(path string, text []byte, names []string) (script.Script, error) {
+func readSchedule(path string, text []byte, names []string) (script.Script, error) {
 	if !strings.HasSuffix(path, ".cue") {
 		s, err := script.Parse(string(text), names)
 		if err != nil {
