--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -69,7 +69,9 @@
 				return err
 			}
 		} else {
-			fleet.WriteViews(os.Stdout, views)
+			if err := fleet.WriteViews(os.Stdout, views); err != nil {
+				return err
+			}
 		}
 		for _, err := range failed {
 			fmt.Fprintln(os.Stderr, err)
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -112,7 +112,9 @@
 		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].Min > 50
 	})
 	var text strings.Builder
-	WriteViews(&text, []Status{s})
+	if err := WriteViews(&text, []Status{s}); err != nil {
+		t.Fatal(err)
+	}
 	if !strings.Contains(text.String(), "quota/acme") || !strings.Contains(text.String(), " from n") {
 		t.Error(text.String())
 	}
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 
 	"sorrelvalve/decision/count"
@@ -143,3 +144,40 @@
 	c.inFlight["p"] = 3
 	same("counts.bin", c.dueRecord(countsIntervalMs))
 }
+
+// The tables of valvefleet status are those of b631b89, written from the same views.
+func TestViewsOfB631b89(t *testing.T) {
+	raw := string(written(t, "status.json"))
+	status := func(changes ...string) (s Status) {
+		t.Helper()
+		text := strings.NewReplacer(append([]string{`"Listening": true`, `"Listening": false`}, changes...)...).Replace(raw)
+		if err := json.Unmarshal([]byte(text), &s); err != nil {
+			t.Fatal(err)
+		}
+		return s
+	}
+	var out bytes.Buffer
+	write := func(statuses ...Status) {
+		t.Helper()
+		if err := WriteViews(&out, statuses); err != nil {
+			t.Fatal(err)
+		}
+	}
+	write(status())
+	write(status(`"Damped": true`, `"Damped": false`, `"Away": "text41"`, `"Away": ""`, `"Through": "text37"`, `"Through": ""`,
+		`"Out": true`, `"Out": false`, `"Share": 120.5`, `"Share": 0.25`, `"Phase": "text8"`, `"Phase": "cold"`, `"To": "text85"`, `"To": "text2"`))
+	other := status(`"Away": "text41"`, `"Away": ""`)
+	other.Name = "other"
+	other.Budgets.Quotas[0].Leases[0].To = ""
+	other.SettingsHash = "else"
+	other.Peers[0].Reachable = false
+	write(status(`"Away": "text41"`, `"Away": ""`), other)
+	other.Budgets.Quotas[0].Key = "quota/acme"
+	write(other)
+	if err := WriteJSON(&out, []Status{status(), other}); err != nil {
+		t.Fatal(err)
+	}
+	if old := written(t, "views.txt"); !bytes.Equal(out.Bytes(), old) {
+		t.Errorf("written as\n%s\nwas\n%s", out.Bytes(), old)
+	}
+}
--- /dev/null
+++ b/internal/fleet/socket_client.go
@@ -0,0 +1,102 @@
+package fleet
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"sorrelvalve/internal/permitclient"
+)
+
+// maxResponseBytes bounds an answer of the status socket.
+const maxResponseBytes = 16 << 20
+
+// SocketError is a server's refusal of a request to its status socket.
+type SocketError struct {
+	StatusCode int // of HTTP
+	Message    string
+}
+
+func (e *SocketError) Error() string { return e.Message }
+
+// socketRequest does one exchange with the server whose socket is at path.
+func socketRequest(ctx context.Context, path, method, target string) ([]byte, error) {
+	client := http.Client{Transport: &http.Transport{
+		DisableKeepAlives: true,
+		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return (&net.Dialer{}).DialContext(ctx, "unix", path)
+		},
+	}}
+	request, err := http.NewRequestWithContext(ctx, method, "http://fleet"+target, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = response.Body.Close() }() // it has been read
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = &SocketError{StatusCode: response.StatusCode, Message: string(bytes.TrimSpace(body))}
+	}
+	return body, err
+}
+
+// FetchStatus reads the status of the server whose socket is at path.
+func FetchStatus(ctx context.Context, path string) (status Status, err error) {
+	body, err := socketRequest(ctx, path, http.MethodGet, "/v1/status")
+	if err == nil {
+		err = json.Unmarshal(body, &status)
+	}
+	return status, err
+}
+
+// FetchStatuses reads the status of several servers at once. The errors of those that did not answer in time name their sockets.
+func FetchStatuses(ctx context.Context, paths []string, timeout time.Duration) (statuses []Status, failed []error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	results := make([]Status, len(paths))
+	errs := make([]error, len(paths))
+	var requests sync.WaitGroup
+	for i, path := range paths {
+		requests.Go(func() { results[i], errs[i] = FetchStatus(ctx, path) })
+	}
+	requests.Wait()
+	for i, err := range errs {
+		if err != nil {
+			failed = append(failed, fmt.Errorf("%s: %w", paths[i], err))
+		} else {
+			statuses = append(statuses, results[i])
+		}
+	}
+	return statuses, failed
+}
+
+// RequestDrain asks the server at path to carry out a drain operation. query has what (drain, back, halt or resume; drain if missing),
+// subject (a server's name or pool/member; that server if missing), who and why.
+func RequestDrain(ctx context.Context, path, query string) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/drain?"+query)
+	return err
+}
+
+// FetchPermits reads the permit servers' state by way of the server at path.
+func FetchPermits(ctx context.Context, path string) (status permitclient.Status, err error) {
+	body, err := socketRequest(ctx, path, http.MethodGet, "/v1/permits")
+	if err == nil {
+		err = json.Unmarshal(body, &status)
+	}
+	return status, err
+}
+
+// RequestRemoval declares at the server at path that a server will not come back. query has name, who and why.
+func RequestRemoval(ctx context.Context, path, query string) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/gone?"+query)
+	return err
+}
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -1,12 +1,9 @@
 package fleet
 
-// This file owns the way of packets and streams between memberlist and the network: outgoing ones leave from the server's
-// own address, incoming ones are bounded for each source and in all, and once the server has stalled nothing passes in
-// either direction until the detector begins anew. It must never look into a packet.
-
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/crc32"
 	"net"
@@ -18,50 +15,82 @@
 	"golang.org/x/time/rate"
 )
 
-// What one source, and all of them, may send. A server of a fleet of 300 gets some 20 packets a second in all, in bursts
-// of a few tens after a fault; from one source rarely more than 5. What is over is dropped unread, as the network may.
+// Bounds of what one source, and all of them, may send. A server of a fleet of 300 gets some 20 packets a second in all, in bursts of
+// a few tens after a fault; from one source rarely more than 5. What is over is dropped unread, as the network may.
 const (
-	sourceRate, sourceBurst = 50, 200
-	allRate, allBurst       = 1000, 2000
-	maxSources              = 1024
-	maxIncomingStreams      = 32
+	sourcePacketRate   = 50 // a second
+	sourcePacketBurst  = 200
+	totalPacketRate    = 1000 // a second
+	totalPacketBurst   = 2000
+	maxSources         = 1024
+	maxIncomingStreams = 32
 )
 
-// baseTransport is the transport that carries it all: memberlist's own on sockets, its mock in tests.
-type baseTransport interface {
-	memberlist.NodeAwareTransport
-}
-
-// Each packet ends with the CRC-32C of what stands before. memberlist sums only part of its packets, and one spoilt byte
-// in a name makes a server that never was, which would stay on the roster for good.
+// Each packet ends with the CRC-32C of what precedes it. memberlist checksums only part of its packets, and one damaged byte in a name
+// makes a server that never was, which would stay on the roster for good.
 const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// trafficCounters is counted by all transports that a fleet has in its life.
+// errStalled reports a stream that this server does not open since it had stalled.
+var errStalled = errors.New("this server has stalled and listens first")
+
+// baseTransport carries packets and streams: memberlist's own on sockets, or its mock in memory.
+type baseTransport interface {
+	memberlist.NodeAwareTransport
+}
+
+// trafficCounters are counted by all transports that a Fleet has in its time.
 type trafficCounters struct {
-	packetsIn, packetsOut, bytesIn, bytesOut, dropped, damaged, streams atomic.Uint64
+	packetsIn  atomic.Uint64
+	packetsOut atomic.Uint64
+	bytesIn    atomic.Uint64
+	bytesOut   atomic.Uint64
+	dropped    atomic.Uint64
+	damaged    atomic.Uint64
+	streams    atomic.Uint64
 }
 
+// status returns the counters as the status shows them, without those of memberlist.
+func (c *trafficCounters) status() Traffic {
+	return Traffic{
+		PacketsIn:  c.packetsIn.Load(),
+		PacketsOut: c.packetsOut.Load(),
+		BytesIn:    c.bytesIn.Load(),
+		BytesOut:   c.bytesOut.Load(),
+		Dropped:    c.dropped.Load(),
+		Damaged:    c.damaged.Load(),
+		Streams:    c.streams.Load(),
+	}
+}
+
+// transport stands between memberlist and the network: outgoing streams leave from the server's own address, incoming traffic is bounded
+// for each source and in all, and once the server has stalled nothing passes in either direction until memberlist is restarted. It never
+// looks into a packet.
 type transport struct {
 	baseTransport
-	localAddr   *net.TCPAddr // of outgoing streams; nil: the lower one dials
-	onPacket    func(from string)
-	awake       func() bool // false: the server has stalled
+	localAddr   *net.TCPAddr      // of outgoing streams; nil if the base transport dials
+	onPacket    func(from string) // called with the source of each packet
+	awake       func() bool       // false once the server has stalled
 	traffic     *trafficCounters
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
 	ctx         context.Context // until it is shut down
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
-	openStreams atomic.Int64
+	openStreams atomic.Int64 // incoming ones
 }
 
-// newTransport wraps a transport. word hears where each packet came from; awake tells whether traffic may pass.
-func newTransport(l baseTransport, from *net.TCPAddr, word func(string), awake func() bool, count *trafficCounters) *transport {
+// newTransport wraps a transport and starts to relay what it receives.
+func newTransport(base baseTransport, localAddr *net.TCPAddr, onPacket func(string), awake func() bool, traffic *trafficCounters) *transport {
 	t := &transport{
-		baseTransport: l, localAddr: from, onPacket: word, awake: awake, traffic: count,
-		packets: make(chan *memberlist.Packet), streams: make(chan net.Conn),
+		baseTransport: base,
+		localAddr:     localAddr,
+		onPacket:      onPacket,
+		awake:         awake,
+		traffic:       traffic,
+		packets:       make(chan *memberlist.Packet),
+		streams:       make(chan net.Conn),
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.wg.Add(2)
@@ -70,166 +99,204 @@
 	return t
 }
 
+// packetLimiter bounds packets in all and for each source.
+type packetLimiter struct {
+	total   *rate.Limiter
+	sources map[string]*rate.Limiter
+}
+
+func newPacketLimiter() *packetLimiter {
+	return &packetLimiter{total: rate.NewLimiter(totalPacketRate, totalPacketBurst), sources: map[string]*rate.Limiter{}}
+}
+
+func (l *packetLimiter) allow(from string, at time.Time) bool {
+	source := l.sources[from]
+	if source == nil {
+		if len(l.sources) >= maxSources { // a source that floods under many addresses meets the limit in all
+			clear(l.sources)
+		}
+		source = rate.NewLimiter(sourcePacketRate, sourcePacketBurst)
+		l.sources[from] = source
+	}
+	return source.AllowN(at, 1) && l.total.AllowN(at, 1)
+}
+
+// relayPackets hands packets within the bounds to memberlist.
 func (t *transport) relayPackets() {
 	defer t.wg.Done()
-	all := rate.NewLimiter(allRate, allBurst)
-	sources := map[string]*rate.Limiter{}
+	limiter := newPacketLimiter()
 	for {
-		var p *memberlist.Packet
+		var packet *memberlist.Packet
 		select {
-		case p = <-t.baseTransport.PacketCh():
+		case packet = <-t.baseTransport.PacketCh():
 		case <-t.ctx.Done():
 			return
 		}
-		from := p.From.String()
-		l := sources[from]
-		if l == nil {
-			if len(sources) >= maxSources { // a source that floods under many names meets the limit over all
-				clear(sources)
-			}
-			l = rate.NewLimiter(sourceRate, sourceBurst)
-			sources[from] = l
-		}
-		if !l.AllowN(p.Timestamp, 1) || !all.AllowN(p.Timestamp, 1) || !t.awake() {
+		from := packet.From.String()
+		if !limiter.allow(from, packet.Timestamp) || !t.awake() {
 			t.traffic.dropped.Add(1)
 			continue
 		}
-		whole := len(p.Buf) - checksumBytes
-		if whole < 1 || binary.LittleEndian.Uint32(p.Buf[whole:]) != crc32.Checksum(p.Buf[:whole], castagnoli) {
+		payload, ok := verifyChecksum(packet.Buf)
+		if !ok {
 			t.traffic.damaged.Add(1)
 			continue
 		}
-		p.Buf = p.Buf[:whole]
+		packet.Buf = payload
 		t.traffic.packetsIn.Add(1)
-		t.traffic.bytesIn.Add(uint64(len(p.Buf)))
+		t.traffic.bytesIn.Add(uint64(len(payload)))
 		t.onPacket(from)
 		select {
-		case t.packets <- p:
+		case t.packets <- packet:
 		case <-t.ctx.Done():
 			return
 		}
 	}
 }
 
+// verifyChecksum returns a packet without its checksum, if that is right.
+func verifyChecksum(packet []byte) (payload []byte, ok bool) {
+	length := len(packet) - checksumBytes
+	if length < 1 || binary.LittleEndian.Uint32(packet[length:]) != crc32.Checksum(packet[:length], castagnoli) {
+		return nil, false
+	}
+	return packet[:length], true
+}
+
+// relayStreams hands incoming streams within the bounds to memberlist.
 func (t *transport) relayStreams() {
 	defer t.wg.Done()
 	for {
-		var c net.Conn
+		var conn net.Conn
 		select {
-		case c = <-t.baseTransport.StreamCh():
+		case conn = <-t.baseTransport.StreamCh():
 		case <-t.ctx.Done():
 			return
 		}
 		if t.openStreams.Load() >= maxIncomingStreams || !t.awake() {
 			t.traffic.dropped.Add(1)
-			c.Close()
+			_ = conn.Close() // nothing was written to it
 			continue
 		}
 		t.openStreams.Add(1)
 		t.traffic.streams.Add(1)
 		select {
-		case t.streams <- newStream(t, c, true):
+		case t.streams <- newStream(t, conn, true):
 		case <-t.ctx.Done():
-			c.Close()
+			_ = conn.Close() // nothing was written to it
 			return
 		}
 	}
 }
 
-// PacketCh and StreamCh are what memberlist reads from.
+// PacketCh is where memberlist reads packets from.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
-func (t *transport) StreamCh() <-chan net.Conn           { return t.streams }
 
-// WriteTo and WriteToAddress send a packet, unless the server has stalled: then it is lost, as packets may be.
+// StreamCh is where memberlist takes streams from.
+func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
+
+// WriteTo sends a packet to an address (memberlist.Transport).
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+// WriteToAddress sends a packet with its checksum. Once the server has stalled it is lost, as packets may be.
+func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	if !t.awake() {
 		t.traffic.dropped.Add(1)
 		return time.Now(), nil
 	}
-	summed := make([]byte, 0, len(b)+checksumBytes) // memberlist may send the same bytes to several
-	summed = binary.LittleEndian.AppendUint32(append(summed, b...), crc32.Checksum(b, castagnoli))
+	packet := make([]byte, 0, len(b)+checksumBytes) // a copy: memberlist may send the same bytes to several
+	packet = append(packet, b...)
+	packet = binary.LittleEndian.AppendUint32(packet, crc32.Checksum(b, castagnoli))
 	t.traffic.packetsOut.Add(1)
-	t.traffic.bytesOut.Add(uint64(len(summed)))
-	return t.baseTransport.WriteToAddress(summed, a)
+	t.traffic.bytesOut.Add(uint64(len(packet)))
+	return t.baseTransport.WriteToAddress(packet, addr)
 }
 
-// DialTimeout and DialAddressTimeout open a stream from the server's own address.
-func (t *transport) DialTimeout(addr string, d time.Duration) (net.Conn, error) {
-	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, d)
+// DialTimeout opens a stream to an address (memberlist.Transport).
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (t *transport) DialAddressTimeout(a memberlist.Address, d time.Duration) (net.Conn, error) {
+// DialAddressTimeout opens a stream from the server's own address. It fails once the server has stalled.
+func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if !t.awake() {
-		return nil, fmt.Errorf("dial %s: this server has stalled and listens first", a.Addr)
-	}
-	var c net.Conn
-	var err error
-	if t.localAddr != nil {
-		dialer := net.Dialer{Timeout: d, LocalAddr: t.localAddr}
-		c, err = dialer.DialContext(t.ctx, "tcp", a.Addr)
-	} else {
-		c, err = t.baseTransport.DialAddressTimeout(a, d)
+		return nil, fmt.Errorf("dial %s: %w", addr.Addr, errStalled)
 	}
+	conn, err := t.dial(addr, timeout)
 	if err != nil {
 		return nil, err
 	}
 	t.traffic.streams.Add(1)
-	return newStream(t, c, false), nil
+	return newStream(t, conn, false), nil
 }
 
-// Shutdown ends it and what carries it.
+func (t *transport) dial(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if t.localAddr == nil {
+		return t.baseTransport.DialAddressTimeout(addr, timeout)
+	}
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: t.localAddr}
+	return dialer.DialContext(t.ctx, "tcp", addr.Addr)
+}
+
+// Shutdown ends the transport and its base.
 func (t *transport) Shutdown() error {
 	t.cancel()
-	over := make(chan struct{})
+	baseDone := make(chan struct{})
 	t.wg.Add(1)
-	go func() { // the lower one waits for its readers, which may be handing something over
+	go func() { // the base transport waits for its readers, which may be handing something over
 		defer t.wg.Done()
-		for {
-			select {
-			case <-t.baseTransport.PacketCh():
-			case c := <-t.baseTransport.StreamCh():
-				c.Close()
-			case <-over:
-				return
-			}
-		}
+		drainTransport(t.baseTransport, baseDone)
 	}()
 	err := t.baseTransport.Shutdown()
-	close(over)
+	close(baseDone)
 	t.wg.Wait()
 	return err
 }
 
-// stream counts what passes, and stops with the server and with the transport.
+// drainTransport discards what a transport receives, until done is closed.
+func drainTransport(from memberlist.Transport, done <-chan struct{}) {
+	for {
+		select {
+		case <-from.PacketCh():
+		case conn := <-from.StreamCh():
+			_ = conn.Close() // nothing was written to it
+		case <-done:
+			return
+		}
+	}
+}
+
+// stream counts what passes, and ends with the server's stall and with the transport.
 type stream struct {
 	net.Conn
 	transport *transport
 	incoming  bool
-	stopWatch func() bool
+	stopWatch func() bool // of the transport's end
 	closed    atomic.Bool
 }
 
-func newStream(t *transport, c net.Conn, in bool) *stream {
-	return &stream{Conn: c, transport: t, incoming: in, stopWatch: context.AfterFunc(t.ctx, func() { c.Close() })}
+func newStream(t *transport, conn net.Conn, incoming bool) *stream {
+	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() }) // whoever reads or writes it gets the error
+	return &stream{Conn: conn, transport: t, incoming: incoming, stopWatch: stop}
 }
 
+// Read fails once the server has stalled.
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	s.transport.traffic.bytesIn.Add(uint64(n))
 	if !s.transport.awake() {
-		s.Conn.Close()
+		_ = s.Conn.Close() // the stream is given up
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
+// Write fails once the server has stalled.
 func (s *stream) Write(b []byte) (int, error) {
 	if !s.transport.awake() {
-		s.Conn.Close()
+		_ = s.Conn.Close() // the stream is given up
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
@@ -237,6 +304,7 @@
 	return n, err
 }
 
+// Close closes the stream; a second call closes the connection once more.
 func (s *stream) Close() error {
 	if s.closed.CompareAndSwap(false, true) {
 		s.stopWatch()
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -1,225 +1,197 @@
 package fleet
 
-// This file owns what several servers' views look like side by side, and where they differ. It must never call a view
-// wrong: two that differ are both told.
-
 import (
-	"context"
+	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
 	"strings"
-	"sync"
 	"text/tabwriter"
-	"time"
 )
 
-// FetchStatuses asks several servers at once; the errors of those that did not answer in time name their sockets.
-func FetchStatuses(ctx context.Context, sockets []string, wait time.Duration) (views []Status, failed []error) {
-	ctx, end := context.WithTimeout(ctx, wait)
-	defer end()
-	all, errs := make([]Status, len(sockets)), make([]error, len(sockets))
-	var asked sync.WaitGroup
-	for i, path := range sockets {
-		asked.Go(func() { all[i], errs[i] = FetchStatus(ctx, path) })
-	}
-	asked.Wait()
-	for i, err := range errs {
-		if err != nil {
-			failed = append(failed, fmt.Errorf("%s: %w", sockets[i], err))
-		} else {
-			views = append(views, all[i])
-		}
-	}
-	return views, failed
-}
+// tablePadding is the space between two columns.
+const tablePadding = 2
 
-// WriteJSON writes views, one a line.
-func WriteJSON(w io.Writer, views []Status) error {
-	e := json.NewEncoder(w)
-	for i := range views {
-		if err := e.Encode(&views[i]); err != nil {
+// WriteJSON writes statuses as JSON, one a line.
+func WriteJSON(w io.Writer, statuses []Status) error {
+	encoder := json.NewEncoder(w)
+	for i := range statuses {
+		if err := encoder.Encode(&statuses[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// WriteViews writes a table of who hears whom, what is known of each name, and where the views differ.
-func WriteViews(out io.Writer, views []Status) {
-	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "server\tzone\tstart\tphase\thears\theard of roster\tby zone\tfor\tstalls\tnotes")
-	for _, v := range views {
-		zones := make([]string, len(v.Zones))
-		for i, z := range v.Zones {
-			zones[i] = fmt.Sprintf("%s %d/%d", or(z.Name, "-"), z.Reachable, z.Members)
-		}
-		notes := slices.Clone(v.DuplicateNames)
-		if v.InGracePeriod {
+// WriteViews writes a table of the servers, for a single one also its peers, budgets and outliers, and where the views differ.
+func WriteViews(out io.Writer, statuses []Status) error {
+	t := newTable(out)
+	writeServers(t, statuses)
+	t.flush()
+	if len(statuses) == 1 {
+		status := &statuses[0]
+		writePeers(t, status)
+		t.flush()
+		if status.Budgets != nil {
+			writeBudgets(t, status)
+			t.flush()
+		}
+		writeOutliers(t, status)
+		t.flush()
+	}
+	for _, difference := range Differences(statuses) {
+		_, err := fmt.Fprintln(out, "differ: "+difference)
+		t.err = errors.Join(t.err, err)
+	}
+	return t.err
+}
+
+// table writes rows of tab-separated columns, and keeps the first error.
+type table struct {
+	writer *tabwriter.Writer
+	err    error
+}
+
+func newTable(out io.Writer) *table {
+	return &table{writer: tabwriter.NewWriter(out, tablePadding, 0, tablePadding, ' ', 0)}
+}
+
+// row writes a line.
+func (t *table) row(format string, values ...any) {
+	if t.err == nil {
+		_, t.err = fmt.Fprintf(t.writer, format+"\n", values...)
+	}
+}
+
+// flush ends the columns so far.
+func (t *table) flush() {
+	if t.err == nil {
+		t.err = t.writer.Flush()
+	}
+}
+
+func writeServers(t *table, statuses []Status) {
+	t.row("server\tzone\tstart\tphase\thears\theard of roster\tby zone\tfor\tstalls\tnotes")
+	for _, s := range statuses {
+		zones := make([]string, len(s.Zones))
+		for i, zone := range s.Zones {
+			zones[i] = fmt.Sprintf("%s %d/%d", cmp.Or(zone.Name, "-"), zone.Reachable, zone.Members)
+		}
+		notes := slices.Clone(s.DuplicateNames)
+		if s.InGracePeriod {
 			notes = append(notes, "listens, says nothing of others yet")
 		}
-		if v.ExclusionReason != "" {
-			notes = append(notes, v.ExclusionReason)
-		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s\n", v.Name, or(v.Zone, "-"), v.Generation, phaseText(v.Phase, v.WarmupProgress), v.Connectivity,
-			v.Reachable, v.Members, strings.Join(zones, " "), secondsText(v.StateDurationMs), v.StallCount, strings.Join(notes, "; "))
-	}
-	w.Flush()
-	if len(views) == 1 {
-		fmt.Fprintln(w, "\npeer\tzone\tstart\tphase\theard\tcontact\tlast word\tlosses\tversion\tsettings")
-		for _, p := range views[0].Peers {
-			heard := map[bool]string{true: "yes", false: "no"}[p.Reachable]
-			switch {
-			case p.Departed != "":
-				heard = p.Departed
-			case p.FlapDamped:
-				heard = "flaps"
-			case p.DuplicateName:
-				heard += ", two of the name"
-			}
-			how := p.Contact
-			if p.RelayedBy != "" {
-				how = "through " + p.RelayedBy
-			}
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", p.Name, or(p.Zone, "-"), p.Generation, phaseText(p.Phase, p.WarmupProgress), heard, how,
-				secondsText(p.LastContactAgeMs), p.SuspicionCount, or(p.Version, "-"), or(p.SettingsHash, "-"))
+		if s.ExclusionReason != "" {
+			notes = append(notes, s.ExclusionReason)
 		}
-		w.Flush()
+		t.row("%s\t%s\t%d\t%s\t%s\t%d of %d\t%s\t%s\t%d\t%s",
+			s.Name, cmp.Or(s.Zone, "-"), s.Generation, phaseText(s.Phase, s.WarmupProgress), s.Connectivity,
+			s.Reachable, s.Members, strings.Join(zones, " "), secondsText(s.StateDurationMs), s.StallCount, strings.Join(notes, "; "))
 	}
-	if len(views) == 1 {
-		if views[0].Budgets != nil {
-			writeBudgets(out, &views[0])
+}
+
+func writePeers(t *table, s *Status) {
+	t.row("\npeer\tzone\tstart\tphase\theard\tcontact\tlast word\tlosses\tversion\tsettings")
+	for _, p := range s.Peers {
+		contact := p.Contact
+		if p.RelayedBy != "" {
+			contact = "through " + p.RelayedBy
 		}
-		writeJudged(out, &views[0])
-	}
-	for _, d := range Differences(views) {
-		fmt.Fprintln(out, "differ: "+d)
+		t.row("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%s",
+			p.Name, cmp.Or(p.Zone, "-"), p.Generation, phaseText(p.Phase, p.WarmupProgress), reachableText(&p), contact,
+			secondsText(p.LastContactAgeMs), p.SuspicionCount, cmp.Or(p.Version, "-"), cmp.Or(p.SettingsHash, "-"))
 	}
 }
 
-// writeJudged writes how the members of pools stand.
-func writeJudged(out io.Writer, v *Status) {
-	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	for i, p := range v.Outliers {
+// reachableText tells whether a peer counts as reachable, and if not, why.
+func reachableText(p *PeerStatus) string {
+	text := "no"
+	if p.Reachable {
+		text = "yes"
+	}
+	switch {
+	case p.Departed != "":
+		return p.Departed
+	case p.FlapDamped:
+		return "flaps"
+	case p.DuplicateName:
+		return text + ", two of the name"
+	}
+	return text
+}
+
+// writeOutliers writes the state of the members of pools.
+func writeOutliers(t *table, s *Status) {
+	for i, pool := range s.Outliers {
 		if i == 0 {
-			fmt.Fprintln(w, "\npool\tmember\tverdict\tuse\tfor\tagainst\tof weight\tseen by\tends when")
+			t.row("\npool\tmember\tverdict\tuse\tfor\tagainst\tof weight\tseen by\tends when")
 		}
-		for _, m := range p.Members {
-			use, ends := "in use", ""
-			switch {
-			case m.Ejected:
-				use, ends = "out", fmt.Sprintf("probed well, after %s", secondsText(m.EjectionRemainingMs))
-			case m.CallerShare < 1:
-				use, ends = fmt.Sprintf("%.0f%% of callers", 100*m.CallerShare), "its ramp is over"
-			}
-			since := "-"
+		for _, m := range pool.Members {
+			use, ends := useText(&m)
+			duration := "-"
 			if m.StateDurationMs >= 0 {
-				since = secondsText(m.StateDurationMs)
+				duration = secondsText(m.StateDurationMs)
 			}
-			if m.HealthChecks {
-				ends += "; this server asks"
-			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s\n", p.Pool, m.Name, m.Reason, use, since, m.FaultShare, m.EvidenceWeight, or(strings.Join(m.ReportedBy, " "), "-"), ends)
+			t.row("%s\t%s\t%s\t%s\t%s\t%.2f\t%.1f\t%s\t%s",
+				pool.Pool, m.Name, m.Reason, use, duration, m.FaultShare, m.EvidenceWeight,
+				cmp.Or(strings.Join(m.ReportedBy, " "), "-"), ends)
 		}
 	}
-	w.Flush()
 }
 
-// writeBudgets writes a server's parts, with the loans of each.
-func writeBudgets(out io.Writer, v *Status) {
-	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "\nbudget\town\tfloor\tpart now\tlent\tborrowed\tused\tturned away\tlast ask without a loan")
-	for _, p := range v.Budgets.Quotas {
-		refused := "-"
-		if p.LastDenial.By != "" {
-			refused = fmt.Sprintf("%s ago, %s: %s", secondsText(p.LastDenial.Age), p.LastDenial.By, p.LastDenial.Reason)
-		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\n", p.Key, p.Owned, p.Floor, p.Capacity, p.Granted, p.Leased, p.Usage, p.UnmetDemand, refused)
-		for _, l := range p.Leases {
-			switch {
-			case l.To == "":
-				fmt.Fprintf(w, "  %.4g perhaps lent before the last start, for %s\n", l.Amount, secondsText(l.Remaining))
-			case l.To == v.Name:
-				fmt.Fprintf(w, "  %.4g from %s for %s\n", l.Amount, l.From, secondsText(l.Remaining))
+// useText tells how far a member is in use, and what ends that.
+func useText(m *MemberStatus) (use, ends string) {
+	use = "in use"
+	switch {
+	case m.Ejected:
+		use = "out"
+		ends = fmt.Sprintf("probed well, after %s", secondsText(m.EjectionRemainingMs))
+	case m.CallerShare < 1:
+		use = fmt.Sprintf("%.0f%% of callers", 100*m.CallerShare)
+		ends = "its ramp is over"
+	}
+	if m.HealthChecks {
+		ends += "; this server asks"
+	}
+	return use, ends
+}
+
+// writeBudgets writes a server's quotas with their leases, and the counts of the fleet.
+func writeBudgets(t *table, s *Status) {
+	t.row("\nbudget\town\tfloor\tpart now\tlent\tborrowed\tused\tturned away\tlast ask without a loan")
+	for _, q := range s.Budgets.Quotas {
+		denial := "-"
+		if q.LastDenial.By != "" {
+			denial = fmt.Sprintf("%s ago, %s: %s", secondsText(q.LastDenial.Age), q.LastDenial.By, q.LastDenial.Reason)
+		}
+		t.row("%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s",
+			q.Key, q.Owned, q.Floor, q.Capacity, q.Granted, q.Leased, q.Usage, q.UnmetDemand, denial)
+		for _, lease := range q.Leases {
+			switch lease.To {
+			case "":
+				t.row("  %.4g perhaps lent before the last start, for %s", lease.Amount, secondsText(lease.Remaining))
+			case s.Name:
+				t.row("  %.4g from %s for %s", lease.Amount, lease.From, secondsText(lease.Remaining))
 			default:
-				fmt.Fprintf(w, "  %.4g to %s for %s\n", l.Amount, l.To, secondsText(l.Remaining))
+				t.row("  %.4g to %s for %s", lease.Amount, lease.To, secondsText(lease.Remaining))
 			}
 		}
 	}
-	for i, x := range v.Budgets.FleetCounts {
+	for i, c := range s.Budgets.FleetCounts {
 		if i == 0 {
-			fmt.Fprintln(w, "\nover the fleet\tat least\tat most")
+			t.row("\nover the fleet\tat least\tat most")
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\n", x.Key, x.Min, x.Max)
-	}
-	w.Flush()
-}
-
-func or(s, none string) string {
-	if s == "" {
-		return none
+		t.row("%s\t%.4g\t%.4g", c.Key, c.Min, c.Max)
 	}
-	return s
 }
 
-func phaseText(phase string, ramp float64) string {
+func phaseText(phase string, warmupProgress float64) string {
 	if phase == WarmingUp.String() {
-		return fmt.Sprintf("cold %.0f%%", 100*ramp)
+		return fmt.Sprintf("cold %.0f%%", 100*warmupProgress)
 	}
-	return or(phase, "-")
+	return cmp.Or(phase, "-")
 }
 
 func secondsText(ms float64) string { return fmt.Sprintf("%.1f s", ms/1000) }
-
-// Differences names where two views differ: who is there, of which start, and in which settings. Servers that listen
-// first have no view yet.
-func Differences(views []Status) (all []string) {
-	type said struct{ heard, not []string }
-	of := map[string]*said{}
-	starts := map[string]map[uint64][]string{}
-	for _, v := range views {
-		if v.InGracePeriod {
-			continue
-		}
-		for _, p := range v.Peers {
-			s := of[p.Name]
-			if s == nil {
-				s = &said{}
-				of[p.Name], starts[p.Name] = s, map[uint64][]string{}
-			}
-			if p.Reachable {
-				s.heard = append(s.heard, v.Name)
-				starts[p.Name][p.Generation] = append(starts[p.Name][p.Generation], v.Name)
-			} else if p.Departed == "" {
-				s.not = append(s.not, v.Name)
-			}
-		}
-	}
-	names := make([]string, 0, len(of))
-	for name := range of {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	for _, name := range names {
-		if s := of[name]; len(s.heard) > 0 && len(s.not) > 0 {
-			all = append(all, fmt.Sprintf("%s is heard by %s and not by %s", name, strings.Join(s.heard, " "), strings.Join(s.not, " ")))
-		}
-		if len(starts[name]) > 1 {
-			all = append(all, fmt.Sprintf("%s is known by %d different starts", name, len(starts[name])))
-		}
-	}
-	settings := map[string][]string{}
-	for _, v := range views {
-		settings[v.SettingsHash] = append(settings[v.SettingsHash], v.Name)
-	}
-	if len(settings) > 1 {
-		var parts []string
-		for hash, who := range settings {
-			parts = append(parts, or(hash, "none")+" at "+strings.Join(who, " "))
-		}
-		slices.Sort(parts)
-		all = append(all, "settings: "+strings.Join(parts, ", "))
-	}
-	return all
-}
--- a/internal/fleet/views_test.go
+++ b/internal/fleet/views_test.go
@@ -27,7 +27,9 @@
 		t.Errorf("one view differs from itself: %q", got)
 	}
 	var out bytes.Buffer
-	WriteViews(&out, []Status{a})
+	if err := WriteViews(&out, []Status{a}); err != nil {
+		t.Fatal(err)
+	}
 	for _, s := range []string{"server", "part", "peer", "c  "} {
 		if !strings.Contains(out.String(), s) {
 			t.Errorf("%q is not told:\n%s", s, out.String())
