--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -53,7 +53,9 @@
 				b.Fatal(err)
 			}
 			defer func() {
-				conn.Close()
+				if err := conn.Close(); err != nil {
+					b.Error(err)
+				}
 				ctx, end := context.WithTimeout(context.Background(), time.Second)
 				defer end()
 				table.Shutdown(ctx)
@@ -85,7 +87,9 @@
 					if size != len(result) {
 						b.Fatalf("a body of %d bytes", size)
 					}
-					in.Discard(size)
+					if _, err := in.Discard(size); err != nil {
+						b.Fatal(err)
+					}
 					continue
 				}
 				f := []string{"txn", fmt.Sprintf("%016x", n), "door", strconv.FormatInt(time.Now().UnixMilli(), 10), "lb", "4", "ram", "24.5"}
@@ -105,7 +109,9 @@
 					}
 					more, _ := in.Peek(in.Buffered())
 					answer = append(append(answer, c), more...)
-					in.Discard(len(more))
+					if _, err := in.Discard(len(more)); err != nil {
+						b.Fatal(err)
+					}
 					p := msgpack.Parse(answer)
 					if p.Skip(); p.Err() == nil {
 						break
@@ -117,7 +123,7 @@
 }
 
 // What the block's parser and the route cost by themselves.
-func BenchmarkUnderstand(b *testing.B) {
+func BenchmarkParseRequest(b *testing.B) {
 	f := file()
 	s := &Server{}
 	s.Set(f)
--- /dev/null
+++ b/internal/front/uwsgi/message.go
@@ -0,0 +1,208 @@
+package uwsgi
+
+// This file owns the reading of one message and the answers to messages without an RPC. It must never trust a length
+// that it has not seen the bytes of.
+
+import (
+	"errors"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"sorrelvalve/decision/route"
+	"sorrelvalve/internal/gate"
+	"sorrelvalve/internal/operator"
+	wire "sorrelvalve/internal/uwsgi"
+)
+
+const (
+	// initialBodySize of memory is allocated at once for a body, the rest as it comes, as lengths may lie.
+	initialBodySize = 16 << 10
+	// bodyMemoryRetryAfter in ms is the advice while all bodies together take more memory than they may: by then some
+	// RPCs are answered.
+	bodyMemoryRetryAfter = 250.0
+	// pingModifier is modifier1 of the protocol's ping, a packet without variables; its response has modifier2 set.
+	pingModifier = 100
+)
+
+// handleMessage reads one message and answers it. A nil error means that the connection goes on, io.EOF that the peer
+// has closed it between two messages.
+func (c *conn) handleMessage(first bool) error {
+	config := c.server.config.Load()
+	limits := &config.limits
+	began, err := c.awaitMessage(first, operator.Milliseconds(limits.ReadTimeoutMs))
+	if err != nil {
+		return err
+	}
+	head, err := c.in.Peek(wire.HeaderSize)
+	if err != nil {
+		return truncation(err)
+	}
+	header := wire.ParseHeader(head)
+	if header.Modifier1 == pingModifier && header.BlockSize == 0 && header.Modifier2 == 0 {
+		return c.answerPing()
+	}
+	if e := checkHeader(header, limits); e != nil {
+		return c.rejectInvalid(e)
+	}
+	block, err := c.readBlock(header.BlockSize)
+	if err != nil {
+		return truncation(err)
+	}
+	if e := parseVariables(&c.variables, block, limits); e != nil {
+		return c.rejectInvalid(e)
+	}
+	defer c.variables.Reset()
+	r := request{Message: route.Message{Variables: &c.variables}}
+	if e := config.parseRequest(&r); e != nil {
+		return c.rejectInvalid(e)
+	}
+	resolved, e := config.resolve(&r)
+	if e != nil {
+		return c.rejectInvalid(e)
+	}
+	bodyLength := int64(r.bodyLength)
+	if !c.server.reserveBody(bodyLength, int64(limits.BodyMemoryKB)<<10) {
+		return c.rejectForMemory()
+	}
+	defer c.server.releaseBody(bodyLength)
+	body, err := c.readBodyWithin(r.bodyLength, operator.Milliseconds(limits.BodyTimeoutMs))
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return c.rejectInvalid(badRequest("CONTENT_LENGTH: so much did not come in time"))
+	}
+	if err != nil {
+		return truncation(err)
+	}
+	x := exchange{
+		conn:     c,
+		config:   config,
+		request:  &r,
+		resolved: &resolved,
+		block:    block,
+		body:     body,
+		began:    began,
+	}
+	return x.serve()
+}
+
+// awaitMessage waits for the first byte of the next message, from which on the message has timeout to come complete. The
+// first message of a connection must begin within timeout as well.
+func (c *conn) awaitMessage(first bool, timeout time.Duration) (began time.Time, err error) {
+	if first {
+		c.BoundReads(time.Now().Add(timeout))
+	}
+	if _, err := c.in.Peek(1); err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return began, errMessageTimeout
+		}
+		return began, err
+	}
+	c.BeginMessage()
+	began = time.Now()
+	c.BoundReads(began.Add(timeout))
+	return began, nil
+}
+
+// truncation returns what an error within a message means.
+func truncation(err error) error {
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		return errMessageTimeout
+	}
+	return errTruncated
+}
+
+// readBlock reads the header, which is buffered, and the block of variables, and returns the block.
+func (c *conn) readBlock(size int) (string, error) {
+	if wire.HeaderSize+size <= c.in.Size() {
+		b, err := c.in.Peek(wire.HeaderSize + size)
+		if err != nil {
+			return "", err
+		}
+		block := string(b[wire.HeaderSize:])
+		_, _ = c.in.Discard(wire.HeaderSize + size) // it is buffered
+		return block, nil
+	}
+	_, _ = c.in.Discard(wire.HeaderSize) // it is buffered
+	var block strings.Builder
+	_, err := io.CopyN(&block, c.in, int64(size))
+	return block.String(), err
+}
+
+// readBodyWithin reads a body whose length has been checked, and leaves later reads unbounded if it came in time.
+func (c *conn) readBodyWithin(size int, timeout time.Duration) ([]byte, error) {
+	c.BoundReads(time.Now().Add(timeout))
+	body, err := c.readBody(size)
+	if err == nil {
+		c.BoundReads(time.Time{})
+	}
+	return body, err
+}
+
+// readBody reads a body, for which memory is allocated as it comes.
+func (c *conn) readBody(size int) ([]byte, error) {
+	body := make([]byte, min(size, initialBodySize))
+	for read := 0; ; {
+		n, err := io.ReadFull(c.in, body[read:])
+		read += n
+		if err != nil {
+			return nil, err
+		}
+		if read == size {
+			return body, nil
+		}
+		body = append(body, make([]byte, min(size-read, read))...)
+	}
+}
+
+// markReceived records a message that brought no RPC.
+func (c *conn) markReceived() {
+	c.Mu.Lock()
+	c.ReceivedMessage = true
+	c.PartialMessage = false
+	c.LastActivity = time.Now()
+	c.Mu.Unlock()
+}
+
+// rejectInvalid answers an invalid message. The reader writes this itself: a peer that sends on without reading waits.
+func (c *conn) rejectInvalid(e *requestError) error {
+	c.markReceived()
+	c.server.log.WithField("peer", c.RemoteAddr()).WithError(e).Warn("server.invalid_rpc")
+	c.faults++
+	if c.faults > maxFaultsUndelayed {
+		time.Sleep(faultDelay)
+	}
+	sent := c.Send(requestErrorHead(e, e.keepAlive))
+	return c.complete(sent && e.keepAlive && !c.server.table.ShuttingDown())
+}
+
+// rejectForMemory answers a message whose body finds no memory.
+func (c *conn) rejectForMemory() error {
+	c.markReceived()
+	v := gate.Verdict{Kind: gate.Rejected, RetryAfterMs: c.server.gate.CapRetryAfter(bodyMemoryRetryAfter)}
+	c.Send(failureHead(&v, false))
+	return errClosedHere
+}
+
+// answerPing answers a health check: by the protocol's own packet while the server is healthy, else by closing.
+func (c *conn) answerPing() error {
+	c.markReceived()
+	_, _ = c.in.Discard(wire.HeaderSize) // it is buffered
+	if c.server.gate.Healthy() {
+		c.Send(wire.AppendHeader(nil, pingModifier, 0, 1))
+	}
+	return errClosedHere
+}
+
+// complete records that a message has been answered and returns errClosedHere unless the connection goes on.
+func (c *conn) complete(keepAlive bool) error {
+	c.Mu.Lock()
+	c.InFlight = 0
+	c.LastActivity = time.Now()
+	c.ticket = nil
+	c.Mu.Unlock()
+	if !keepAlive {
+		return errClosedHere
+	}
+	return nil
+}
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -31,15 +32,15 @@
 // rig is a gate behind both fronts, whose runs end when the test says so, with one connection to the uwsgi one.
 type rig struct {
 	*testing.T
-	s     *Server
-	table *front.ConnTable
-	g     *gate.Gate
-	web   string
-	rpc   string
-	conn  net.Conn
-	in    *bufio.Reader
-	runs  chan running
-	over  chan struct{} // closed at the end of the test
+	server *Server
+	table  *front.ConnTable
+	gate   *gate.Gate
+	web    string
+	rpc    string
+	conn   net.Conn
+	in     *bufio.Reader
+	runs   chan running
+	over   chan struct{} // closed at the end of the test
 }
 
 type running struct {
@@ -81,16 +82,16 @@
 	logger.SetOutput(io.Discard)
 	log := logger.WithField("node", "n0")
 	r := &rig{T: t, runs: make(chan running, 1000), over: make(chan struct{})}
-	r.g = gate.New(o, 64, func(string, string) {})
-	r.g.Start(false, 0)
-	r.table = front.NewConnTable(sockets, r.g.IdleTimeout, log)
+	r.gate = gate.New(o, 64, func(string, string) {})
+	r.gate.Start(false, 0)
+	r.table = front.NewConnTable(sockets, r.gate.IdleTimeout, log)
 	run := func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		if string(w.Body) == "panic" {
 			panic("the runner")
 		}
 		r.runs <- running{w, done}
 	}
-	r.s = New(r.table, r.g, run, f, 7, log)
+	r.server = New(r.table, r.gate, run, f, 7, log)
 	listen := func(open func(net.Conn) front.Conn) string {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -99,12 +100,12 @@
 		r.table.AddListener(ln.(*net.TCPListener), open)
 		return ln.Addr().String()
 	}
-	r.web = listen(r.s.Open)
-	r.rpc = listen(mprpc.New(r.table, r.g, run, log).Open)
+	r.web = listen(r.server.Open)
+	r.rpc = listen(mprpc.New(r.table, r.gate, run, log).Open)
 	t.Cleanup(func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
-		r.conn.Close()
+		_ = r.conn.Close() // the test may have closed it
 		r.table.Shutdown(ctx)
 		close(r.over)
 	})
@@ -112,13 +113,21 @@
 	return r
 }
 
+// noError fails the test on an error of what must work.
+func (r *rig) noError(err error) {
+	r.Helper()
+	if err != nil {
+		r.Error(err)
+	}
+}
+
 func (r *rig) dial() net.Conn {
 	conn, err := net.Dial("tcp", r.web)
 	if err != nil {
 		r.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(soon))
-	r.Cleanup(func() { conn.Close() })
+	r.noError(conn.SetDeadline(time.Now().Add(soon)))
+	r.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	r.conn, r.in = conn, bufio.NewReader(conn)
 	return conn
 }
@@ -154,7 +163,7 @@
 	for {
 		line, err := r.in.ReadString('\n')
 		head.WriteString(line)
-		if err == io.EOF && head.Len() == 0 {
+		if errors.Is(err, io.EOF) && head.Len() == 0 {
 			return "", ""
 		} else if err != nil {
 			r.Fatalf("read %q, error %v", head.String(), err)
@@ -197,13 +206,13 @@
 	return running{}
 }
 
-// quiet waits until nothing is in hand.
-func (r *rig) quiet() { r.Helper(); r.inHand(0) }
+// quiet waits until nothing is in flight.
+func (r *rig) quiet() { r.Helper(); r.inFlight(0) }
 
-// inHand waits until so many RPCs are.
-func (r *rig) inHand(n int) {
+// inFlight waits until n RPCs are in flight.
+func (r *rig) inFlight(n int) {
 	r.Helper()
-	r.until("RPCs in hand", func() bool { return r.g.InFlight() == n })
+	r.until("RPCs in hand", func() bool { return r.gate.InFlight() == n })
 }
 
 // gone waits until there are no connections.
@@ -216,7 +225,7 @@
 	r.Helper()
 	for end := time.Now().Add(soon); !holds(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			r.Fatalf("never: %s; %d in hand, %d connections", what, r.g.InFlight(), len(r.table.Conns()))
+			r.Fatalf("never: %s; %d in hand, %d connections", what, r.gate.InFlight(), len(r.table.Conns()))
 		}
 	}
 }
@@ -276,7 +285,8 @@
 		{"more ahead than the buffer holds", nil, func(r *rig) {
 			r.says(post("/view/1", "a", keep...))
 			run := r.run()
-			go io.WriteString(r.conn, post("/view/1", strings.Repeat("b", 30000), keep...))
+			conn := r.conn
+			go func() { _, _ = io.WriteString(conn, post("/view/1", strings.Repeat("b", 30000), keep...)) }() // its answer is read below
 			run.end("a")
 			r.expect("200 a")
 			run = r.run()
@@ -308,7 +318,7 @@
 			for n := range 2 {
 				r.dial()
 				r.says(packet("", "REQUEST_METHOD", "POST", "PATH_INFO", "/view/1", "CONTENT_LENGTH", "40000"))
-				r.until("the body is expected", func() bool { return r.s.bodyBytes.Load() == int64(40000*(n+1)) })
+				r.until("the body is expected", func() bool { return r.server.bodyBytes.Load() == int64(40000*(n+1)) })
 			}
 			r.dial()
 			r.says(post("/view/1", strings.Repeat("x", 40000)))
@@ -349,7 +359,8 @@
 			if line, _ := r.in.ReadString('\n'); line != "Content-Length: 99\r\n" {
 				r.Errorf("read %q", line)
 			}
-			r.in.ReadString('\n')
+			_, err := r.in.ReadString('\n')
+			r.noError(err)
 			r.says(packet("", "REQUEST_METHOD", "DELETE", "PATH_INFO", "/any"))
 			r.run().done(gate.Succeeded, 1, []byte("HTTP/1.1 204 No Content\r\n\r\n"), []byte("none"))
 			if head := r.expect("204", ""); strings.Contains(head, "Content-Length") {
@@ -358,13 +369,13 @@
 		}},
 		{"a client that leaves in mid block", nil, func(r *rig) {
 			r.says(get("/view")[:20])
-			r.conn.Close()
+			r.noError(r.conn.Close())
 			r.quiet()
 		}},
 		{"a client that leaves in mid body", nil, func(r *rig) {
 			r.says(packet("abc", "REQUEST_METHOD", "POST", "PATH_INFO", "/topup-buy", "CONTENT_LENGTH", "10", "HTTP_IDEMPOTENCY_KEY", "k"))
-			r.conn.Close()
-			r.until("the body is no longer expected", func() bool { return r.s.bodyBytes.Load() == 0 })
+			r.noError(r.conn.Close())
+			r.until("the body is no longer expected", func() bool { return r.server.bodyBytes.Load() == 0 })
 			r.dial()
 			r.says(post("/topup-buy", "abcdefghij", "HTTP_IDEMPOTENCY_KEY", "k"))
 			r.run().end("a")
@@ -389,7 +400,7 @@
 		{"a client that leaves while it runs: the run ends, and nothing is left", nil, func(r *rig) {
 			r.says(get("/view"))
 			run := r.run()
-			r.conn.Close()
+			r.noError(r.conn.Close())
 			r.gone()
 			run.end("a")
 			r.quiet()
@@ -397,8 +408,8 @@
 		{"a client that resets while it runs", nil, func(r *rig) {
 			r.says(get("/view"))
 			run := r.run()
-			r.conn.(*net.TCPConn).SetLinger(0)
-			r.conn.Close()
+			r.noError(r.conn.(*net.TCPConn).SetLinger(0))
+			r.noError(r.conn.Close())
 			r.gone()
 			run.end("a")
 			r.quiet()
@@ -406,14 +417,14 @@
 		{"a half-closed connection has left", nil, func(r *rig) {
 			r.says(get("/view"))
 			run := r.run()
-			r.conn.(*net.TCPConn).CloseWrite()
+			r.noError(r.conn.(*net.TCPConn).CloseWrite())
 			r.expect("")
 			run.end("a")
 			r.quiet()
 		}},
 		{"a half-closed connection gets its answer where the file says so", func(f *operator.File) { f.UWSGI.HalfClose = true }, func(r *rig) {
 			r.says(get("/view"))
-			r.conn.(*net.TCPConn).CloseWrite()
+			r.noError(r.conn.(*net.TCPConn).CloseWrite())
 			r.run().end("a")
 			r.expect("200 a", "")
 		}},
@@ -421,8 +432,9 @@
 			r.says(get("/view"))
 			run := r.run()
 			go run.end(strings.Repeat("x", 8<<20)) // more than the socket's buffers hold
-			r.in.ReadByte()
-			r.conn.Close()
+			_, err := r.in.ReadByte()
+			r.noError(err)
+			r.noError(r.conn.Close())
 			r.quiet()
 		}},
 		{"a peer that sends and never reads holds up no other", nil, func(r *rig) {
@@ -442,7 +454,7 @@
 				r.Errorf("read %q, error %v", b[:n], err)
 			}
 			r.dial()
-			r.g.Drain(time.Second)
+			r.gate.Drain(time.Second)
 			r.says("\x64\x00\x00\x00")
 			if n, err := r.in.Read(b); n != 0 || err != io.EOF {
 				r.Errorf("read %q, error %v", b[:n], err)
@@ -453,7 +465,7 @@
 			run := r.run()
 			f := file()
 			f.Routes = map[string]operator.Route{"other": {Path: "/other", Method: "view", Type: "text/html"}}
-			r.s.Set(f)
+			r.server.Set(f)
 			run.end("a")
 			if head := r.expect("200 a"); !strings.Contains(head, "text/plain") {
 				r.Errorf("head %q", head)
@@ -467,7 +479,7 @@
 			}
 		}},
 		{"past the drain's grace it is pushed back, and the connection ends", nil, func(r *rig) {
-			r.g.Drain(time.Millisecond)
+			r.gate.Drain(time.Millisecond)
 			r.says(get("/view"))
 			r.expect("503", "")
 		}},
@@ -537,7 +549,7 @@
 			if !strings.Contains(head, c.head) || strings.Contains(head, "\nX-Evil") {
 				t.Errorf("head %q, want %q in it", head, c.head)
 			}
-			if n := r.g.InFlight(); n != 0 {
+			if n := r.gate.InFlight(); n != 0 {
 				t.Errorf("%d in hand", n)
 			}
 		})
@@ -594,7 +606,7 @@
 				a := r.topup(first, "k", "x")
 				run := r.run()
 				b := r.topup(second, "k", "x")
-				r.inHand(2)
+				r.inFlight(2)
 				run.end("done")
 				if x, y := <-a, <-b; string(x.Body) != "done" || string(y.Body) != "done" {
 					r.Errorf("got %+v and %+v", x, y)
@@ -604,9 +616,9 @@
 				r.topup(first, "busy", "y")
 				busy := r.run() // on the one core
 				a := r.topup(first, "k", "x")
-				r.inHand(2)
+				r.inFlight(2)
 				b := r.topup(second, "k", "x")
-				r.inHand(3)
+				r.inFlight(3)
 				if len(r.runs) > 0 {
 					r.Fatal("none is held")
 				}
@@ -664,15 +676,15 @@
 	}
 }
 
-// A first try whose connection is lost while it runs is answered to its repeat by the other protocol.
+// A first attempt whose connection is lost while it runs is answered to its retry by the other protocol.
 func TestTokenOfLostFront(t *testing.T) {
 	r := start(t, 1024)
 	r.says(post("/topup-buy", "x", "HTTP_IDEMPOTENCY_KEY", "k"))
 	run := r.run()
-	r.conn.Close()
+	r.noError(r.conn.Close())
 	r.gone()
 	got := r.topup("msgpack", "k", "x")
-	r.inHand(2)
+	r.inFlight(2)
 	run.end("done")
 	if got := <-got; got.Outcome != standin.OK || string(got.Body) != "done" {
 		t.Errorf("got %+v", got)
@@ -694,7 +706,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Cleanup(func() { c.Close() })
+				t.Cleanup(func() { r.noError(c.Close()) })
 			}
 			for _, protocol := range []string{"uwsgi", "msgpack"} {
 				got := r.topup(protocol, protocol, "x")
@@ -795,7 +807,7 @@
 	r.quiet()
 }
 
-func FuzzUnderstand(f *testing.F) {
+func FuzzParseRequest(f *testing.F) {
 	v := &config{limits: *file().UWSGI}
 	f.Add(get("/view")[4:])
 	f.Add(post("/a//b", "")[4:])
