--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -1,27 +1,17 @@
 package daemon
 
-// This file owns which build this is. It must never take a word for it from outside.
+import "runtime/debug"
 
-import (
-	"runtime/debug"
-
-	"sorrelvalve/internal/operator"
-	"sorrelvalve/internal/trace"
-)
-
-// version is set at release builds by -ldflags; else the build's own record tells it.
+// version is set in release builds by -ldflags; otherwise the build's own record has it.
 var version = ""
 
-// BuildVersion names this build.
+// BuildVersion is the version of this build; "" if it is not known.
 func BuildVersion() string {
-	v := version
-	if info, ok := debug.ReadBuildInfo(); ok && v == "" {
-		v = info.Main.Version
+	if version != "" {
+		return version
 	}
-	return v
-}
-
-// TraceBounds are those that an operator's file sets.
-func TraceBounds(t *operator.Trace) trace.FileLimits {
-	return trace.FileLimits{MaxFileBytes: int64(t.MaxFileMB * (1 << 20)), MaxFiles: t.MaxFiles}
+	if info, ok := debug.ReadBuildInfo(); ok {
+		return info.Main.Version
+	}
+	return ""
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -36,9 +36,7 @@
 
 // The stand-in engine and an operator's record work together: uwsgi before the stand-in.
 func TestStandInWithRecord(t *testing.T) {
-	ln := loopback(t)
-	addr := ln.Addr().String()
-	ln.Close()
+	addr := freeLoopback(t)
 	u := &operator.UWSGI{Listen: addr, KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 8192, ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 16}
 	r := record(t, &operator.File{Version: "t", UWSGI: u, Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "GET", Method: "account-view", Type: "text/plain"}}})
 	over := make(chan error, 1)
@@ -46,14 +44,18 @@
 	for end := time.Now().Add(soon); ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
-			c.Close()
+			if err := c.Close(); err != nil {
+				t.Error(err)
+			}
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatalf("the front does not listen: %v", err)
 		}
 	}
-	syscall.Kill(os.Getpid(), syscall.SIGTERM) // which Run has asked to be told of
+	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // which Run is notified of
+		t.Fatal(err)
+	}
 	select {
 	case err := <-over:
 		if err != nil {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -1,7 +1,5 @@
 package daemon
 
-// This file owns the form of the log and its limit in a flood. It must never hold up who logs.
-
 import (
 	"io"
 	"sync"
@@ -10,54 +8,63 @@
 	"golang.org/x/time/rate"
 )
 
-// Lines of one kind: the first few of a flood tell what it is, and then two a second that it goes on.
+// This file owns the form of the log and its limit in a flood. It must never hold up a caller that logs.
+
+// The limit on lines of one event: the first few of a flood show what it is, and then two a second that it goes on.
 const (
-	logBurst = 20
-	logRate  = 2
+	logBurst = 20 // lines
+	logRate  = 2  // lines per second
 )
 
-// limited drops lines of a kind that come too fast, and counts them on the next one that is written.
+// logTimeFormat is RFC 3339 with milliseconds.
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
+
+func init() { logrus.ErrorKey = "err" }
+
+// rateLimitedFormatter drops lines of an event that come too fast, and counts them on the next one that is written.
 type rateLimitedFormatter struct {
 	logrus.Formatter
 	mu       sync.Mutex
-	limiters map[string]*eventLimiter
+	limiters map[string]*eventLimiter // by message; messages are constant event names, so there are few
 }
 
+// eventLimiter limits the lines of one event.
 type eventLimiter struct {
 	*rate.Limiter
-	dropped int
+	dropped int // since the last line that was written
 }
 
-// Format writes one line or none. The texts of lines are constants, so there are few kinds.
+// Format returns the bytes of one line, or none if the line is dropped.
 func (f *rateLimitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.limiters[e.Message]
-	if k == nil {
-		k = &eventLimiter{Limiter: rate.NewLimiter(logRate, logBurst)}
-		f.limiters[e.Message] = k
+	limiter := f.limiters[e.Message]
+	if limiter == nil {
+		limiter = &eventLimiter{Limiter: rate.NewLimiter(logRate, logBurst)}
+		f.limiters[e.Message] = limiter
 	}
-	if !k.AllowN(e.Time, 1) {
-		k.dropped++
+	if !limiter.AllowN(e.Time, 1) {
+		limiter.dropped++
 		return nil, nil
 	}
-	if k.dropped > 0 {
-		with := e.WithField("dropped", k.dropped)
-		with.Time, with.Level, with.Message = e.Time, e.Level, e.Message
-		e, k.dropped = with, 0
+	if limiter.dropped > 0 {
+		withCount := e.WithField("dropped", limiter.dropped)
+		withCount.Time = e.Time
+		withCount.Level = e.Level
+		withCount.Message = e.Message
+		e = withCount
+		limiter.dropped = 0
 	}
 	return f.Formatter.Format(e)
 }
 
-// NewLog writes lines as the daemon does, floods cut.
+// NewLog returns a logger that writes lines as the daemon does, floods of one event limited.
 func NewLog(out io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(out)
 	l.SetFormatter(&rateLimitedFormatter{
-		Formatter: &logrus.TextFormatter{
-			DisableColors: true, FullTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00",
-		},
-		limiters: map[string]*eventLimiter{},
+		Formatter: &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logTimeFormat},
+		limiters:  map[string]*eventLimiter{},
 	})
 	return l
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -1,15 +1,11 @@
 package daemon
 
-// This file owns how the parts of one server are put together, and their end. It must never decide in what order anything
-// happens to an RPC.
-
 import (
 	"context"
 	"errors"
 	"fmt"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -21,192 +17,180 @@
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/members"
 	"sorrelvalve/internal/operator"
+	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/store"
 	"sorrelvalve/internal/trace"
 )
 
-// Server is one, put together and serving.
+// This file owns how the parts of one server are put together, and their end. It must never decide in what order anything
+// happens to an RPC.
+
+const (
+	// minSockets are left for the fronts beside what the operator's file may take: with the platform's minimum, 48, a
+	// dozen connections.
+	minSockets = 40
+	// gaugeTimeout is how long a tick waits for its gauges: many times what the engine takes, a quarter of the time
+	// between two ticks.
+	gaugeTimeout = 10 * time.Millisecond
+)
+
+// Options are what a server is made from.
+type Options struct {
+	Config     Config
+	Listener   net.Listener    // for RPCs; a *net.TCPListener, which stays the caller's if New fails
+	Log        *logrus.Entry   // for the log of all parts
+	Extension  Extension       // nil if the command adds nothing
+	TokenStore gate.TokenStore // which its caller opened; nil to cache tokens as the operator's file says
+}
+
+// Server is a running server: its parts, put together.
 type Server struct {
 	Gate *gate.Gate
 
-	ctx           context.Context
-	closers       []func()       // the last first
-	wg            sync.WaitGroup // of what serves until ctx ends
+	ctx           context.Context // ends with the server
+	closers       []func()        // called on Close, the last first
+	wg            sync.WaitGroup  // of the parts that run until ctx ends
 	log           *logrus.Entry
+	settings      startup.Config // of the controller, with what the operator's file sets
+	sockets       int            // file descriptors left for the fronts
 	table         *front.ConnTable
 	link          *engine.Link
-	reporter      *members.Reporter
-	operatorParts *operatorParts // nil without an operator's file
-	tokenStore    *tokenStore    // nil without a store
-	addition      Addition       // nil if the command adds nothing
+	reporter      *members.Reporter // nil without a membership service
+	operatorParts *operatorParts    // nil without an operator's file
+	tokenStore    *tokenStore       // nil without a durable store
+	addition      Addition          // nil if the command adds nothing
 	lifecycle     lifecycle
 
-	leaveRequests  chan int        // an added part may have the server leave,
-	cancelRequests chan chan error // and stay after all
-}
-
-// Extension is what a command adds to the daemon. It is called once the other parts stand, before RPCs are let in.
-type Extension func(p Parts) (Addition, error)
-
-// Parts are what an Extension is given.
-type Parts struct {
-	Config Config
-	Log    *logrus.Entry
-	Build  string
-	Gate   *gate.Gate
-	Pools  *pools.Backends                      // those of the operator's file
-	Phase  func() (ramp float64, draining bool) // ramp is the share of it that is over, 1 when warm; 0 before an engine answers
-	// Leave has the server drain and end, as a signal to stop does, unless Stay takes that back before its grace is over. A signal to
-	// stop is obeyed at once, whatever else goes on.
-	// code is what the process ends with, 0 for as usual.
-	Leave       func(code int)
-	CancelDrain func() error
-	// Release puts a version of the fleet's settings in force, whole or not at all, or the own file again if it is nil. The version is
-	// laid over what only a start can change.
-	Release    func(r *operator.Record, origin string) error
-	SampleLoad func() // called again and again: what the last minutes carried is sampled
-}
-
-// Addition is what an Extension put beside the other parts.
-type Addition interface {
-	Set(f *operator.File) // a new file has been taken
-	Close()               // in bounded time, once all is answered
-}
-
-// phase is where the server is in its life.
-type lifecycle struct {
-	slowStartMs float64 // ms
-	startedAt   atomic.Pointer[time.Time]
-	draining    atomic.Bool
+	leaveRequests  chan int        // exit codes with which an added part has the server leave
+	cancelRequests chan chan error // requests of an added part to cancel that
 }
 
-// starts notes how the decisions began.
-func (p *lifecycle) start(cold bool, ago time.Duration) {
-	at := time.Now().Add(-ago)
-	if !cold {
-		at = time.Time{}
+// New puts a server together and starts it.
+func New(o Options) (x *Server, err error) {
+	x = &Server{
+		log: o.Log, settings: *o.Config.Settings, sockets: o.Config.Sockets,
+		leaveRequests: make(chan int, 1), cancelRequests: make(chan chan error),
 	}
-	p.startedAt.CompareAndSwap(nil, &at)
-}
-
-func (p *lifecycle) phase() (ramp float64, draining bool) {
-	at := p.startedAt.Load()
-	switch {
-	case at == nil:
-	case at.IsZero() || p.slowStartMs <= 0:
-		ramp = 1
-	default:
-		ramp = min(max(float64(time.Since(*at))/1e6/p.slowStartMs, 0), 1)
-	}
-	return ramp, p.draining.Load()
-}
-
-// New puts a server together, which accepts on ln and has its work done by what it is told. Tokens are kept as the
-// operator's file says. ln stays the caller's if there is an error.
-func New(t Config, ln net.Listener, log *logrus.Entry, extra Extension) (x *Server, err error) {
-	return assemble(t, ln, log, extra, nil)
-}
-
-// NewWithTokenStore is New with idempotency tokens cached in k, which its caller opened, if that is not nil.
-func NewWithTokenStore(t Config, ln net.Listener, log *logrus.Entry, k gate.TokenStore) (*Server, error) {
-	return assemble(t, ln, log, nil, k)
-}
-
-func assemble(t Config, ln net.Listener, log *logrus.Entry, extra Extension, keeper gate.TokenStore) (x *Server, err error) {
-	p, settings, sockets := t.Process, *t.Settings, t.Sockets
-	if t.Operator != nil {
-		t.Operator.File.Apply(&settings)
-		if sockets -= t.Operator.File.Descriptors(); sockets < minSockets {
-			return nil, fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", t.Operator.File.Descriptors(), p.Sockets)
-		}
-		if t.Operator.File.Fleet != nil && extra == nil {
-			return nil, fmt.Errorf("operator: fleet: this command serves without one; valvefleet serve takes the same configuration")
-		}
+	if err := x.applyOperatorFile(&o); err != nil {
+		return nil, err
 	}
-	x = &Server{log: log, leaveRequests: make(chan int, 1), cancelRequests: make(chan chan error)}
-	x.lifecycle.slowStartMs = settings.Node.WarmUpTime
-	ctx, end := context.WithCancel(context.Background())
+	x.lifecycle.slowStartMs = x.settings.Node.WarmUpTime
+	ctx, cancel := context.WithCancel(context.Background())
 	x.ctx = ctx
+	x.closers = append(x.closers, func() {
+		cancel()
+		x.wg.Wait()
+	})
 	defer func() {
 		if err != nil {
 			x.Close()
 		}
 	}()
-	x.closers = append(x.closers, func() { end(); x.wg.Wait() })
-	g := gate.New(&settings, p.MemoryMB, func(text, detail string) {
+	x.makeGate(&o)
+	x.makeEngineLink(&o)
+	x.table = front.NewConnTable(x.sockets, x.Gate.IdleTimeout, o.Log)
+	run := x.link.Runner()
+	if o.Config.Operator != nil {
+		if x.operatorParts, err = newOperatorParts(o.Config, x.table, x.Gate, run, o.Log); err != nil {
+			return nil, err
+		}
+		x.runPart(x.operatorParts.pools.Serve)
+		run = x.operatorParts.run
+	}
+	if o.Extension != nil {
+		if err := x.extend(&o); err != nil {
+			return nil, err
+		}
+	}
+	x.startParts(&o, run)
+	return x, nil
+}
+
+// applyOperatorFile lays the operator's file over the settings and checks that this process can do what it asks.
+func (x *Server) applyOperatorFile(o *Options) error {
+	if o.Config.Operator == nil {
+		return nil
+	}
+	f := &o.Config.Operator.File
+	f.Apply(&x.settings)
+	x.sockets -= f.Descriptors()
+	if x.sockets < minSockets {
+		return fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", f.Descriptors(), o.Config.Sockets)
+	}
+	if f.Fleet != nil && o.Extension == nil {
+		return errors.New("operator: fleet: this command serves without one; valvefleet serve takes the same configuration")
+	}
+	return nil
+}
+
+// makeGate makes the gate, with its token store and its trace.
+func (x *Server) makeGate(o *Options) {
+	log := o.Log
+	x.Gate = gate.New(&x.settings, o.Config.MemoryMB, func(event, detail string) {
 		if detail == "" {
-			log.Info(text)
+			log.Info(event)
 		} else {
-			log.WithField("detail", detail).Error(text)
+			log.WithField("detail", detail).Error(event)
 		}
 	})
-	x.Gate = g
-	if keeper != nil {
-		g.UseTokenStore(keeper)
+	if o.TokenStore != nil {
+		x.Gate.UseTokenStore(o.TokenStore)
 	}
-	if t.Operator != nil && t.Operator.File.Trace != nil {
-		rec := trace.NewRecorder(t.Operator.File.Trace.Path, TraceBounds(t.Operator.File.Trace), BuildVersion(), func(err error) {
-			log.WithError(err).Error("trace: not recorded")
+	if o.Config.Operator != nil && o.Config.Operator.File.Trace != nil {
+		t := o.Config.Operator.File.Trace
+		limits := trace.FileLimits{MaxFileBytes: int64(t.MaxFileMB * bytesPerMB), MaxFiles: t.MaxFiles}
+		recorder := trace.NewRecorder(t.Path, limits, BuildVersion(), func(err error) {
+			log.WithError(err).Error("trace.record_failed")
 		})
-		x.closers = append(x.closers, func() { rec.Close() })
-		g.UseTracer(rec)
+		x.closers = append(x.closers, recorder.Close)
+		x.Gate.UseTracer(recorder)
 	}
-	begun := g.Start
-	if t.Operator != nil && t.Operator.File.Store != nil { // until it has been read, the server listens and pushes back
-		kept := openTokenStore(t.Operator.File.Store, &settings, p.Name, log)
-		x.tokenStore = kept
-		x.closers = append(x.closers, kept.close, func() { kept.reportState(log) }) // as it stood at the end
-		go kept.reportPeriodically(ctx, log)
-		begun = func(cold bool, ago time.Duration) {
+}
+
+// makeEngineLink makes the link to the engine, whose first answer starts the decisions, and opens the token store that
+// the operator's file names. Until that has been read, the server listens and rejects.
+func (x *Server) makeEngineLink(o *Options) {
+	startDecisions := x.Gate.Start
+	if o.Config.Operator != nil && o.Config.Operator.File.Store != nil {
+		tokens := openTokenStore(o.Config.Operator.File.Store, &x.settings, o.Config.Name, o.Log)
+		x.tokenStore = tokens
+		x.closers = append(x.closers, func() { tokens.close(o.Log) }, func() { tokens.logStatus(o.Log) }) // as it stood at the end
+		x.runPart(func(ctx context.Context) { tokens.logPeriodically(ctx, o.Log) })
+		startDecisions = func(cold bool, ago time.Duration) {
 			since := time.Now()
-			if <-kept.ready; kept.err == nil {
-				if !g.Started() {
-					g.UseTokenStore(store.TokenStore{Store: kept.store})
-				}
-				g.Start(cold, ago+time.Since(since))
+			<-tokens.ready
+			if tokens.err != nil {
+				return
 			}
+			if !x.Gate.Started() {
+				x.Gate.UseTokenStore(store.TokenStore{Store: tokens.store})
+			}
+			x.Gate.Start(cold, ago+time.Since(since))
 		}
 	}
-	link := engine.New(p.Engine, log, func(cold bool, ago time.Duration) {
+	x.link = engine.New(o.Config.Engine, o.Log, func(cold bool, ago time.Duration) {
 		x.lifecycle.start(cold, ago)
-		begun(cold, ago)
+		startDecisions(cold, ago)
 	})
-	x.link = link
-	x.table = front.NewConnTable(sockets, g.IdleTimeout, log)
-	run := link.Runner()
-	if t.Operator != nil {
-		if x.operatorParts, err = newOperatorParts(ctx, t, x.table, g, run, log); err != nil {
-			return nil, err
-		}
-		run = x.operatorParts.run
-	}
-	if extra != nil {
-		parts := Parts{Config: t, Log: log, Build: BuildVersion(), Gate: g, Pools: x.Pools(), Phase: x.lifecycle.phase, Leave: x.requestLeave, CancelDrain: x.cancelDrain, Release: x.release, SampleLoad: x.sampleLoad}
-		if x.addition, err = extra(parts); err != nil {
-			return nil, err
-		}
-		if x.addition != nil {
-			if x.operatorParts != nil && x.operatorParts.effectiveFile != nil { // a version that was kept went in force before the part was there
-				x.addition.Set(x.operatorParts.effectiveFile)
-			}
-			x.closers = append(x.closers, x.addition.Close)
-		}
-	}
-	srv := mprpc.New(x.table, g, run, log)
-	x.runPart(link.Serve)
-	if p.Members != "" {
-		x.reporter = members.New(p.Members, p.Name, log, g.Healthy, g.Started, g.HealthChanged())
+}
+
+// startParts starts what runs until the server's end, and then accepts connections. run does the work of RPCs.
+func (x *Server) startParts(o *Options, run gate.Runner) {
+	g := x.Gate
+	rpcServer := mprpc.New(x.table, g, run, o.Log)
+	x.runPart(x.link.Serve)
+	if o.Config.Members != "" {
+		x.reporter = members.New(o.Config.Members, o.Config.Name, o.Log, g.Healthy, g.Started, g.HealthChanged())
 		x.runPart(x.reporter.Serve)
 	}
-	x.runPart(func(ctx context.Context) { tick(ctx, g, link) })
-	x.table.AddListener(ln.(*net.TCPListener), srv.Open)
+	x.runPart(func(ctx context.Context) { tick(ctx, g, x.link) })
+	x.table.AddListener(o.Listener.(*net.TCPListener), rpcServer.Open)
 	if x.operatorParts != nil {
 		x.operatorParts.listen(x.table)
 	}
-	return x, nil
 }
 
-// serves has a part serve beside the others, to be waited for at the end.
+// runPart runs a part beside the others; the end of the server waits for it.
 func (x *Server) runPart(part func(context.Context)) {
 	x.wg.Add(1)
 	go func() {
@@ -215,7 +199,20 @@
 	}()
 }
 
-// Close ends all parts. What is in hand is not waited for: Shutdown does that.
+// tick moves the clock of the decisions, with fresh gauges if the engine gives them in time.
+func tick(ctx context.Context, g *gate.Gate, link *engine.Link) {
+	wait := time.NewTimer(0)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-wait.C:
+		}
+		wait.Reset(g.Tick(link.Gauges(gaugeTimeout)))
+	}
+}
+
+// Close ends all parts. It does not wait for RPCs in flight: Shutdown does.
 func (x *Server) Close() {
 	for i := len(x.closers) - 1; i >= 0; i-- {
 		x.closers[i]()
@@ -223,10 +220,10 @@
 	x.closers = nil
 }
 
-// Shutdown lets nothing more in and waits for what is in hand until ctx ends.
+// Shutdown admits nothing more and waits for RPCs in flight until ctx ends.
 func (x *Server) Shutdown(ctx context.Context) { x.table.Shutdown(ctx) }
 
-// Pools are those of the operator's file; nil without one.
+// Pools are the backend pools of the operator's file; nil without one.
 func (x *Server) Pools() *pools.Backends {
 	if x.operatorParts == nil {
 		return nil
@@ -234,7 +231,7 @@
 	return x.operatorParts.pools
 }
 
-// Web is where the front for uwsgi listens; "" without one.
+// WebAddress is where the front for uwsgi listens; "" without one.
 func (x *Server) WebAddress() string {
 	if x.operatorParts == nil || x.operatorParts.listener == nil {
 		return ""
@@ -242,7 +239,7 @@
 	return x.operatorParts.listener.Addr().String()
 }
 
-// set takes a new operator's file, whole or not at all, and returns the number of the version that runs.
+// reload puts a new operator's file in force, as a whole or not at all, and returns the number of the version that runs.
 func (x *Server) reload(next Config) (int, error) {
 	if x.operatorParts == nil {
 		return 0, nil
@@ -266,26 +263,9 @@
 	return err
 }
 
-// sample is Parts.SampleLoad.
+// sampleLoad is Parts.SampleLoad.
 func (x *Server) sampleLoad() {
 	if x.operatorParts != nil {
 		x.operatorParts.load.sample(time.Now())
 	}
 }
-
-// leastSockets are left for the fronts beside what the operator's file may take: with the platform's least, 48, a
-// dozen connections.
-const minSockets = 40
-
-// tick moves the clock of the decisions, with fresh gauges if the engine gives them in time.
-func tick(ctx context.Context, g *gate.Gate, link *engine.Link) {
-	wait := time.NewTimer(0)
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-wait.C:
-		}
-		wait.Reset(g.Tick(link.Gauges(gaugeTimeout)))
-	}
-}
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -27,11 +27,11 @@
 	})
 	defer close(w.wait)
 	for id := uint64(1); id <= 5; id++ {
-		w.conn.Write(call(id, "view", "a"))
+		w.send(call(id, "view", "a"))
 		w.expectAnswer("\x94\x01" + string(rune(id)) + "\xc0\x92\xc4\x01a\x80")
 	}
 	w.stop <- syscall.SIGTERM
-	w.conn.Close()
+	w.disconnect()
 	w.awaitEnd()
 	if err := (replayCmd{File: path}).Run(); err != nil {
 		t.Error(err)
@@ -47,7 +47,9 @@
 		t.Fatal(err)
 	}
 	torn := filepath.Join(t.TempDir(), "torn")
-	os.WriteFile(torn, b[:len(b)-10], 0o600)
+	if err := os.WriteFile(torn, b[:len(b)-10], 0o600); err != nil {
+		t.Fatal(err)
+	}
 	if err := (showCmd{File: torn}).Run(); !errors.Is(err, trace.ErrTorn) {
 		t.Error(err)
 	}
--- a/internal/experiment/drain_log.go
+++ b/internal/experiment/drain_log.go
@@ -11,7 +11,7 @@
 
 // Events that the servers log, read from their logs in logrus's text form.
 const (
-	eventServing       = "serve: begins"
+	eventServing       = "server.started"
 	eventDrainStarted  = "drain: begins by permit"
 	eventDrainFinished = "drain: back and warm, the permit is returned"
 )
--- a/internal/experiment/server.go
+++ b/internal/experiment/server.go
@@ -60,7 +60,9 @@
 		Process:  &startup.Process{Name: "lab", Engine: engineAddress, MemoryMB: 256, Sockets: 4096, Settings: settings},
 		Operator: &record,
 	}
-	assembled, err := daemon.NewWithTokenStore(config, ln, logger.WithField("node", "lab"), tokens)
+	assembled, err := daemon.New(daemon.Options{
+		Config: config, Listener: ln, Log: logger.WithField("node", "lab"), TokenStore: tokens,
+	})
 	if err != nil {
 		return nil, errors.Join(err, ln.Close())
 	}
