--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -10,129 +10,129 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is some shares on a true clock, each with its own, and messages on their way between them.
-type fleet struct {
-	r      Limit
-	at     float64 // true ms
-	all    []*Allocation
-	rate   []float64 // of each clock
-	base   []float64
-	lives  uint64
-	way    []sent
-	taken  []float64 // true times at which one was taken
-	held   [][]float64
-	chance *rand.Rand
+// testFleet is some allocations, each with its own drifting clock, and messages in transit between them.
+type testFleet struct {
+	limit        Limit
+	trueTime     float64 // true ms
+	allocations  []*Allocation
+	clockRates   []float64 // of each clock
+	clockOffsets []float64
+	incarnations uint64
+	inTransit    []delivery
+	admitted     []float64 // true times of admissions
+	rng          *rand.Rand
 }
 
-type sent struct {
-	from, to int
-	m        Message
-	due      float64
+type delivery struct {
+	from, to  int
+	message   Message
+	deliverAt float64
 }
 
-func newFleet(r Limit, n int, seed int64) *fleet {
-	f := &fleet{r: r, chance: rand.New(rand.NewSource(seed))}
+func newTestFleet(limit Limit, n int, seed int64) *testFleet {
+	f := &testFleet{limit: limit, rng: rand.New(rand.NewSource(seed))}
 	for i := range n {
-		f.rate = append(f.rate, 1+r.ClockDrift*0.999*(2*f.chance.Float64()-1))
-		f.base = append(f.base, 1e6*f.chance.Float64())
-		f.all = append(f.all, nil)
-		f.held = append(f.held, nil)
-		f.start(i)
+		f.clockRates = append(f.clockRates, 1+limit.ClockDrift*0.999*(2*f.rng.Float64()-1))
+		f.clockOffsets = append(f.clockOffsets, 1e6*f.rng.Float64())
+		f.allocations = append(f.allocations, nil)
+		f.restart(i)
 	}
 	return f
 }
 
-func (f *fleet) now(i int) float64 { return f.base[i] + f.at*f.rate[i] }
+func (f *testFleet) now(i int) float64 { return f.clockOffsets[i] + f.trueTime*f.clockRates[i] }
 
-func (f *fleet) start(i int) {
-	f.lives++
-	f.all[i] = New(f.r, f.lives, int64(f.lives), f.now(i))
+func (f *testFleet) restart(i int) {
+	f.incarnations++
+	f.allocations[i] = New(f.limit, f.incarnations, int64(f.incarnations), f.now(i))
 }
 
-func name(i int) string { return fmt.Sprint("n", i) }
+func serverName(i int) string { return fmt.Sprint("n", i) }
 
-func (f *fleet) others(i int) (all []string) {
-	for k := range f.all {
+func (f *testFleet) peersOf(i int) (all []string) {
+	for k := range f.allocations {
 		if k != i {
-			all = append(all, name(k))
+			all = append(all, serverName(k))
 		}
 	}
 	return all
 }
 
-func (f *fleet) send(from int, all []Message, delay float64) {
+func (f *testFleet) send(from int, all []Message, delay float64) {
 	for _, m := range all {
 		var to int
-		fmt.Sscanf(m.To, "n%d", &to)
-		f.way = append(f.way, sent{from, to, m, f.at + delay})
+		if _, err := fmt.Sscanf(m.To, "n%d", &to); err != nil {
+			panic(err) // serverName wrote it
+		}
+		f.inTransit = append(f.inTransit, delivery{from, to, m, f.trueTime + delay})
 	}
 }
 
-// sums tells what all may use at this moment, the time of a loan's end included on both sides.
-func (f *fleet) check(t interface{ Fatalf(string, ...any) }) {
+// checkCapacity checks what all may use at this moment, the time of a lease's end included on both sides.
+func (f *testFleet) checkCapacity(t interface{ Fatalf(string, ...any) }) {
 	sum := 0.0
-	for i, s := range f.all {
+	for i, s := range f.allocations {
 		st := s.State(f.now(i), "", 0)
 		if math.Abs(st.Owned-st.Granted+st.Leased-st.Capacity) > 1e-6 && st.Capacity > 0 {
-			t.Fatalf("%s: own %g - lent %g + borrowed %g is not its part %g", name(i), st.Owned, st.Granted, st.Leased, st.Capacity)
+			t.Fatalf("%s: owned %g - granted %g + leased %g is not its capacity %g", serverName(i), st.Owned, st.Granted, st.Leased, st.Capacity)
 		}
-		if st.Capacity < f.r.Floor-1e-9 {
-			t.Fatalf("%s: a part of %g, under its floor %g", name(i), st.Capacity, f.r.Floor)
+		if st.Capacity < f.limit.Floor-1e-9 {
+			t.Fatalf("%s: a capacity of %g, under its floor %g", serverName(i), st.Capacity, f.limit.Floor)
 		}
 		sum += st.Capacity
 	}
-	if sum > f.r.Capacity*(1+1e-9) {
-		t.Fatalf("at %g ms the parts sum to %g of %g", f.at, sum, f.r.Capacity)
+	if sum > f.limit.Capacity*(1+1e-9) {
+		t.Fatalf("at %g ms the capacities sum to %g of %g", f.trueTime, sum, f.limit.Capacity)
 	}
 }
 
-// Whatever messages are lost, late or doubled, whoever crashes, stalls or starts anew, with clocks off by the stated drift: parts
-// sum to the bound at most, nobody is under its floor, and what is taken in any window stays within bound and burst.
-func TestBoundHolds(t *testing.T) {
+// Whatever messages are lost, late or doubled, whoever crashes, stalls or restarts, with clocks off by the stated drift:
+// capacities sum to the limit at most, nobody is under its floor, and admissions in any window stay within rate and burst.
+func TestCapacityHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		run(t, draws{
+		runSchedule(t, drawSource{
 			int:  func(low, high int) int { return rapid.IntRange(low, high).Draw(t, "n") },
 			pick: func(of ...float64) float64 { return rapid.SampledFrom(of).Draw(t, "x") },
 		})
 	})
 }
 
-// The same from seeds, which show enough each time: loans, their renewals, and answers that come too late.
-func TestBoundHoldsBySeed(t *testing.T) {
-	var borrowed, late, renewed uint64
+// The same from fixed seeds, which cover enough each time: leases, their renewals, and answers that come too late.
+func TestCapacityHoldsBySeed(t *testing.T) {
+	var leased, late, renewed uint64
 	for seed := range int64(300) {
-		chance := rand.New(rand.NewSource(seed))
-		b, l, r := run(t, draws{
-			int:  func(low, high int) int { return low + chance.Intn(high-low+1) },
-			pick: func(of ...float64) float64 { return of[chance.Intn(len(of))] },
+		rng := rand.New(rand.NewSource(seed))
+		b, l, r := runSchedule(t, drawSource{
+			int:  func(low, high int) int { return low + rng.Intn(high-low+1) },
+			pick: func(of ...float64) float64 { return of[rng.Intn(len(of))] },
 		})
-		borrowed, late, renewed = borrowed+b, late+l, renewed+r
+		leased, late, renewed = leased+b, late+l, renewed+r
 	}
-	if borrowed < 100 || late < 100 || renewed < 20 {
-		t.Errorf("%d loans, %d answers that came late, %d renewals: the runs show too little", borrowed, late, renewed)
+	if leased < 100 || late < 100 || renewed < 20 {
+		t.Errorf("%d leases, %d answers that came late, %d renewals: the runs cover too little", leased, late, renewed)
 	}
 }
 
-// draws are where a run's chance comes from.
-type draws struct {
+// drawSource is where a schedule's randomness comes from.
+type drawSource struct {
 	int  func(low, high int) int
 	pick func(of ...float64) float64
 }
 
-func run(t interface{ Fatalf(string, ...any) }, d draws) (borrowed, late, renewed uint64) {
+func runSchedule(t interface{ Fatalf(string, ...any) }, d drawSource) (leased, late, renewed uint64) {
 	n := d.int(2, 6)
 	r := Limit{Kind: Rate, Capacity: 100, Burst: 20, Servers: n, Floor: 100 / float64(n) * d.pick(0, 0.2, 0.5),
 		MaxLeaseDuration: 1000, ClockDrift: d.pick(0, 1e-3, 0.05)}
-	f := newFleet(r, n, int64(d.int(0, 1<<20)))
+	f := newTestFleet(r, n, int64(d.int(0, 1<<20)))
 	stopped := make([]bool, n)
 	if d.int(0, 1) == 1 {
-		f.at += 3 * r.MaxLeaseDuration
+		f.trueTime += 3 * r.MaxLeaseDuration
 	}
 	hot, bad := 0, 0.0
 	for range d.int(50, 300) {
 		switch d.int(0, 39) {
 		case 0:
-			f.start(d.int(0, n-1)) // and back at once
+			f.restart(d.int(0, n-1)) // and back at once
 		case 1, 2:
 			i := d.int(0, n-1)
 			stopped[i] = !stopped[i]
@@ -141,102 +141,102 @@
 		case 4:
 			hot = d.int(0, n-1)
 		case 5:
-			f.at += d.pick(200, 900, 2500)
+			f.trueTime += d.pick(200, 900, 2500)
 		}
-		for i, s := range f.all {
+		for i, s := range f.allocations {
 			if stopped[i] {
 				continue
 			}
 			load := 0
 			if i == hot {
 				load = 10
-			} else if f.chance.Float64() < 0.1 {
+			} else if f.rng.Float64() < 0.1 {
 				load = 1
 			}
 			for range load {
 				if s.TryAcquire(f.now(i), 1, 1, 0) {
-					f.taken = append(f.taken, f.at)
+					f.admitted = append(f.admitted, f.trueTime)
 				}
 			}
-			f.send(i, s.Tick(f.now(i), f.others(i)), d.pick(1, 1, 1, 40, 700, 2000))
+			f.send(i, s.Tick(f.now(i), f.peersOf(i)), d.pick(1, 1, 1, 40, 700, 2000))
 		}
-		way := f.way // what is due arrives, in any order; some not, some twice, some much later
-		f.way = nil
-		f.chance.Shuffle(len(way), func(i, k int) { way[i], way[k] = way[k], way[i] })
+		way := f.inTransit // messages arrive in any order; some not, some twice, some much later
+		f.inTransit = nil
+		f.rng.Shuffle(len(way), func(i, k int) { way[i], way[k] = way[k], way[i] })
 		for _, x := range way {
 			switch {
-			case x.due > f.at || stopped[x.to]:
-				f.way = append(f.way, x)
-			case f.chance.Float64() >= bad:
-				f.send(x.to, f.all[x.to].Receive(f.now(x.to), name(x.from), x.m), 1)
-				if f.chance.Float64() < 0.2 {
-					x.due += d.pick(0, 30, 1500)
-					f.way = append(f.way, x)
+			case x.deliverAt > f.trueTime || stopped[x.to]:
+				f.inTransit = append(f.inTransit, x)
+			case f.rng.Float64() >= bad:
+				f.send(x.to, f.allocations[x.to].Receive(f.now(x.to), serverName(x.from), x.message), 1)
+				if f.rng.Float64() < 0.2 {
+					x.deliverAt += d.pick(0, 30, 1500)
+					f.inTransit = append(f.inTransit, x)
 				}
 			}
 		}
-		f.at += d.pick(1, 10, 30, 60)
-		f.check(t)
+		f.trueTime += d.pick(1, 10, 30, 60)
+		f.checkCapacity(t)
 	}
-	f.window(t)
-	for _, s := range f.all {
-		borrowed, late, renewed = borrowed+s.Counts.Leased, late+s.Counts.LateGrants, renewed+s.Counts.Renewed
+	f.checkWindows(t)
+	for _, s := range f.allocations {
+		leased, late, renewed = leased+s.Counts.Leased, late+s.Counts.LateGrants, renewed+s.Counts.Renewed
 	}
-	return borrowed, late, renewed
+	return leased, late, renewed
 }
 
-// window checks any window of what was taken, starting at each take.
-func (f *fleet) window(t interface{ Fatalf(string, ...any) }) {
-	sort.Float64s(f.taken)
-	for i := range f.taken {
-		for k := i; k < len(f.taken) && f.taken[k]-f.taken[i] <= 3000; k++ {
-			if n, w := float64(k-i+1), f.taken[k]-f.taken[i]; n > f.r.Capacity*w/1000+f.r.Burst+1e-6 {
-				t.Fatalf("%g taken within %g ms, of %g a second and %g", n, w, f.r.Capacity, f.r.Burst)
+// checkWindows checks any window of admissions, starting at each admission.
+func (f *testFleet) checkWindows(t interface{ Fatalf(string, ...any) }) {
+	sort.Float64s(f.admitted)
+	for i := range f.admitted {
+		for k := i; k < len(f.admitted) && f.admitted[k]-f.admitted[i] <= 3000; k++ {
+			if n, w := float64(k-i+1), f.admitted[k]-f.admitted[i]; n > f.limit.Capacity*w/1000+f.limit.Burst+1e-6 {
+				t.Fatalf("%g taken within %g ms, of %g a second and %g", n, w, f.limit.Capacity, f.limit.Burst)
 			}
 		}
 	}
 }
 
-// run lets a fleet work with contact: each ms, each asks for what load says; messages take 5 ms.
-func (f *fleet) run(ms int, load func(i int) float64, served []float64) {
+// run lets a connected fleet work: each ms, each server gets the arrivals of load; messages take 5 ms.
+func (f *testFleet) run(ms int, load func(i int) float64, served []float64) {
 	for range ms {
-		f.at++
-		for i, s := range f.all {
+		f.trueTime++
+		for i, s := range f.allocations {
 			for x := load(i) / 1000; x > 0; x-- {
-				if x < 1 && f.chance.Float64() >= x {
+				if x < 1 && f.rng.Float64() >= x {
 					break
 				}
 				if s.TryAcquire(f.now(i), 1, 1, 0) {
 					served[i]++
-					f.taken = append(f.taken, f.at)
+					f.admitted = append(f.admitted, f.trueTime)
 				}
 			}
-			if int(f.at)%50 == i%50 {
-				f.send(i, s.Tick(f.now(i), f.others(i)), 5)
+			if int(f.trueTime)%50 == i%50 {
+				f.send(i, s.Tick(f.now(i), f.peersOf(i)), 5)
 			}
 		}
-		keep := f.way[:0]
-		due := []sent{}
-		for _, x := range f.way {
-			if x.due <= f.at {
+		later := f.inTransit[:0]
+		due := []delivery{}
+		for _, x := range f.inTransit {
+			if x.deliverAt <= f.trueTime {
 				due = append(due, x)
 			} else {
-				keep = append(keep, x)
+				later = append(later, x)
 			}
 		}
-		f.way = keep
+		f.inTransit = later
 		for _, x := range due {
-			f.send(x.to, f.all[x.to].Receive(f.now(x.to), name(x.from), x.m), 5)
+			f.send(x.to, f.allocations[x.to].Receive(f.now(x.to), serverName(x.from), x.message), 5)
 		}
 	}
 }
 
-// A customer whose callers stick to one server gets nearly all of what is theirs, also after they have moved; what is lent comes
-// back; at rest nothing is said.
-func TestSkewedNeed(t *testing.T) {
+// A customer whose callers stick to one server gets nearly all of the limit, also after they have moved; leases are given
+// back; at rest no messages are sent.
+func TestSkewedDemand(t *testing.T) {
 	r := Limit{Kind: Rate, Capacity: 400, Burst: 40, Servers: 8, Floor: 5, MaxLeaseDuration: DefaultLeaseDuration, ClockDrift: DefaultClockDrift}
-	f := newFleet(r, 8, 1)
-	f.at += 2 * r.MaxLeaseDuration // what a former life may have lent is back
+	f := newTestFleet(r, 8, 1)
+	f.trueTime += 2 * r.MaxLeaseDuration // what a former incarnation may have granted has expired
 	for turn, hot := range []int{3, 6} {
 		served := make([]float64, 8)
 		f.run(2000, func(i int) float64 { return map[bool]float64{true: 500}[i == hot] }, served)
@@ -248,68 +248,69 @@
 		}
 	}
 	f.run(4000, func(int) float64 { return 0 }, make([]float64, 8))
-	for i, s := range f.all {
+	for i, s := range f.allocations {
 		if st := s.State(f.now(i), "", 0); st.Granted != 0 || st.Leased != 0 {
-			t.Errorf("%s at rest: %+v", name(i), st)
+			t.Errorf("%s at rest: %+v", serverName(i), st)
 		}
 		before := s.Counts.Requested
 		f.run(500, func(int) float64 { return 0 }, make([]float64, 8))
 		if s.Counts.Requested != before {
-			t.Errorf("%s asks though nothing is needed", name(i))
+			t.Errorf("%s requests though nothing is needed", serverName(i))
 		}
 	}
-	f.window(t)
+	f.checkWindows(t)
 }
 
-// Cut off: the floor and what is not lent; the first RPC after a stop for longer than a loan does not use it.
-func TestCutOffAndStopped(t *testing.T) {
+// Partitioned, a server has its floor and what it did not grant; the first RPC after a stop for longer than a lease does
+// not use that.
+func TestPartitionedAndStopped(t *testing.T) {
 	r := Limit{Kind: Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 10, MaxLeaseDuration: 1000, ClockDrift: 1e-3}
-	f := newFleet(r, 2, 2)
-	f.at += 3000
+	f := newTestFleet(r, 2, 2)
+	f.trueTime += 3000
 	f.run(3000, func(i int) float64 { return map[bool]float64{true: 200}[i == 0] }, make([]float64, 2))
-	borrowed := f.all[0].State(f.now(0), "", 0)
-	if borrowed.Capacity < 70 {
-		t.Fatalf("it borrowed little: %+v", borrowed)
+	before := f.allocations[0].State(f.now(0), "", 0)
+	if before.Capacity < 70 {
+		t.Fatalf("it leased little: %+v", before)
 	}
-	f.way = nil // cut
-	f.at += 1500
-	if st := f.all[0].State(f.now(0), "", 0); st.Capacity != 50 || st.Leased != 0 {
-		t.Errorf("after the loan's end: %+v", st)
+	f.inTransit = nil // partitioned
+	f.trueTime += 1500
+	if st := f.allocations[0].State(f.now(0), "", 0); st.Capacity != 50 || st.Leased != 0 {
+		t.Errorf("after the lease expired: %+v", st)
 	}
-	f.at += 1500
-	if st := f.all[1].State(f.now(1), "", 0); st.Capacity != 50 {
-		t.Errorf("the lender: %+v", st)
+	f.trueTime += 1500
+	if st := f.allocations[1].State(f.now(1), "", 0); st.Capacity != 50 {
+		t.Errorf("the grantor: %+v", st)
 	}
-	f.start(1) // killed and back: it can't know what it lent
-	if st := f.all[1].State(f.now(1), "", 0); st.Capacity != r.Floor {
+	f.restart(1) // killed and restarted: it can't know what it granted
+	if st := f.allocations[1].State(f.now(1), "", 0); st.Capacity != r.Floor {
 		t.Errorf("after a restart: %+v", st)
 	}
 }
 
-// A stock's loans are not used by what may be held past their end.
-func TestStock(t *testing.T) {
+// Leases on a concurrency limit are not used by what may stay in flight past their end.
+func TestConcurrency(t *testing.T) {
 	r := Limit{Kind: Concurrency, Capacity: 20, Servers: 2, Floor: 2, MaxLeaseDuration: 1000, ClockDrift: 0}
 	a, b := New(r, 1, 1, 0), New(r, 2, 2, 0)
 	now := 2000.0
 	for range 10 {
 		if !a.TryAcquire(now, 1, 1, 500) {
-			t.Fatal("its own part")
+			t.Fatal("its own capacity")
 		}
 	}
 	if a.TryAcquire(now, 1, 1, 500) {
-		t.Error("more than its part")
+		t.Error("more than its capacity")
 	}
 	for range 20 {
 		a.TryAcquire(now, 1, 1, 500)
 	}
-	asks := a.Tick(now, []string{"b"})
-	if len(asks) != 1 || asks[0].Kind != Request {
-		t.Fatalf("%+v", asks)
+	requests := a.Tick(now, []string{"b"})
+	if len(requests) != 1 || requests[0].Kind != Request {
+		t.Fatalf("%+v", requests)
 	}
-	grant := b.Receive(now, "a", asks[0])
-	again := b.Receive(now, "a", asks[0])
-	if grant[0] != again[0] || len(b.lent) != 1 {
-		t.Errorf("the same ask got a second part: %+v %+v", grant, again)
+	grant := b.Receive(now, "a", requests[0])
+	again := b.Receive(now, "a", requests[0])
+	if grant[0] != again[0] || len(b.granted) != 1 {
+		t.Errorf("the same request got a second lease: %+v %+v", grant, again)
 	}
 	a.Receive(now+10, "b", grant[0])
 	a.Receive(now+20, "b", grant[0])
@@ -317,14 +318,14 @@
 		t.Errorf("a grant that came twice: %+v", st)
 	}
 	if !a.TryAcquire(now+20, 1, 1, 500) {
-		t.Error("the loan lasts long enough")
+		t.Error("the lease lasts long enough")
 	}
 	if a.TryAcquire(now+600, 1, 1, 500) {
-		t.Error("it could be held past the loan's end")
+		t.Error("it could stay in flight past the lease's end")
 	}
 }
 
-func BenchmarkTake(b *testing.B) {
+func BenchmarkTryAcquire(b *testing.B) {
 	s := New(Limit{Kind: Rate, Capacity: 1e9, Burst: 1e9, Servers: 1, MaxLeaseDuration: 1000, ClockDrift: 1e-3}, 1, 1, 0)
 	now := 5000.0
 	b.ReportAllocs()
