--- a/decision/release/release_test.go
+++ b/decision/release/release_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand"
 	"reflect"
@@ -47,7 +48,9 @@
 	zones := map[string]int{}
 	for _, name := range Waves(DefaultRules(), fleet(300, 3), 1)[3] {
 		var i int
-		fmt.Sscanf(name, "n%d", &i)
+		if _, err := fmt.Sscanf(name, "n%d", &i); err != nil {
+			t.Fatal(err)
+		}
 		zones[fmt.Sprint("z", i%3)]++
 	}
 	if low, high := slices.Min([]int{zones["z0"], zones["z1"], zones["z2"]}), slices.Max([]int{zones["z0"], zones["z1"], zones["z2"]}); high-low > 2 {
@@ -57,7 +60,7 @@
 
 // The false alarms of the test itself: no difference, looked at after each of many steps.
 func TestAlarmsAreRare(t *testing.T) {
-	chance := rand.New(rand.NewSource(3))
+	random := rand.New(rand.NewSource(3))
 	rules := DefaultRules()
 	rules.FalseAlarmRate = 0.05
 	alarms, found := 0, 0
@@ -75,7 +78,7 @@
 					}
 					for range 10 {
 						side[k].counts.Total++
-						if chance.Float64() < p {
+						if random.Float64() < p {
 							side[k].counts.Failed++
 						}
 					}
@@ -95,30 +98,31 @@
 	}
 }
 
-// book is one with a version put and planned, six servers in three waves.
-func book(t *testing.T) (*State, *play) {
+// newPlay returns a state with one version, and six servers.
+func newPlay(t *testing.T) (*State, *play) {
 	t.Helper()
-	p := &play{T: t, b: New(), at: map[string]*Report{}}
+	p := &play{T: t, state: New(), reports: map[string]*Report{}}
 	for i := range 6 {
 		name := fmt.Sprint("n", i)
-		p.at[name] = &Report{Name: name, Incarnation: 1, Warm: true, ResidentMB: 30}
+		p.reports[name] = &Report{Name: name, Incarnation: 1, Warm: true, ResidentMB: 30}
 	}
 	p.do(Command{Kind: PutVersion, Body: []byte("one"), Actor: "me"}, true)
-	return p.b, p
+	return p.state, p
 }
 
+// play drives a state with the reports of six servers.
 type play struct {
 	*testing.T
-	b  *State
-	n  int
-	at map[string]*Report
+	state    *State
+	commands int
+	reports  map[string]*Report
 }
 
 func (p *play) do(c Command, ok bool) Result {
 	p.Helper()
-	p.n++
-	c.ID = fmt.Sprint("c", p.n)
-	a := p.b.Apply(c)
+	p.commands++
+	c.ID = fmt.Sprint("c", p.commands)
+	a := p.state.Apply(c)
 	if a.OK != ok {
 		p.Fatalf("%+v: %+v", c, a)
 	}
@@ -138,11 +142,11 @@
 	for range seconds {
 		c := Command{Kind: Observe, ElapsedMS: 1000}
 		for _, name := range []string{"n0", "n1", "n2", "n3", "n4", "n5"} {
-			s := p.at[name]
+			s := p.reports[name]
 			if slices.Contains(away, name) {
 				continue
 			}
-			if to := p.b.Target(name); to != s.Version && (to == 0 || s.RejectedVersion != to) {
+			if to := p.state.Target(name); to != s.Version && (to == 0 || s.RejectedVersion != to) {
 				s.Version, s.Counts = to, Counts{}
 			}
 			s.Counts.Total += 20
@@ -165,92 +169,92 @@
 	}
 	for _, c := range []struct {
 		name string
-		play func(p *play, r uint64)
+		play func(p *play, _ uint64)
 		want Phase
 		have []uint64 // what the six are assigned at the end, nil for all of the former
 	}{
-		{"a good one", func(p *play, r uint64) { p.pass(60, nil) }, Completed, []uint64{1, 1, 1, 1, 1, 1}},
-		{"a bad one", func(p *play, r uint64) { p.pass(60, worse) }, RolledBack, nil},
-		{"worse everywhere at once: nobody is blamed", func(p *play, r uint64) {
+		{"a good one", func(p *play, _ uint64) { p.pass(60, nil) }, Completed, []uint64{1, 1, 1, 1, 1, 1}},
+		{"a bad one", func(p *play, _ uint64) { p.pass(60, worse) }, RolledBack, nil},
+		{"worse everywhere at once: nobody is blamed", func(p *play, _ uint64) {
 			p.pass(6, nil)
 			p.pass(60, func(*Report) float64 { return 0.4 })
 		}, Paused, nil},
-		{"refused", func(p *play, r uint64) {
-			for _, s := range p.at {
+		{"refused", func(p *play, _ uint64) {
+			for _, s := range p.reports {
 				s.RejectedVersion = 1
 			}
 			p.pass(60, nil)
 		}, RolledBack, nil},
-		{"the canary starts again and again", func(p *play, r uint64) {
+		{"the canary starts again and again", func(p *play, _ uint64) {
 			for range 40 {
 				p.pass(1, nil)
-				for _, s := range p.at {
+				for _, s := range p.reports {
 					if s.Version == 1 {
 						s.Incarnation++
 					}
 				}
 			}
 		}, RolledBack, nil},
-		{"memory grows", func(p *play, r uint64) {
+		{"memory grows", func(p *play, _ uint64) {
 			for range 40 {
 				p.pass(1, nil)
-				for _, s := range p.at {
+				for _, s := range p.reports {
 					if s.Version == 1 {
 						s.ResidentMB += 8
 					}
 				}
 			}
 		}, RolledBack, nil},
-		{"a third is not heard", func(p *play, r uint64) { p.pass(60, nil, "n0", "n1") }, Paused, nil},
-		{"halted by the fleet", func(p *play, r uint64) {
+		{"a third is not heard", func(p *play, _ uint64) { p.pass(60, nil, "n0", "n1") }, Paused, nil},
+		{"halted by the fleet", func(p *play, _ uint64) {
 			p.pass(2, nil)
 			p.do(Command{Kind: Observe, ElapsedMS: 1000, HaltReason: "losses"}, true)
 			p.pass(20, nil)
 		}, Paused, nil},
-		{"too little is carried", func(p *play, r uint64) {
+		{"too little is carried", func(p *play, _ uint64) {
 			for range 70 {
 				p.do(Command{Kind: Observe, ElapsedMS: 1000, Reports: []Report{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}, {Name: "n3"}, {Name: "n4"}, {Name: "n5"}}}, true)
 			}
 		}, Paused, nil},
-		{"by hand, back from half", func(p *play, r uint64) {
+		{"by hand, back from half", func(p *play, number uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: number, Actor: "me"}, true)
 			p.pass(10, nil)
 		}, RolledBack, nil},
-		{"the way back is held, and goes on", func(p *play, r uint64) {
+		{"the way back is held, and goes on", func(p *play, number uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
-			p.do(Command{Kind: Pause, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: number, Actor: "me"}, true)
+			p.do(Command{Kind: Pause, Release: number, Actor: "me"}, true)
 			p.pass(10, nil)
-			if p.b.Release.Phase != RollbackPaused {
-				p.Errorf("%s", p.b.Release.Phase)
+			if p.state.Release.Phase != RollbackPaused {
+				p.Errorf("%s", p.state.Release.Phase)
 			}
-			p.do(Command{Kind: Resume, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: Resume, Release: number, Actor: "me"}, true)
 			p.pass(10, nil)
 		}, RolledBack, nil},
-		{"back with half cut off: they are told when they return", func(p *play, r uint64) {
+		{"back with half cut off: they are told when they return", func(p *play, number uint64) {
 			p.pass(12, nil)
-			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: number, Actor: "me"}, true)
 			p.pass(10, nil, "n0", "n1", "n2")
-			if p.b.Release.Phase != RolledBack {
-				p.Errorf("%s", p.b.Release.Phase)
+			if p.state.Release.Phase != RolledBack {
+				p.Errorf("%s", p.state.Release.Phase)
 			}
 			p.pass(1, nil)
 		}, RolledBack, nil},
-		{"back after its end", func(p *play, r uint64) {
+		{"back after its end", func(p *play, number uint64) {
 			p.pass(60, nil)
-			p.do(Command{Kind: RollBack, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: RollBack, Release: number, Actor: "me"}, true)
 			p.pass(10, nil)
 		}, RolledBack, nil},
-		{"ended by hand in the middle", func(p *play, r uint64) {
+		{"ended by hand in the middle", func(p *play, number uint64) {
 			p.pass(7, nil)
-			p.do(Command{Kind: Abandon, Release: r, Actor: "me"}, true)
+			p.do(Command{Kind: Abandon, Release: number, Actor: "me"}, true)
 			p.pass(30, nil)
 			p.plan(1) // another may begin now
 		}, Planned, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, p := book(t)
+			b, p := newPlay(t)
 			r := p.plan(1)
 			p.do(Command{Kind: StartRelease, Release: r, Actor: "me"}, true)
 			p.do(Command{Kind: PlanRelease, Version: 1, Rules: &quick, Servers: fleet(6, 2)}, false) // one at a time
@@ -265,8 +269,8 @@
 						want = c.have[i]
 					}
 					name := fmt.Sprint("n", i)
-					if got := b.Target(name); got != want || p.at[name].Version != want {
-						t.Errorf("%s: %s is assigned %d and runs %d, %d wanted", c.name, name, got, p.at[name].Version, want)
+					if got := b.Target(name); got != want || p.reports[name].Version != want {
+						t.Errorf("%s: %s is assigned %d and runs %d, %d wanted", c.name, name, got, p.reports[name].Version, want)
 					}
 				}
 			}
@@ -275,9 +279,9 @@
 			if err == nil {
 				err = json.Unmarshal(text, copied)
 			}
-			again, _ := json.Marshal(copied)
-			if err != nil || !reflect.DeepEqual(text, again) {
-				t.Errorf("a snapshot is not the book: %v", err)
+			again, againErr := json.Marshal(copied)
+			if err != nil || againErr != nil || !reflect.DeepEqual(text, again) {
+				t.Errorf("a snapshot is not the state: %v", errors.Join(err, againErr))
 			}
 		})
 	}
@@ -285,7 +289,7 @@
 
 // Versions are numbered whole, a repeated one is the same, and none that is in use goes.
 func TestVersions(t *testing.T) {
-	b, p := book(t)
+	b, p := newPlay(t)
 	if a := p.do(Command{Kind: PutVersion, Body: []byte("one")}, true); a.Version != 1 {
 		t.Errorf("%+v", a)
 	}
