--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -20,7 +20,7 @@
 
 	Node         storeServerCommand  `cmd:"" hidden:"" help:"The process of the experiment durable-kill."`
 	FleetServer  fleetServerCommand  `cmd:"" hidden:"" help:"The process of the experiments on the fleet."`
-	KeeperServer permitServerCommand `cmd:"" hidden:"" help:"A permit server of the experiments fleet-drain and fleet-release."`
+	PermitServer permitServerCommand `cmd:"" name:"keeper-server" hidden:"" help:"A permit server of the experiments fleet-drain and fleet-release."`
 	Program      programCommand      `cmd:"" hidden:"" help:"The program of the experiment embedded."`
 }
 
--- a/internal/experiment/outlier_detection_processes.go
+++ b/internal/experiment/outlier_detection_processes.go
@@ -85,7 +85,7 @@
 
 func (f *outlierFleet) close() {
 	if f.Bed != nil {
-		f.Bed.Close()
+		f.Close()
 	}
 	for _, app := range f.apps {
 		app.Stop()
--- a/internal/experiment/schedule.go
+++ b/internal/experiment/schedule.go
@@ -1,8 +1,5 @@
 package experiment
 
-// This file owns schedules of faults as typed records in CUE, and as plain lines. It must never pass over a key that it does
-// not know.
-
 import (
 	"encoding/json"
 	"fmt"
@@ -15,8 +12,8 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-// scheduleForm is what a schedule may hold.
-const scheduleForm = `
+// scheduleSchema is what a schedule in CUE may hold. It is closed: an unknown key is an error.
+const scheduleSchema = `
 close({acts: [...#Act]})
 #Act: close({
 	at:   =~"^[0-9.]+(ms|s|m)$"
@@ -25,51 +22,76 @@
 })
 `
 
-// ReadSchedule reads a schedule: a file in CUE if it ends so, lines otherwise. Errors name file, line and key.
+// scheduleRecord is a schedule in CUE, decoded.
+type scheduleRecord struct {
+	Acts []scheduledAct `json:"acts"`
+}
+
+// scheduledAct is one fault.
+type scheduledAct struct {
+	At   string   `json:"at"`
+	Act  string   `json:"act"`
+	Args []string `json:"args"`
+}
+
+// readSchedule reads a schedule of faults for servers of some names: typed records in CUE if the path ends so, plain lines
+// otherwise. Errors name file, line and key.
 func readSchedule(path string, text []byte, names []string) (script.Script, error) {
-	if !strings.HasSuffix(path, ".cue") {
-		s, err := script.Parse(string(text), names)
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", path, err)
-		}
-		return s, nil
+	if strings.HasSuffix(path, ".cue") {
+		return readCUESchedule(path, text, names)
 	}
-	ctx := cuecontext.New()
-	own := ctx.CompileBytes(text, cue.Filename(path))
-	whole := ctx.CompileString(scheduleForm, cue.Filename("schedule")).Unify(own)
-	if err := whole.Validate(cue.Concrete(true), cue.Final()); err != nil {
-		first, line := cueerrors.Errors(err)[0], 0
-		for _, x := range cueerrors.Errors(err) { // an error that sums up alternatives stands nowhere; each of them does
-			for _, pos := range append(x.InputPositions(), x.Position()) {
-				if line == 0 && pos.Filename() == path {
-					first, line = x, pos.Line()
-				}
-			}
-		}
-		format, args := first.Msg()
-		return nil, fmt.Errorf("%s:%d: %s: %s", path, line, strings.Join(first.Path(), "."), fmt.Sprintf(format, args...))
-	}
-	var file struct {
-		Acts []struct {
-			At, Act string
-			Args    []string
-		}
+	schedule, err := script.Parse(string(text), names)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	b, err := whole.MarshalJSON()
-	if err == nil {
-		err = json.Unmarshal(b, &file)
+	return schedule, nil
+}
+
+func readCUESchedule(path string, text []byte, names []string) (script.Script, error) {
+	ctx := cuecontext.New()
+	file := ctx.CompileBytes(text, cue.Filename(path))
+	value := ctx.CompileString(scheduleSchema, cue.Filename("schedule")).Unify(file)
+	if err := value.Validate(cue.Concrete(true), cue.Final()); err != nil {
+		return nil, locateError(path, err)
 	}
+	record, err := decodeSchedule(value)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	var all script.Script
-	for i, x := range file.Acts {
-		s, err := script.Parse(x.At+" "+x.Act+" "+strings.Join(x.Args, " "), names)
+	var schedule script.Script
+	for i, act := range record.Acts {
+		steps, err := script.Parse(act.At+" "+act.Act+" "+strings.Join(act.Args, " "), names)
 		if err != nil {
-			line := whole.LookupPath(cue.ParsePath(fmt.Sprintf("acts[%d].act", i))).Pos().Line()
+			line := value.LookupPath(cue.ParsePath(fmt.Sprintf("acts[%d].act", i))).Pos().Line()
 			return nil, fmt.Errorf("%s:%d: acts[%d]: %s", path, line, i, strings.TrimPrefix(err.Error(), "line 1: "))
 		}
-		all = append(all, s...)
+		schedule = append(schedule, steps...)
+	}
+	return schedule.Sorted(), nil
+}
+
+func decodeSchedule(value cue.Value) (record scheduleRecord, err error) {
+	encoded, err := value.MarshalJSON()
+	if err != nil {
+		return record, err
+	}
+	err = json.Unmarshal(encoded, &record)
+	return record, err
+}
+
+// locateError describes an error of validation by its line in the file and its key. An error that sums up alternatives
+// has no position; each of them does.
+func locateError(path string, err error) error {
+	all := cueerrors.Errors(err)
+	located, line := all[0], 0
+	for _, e := range all {
+		for _, position := range append(e.InputPositions(), e.Position()) {
+			if line == 0 && position.Filename() == path {
+				located = e
+				line = position.Line()
+			}
+		}
 	}
-	return all.Sorted(), nil
+	format, args := located.Msg()
+	return fmt.Errorf("%s:%d: %s: %s", path, line, strings.Join(located.Path(), "."), fmt.Sprintf(format, args...))
 }
