--- a/internal/fleetsim/backends_test.go
+++ b/internal/fleetsim/backends_test.go
@@ -7,13 +7,14 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-func members10(together bool, t ...MemberFault) *BackendOptions {
+func tenMembers(together bool, t ...MemberFault) *BackendOptions {
 	return &BackendOptions{Members: 10, RatePerServer: 4, MeanWorkMs: 20, SharedDetection: together, TargetMs: 200, RetryableShare: 0.4, Capacity: 6, Faults: t,
 		PoolRules: pool.Config{MaxConnections: 32, ConsecutiveFailures: 5, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 2000, SlowStart: 5000}}
 }
 
-// What is out of use some seconds into a trouble, at how many of 24 servers, and that all is back some time after it.
-func TestJudgedTogether(t *testing.T) {
+// TestSharedDetection checks at how many of 24 servers a faulty member is ejected some seconds into a fault, and that it is
+// back in use some time after it.
+func TestSharedDetection(t *testing.T) {
 	one := func(f func(*MemberFault)) MemberFault {
 		x := MemberFault{FromMs: 20e3, UntilMs: 35e3, Members: []int{3}}
 		f(&x)
@@ -43,9 +44,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			v := members10(true, c.t)
+			v := tenMembers(true, c.t)
 			v.LyingServers = c.lying
-			w := New(Options{Servers: 24, Zones: 3, Seed: 4, DurationMs: 62e3, Backends: v, Script: acts(t, c.faults, 24)})
+			w := New(Options{Servers: 24, Zones: 3, Seed: 4, DurationMs: 62e3, Backends: v, Script: parseScript(t, c.faults, 24)})
 			for _, f := range w.Run().Findings {
 				t.Errorf("%v", f)
 			}
@@ -67,10 +68,10 @@
 	}
 }
 
-// Under random schedules of faults between the servers the allowance holds, and members are back after the last.
-func TestJudgedAtRandom(t *testing.T) {
+// Under random faults between the servers the bound on ejections holds, and members are back in use after the last fault.
+func TestSharedDetectionAtRandom(t *testing.T) {
 	for seed := range int64(4) {
-		v := members10(true, MemberFault{FromMs: 5e3, UntilMs: 25e3, Members: []int{1, 2}, NoResponse: true}, MemberFault{FromMs: 15e3, UntilMs: 30e3, Members: []int{5, 6, 7, 8}, FailureRate: 0.8})
+		v := tenMembers(true, MemberFault{FromMs: 5e3, UntilMs: 25e3, Members: []int{1, 2}, NoResponse: true}, MemberFault{FromMs: 15e3, UntilMs: 30e3, Members: []int{5, 6, 7, 8}, FailureRate: 0.8})
 		w := New(Options{Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 70e3, Backends: v, Script: script.Random(seed, ServerNames(12), 30e9, 5)})
 		for _, f := range w.Run().Findings {
 			t.Errorf("seed %d: %v", seed, f)
--- a/internal/fleetsim/check_quota.go
+++ b/internal/fleetsim/check_quota.go
@@ -63,9 +63,9 @@
 		if !s.up {
 			continue
 		}
-		granted, held, requests := s.ledger.LeaseCounts()
-		if granted+held+requests > maxEntries {
-			sim.AddFinding("budgets", "%s has %d loans out, %d in, %d asks", s.name, granted, held, requests)
+		granted, borrowed, requests := s.ledger.LeaseCounts()
+		if granted+borrowed+requests > maxEntries {
+			sim.AddFinding("budgets", "%s has %d loans out, %d in, %d asks", s.name, granted, borrowed, requests)
 		}
 	}
 }
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -13,7 +13,7 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-func acts(t testing.TB, text string, n int) script.Script {
+func parseScript(t testing.TB, text string, n int) script.Script {
 	t.Helper()
 	s, err := script.Parse(text, ServerNames(n))
 	if err != nil {
@@ -33,14 +33,14 @@
 
 func TestQueueOrder(t *testing.T) {
 	var q queue
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	var all []event
 	for i := range 5000 {
-		e := event{at: float64(chance.IntN(300)), subject: int32(i)}
+		e := event{at: float64(rng.IntN(300)), subject: int32(i)}
 		q.put(e)
 		e.sequence = uint64(i + 1)
 		all = append(all, e)
-		if chance.IntN(3) == 0 {
+		if rng.IntN(3) == 0 {
 			sort.Slice(all, func(i, k int) bool { return all[i].before(&all[k]) })
 			if got := q.take(); got.subject != all[0].subject {
 				t.Fatalf("took %d, want %d", got.subject, all[0].subject)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Calm: all hear all, every RPC comes to an end, most are served.
-func TestCalm(t *testing.T) {
+// Without faults all views are complete, every RPC is finished, and most are served.
+func TestWithoutFaults(t *testing.T) {
 	r := run(t, Options{Servers: 8, Zones: 2, Seed: 1, DurationMs: 40e3, RatePerServer: 50, Cores: 2, MeanWorkMs: 20})
 	if r.SettledMs > 10e3 || r.SettledMs < 0 {
 		t.Errorf("settled after %g ms", r.SettledMs)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Known troubles, each to its end.
-func TestKnownTroubles(t *testing.T) {
+// Known faults, each played until views must have settled.
+func TestKnownFaults(t *testing.T) {
 	for name, text := range map[string]string{
 		"halves":                       "10s split n0,n1,n2,n3|n4,n5,n6,n7\n20s heal",
 		"heals as another begins":      "10s split n0,n1,n2,n3|n4,n5,n6,n7\n20s heal\n20s split n0,n4|n1,n2,n3,n5,n6,n7\n30s heal",
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: acts(t, text, 8)})
+			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: parseScript(t, text, 8)})
 			for i, s := range r.FinalStates {
 				if s != health.Complete {
 					t.Errorf("server %d hears %s at the end", i, s)
@@ -90,8 +90,8 @@
 	}
 }
 
-// One seed is one run, whatever else the machine does; another seed is another.
-func TestSameEachTime(t *testing.T) {
+// A seed determines the run, whatever GOMAXPROCS is; another seed gives another run.
+func TestDeterministic(t *testing.T) {
 	o := Options{Servers: 12, Zones: 3, Seed: 5, DurationMs: 40e3, RatePerServer: 20, Cores: 2, MeanWorkMs: 30, SlowStartMs: 1000, Script: script.Random(5, ServerNames(12), 20*time.Second, 4)}
 	digests := map[uint64]bool{}
 	for _, procs := range []int{1, runtime.NumCPU(), 2} {
@@ -108,8 +108,8 @@
 	}
 }
 
-// random is a run of the random schedules: 20 servers, troubles over half a minute.
-func random(seed int64, p injectedFault) (Options, script.Script) {
+// randomRun configures 20 servers with random faults over half a minute.
+func randomRun(seed int64, p injectedFault) (Options, script.Script) {
 	n := 20
 	s := script.Random(seed, ServerNames(n), 30*time.Second, 4)
 	return Options{Servers: n, Zones: 3, Seed: uint64(seed), DurationMs: 55e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 1000, Script: s, injected: p}, s
@@ -120,7 +120,7 @@
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o, s := random(seed, noInjectedFault)
+			o, s := randomRun(seed, noInjectedFault)
 			if r := New(o).Run(); len(r.Findings) > 0 {
 				t.Errorf("%v\nvalvelab run fleet-sim --seeds %d..%d\n%s", r.Findings, seed, seed, s)
 			}
@@ -128,8 +128,8 @@
 	}
 }
 
-// Faults planted in the servers are found by random schedules within some seeds, and cut down to a few acts.
-func TestPlantedFaults(t *testing.T) {
+// Random schedules find the faults injected into the servers within some seeds, and shrink to a few steps.
+func TestInjectedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		plant   injectedFault
 		checker string
@@ -146,7 +146,7 @@
 			t.Parallel()
 			const within = 60 // seeds
 			for seed := c.from; seed < 100+within; seed++ {
-				o, s := random(seed, c.plant)
+				o, s := randomRun(seed, c.plant)
 				fails := func(s script.Script) bool {
 					o.Script = s.WithRecovery(30 * time.Second)
 					for _, f := range New(o).Run().Findings {
@@ -171,13 +171,13 @@
 	}
 }
 
-type plainHeap []event
+type binaryHeap []event
 
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
-func (h plainHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
-func (h *plainHeap) Push(x any)        { *h = append(*h, x.(event)) }
-func (h *plainHeap) Pop() any {
+func (h binaryHeap) Len() int           { return len(h) }
+func (h binaryHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h binaryHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+func (h *binaryHeap) Push(x any)        { *h = append(*h, x.(event)) }
+func (h *binaryHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -187,28 +187,28 @@
 // BenchmarkQueue holds 100,000 events, takes the first and puts another, as a run does.
 func BenchmarkQueue(b *testing.B) {
 	const held = 100000
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	b.Run("own", func(b *testing.B) {
 		var q queue
 		for range held {
-			q.put(event{at: chance.Float64()})
+			q.put(event{at: rng.Float64()})
 		}
 		b.ReportAllocs()
 		for b.Loop() {
 			e := q.take()
-			e.at += chance.Float64()
+			e.at += rng.Float64()
 			q.put(e)
 		}
 	})
 	b.Run("container/heap", func(b *testing.B) {
-		var h plainHeap
+		var h binaryHeap
 		for i := range held {
-			heap.Push(&h, event{at: chance.Float64(), sequence: uint64(i)})
+			heap.Push(&h, event{at: rng.Float64(), sequence: uint64(i)})
 		}
 		b.ReportAllocs()
 		for b.Loop() {
 			e := heap.Pop(&h).(event)
-			e.at += chance.Float64()
+			e.at += rng.Float64()
 			heap.Push(&h, e)
 		}
 	})
--- a/internal/fleetsim/quota.go
+++ b/internal/fleetsim/quota.go
@@ -21,6 +21,7 @@
 	CentralLeases                      // the first server owns all but the floors, and leases it out
 )
 
+// String is the scheme as reports print it.
 func (s QuotaScheme) String() string {
 	return [...]string{"owned and lent", "fixed parts", "counts by gossip", "leased by one"}[s]
 }
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -7,16 +7,16 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-func bound(servers int) *QuotaOptions {
+func quotaFor(servers int) *QuotaOptions {
 	return &QuotaOptions{
 		Rules:         quota.Limit{Kind: quota.Rate, Capacity: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, MaxLeaseDuration: 4000, ClockDrift: defaultClockDrift},
 		StickyServers: max(1, servers/8), RatePerCustomer: 60 * float64(servers), MoveIntervalMs: 10e3, UniformRate: 1,
 	}
 }
 
-// Known troubles of budgets: the bound, the floors and the tables hold, as the checker has them, and after the last of them a
-// customer whose callers stick to few servers has nearly all again.
-func TestBudgetTroubles(t *testing.T) {
+// Under known faults the capacity, the floors and the ledgers hold, as the checker sees them, and after the last fault a
+// customer whose callers stick to few servers gets nearly the whole quota again.
+func TestQuotaUnderKnownFaults(t *testing.T) {
 	for name, text := range map[string]string{
 		"calm":                                "",
 		"halves, for longer than a loan":      "15s split n0,n1,n2,n3|n4,n5,n6,n7\n30s heal",
@@ -32,8 +32,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := bound(8)
-			w := New(Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 60e3, Quota: b, Script: acts(t, text, 8)})
+			b := quotaFor(8)
+			w := New(Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 60e3, Quota: b, Script: parseScript(t, text, 8)})
 			r := w.Run()
 			for _, f := range r.Findings {
 				t.Errorf("%v", f)
@@ -49,14 +49,14 @@
 	}
 }
 
-// Random schedules keep the bounds; faults planted in the servers' own code do not, and are found and cut down.
-func TestBudgetsAtRandom(t *testing.T) {
+// Under random faults the quota holds. A fault injected into the servers breaks it, is found, and shrinks to a few steps.
+func TestQuotaAtRandom(t *testing.T) {
 	type fault struct {
 		plant injectedFault
 		drift float64 // clocks that are worse than was stated
 	}
 	options := func(seed int64, f fault, s script.Script) Options {
-		return Options{Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 50e3, Quota: bound(12), Script: s, injected: f.plant, MaxClockDrift: f.drift}
+		return Options{Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 50e3, Quota: quotaFor(12), Script: s, injected: f.plant, MaxClockDrift: f.drift}
 	}
 	fails := func(o Options) bool {
 		for _, f := range New(o).Run().Findings {
--- a/internal/fleetsim/result.go
+++ b/internal/fleetsim/result.go
@@ -33,6 +33,7 @@
 	Message string
 }
 
+// String is the finding as one line.
 func (f Finding) String() string {
 	return fmt.Sprintf("%s: at %.1f s: %s", f.Checker, f.AtMs/1000, f.Message)
 }
--- a/internal/fleetsim/rollout.go
+++ b/internal/fleetsim/rollout.go
@@ -31,6 +31,7 @@
 // DefectCount is the number of defects, NoDefect included.
 const DefectCount = int(defectCount)
 
+// String is the defect as reports print it.
 func (d VersionDefect) String() string {
 	return [...]string{"good", "fails", "under load", "in one zone", "starves the most critical", "leaks", "crashes", "refused"}[d]
 }
--- a/internal/fleetsim/rollout_test.go
+++ b/internal/fleetsim/rollout_test.go
@@ -6,9 +6,9 @@
 	"sorrelvalve/decision/release"
 )
 
-// Releases of each kind at 300 servers in three zones, with faults: a bad one never reaches more than the canary and one wave, a good one
-// is not taken back, and what was taken back is as it was.
-func TestReleases(t *testing.T) {
+// Rollouts with each defect at 300 servers in three zones, with and without faults: a defective version never reaches more than
+// the first two waves, a good one is not rolled back, and a rollback restores the old version everywhere.
+func TestRollouts(t *testing.T) {
 	rules := release.DefaultRules()
 	rules.CanaryServers, rules.BakeMS, rules.MinRPCs = 3, 30e3, 300
 	seen := map[VersionDefect]int{}
--- a/internal/fleetsim/updates_test.go
+++ b/internal/fleetsim/updates_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// plainQueue is the list that news is measured against: each packet looks at all.
-type plainQueue []struct {
+// listQueue is the reference for updateQueue: a list that is scanned for each packet.
+type listQueue []struct {
 	update
 	sent int
 }
 
-func (n *plainQueue) add(u update) {
+func (n *listQueue) add(u update) {
 	*n = slices.DeleteFunc(*n, func(x struct {
 		update
 		sent int
@@ -25,7 +25,7 @@
 	}{u, 0})
 }
 
-func (n *plainQueue) take(most, limit int) (out []update) {
+func (n *listQueue) take(most, limit int) (out []update) {
 	for sent := range limit {
 		for i := range *n {
 			if x := &(*n)[i]; x.sent == sent && len(out) < most && (x.state != heartbeat || sent < (limit+1)/2) {
@@ -47,8 +47,8 @@
 	return out
 }
 
-// Both say the same of the same, whatever comes.
-func TestNews(t *testing.T) {
+// Both queues give the same updates for the same calls.
+func TestUpdateQueue(t *testing.T) {
 	sorted := func(u []update) []update {
 		slices.SortFunc(u, func(a, b update) int {
 			return (int(a.subject)*16 + int(a.state)) - (int(b.subject)*16 + int(b.state))
@@ -56,14 +56,14 @@
 		return u
 	}
 	for seed := range uint64(200) {
-		chance := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		var fast updateQueue
-		var plain plainQueue
+		var plain listQueue
 		fast.reset(10, 30)
-		limit, most := 1+chance.IntN(12), 100
+		limit, most := 1+rng.IntN(12), 100
 		for step := range 500 {
-			if chance.IntN(2) == 0 {
-				u := update{subject: 10 + chance.Int32N(30), version: uint32(step), state: []memberState{alive, suspect, dead, heartbeat}[chance.IntN(4)]}
+			if rng.IntN(2) == 0 {
+				u := update{subject: 10 + rng.Int32N(30), version: uint32(step), state: []memberState{alive, suspect, dead, heartbeat}[rng.IntN(4)]}
 				fast.add(u)
 				plain.add(u)
 			} else if a, b := sorted(fast.take(nil, most, limit)), sorted(plain.take(most, limit)); !slices.Equal(a, b) {
@@ -76,7 +76,7 @@
 	}
 }
 
-func BenchmarkNews(b *testing.B) {
+func BenchmarkUpdateQueue(b *testing.B) {
 	const servers = 1000
 	fill := func(put func(update)) {
 		for i := range int32(servers) {
@@ -95,7 +95,7 @@
 		}
 	})
 	b.Run("plain", func(b *testing.B) {
-		var n plainQueue
+		var n listQueue
 		fill(n.add)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
