--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -1,459 +1,303 @@
 package fleet
 
-// This file owns a server's parts of the budgets that its fleet shares: their lock, their clock, their messages over
-// membership's packets, and what the gate and the pools ask. How much a server may use, lend or ask for is said by
-// decision/quota. It must never let through what that has not, nor hold its lock while it sends.
-
 import (
 	"cmp"
-	"maps"
-	"math"
 	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"google.golang.org/protobuf/encoding/protowire"
-
 	"sorrelvalve/control"
-	"sorrelvalve/decision/count"
-	"sorrelvalve/decision/gossip"
 	"sorrelvalve/decision/quota"
 	"sorrelvalve/internal/operator"
 )
 
-// maxClockStep is by how much wall and own clock may part between two looks before what is borrowed is dropped: a machine that was
-// suspended has a monotonic clock that did not go on. Clocks that are set right slowly part by 0.5 ms a second.
-const maxClockStep = 50 * time.Millisecond
+const (
+	// maxClockStep is by how much the wall clock and the monotonic one may part between two looks before leases are dropped: the monotonic
+	// clock of a machine that was suspended did not go on. Clocks that are slewed part by 0.5 ms a second.
+	maxClockStep = 50 * time.Millisecond
+	// maxCachedNames bounds the names that are kept; beyond, they are built anew each time.
+	maxCachedNames    = 1 << 16
+	maxReportedQuotas = 64
+	maxReportedLeases = 16 // of each quota
+)
 
-// Budgets are one server's parts. Its methods may be called by many goroutines.
+// Budgets are a server's share of the budgets of its fleet: customers' quotas, retries and concurrent calls to pools. How much a server
+// may use, grant or request is decided by decision/quota; Budgets have the lock, the clock and the messages. They admit nothing that the
+// ledger has not, and hold no lock while they send. Their methods may be called by many goroutines.
 type Budgets struct {
 	fleet     *Fleet
 	startedAt time.Time
-	rules     atomic.Pointer[map[string]quota.Limit]
-	lingerMs  atomic.Pointer[map[string]float64] // ms, by pool
+	limits    atomic.Pointer[map[string]quota.Limit] // by budget
+	lingerMs  atomic.Pointer[map[string]float64]     // by pool: for how long it may go on with an abandoned call
+
+	packetsSent atomic.Uint64
 
 	mu          sync.Mutex
 	ledger      *quota.Ledger
-	clockOffset time.Duration // of the wall clock from the own one, at the last look
+	clockOffset time.Duration // of the wall clock from the monotonic one, at the last look
 	clockSteps  int
-	malformed   int // packets that could not be read
-	packetsSent atomic.Uint64
-	abandoned   []abandonedCall // calls that were given up, and count until they can't be gone on with
+	malformed   int // packets
+	abandoned   []abandonedCall
 	counts      localCounts
-	names       map[nameKey]*cachedNames // so that an RPC makes none
+	names       map[nameKey]*cachedNames // so that an RPC builds none
 }
 
-// abandonedCall is a call that the own side has ended.
+// abandonedCall is a call that this server gave up, and that counts as in flight until the pool can't go on with it.
 type abandonedCall struct {
 	pool      string
-	expiresAt float64
+	expiresAt float64 // ms
 }
 
-// ShareBudgets has a server share budgets with its fleet. It must be called once, before anybody asks for anything.
-func (f *Fleet) ShareBudgets(b *operator.Budgets) *Budgets {
-	x := &Budgets{fleet: f, startedAt: time.Now(), names: map[nameKey]*cachedNames{}, counts: newLocalCounts()}
-	x.storeRules(b)
+// ShareBudgets has a server share budgets with its fleet. It must be called once, before anything is acquired.
+func (f *Fleet) ShareBudgets(config *operator.Budgets) *Budgets {
+	b := &Budgets{
+		fleet:     f,
+		startedAt: time.Now(),
+		names:     map[nameKey]*cachedNames{},
+		counts:    newLocalCounts(),
+	}
+	b.storeLimits(config)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x.ledger = quota.NewLedger(f.identity.Incarnation, int64(f.identity.Incarnation), x.nowMs(), func(key string) (quota.Limit, bool) {
-		r, is := (*x.rules.Load())[key]
-		return r, is
+	seed := int64(f.identity.Incarnation)
+	b.ledger = quota.NewLedger(f.identity.Incarnation, seed, b.nowMs(), func(key string) (quota.Limit, bool) {
+		limit, has := (*b.limits.Load())[key]
+		return limit, has
 	})
 	if f.exclusion != nil {
-		x.ledger.Disable()
+		b.ledger.Disable()
 	}
-	f.budgets = x
-	return x
+	f.budgets = b
+	return b
 }
 
-// Set takes other bounds while parts of the former ones may be lent.
-func (b *Budgets) Set(o *operator.Budgets) {
+// Set replaces the limits while leases under the former ones may be out.
+func (b *Budgets) Set(config *operator.Budgets) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.storeRules(o)
+	b.storeLimits(config)
 	b.ledger.Update(b.nowMs())
 }
 
-func (b *Budgets) storeRules(o *operator.Budgets) {
-	rules, linger := o.Rules(), map[string]float64{}
-	if o != nil {
-		for pool, x := range o.Calls {
-			linger[pool] = x.LingerMs
+func (b *Budgets) storeLimits(config *operator.Budgets) {
+	limits := config.Rules()
+	linger := map[string]float64{}
+	if config != nil {
+		for pool, calls := range config.Calls {
+			linger[pool] = calls.LingerMs
 		}
 	}
-	b.rules.Store(&rules)
+	b.limits.Store(&limits)
 	b.lingerMs.Store(&linger)
 }
 
-// nowMs is the own clock in ms. What is borrowed is dropped first if the clock can't have seen its end.
+// nowMs is the monotonic clock in ms. Leases are dropped first if that clock can't have seen their end. The lock is held.
 func (b *Budgets) nowMs() float64 {
-	t := time.Now()
-	own := t.Sub(b.startedAt)
-	parted := t.Round(0).Sub(b.startedAt.Round(0)) - own
-	if step := parted - b.clockOffset; step > maxClockStep || step < -maxClockStep {
-		if b.clockSteps++; b.ledger != nil {
-			b.ledger.Invalidate(float64(own) / 1e6)
+	now := time.Now()
+	elapsed := now.Sub(b.startedAt)
+	elapsedMs := float64(elapsed) / 1e6
+	clockOffset := now.Round(0).Sub(b.startedAt.Round(0)) - elapsed
+	if step := clockOffset - b.clockOffset; step > maxClockStep || step < -maxClockStep {
+		b.clockSteps++
+		if b.ledger != nil {
+			b.ledger.Invalidate(elapsedMs)
 		}
 	}
-	b.clockOffset = parted
-	return float64(own) / 1e6
+	b.clockOffset = clockOffset
+	return elapsedMs
 }
 
-// nameKey is what an RPC goes by: of a customer and its method, or of a pool.
-type nameKey struct{ of, counted, prefix string }
+// nameKey is what names are built from: a customer and a method, or a pool.
+type nameKey struct {
+	owner   string // the customer or pool
+	counted string // the method, failedCalls, or ""
+	prefix  string // of the budget
+}
 
-// cachedNames are those of a budget and of a count, made once for as many as there is room.
-type cachedNames struct{ budget, counted string }
+// cachedNames are the keys of a budget and of a count.
+type cachedNames struct {
+	budget  string
+	counted string
+}
 
 // failedCalls is what failures are counted under, beside a pool's name.
 const failedCalls = "failed"
 
-// cachedName returns them. The lock is held.
-func (b *Budgets) cachedName(of, counted, prefix string) *cachedNames {
-	k := nameKey{of, counted, prefix}
-	n := b.names[k]
-	if n == nil {
-		if n = (&cachedNames{prefix + of, of + "|" + counted}); len(b.names) < maxCachedNames {
-			b.names[k] = n
+// cachedName returns the names of an RPC or a call. The lock is held.
+func (b *Budgets) cachedName(owner, counted, prefix string) *cachedNames {
+	key := nameKey{owner: owner, counted: counted, prefix: prefix}
+	names := b.names[key]
+	if names == nil {
+		names = &cachedNames{budget: prefix + owner, counted: owner + "|" + counted}
+		if len(b.names) < maxCachedNames {
+			b.names[key] = names
 		}
 	}
-	return n
+	return names
 }
 
-// maxCachedNames: beyond so many, names are made anew each time.
-const maxCachedNames = 1 << 16
-
-// CheckQuota implements gate.QuotaChecker: it tells whether an RPC lies within this server's part of its customer's quota.
-func (b *Budgets) CheckQuota(method, customer string, criticality float64) (control.QuotaStatus, float64) {
-	if len(*b.rules.Load()) == 0 {
+// CheckQuota implements gate.QuotaChecker: it takes an RPC from this server's part of its customer's quota. retryAfter is in ms if the
+// quota is used up.
+func (b *Budgets) CheckQuota(method, customer string, criticality float64) (status control.QuotaStatus, retryAfter float64) {
+	if len(*b.limits.Load()) == 0 {
 		return control.QuotaUnknown, 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.nowMs()
-	n := b.cachedName(customer, method, operator.QuotaPrefix)
-	b.counts.counter.Add(now, n.counted, 1)
-	ok, bound, again := b.ledger.TryAcquire(now, n.budget, criticality, 0)
+	names := b.cachedName(customer, method, operator.QuotaPrefix)
+	b.counts.counter.Add(now, names.counted, 1)
+	acquired, limited, retryAfter := b.ledger.TryAcquire(now, names.budget, criticality, 0)
 	switch {
-	case !bound:
+	case !limited:
 		return control.QuotaUnknown, 0
-	case ok:
+	case acquired:
 		return control.WithinQuota, 0
 	}
-	return control.OverQuota, again
+	return control.OverQuota, retryAfter
 }
 
-// Retry is pools.Budgets: one more further try.
-func (b *Budgets) AllowRetry(pool string, worth float64) bool {
+// AllowRetry implements pools.Budgets: it takes a retry from the pool's budget.
+func (b *Budgets) AllowRetry(pool string, priorityWeight float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	ok, _, _ := b.ledger.TryAcquire(b.nowMs(), b.cachedName(pool, "", operator.RetriesPrefix).budget, worth, 0)
-	return ok
+	budget := b.cachedName(pool, "", operator.RetriesPrefix).budget
+	acquired, _, _ := b.ledger.TryAcquire(b.nowMs(), budget, priorityWeight, 0)
+	return acquired
 }
 
-// Call is pools.Budgets: one more in hand.
-func (b *Budgets) AllowCall(pool string, worth, longest float64) bool {
+// AllowCall implements pools.Budgets: it takes a place among the concurrent calls to a pool, for at most maxMs.
+func (b *Budgets) AllowCall(pool string, priorityWeight, maxMs float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.nowMs()
 	b.endExpiredCalls(now)
-	ok, _, _ := b.ledger.TryAcquire(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).budget, worth, longest+(*b.lingerMs.Load())[pool])
-	if ok {
+	budget := b.cachedName(pool, failedCalls, operator.CallsPrefix).budget
+	acquired, _, _ := b.ledger.TryAcquire(now, budget, priorityWeight, maxMs+(*b.lingerMs.Load())[pool])
+	if acquired {
 		b.counts.inFlight[pool]++
 	}
-	return ok
+	return acquired
 }
 
-// CallEnds is pools.Budgets. One that was given up stays in hand for as long as the pool may go on with it.
-func (b *Budgets) CompleteCall(pool string, failed, silent bool) {
+// CompleteCall implements pools.Budgets: a call ended. An abandoned one stays in flight for as long as the pool may go on with it.
+func (b *Budgets) CompleteCall(pool string, failed, abandoned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.nowMs()
 	if failed {
 		b.counts.counter.Add(now, b.cachedName(pool, failedCalls, operator.CallsPrefix).counted, 1)
 	}
-	if wait := (*b.lingerMs.Load())[pool]; silent && wait > 0 {
-		b.abandoned = append(b.abandoned, abandonedCall{pool, now + wait})
+	linger := (*b.lingerMs.Load())[pool]
+	if abandoned && linger > 0 {
+		b.abandoned = append(b.abandoned, abandonedCall{pool: pool, expiresAt: now + linger})
 		return
 	}
-	b.endCall(pool)
+	b.releaseCall(pool)
 }
 
-func (b *Budgets) endCall(pool string) {
+// releaseCall returns the place of a call. The lock is held.
+func (b *Budgets) releaseCall(pool string) {
 	b.ledger.Release(b.cachedName(pool, failedCalls, operator.CallsPrefix).budget)
 	b.counts.inFlight[pool] = max(0, b.counts.inFlight[pool]-1)
 }
 
-// endExpiredCalls gives back calls that can't be gone on with any more. They are no more than may be in hand.
+// endExpiredCalls releases abandoned calls that the pool can't go on with any more. There are no more of them than may be in flight. The
+// lock is held.
 func (b *Budgets) endExpiredCalls(now float64) {
-	b.abandoned = slices.DeleteFunc(b.abandoned, func(g abandonedCall) bool {
-		if g.expiresAt <= now {
-			b.endCall(g.pool)
+	b.abandoned = slices.DeleteFunc(b.abandoned, func(call abandonedCall) bool {
+		expired := call.expiresAt <= now
+		if expired {
+			b.releaseCall(call.pool)
 		}
-		return g.expiresAt <= now
+		return expired
 	})
 }
 
-// tick says what is to be said, to those that are heard.
+// tick sends the ledger's messages to the reachable peers, and gossips the counts when they are due.
 func (b *Budgets) tick(peers []string) {
 	b.mu.Lock()
 	now := b.nowMs()
 	b.endExpiredCalls(now)
-	out := b.ledger.Tick(now, peers)
-	said := b.counts.dueRecord(now)
+	messages := b.ledger.Tick(now, peers)
+	counts := b.counts.dueRecord(now)
 	b.mu.Unlock()
-	b.send(out)
-	if said != nil {
-		b.fleet.Publish(keyCounts, said)
+	b.send(messages)
+	if counts == nil {
+		return
+	}
+	if err := b.fleet.Publish(keyCounts, counts); err != nil {
+		b.fleet.options.Log.WithError(err).Warn("fleet.publish_failed")
 	}
 }
 
-// dropLeases drops what is borrowed: this server has stalled.
+// dropLeases drops what is leased: this server has stalled.
 func (b *Budgets) dropLeases() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Invalidate(b.nowMs())
 }
 
-// disable ends the use of any part: another process bears this server's name.
+// disable ends the use of all budgets: another process has this server's name.
 func (b *Budgets) disable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Disable()
 }
 
-// receive takes a packet that a peer sent to this server alone, and answers it.
-func (b *Budgets) receive(from string, raw []byte) {
-	all, ok := parseLeases(raw)
+// receive takes a packet of lease messages from a peer, and answers it.
+func (b *Budgets) receive(from string, packet []byte) {
+	messages, ok := parseLeases(packet)
 	b.mu.Lock()
 	if !ok {
 		b.malformed++
 	}
-	var out []quota.KeyedMessage
-	for _, m := range all {
-		out = append(out, b.ledger.Receive(b.nowMs(), from, m)...)
+	var replies []quota.KeyedMessage
+	for _, message := range messages {
+		replies = append(replies, b.ledger.Receive(b.nowMs(), from, message)...)
 	}
 	b.mu.Unlock()
-	b.send(out)
+	b.send(replies)
 }
 
-// maxPacketBytes of messages go in one packet, so that with memberlist's own it fits one frame.
-const maxPacketBytes = 1100
-
-// send packs what goes to one peer together.
-func (b *Budgets) send(all []quota.KeyedMessage) {
-	slices.SortStableFunc(all, func(x, y quota.KeyedMessage) int { return cmp.Compare(x.To, y.To) })
-	var raw []byte
-	for i := range all {
-		raw = appendLease(raw, &all[i])
-		if i+1 == len(all) || all[i+1].To != all[i].To || len(raw) > maxPacketBytes {
+// send packs the messages to each peer together.
+func (b *Budgets) send(messages []quota.KeyedMessage) {
+	slices.SortStableFunc(messages, func(x, y quota.KeyedMessage) int { return cmp.Compare(x.To, y.To) })
+	var packet []byte
+	for i := range messages {
+		packet = appendLease(packet, &messages[i])
+		lastOfPeer := i+1 == len(messages) || messages[i+1].To != messages[i].To
+		if lastOfPeer || len(packet) > maxPacketBytes {
 			b.packetsSent.Add(1)
-			b.fleet.sendDirect(all[i].To, channelLeases, raw)
-			raw = nil
+			b.fleet.sendDirect(messages[i].To, channelLeases, packet)
+			packet = nil
 		}
 	}
 }
 
-// maxPacketMessages bounds what a packet brings.
-const maxPacketMessages = 256
-
-// appendLease writes a message as fleet.proto has it.
-func appendLease(b []byte, m *quota.KeyedMessage) []byte {
-	var x []byte
-	number := func(f protowire.Number, v uint64) {
-		if v != 0 {
-			x = protowire.AppendVarint(protowire.AppendTag(x, f, protowire.VarintType), v)
-		}
-	}
-	float := func(f protowire.Number, v float64) {
-		if v != 0 {
-			x = protowire.AppendFixed64(protowire.AppendTag(x, f, protowire.Fixed64Type), math.Float64bits(v))
-		}
-	}
-	x = appendStringField(x, 1, m.Key)
-	number(2, uint64(m.Kind))
-	number(3, m.RequestID)
-	x = protowire.AppendFixed64(protowire.AppendTag(x, 4, protowire.Fixed64Type), m.Incarnation)
-	float(5, m.Amount)
-	float(6, m.Duration)
-	float(7, m.PriorityWeight)
-	float(8, m.CurrentCapacity)
-	number(9, m.Renews)
-	number(10, uint64(m.Reason))
-	return protowire.AppendBytes(protowire.AppendTag(b, 1, protowire.BytesType), x)
-}
-
-// parseLeases reads a packet of them; what makes no sense is left out, and told.
-func parseLeases(raw []byte) (all []quota.KeyedMessage, ok bool) {
-	sense := true
-	whole := eachField(raw, func(num protowire.Number, v []byte, _ uint64) {
-		if num != 1 || len(all) >= maxPacketMessages {
-			return
-		}
-		var m quota.KeyedMessage
-		good := eachField(v, func(num protowire.Number, v []byte, n uint64) {
-			x := math.Float64frombits(n)
-			switch num {
-			case 1:
-				m.Key = string(v)
-			case 2:
-				m.Kind = quota.MessageKind(min(n, 255))
-			case 3:
-				m.RequestID = n
-			case 4:
-				m.Incarnation = n
-			case 5:
-				m.Amount = x
-			case 6:
-				m.Duration = x
-			case 7:
-				m.PriorityWeight = x
-			case 8:
-				m.CurrentCapacity = x
-			case 9:
-				m.Renews = n
-			case 10:
-				m.Reason = quota.DenialReason(min(n, 255))
-			}
-		})
-		finite := true
-		for _, x := range [...]float64{m.Amount, m.Duration, m.PriorityWeight, m.CurrentCapacity} {
-			finite = finite && x >= 0 && x <= 1e12
-		}
-		if good && finite && m.Key != "" && m.Kind >= quota.Request && m.Kind <= quota.Offer {
-			all = append(all, m)
-		} else {
-			sense = false
-		}
-	})
-	return all, whole && sense && len(all) > 0
-}
-
-// How much of the parts and loans is told.
-const (
-	maxReportedQuotas = 64
-	maxReportedLeases = 16
-)
-
-// BudgetStatus is the state of this server's budget quotas.
+// BudgetStatus is the state of a server's budgets.
 type BudgetStatus struct {
-	Quotas           []quota.AllocationStatus `json:"Parts,omitempty"` // the quotas with the most activity
+	Quotas           []quota.AllocationStatus `json:"Parts,omitempty"` // those with the most activity
 	ActiveQuotas     int                      `json:"Table"`           // quotas that are not idle
 	TableFull        uint64                   `json:"Full"`            // RPCs for which the table had no room
 	PacketsSent      uint64                   `json:"Sent"`            // lease packets
 	ClockSteps       int                      `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
-	MalformedPackets int                      `json:"Wrong"`           // malformed packets
-	FleetCounts      []CountRange             `json:"Sums,omitempty"`
+	MalformedPackets int                      `json:"Wrong"`
+	FleetCounts      []CountRange             `json:"Sums,omitempty"` // the largest
 }
 
+// status returns the state without the fleet's counts.
 func (b *Budgets) status() *BudgetStatus {
 	b.mu.Lock()
+	defer b.mu.Unlock()
 	now := b.nowMs()
-	s := &BudgetStatus{Quotas: b.ledger.Statuses(now, b.fleet.options.Name, maxReportedQuotas, maxReportedLeases), ActiveQuotas: b.ledger.Size(), TableFull: b.ledger.Overflows, PacketsSent: b.packetsSent.Load(), ClockSteps: b.clockSteps, MalformedPackets: b.malformed}
-	b.mu.Unlock()
-	return s
-}
-
-// CountRange is what a fleet's servers count under a key: at least and at most so many a second, or in hand.
-type CountRange struct {
-	Key string
-	Min float64 `json:"AtLeast"`
-	Max float64 `json:"AtMost"`
-}
-
-// localCounts is what this server counts for the others.
-type localCounts struct {
-	counter     *count.Local
-	inFlight    map[string]int // calls, by pool
-	publishedAt float64        // when they were last said
-}
-
-const (
-	keyCounts          = "counts"
-	countsIntervalMs   = 2000.0
-	maxPublishedCounts = 12 // keys of a record, which has 1 KB
-)
-
-func newLocalCounts() localCounts {
-	return localCounts{counter: count.NewLocal(count.DefaultConfig), inFlight: map[string]int{}}
-}
-
-// dueRecord is the record that is to be said now; nil for none yet.
-func (c *localCounts) dueRecord(now float64) []byte {
-	if now-c.publishedAt < countsIntervalMs {
-		return nil
-	}
-	c.publishedAt = now
-	items := c.counter.Largest(now, maxPublishedCounts)
-	rest := 0.0
-	if len(items) == maxPublishedCounts {
-		rest = items[maxPublishedCounts-1].Value
-	}
-	items = slices.DeleteFunc(items, func(x count.Counter) bool { return x.Value < 0.05 })
-	for _, pool := range slices.Sorted(maps.Keys(c.inFlight)) {
-		if len(items) < maxPublishedCounts+4 {
-			items = append(items, count.Counter{Key: "in hand|" + pool, Value: float64(c.inFlight[pool])})
-		}
-	}
-	if len(items) == 0 {
-		return nil
-	}
-	var b []byte
-	float := func(f protowire.Number, v float64) {
-		b = protowire.AppendFixed32(protowire.AppendTag(b, f, protowire.Fixed32Type), math.Float32bits(float32(v)))
-	}
-	float(1, rest)
-	for _, x := range items {
-		if len(b)+len(x.Key)+16 > 900 {
-			break
-		}
-		b = appendStringField(b, 2, x.Key)
-		float(3, x.Value)
-		float(4, x.MaxError)
-	}
-	return b
-}
-
-// parseCounts reads such a record.
-func parseCounts(raw []byte) (items []count.Counter, rest float64, ok bool) {
-	ok = eachField(raw, func(num protowire.Number, v []byte, n uint64) {
-		x := float64(math.Float32frombits(uint32(n)))
-		if !(x >= 0 && x < 1e12) {
-			x = 0
-		}
-		switch {
-		case num == 1:
-			rest = x
-		case num == 2:
-			items = append(items, count.Counter{Key: sanitize(string(v))})
-		case num == 3 && len(items) > 0:
-			items[len(items)-1].Value = x
-		case num == 4 && len(items) > 0:
-			items[len(items)-1].MaxError = x
-		}
-	})
-	return items, rest, ok
-}
-
-// countRanges are over the roster, as ranges that widen for those not heard. The lock of the fleet is held.
-func (f *Fleet) countRanges(now float64, most int) (all []CountRange) {
-	sum := count.NewAggregate(count.DefaultConfig)
-	roster := []string{f.options.Name}
-	for _, p := range f.detector.Peers(now) {
-		if p.Departure == 0 {
-			roster = append(roster, p.Name)
-		}
-	}
-	f.records.Each(now, keyCounts, func(r *gossip.Record, age float64) {
-		if items, rest, ok := parseCounts(r.Body); ok {
-			sum.Merge(now-age, r.Origin, r.Generation, r.Sequence, items, rest)
-		}
-	})
-	for _, key := range sum.Keys() {
-		r := sum.Sum(now, key, roster)
-		all = append(all, CountRange{key, r.Min, r.Max})
+	return &BudgetStatus{
+		Quotas:           b.ledger.Statuses(now, b.fleet.options.Name, maxReportedQuotas, maxReportedLeases),
+		ActiveQuotas:     b.ledger.Size(),
+		TableFull:        b.ledger.Overflows,
+		PacketsSent:      b.packetsSent.Load(),
+		ClockSteps:       b.clockSteps,
+		MalformedPackets: b.malformed,
 	}
-	slices.SortStableFunc(all, func(a, b CountRange) int { return cmp.Compare(b.Min, a.Min) })
-	return all[:min(most, len(all))]
 }
