--- a/cmd/sorrelvalve/main.go
+++ b/cmd/sorrelvalve/main.go
@@ -1,5 +1,5 @@
-// Command sorrelvalve is one app server of a fleet: it takes RPCs from routers, lets package control decide on
-// each, has the engine do the work and answers. This package is the command line; package daemon puts the parts
+// Command sorrelvalve is one application server of a fleet: it receives RPCs from routers, has package control decide on
+// each, has the engine do the work and responds. This package is the command line; package daemon puts the parts
 // together. It must never hold anything that a part could own.
 package main
 
@@ -24,10 +24,12 @@
 
 type serveCmd struct{ daemon.Command }
 
+// Run serves without an extension.
 func (c serveCmd) Run() error { return c.Command.Run(nil) }
 
 type checkCmd struct{}
 
+// Run reads the configuration and prints its main figures.
 func (checkCmd) Run() error {
 	p, err := startup.Load(os.Getenv)
 	if err != nil {
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -25,7 +25,7 @@
 	return path
 }
 
-// A record with a fleet is refused by name where the command has none.
+// A record with a fleet is rejected by name where the command has none.
 func TestFleetRefused(t *testing.T) {
 	r := record(t, &operator.File{Version: "t", Fleet: &operator.Fleet{Listen: "127.0.0.1:7946"}})
 	err := Command{StandIn: true, Operator: r}.Run(nil)
@@ -34,7 +34,7 @@
 	}
 }
 
-// The stand-in engine and an operator's record work together: uwsgi before the stand-in.
+// The stub engine of the demonstration and an operator's record work together: uwsgi in front of the stub.
 func TestStandInWithRecord(t *testing.T) {
 	addr := freeLoopback(t)
 	u := &operator.UWSGI{Listen: addr, KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 8192, ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 16}
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -11,8 +11,8 @@
 	"sorrelvalve/internal/trace"
 )
 
-// What a whole server records is replayed to the same verdicts; other limits can be asked about; a torn tail is told
-// and the rest replayed.
+// What a complete server records is replayed to the same verdicts; other limits can be simulated; a torn tail is
+// reported and the rest replayed.
 func TestTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
 	w := start(t, 5000, func(w *testServer) {
