--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -17,7 +17,7 @@
 	limit    float64
 }
 
-// holds tells whether a value satisfies the bound. NaN never does.
+// holds reports whether a value satisfies the bound. NaN never does.
 func (b Bound) holds(value float64) bool {
 	switch b.relation {
 	case relationAtLeast:
@@ -48,7 +48,7 @@
 	Bound    Bound
 }
 
-// Passed is the verdict: whether the measured value satisfies the bound.
+// Passed is the verdict: it reports whether the measured value satisfies the bound.
 func (c Check) Passed() bool { return c.Bound.holds(c.Measured) }
 
 // String is the check as a report prints it.
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -26,14 +26,14 @@
 	drainPoolMembers = 4
 )
 
-// drainExperiment is fleet-drain: a whole fleet of processes drained one after another by permits, under load, with
+// drainExperiment is fleet-drain: an entire fleet of processes drained one after another by permits, under load, with
 // faults at the permit servers and between the servers, beside the same fleet without drains. Who was out, and when, is
 // read from the servers' own logs: the permit servers are not asked about it.
 type drainExperiment struct {
 	options     Options
 	report      *Report
-	rolls       int           // how often the whole fleet is drained
-	rollTimeout time.Duration // after which one that stands still fails
+	rolls       int           // how often the entire fleet is drained
+	rollTimeout time.Duration // after which a roll without progress fails
 	cleanup     cleanup
 	ctx         context.Context
 
--- a/internal/experiment/drain_faults.go
+++ b/internal/experiment/drain_faults.go
@@ -53,13 +53,13 @@
 // haltLog is the halts that were ordered.
 type haltLog struct {
 	periods    []period  // from the halt's answer to its end
-	knownAfter []float64 // s until all heard servers knew
+	knownAfter []float64 // s until all reachable servers knew of a halt
 }
 
 // memberDrainLog is the drains of members of the pool that were measured.
 type memberDrainLog struct {
 	drained    float64
-	callsAfter float64 // RPCs to a member once all servers had confirmed that they leave it alone
+	callsAfter float64 // RPCs to a member once all servers had confirmed that they no longer use it
 	maxSeconds float64 // until they had
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// haltDrains orders halts by way of any server, and measures how soon all that are heard know.
+// haltDrains orders halts by way of any server, and measures how soon all reachable servers know of them.
 func (x *drainExperiment) haltDrains(ctx context.Context) {
 	f := x.drained
 	for i := 0; ctx.Err() == nil; i++ {
@@ -158,7 +158,7 @@
 	}
 }
 
-// missesHalt tells whether a server that hears the permit servers does not know of the halt. One that does not hear
+// missesHalt reports whether a server that reaches the permit servers does not know of the halt. One that does not reach
 // them learns of it before its next drain.
 func (x *drainExperiment) missesHalt(name string) bool {
 	status, err := x.drained.Status(name)
@@ -190,7 +190,7 @@
 	return errors.New("no server runs")
 }
 
-// measureMemberDrain waits until all servers leave a member alone, and counts what reaches it afterwards.
+// measureMemberDrain waits until no server uses a member any more, and counts the RPCs that reach it afterwards.
 func (x *drainExperiment) measureMemberDrain(ctx context.Context, app *standin.App, subject string) {
 	began := time.Now()
 	for !x.memberDrained(ctx, subject) && ctx.Err() == nil && time.Since(began) < convergenceLimit {
@@ -213,7 +213,7 @@
 	x.memberDrains.maxSeconds = max(x.memberDrains.maxSeconds, took.Seconds())
 }
 
-// memberDrained tells whether all servers have confirmed that they leave a member alone.
+// memberDrained reports whether all servers have confirmed that they no longer use a member.
 func (x *drainExperiment) memberDrained(ctx context.Context, subject string) bool {
 	status, err := x.client.State(ctx)
 	return err == nil && slices.ContainsFunc(status.Drains, func(d permit.DrainStatus) bool {
@@ -230,7 +230,7 @@
 		case 0:
 			x.permits.kill(name)
 			time.Sleep(time.Second)
-			_ = x.permits.start(name, false) // without it the roll stands still, which ends the experiment
+			_ = x.permits.start(name, false) // without it the roll makes no progress, which fails the experiment
 		case 1:
 			_ = x.permits.signal(name, syscall.SIGSTOP) // it is not killed meanwhile: this goroutine alone does that
 			time.Sleep(faultLength)
--- a/internal/experiment/drain_log.go
+++ b/internal/experiment/drain_log.go
@@ -25,7 +25,7 @@
 // period is a stretch of time.
 type period struct{ from, to time.Time }
 
-// contains tells whether a time lies within, its ends excluded.
+// contains reports whether a time lies within, its ends excluded.
 func (p period) contains(at time.Time) bool { return at.After(p.from) && at.Before(p.to) }
 
 // serverHistory is what the servers of a fleet logged of their drains and starts.
--- a/internal/experiment/durable_cost.go
+++ b/internal/experiment/durable_cost.go
@@ -19,7 +19,7 @@
 	slowDiskSyncs = 20 * time.Millisecond
 )
 
-// The ways to serve that durable-cost compares.
+// The configurations that durable-cost compares.
 const (
 	storeOff      = "off"
 	storeOn       = "on"
--- a/internal/experiment/durable_kill.go
+++ b/internal/experiment/durable_kill.go
@@ -258,7 +258,7 @@
 	return nil
 }
 
-// found tells whether a purchase is answered as it was at first.
+// found reports whether a purchase gets the same answer as its first attempt that was ok.
 func found(caller standin.Caller, p *purchase) bool {
 	reply := p.attempt(caller, true)
 	for range maxLookups {
--- a/internal/experiment/embedded.go
+++ b/internal/experiment/embedded.go
@@ -23,7 +23,7 @@
 	embeddedTarget = 250 * time.Millisecond
 )
 
-// The ways to serve that embedded compares, beside wayValve.
+// The configurations that embedded compares, beside wayValve.
 const (
 	wayBare      = "bare"
 	waySemaphore = "semaphore"
--- a/internal/experiment/failure_detection.go
+++ b/internal/experiment/failure_detection.go
@@ -17,11 +17,12 @@
 // detectionServers are the processes of fleet-hearing.
 const detectionServers = 8
 
-// rejectEarly has RPCs that are queued for longer rejected for nothing else, so that who is rejected hears at once.
+// rejectEarly exempts RPCs that have been queued for 20 ms from displacement by others, so that a rejection is always
+// immediate.
 var rejectEarly = operator.File{Queue: operator.Queue{SettledMs: 20}}
 
 // detectionExperiment is fleet-hearing: real processes that detect one another's failures through relays, with faults
-// between them, and what membership costs. Views of servers are always asked for, never assumed.
+// between them, and what membership costs. Views are always read from the servers, never assumed.
 type detectionExperiment struct {
 	options Options
 	report  *Report
@@ -271,7 +272,7 @@
 	return err
 }
 
-// usage is what a server tells of itself, and its processor time so far.
+// usage is the status of a server, and its processor time so far.
 type usage struct {
 	status fleet.Status
 	cpu    time.Duration
--- a/internal/experiment/fleet_load.go
+++ b/internal/experiment/fleet_load.go
@@ -82,7 +82,7 @@
 // share is the part of the criticality that was served.
 func (t *criticalityTally) share() float64 { return t.served / t.asked }
 
-// canceledByLoad tells whether an RPC was ended by the end of the load itself.
+// canceledByLoad reports whether an RPC was canceled because the load ended.
 func canceledByLoad(sample standin.Sample) bool {
 	return sample.Outcome == standin.Lost && sample.Reason == context.Canceled.Error()
 }
--- a/internal/experiment/fleet_twin.go
+++ b/internal/experiment/fleet_twin.go
@@ -71,7 +71,7 @@
 		simulator.settled += onSimulator.settled
 		simulator.served += onSimulator.served
 	}
-	if !o.Quick { // one schedule's time to settle is left to chance
+	if !o.Quick { // the time to settle of one schedule alone varies too much
 		r.AddChecks(atMost("times to settle, processes off the simulator by", relativeDifference(processes.settled, simulator.settled), 0.15))
 	}
 	r.AddChecks(atMost("criticality served, processes off the simulator by", relativeDifference(processes.served, simulator.served), 0.15))
--- a/internal/experiment/grants.go
+++ b/internal/experiment/grants.go
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// serves tells whether a client's server answers: it leads on to the leader as soon as it serves.
+// serves reports whether a client's server answers: it redirects to the leader as soon as it serves.
 func serves(ctx context.Context, client *permitclient.Client) bool {
 	attempt, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/experiment/mixed_protocols.go
+++ b/internal/experiment/mixed_protocols.go
@@ -19,13 +19,13 @@
 const (
 	mixedCores       = 16
 	mixedWork        = 60.0 // ms, mean
-	mixedSettleMs    = 20.0 // hold.settled_ms, so that who is rejected hears at once
+	mixedSettleMs    = 20.0 // hold.settled_ms, so that a rejection is always immediate
 	mixedLoad        = 1.2  // of what the machine can do
 	mixedTarget      = 400 * time.Millisecond
 	waitPastDeadline = 300 * time.Millisecond // that a caller waits: an answer may be under way
 )
 
-// The ways to serve that uwsgi-mixed compares, beside wayValve.
+// The configurations that uwsgi-mixed compares, beside wayValve.
 const (
 	wayPastValve  = "past the valve" // uwsgi goes to an application server directly
 	wayPlainQueue = "plain queue"
@@ -42,7 +42,7 @@
 		"pushed back p99 ms", "after 20 ms"}}
 	served := map[string]float64{}
 	for _, way := range []string{wayPastValve, wayPlainQueue, wayValve} {
-		if o.Quick && way == wayValve { // the protocols' shares must be told apart to 0.03: with 11 s the noise alone came to that
+		if o.Quick && way == wayValve { // the protocols' shares are compared to 0.03: over 11 s the noise alone reached that
 			length *= 3
 		}
 		run := &mixedRun{way: way, rules: standin.NewInvariantChecker("topup-buy")}
--- a/internal/experiment/outlier_detection.go
+++ b/internal/experiment/outlier_detection.go
@@ -50,7 +50,7 @@
 	return int(p.beganMs / 1000), int((p.beganMs + phaseMs) / 1000)
 }
 
-// failing tells whether a member fails in the phase, rather than being slow.
+// failing reports whether a member fails in the phase, rather than being slow.
 func (p *phase) failing() bool { return p.member != noMember && p.fault.Slowdown == 0 }
 
 // numbers are those from one up to another, which is excluded.
@@ -353,7 +353,7 @@
 	return nil
 }
 
-// checkSlowStarts compares the load on members that return, over the whole fleet, with a line from nothing to their
+// checkSlowStarts compares the load on members that return, over all servers, with a line from nothing to their
 // part of it.
 func (x *outlierExperiment) checkSlowStarts() error {
 	got, wanted := 0.0, 0.0
--- a/internal/experiment/outlier_detection_processes.go
+++ b/internal/experiment/outlier_detection_processes.go
@@ -153,8 +153,8 @@
 }
 
 // outlierProcessExperiment is the part of fleet-judge with real processes: eight servers before ten application
-// servers, once in a fleet and once each for itself, at the same time under the same load. No server is told of the
-// faults.
+// servers, once in a fleet and once each for itself, at the same time under the same load. The servers
+// learn of the faults by their own observations only.
 type outlierProcessExperiment struct {
 	options Options
 	report  *Report
--- a/internal/experiment/parity_clock.go
+++ b/internal/experiment/parity_clock.go
@@ -16,7 +16,7 @@
 	idleHorizon         = time.Hour            // when the next run completes where none runs
 )
 
-// virtualMachine is a machine of parityCores on a clock of its own, which stands still unless it is moved.
+// virtualMachine is a machine of parityCores on a clock of its own, which moves only when it is advanced.
 type virtualMachine struct {
 	mu          sync.Mutex
 	now         time.Time
--- a/internal/experiment/permit_servers.go
+++ b/internal/experiment/permit_servers.go
@@ -22,8 +22,8 @@
 // permitServerCount is a raft group that survives the loss of one.
 const permitServerCount = 3
 
-// PermitServer serves permits as a process of the experiments: its name, its folder, whether that is new, and
-// NAME,RAFT,HTTP of each of the group.
+// PermitServer serves permits as a process of the experiments until it is killed. Its data is in dir, which is new if
+// fresh; each peer, itself included, is NAME,RAFT-ADDRESS,HTTP-ADDRESS.
 func PermitServer(name, dir string, fresh bool, peers []string) error {
 	logger := logrus.New()
 	logger.SetLevel(logrus.WarnLevel)
@@ -140,7 +140,7 @@
 	delete(s.processes, name)
 	s.mu.Unlock()
 	if process != nil {
-		_ = process.Process.Signal(syscall.SIGCONT) // it may be stopped; if it has ended, the wait below tells
+		_ = process.Process.Signal(syscall.SIGCONT) // it may be stopped; fails only for one that has ended
 		_ = process.Process.Kill()                  // fails only for one that has ended
 		_ = process.Wait()                          // the error is the kill itself
 	}
--- a/internal/experiment/plain_queue.go
+++ b/internal/experiment/plain_queue.go
@@ -6,7 +6,7 @@
 	"sorrelvalve/internal/gate"
 )
 
-// runDone is told how a run ended, the work in ms that it took, and what it answers.
+// runDone is called at the end of a run with its outcome, the work in ms that it took, and its result.
 type runDone = func(outcome gate.Outcome, spentMs float64, head, result []byte)
 
 // plainQueue is the plain alternative to the gate: all RPCs wait in one queue of a bounded length for one of some
@@ -99,7 +99,7 @@
 	return run, true
 }
 
-// shareResult has the result of a token's run told to all who joined it.
+// shareResult wraps the callback of a token's run, so that all RPCs that joined the run get its result.
 func (q *plainQueue) shareResult(run *tokenRun, first runDone) runDone {
 	return func(outcome gate.Outcome, spentMs float64, head, result []byte) {
 		q.mu.Lock()
--- a/internal/experiment/pool_outlier.go
+++ b/internal/experiment/pool_outlier.go
@@ -26,7 +26,7 @@
 	retryShareSaved = 100
 )
 
-// The ways to choose a member that the experiment pools compares.
+// The load balancing that the experiment pools compares.
 const (
 	wayRoundRobin = "round robin, no ejection"
 	wayValve      = "valve"
--- a/internal/experiment/release_processes.go
+++ b/internal/experiment/release_processes.go
@@ -328,7 +328,7 @@
 	return result, nil
 }
 
-// awaitPhase waits until the release is in a phase with no server pending, and tells how long that took.
+// awaitPhase waits until the release is in a phase with no server pending, and stores in took how long that was.
 func (x *processReleases) awaitPhase(want release.Phase, took *time.Duration) error {
 	began := time.Now()
 	for x.ctx.Err() == nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -45,7 +45,7 @@
 	r.Charts = append(r.Charts, part.Charts...)
 }
 
-// Passed tells whether every check passed.
+// Passed reports whether every check passed.
 func (r *Report) Passed() bool {
 	for _, check := range r.Checks {
 		if !check.Passed() {
--- a/internal/experiment/shared_quota.go
+++ b/internal/experiment/shared_quota.go
@@ -54,7 +54,7 @@
 }
 
 // quotaFaults is the schedule of the simulated fleets: two moves in contact, the server to which callers move cut off,
-// halves that don't hear each other over a move, grantors killed and back at once, a tenth stopped, and contact again.
+// a partition into halves over a move, grantors killed and restarted at once, a tenth stopped, and contact again.
 func quotaFaults(servers int) string {
 	names := fleetsim.ServerNames(servers)
 	join := func(from, to int) string { return strings.Join(names[from:to], ",") }
@@ -136,8 +136,8 @@
 // quotaResult is what the runs by one scheme came to, the worst of each.
 type quotaResult struct {
 	peakUse   float64 // in any second, over bound and burst
-	inContact float64 // served of the whole quota
-	cutOff    float64 // served of its floor by a server that was cut off
+	inContact float64 // share of the quota that was served
+	cutOff    float64 // share of its floor that a server served which was cut off
 	packets   float64 // a second from a server
 	findings  []fleetsim.Finding
 }
--- a/internal/experiment/shared_quota_processes.go
+++ b/internal/experiment/shared_quota_processes.go
@@ -241,7 +241,7 @@
 }
 
 // playFaults kills grantors, which are back at once, and stops the server that holds their leases for longer than a
-// lease; it wakes under load. It returns once all is whole again, and leases have ended.
+// lease; it resumes under load. It returns once all views are complete again, and leases have ended.
 func (x *quotaProcessExperiment) playFaults(grantors, holder, other string) error {
 	wakes := 1000 + int(quotaLeaseMs) + 800
 	schedule := fmt.Sprintf("500ms kill %s\n600ms start %s\n1s stop %s\n%dms cont %s", grantors, grantors, holder, wakes, holder)
