--- a/decision/route/resolve.go
+++ b/decision/route/resolve.go
@@ -30,31 +30,31 @@
 // resolveValues reads the values that a rule takes from a message.
 func (t *Table) resolveValues(rule int, m *Message) (resolved Resolved, err error) {
 	r := &t.rules[rule]
-	v := valueReader{table: t, rule: rule, message: m}
+	v := valueReader{table: t, rule: rule}
 	resolved = Resolved{Rule: rule, Method: r.Method}
-	resolved.Customer = v.text("customer", &r.Customer)
-	if caller := v.text("caller", &r.Caller); caller != "" {
+	resolved.Customer = v.text("customer", &r.Customer, m)
+	if caller := v.text("caller", &r.Caller, m); caller != "" {
 		resolved.Caller = xxhash.Sum64String(caller)
 	}
-	resolved.Token = v.text("token", &r.Token)
+	resolved.Token = v.text("token", &r.Token, m)
 	if len(resolved.Token) > maxTokenBytes {
 		v.fail("token", fmt.Sprintf("up to %d bytes", maxTokenBytes), resolved.Token)
 	}
-	if subject := v.text("subject", &r.Subject); subject != "" {
+	if subject := v.text("subject", &r.Subject, m); subject != "" {
 		resolved.Subject = max(1, xxhash.Sum64String(subject))
 	}
-	resolved.Retry = v.flag("retry", &r.Retry)
-	resolved.Hint = v.number("hint", &r.Hint, maxCostHint)
-	resolved.Door = v.number("door", &r.Door, maxArrival)
+	resolved.Retry = v.flag("retry", &r.Retry, m)
+	resolved.Hint = v.number("hint", &r.Hint, m, maxCostHint)
+	resolved.Door = v.number("door", &r.Door, m, maxArrival)
 	return resolved, v.err
 }
 
-// valueReader reads the values of one rule and keeps the first error, after which all values are empty.
+// valueReader reads the values of one rule and keeps the first error, after which all values are empty. The message is
+// passed to each read, not held, so that it need not be allocated on the heap.
 type valueReader struct {
-	table   *Table
-	rule    int
-	message *Message
-	err     error
+	table *Table
+	rule  int
+	err   error
 }
 
 // fail sets the error. It is called while there is none.
@@ -62,11 +62,11 @@
 	v.err = &ValueError{Rule: v.table.rules[v.rule].Name, Key: key, Want: want, Got: got}
 }
 
-func (v *valueReader) text(key string, s *Source) string {
+func (v *valueReader) text(key string, s *Source, m *Message) string {
 	if v.err != nil {
 		return ""
 	}
-	value := v.table.sourceValue(v.rule, s, v.message)
+	value := v.table.sourceValue(v.rule, s, m)
 	if s.Names == nil || value == "" {
 		return value
 	}
@@ -77,8 +77,8 @@
 	return name
 }
 
-func (v *valueReader) flag(key string, s *Source) bool {
-	value := v.text(key, s)
+func (v *valueReader) flag(key string, s *Source, m *Message) bool {
+	value := v.text(key, s, m)
 	switch value {
 	case "", "0":
 		return false
@@ -91,8 +91,8 @@
 	return false
 }
 
-func (v *valueReader) number(key string, s *Source, highest float64) float64 {
-	value := v.text(key, s)
+func (v *valueReader) number(key string, s *Source, m *Message, highest float64) float64 {
+	value := v.text(key, s, m)
 	if value == "" || v.err != nil {
 		return 0
 	}
