--- a/internal/back/engine/engine_test.go
+++ b/internal/back/engine/engine_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/base64"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -19,57 +20,71 @@
 // soon bounds what must come at once; it is long only so that a busy machine fails no test.
 const soon = 10 * time.Second
 
-// stand is a stand-in for the engine, driven line by line.
-type stand struct {
+// fakeEngine is an engine that the test drives line by line.
+type fakeEngine struct {
 	*testing.T
-	ln   net.Listener
-	link *Link
-	conn net.Conn
-	in   *bufio.Scanner
-	ends chan string
-	cold chan bool
+	ln          net.Listener
+	link        *Link
+	conn        net.Conn
+	in          *bufio.Scanner
+	completions chan string
+	cold        chan bool
 }
 
-func start(t *testing.T, quiet time.Duration) *stand { return startRenewed(t, quiet, 2*soon) }
+func start(t *testing.T, quiet time.Duration) *fakeEngine {
+	return startWithHelloTimeout(t, quiet, 2*soon)
+}
 
-func startRenewed(t *testing.T, quiet, renew time.Duration) *stand {
+func startWithHelloTimeout(t *testing.T, quiet, renew time.Duration) *fakeEngine {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &stand{T: t, ln: ln, ends: make(chan string, 20), cold: make(chan bool, 20)}
-	s.link = New(ln.Addr().String(), log.WithField("node", "n0"), func(cold bool, ago time.Duration) { s.cold <- cold })
+	s := &fakeEngine{T: t, ln: ln, completions: make(chan string, 20), cold: make(chan bool, 20)}
+	s.link = New(ln.Addr().String(), log.WithField("node", "n0"), func(cold bool, _ time.Duration) { s.cold <- cold })
 	s.link.silenceTimeout, s.link.helloTimeout = quiet, renew
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan struct{})
 	go func() { s.link.Serve(ctx); close(over) }()
-	t.Cleanup(func() { end(); ln.Close(); <-over })
+	t.Cleanup(func() {
+		end()
+		_ = ln.Close() // the test may have closed it
+		<-over
+	})
 	return s
 }
 
+// noError fails the test on an error of what must work.
+func (s *fakeEngine) noError(err error) {
+	s.Helper()
+	if err != nil {
+		s.Error(err)
+	}
+}
+
 // accept takes the next link, which must attach after so many notices.
-func (s *stand) accept(last int) {
+func (s *fakeEngine) accept(last int) {
 	s.Helper()
 	conn, err := s.ln.Accept()
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.conn, s.in = conn, bufio.NewScanner(conn)
-	s.conn.SetDeadline(time.Now().Add(soon))
-	s.Cleanup(func() { conn.Close() })
+	s.noError(s.conn.SetDeadline(time.Now().Add(soon)))
+	s.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	s.reads(fmt.Sprintf(`{"t":"ATTACH","no":%d}`, last))
 }
 
-func (s *stand) reads(want string) {
+func (s *fakeEngine) reads(want string) {
 	s.Helper()
 	if !s.in.Scan() || s.in.Text() != want {
 		s.Fatalf("read %.99q, error %v; want %.99q", s.in.Text(), s.in.Err(), want)
 	}
 }
 
-func (s *stand) says(lines ...string) {
+func (s *fakeEngine) says(lines ...string) {
 	s.Helper()
 	if _, err := io.WriteString(s.conn, strings.Join(lines, "\n")+"\n"); err != nil {
 		s.Fatal(err)
@@ -77,7 +92,7 @@
 }
 
 // hello attaches a link: the STAT that follows is answered behind the notices missed.
-func (s *stand) hello(mark string, missed ...string) {
+func (s *fakeEngine) hello(mark string, missed ...string) {
 	s.Helper()
 	s.says(`{"t":"HELLO","status":"booting","time_ms":12.5}`)
 	s.says(append(missed, `{"t":"NOTE","no":0,"status":"x"}`)...)
@@ -85,24 +100,25 @@
 	s.says(`{"t":"STATS","mark":"` + mark + `","v":[0.5,2,0.1,7]}`)
 }
 
-func (s *stand) run(id, body string) {
+func (s *fakeEngine) run(id, body string) {
 	s.link.Run(id, "m", []byte(body), func(e Completion) {
-		end := fmt.Sprintf("%s ok %g %s", id, e.ServiceTime, e.Result)
-		if failed, ok := e.Err.(*retry.Error); ok {
+		end := fmt.Sprintf("%s ok %g %s", id, e.ServiceMs, e.Result)
+		var failed *retry.Error
+		if errors.As(e.Err, &failed) {
 			end = fmt.Sprintf("%s error %d", id, failed.Progress)
 		}
-		s.ends <- end
+		s.completions <- end
 	})
 }
 
-func (s *stand) runs(id, body string) string {
+func (s *fakeEngine) runs(id, body string) string {
 	return `{"t":"RUN","rid":"` + id + `","route":"m","b64":"` + base64.StdEncoding.EncodeToString([]byte(body)) + `"}`
 }
 
-func (s *stand) ended(want string) {
+func (s *fakeEngine) ended(want string) {
 	s.Helper()
 	select {
-	case got := <-s.ends:
+	case got := <-s.completions:
 		if got != want {
 			s.Fatalf("end %q, want %q", got, want)
 		}
@@ -116,16 +132,16 @@
 		base64.StdEncoding.EncodeToString([]byte(body)))
 }
 
-// A move before there is any engine is not held up by the pause for the address as it was.
-func TestMoveFirst(t *testing.T) {
+// A new address before there is any engine is not held up by the backoff for the old one.
+func TestSetAddrBeforeConnect(t *testing.T) {
 	s := start(t, soon)
-	s.ln.Close()
+	s.noError(s.ln.Close())
 	s.run("a", "x")
 	var err error
 	if s.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	defer s.ln.Close()
+	defer func() { s.noError(s.ln.Close()) }()
 	for range 3 {
 		s.link.SetAddr(s.ln.Addr().String())
 	}
@@ -153,7 +169,7 @@
 
 // A link whose ATTACH was lost, as with a break, is made anew; so is each while the engine has yet to start.
 func TestAttachLost(t *testing.T) {
-	s := startRenewed(t, soon, 200*time.Millisecond)
+	s := startWithHelloTimeout(t, soon, 200*time.Millisecond)
 	s.run("a", "x")
 	for range 2 {
 		s.accept(0) // and nothing comes back
@@ -166,9 +182,9 @@
 func TestLink(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(s *stand)
+		do   func(s *fakeEngine)
 	}{
-		{"runs and their ends", func(s *stand) {
+		{"runs and their ends", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "\x00\xff")
@@ -179,7 +195,7 @@
 			s.ended("b error 2")
 			s.ended("a ok 1.5 \xfe")
 		}},
-		{"an engine that starts long after", func(s *stand) {
+		{"an engine that starts long after", func(s *fakeEngine) {
 			s.run("a", "x")
 			s.accept(0)
 			s.run("b", "x")
@@ -187,7 +203,7 @@
 			s.reads(s.runs("a", "x"))
 			s.reads(s.runs("b", "x"))
 		}},
-		{"a move: nothing waits for the old link to end, and what runs is found at the new address", func(s *stand) {
+		{"a move: nothing waits for the old link to end, and what runs is found at the new address", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
@@ -197,7 +213,7 @@
 			if s.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 				s.Fatal(err)
 			}
-			defer s.ln.Close()
+			defer func() { s.noError(s.ln.Close()) }()
 			s.link.mu.Lock()
 			for s.link.lastNotice == 0 { // until that notice has been read
 				s.link.mu.Unlock()
@@ -212,7 +228,7 @@
 			s.ended("a ok 1.5 r")
 			s.reads(s.runs("b", "y"))
 		}},
-		{"a break: missed notices come first, then what still runs is sent again", func(s *stand) {
+		{"a break: missed notices come first, then what still runs is sent again", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
@@ -223,7 +239,7 @@
 			s.reads(s.runs("c", "x"))
 			s.says(done(1, "c", "success", ""))
 			s.ended("c ok 1.5 ")
-			s.conn.Close()
+			s.noError(s.conn.Close())
 			s.accept(1)
 			s.hello("2", done(1, "b", "failure", ""), done(2, "a", "success", "r"))
 			s.ended("a ok 1.5 r")
@@ -231,31 +247,31 @@
 			s.says(done(2, "b", "success", ""), done(3, "b", "success", "s"))
 			s.ended("b ok 1.5 s")
 		}},
-		{"not known after a break: it may have run before", func(s *stand) {
+		{"not known after a break: it may have run before", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
 			s.reads(s.runs("a", "x"))
-			s.conn.Close()
+			s.noError(s.conn.Close())
 			s.accept(0)
 			s.hello("2")
 			s.reads(s.runs("a", "x"))
 			s.says(`{"t":"NO","status":"RUN","rid":"a"}`)
 			s.ended("a error 2")
 		}},
-		{"nothing was started anew after a break: it may have run before, and its end be lost", func(s *stand) {
+		{"nothing was started anew after a break: it may have run before, and its end be lost", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
 			s.reads(s.runs("a", "x"))
-			s.conn.Close()
+			s.noError(s.conn.Close())
 			s.accept(0)
 			s.hello("2", done(4200, "z", "success", "")) // more have passed than are kept
 			s.reads(s.runs("a", "x"))
 			s.says(done(4201, "a", "nothing", ""))
 			s.ended("a error 2")
 		}},
-		{"the same try sent to us twice runs once", func(s *stand) {
+		{"the same try sent to us twice runs once", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
@@ -265,7 +281,7 @@
 			s.ended("a error 2")
 			s.ended("a error 2")
 		}},
-		{"commands not carried out, and lines that make no sense", func(s *stand) {
+		{"commands not carried out, and lines that make no sense", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
@@ -278,13 +294,14 @@
 			s.says(`{"t":"DONE","no":2,"rid":"b","status":"success","b64":"?"}`)
 			s.ended("b error 2")
 		}},
-		{"a line without end", func(s *stand) {
+		{"a line without end", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
-			go s.conn.Write(make([]byte, 2*maxLineBytes))
+			conn := s.conn
+			go func() { _, _ = conn.Write(make([]byte, 2*maxLineBytes)) }() // the link ends within it
 			s.accept(0)
 		}},
-		{"nothing started, and too many runs", func(s *stand) {
+		{"nothing started, and too many runs", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
@@ -297,7 +314,7 @@
 			s.run("b", "x")
 			s.ended("b error 0")
 		}},
-		{"an engine that reads nothing holds up neither runs nor the clock", func(s *stand) {
+		{"an engine that reads nothing holds up neither runs nor the clock", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("first", "x") // once it is read the link is in step
@@ -311,7 +328,7 @@
 				s.reads(s.runs(fmt.Sprint(i), body))
 			}
 		}},
-		{"gauges, and none in time", func(s *stand) {
+		{"gauges, and none in time", func(s *fakeEngine) {
 			s.accept(0)
 			if v := s.link.Gauges(soon); v != nil {
 				s.Errorf("gauges %v before any were told", v)
--- a/internal/back/engine/runner.go
+++ b/internal/back/engine/runner.go
@@ -1,7 +1,5 @@
 package engine
 
-// This file owns the link as a back of the gate's. It must never call a run not started that may have been.
-
 import (
 	"errors"
 
@@ -9,19 +7,19 @@
 	"sorrelvalve/internal/gate"
 )
 
-// Runner has runs done by the engine. An error that proves that nothing ran is told as such; any other may have had its
-// effect.
+// Runner returns the link as a runner of the gate. An error that proves that nothing ran is reported as such; any other
+// run may have had its effect.
 func (l *Link) Runner() gate.Runner {
 	return func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
-		l.Run(w.ID, w.Method, w.Body, func(e Completion) {
+		l.Run(w.ID, w.Method, w.Body, func(c Completion) {
 			var failed *retry.Error
 			switch {
-			case e.Err == nil:
-				done(gate.Succeeded, e.ServiceTime, nil, e.Result)
-			case errors.As(e.Err, &failed) && failed.Progress < retry.MayHaveRun:
-				done(gate.NotStarted, e.ServiceTime, nil, nil)
+			case c.Err == nil:
+				done(gate.Succeeded, c.ServiceMs, nil, c.Result)
+			case errors.As(c.Err, &failed) && failed.Progress < retry.MayHaveRun:
+				done(gate.NotStarted, c.ServiceMs, nil, nil)
 			default:
-				done(gate.Failed, e.ServiceTime, nil, nil)
+				done(gate.Failed, c.ServiceMs, nil, nil)
 			}
 		})
 	}
