--- a/decision/recovery/recovery_test.go
+++ b/decision/recovery/recovery_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestTell(t *testing.T) {
+func TestResolve(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		e    Entry
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestMay(t *testing.T) {
+func TestAdmit(t *testing.T) {
 	sound := Disk{CapacityBytes: 1000, UsedBytes: 500, ReservedBytes: 100, FreesAtMs: 5000}
 	for _, c := range []struct {
 		name   string
--- a/internal/store/compare/compare_test.go
+++ b/internal/store/compare/compare_test.go
@@ -19,8 +19,8 @@
 	"sorrelvalve/internal/store"
 )
 
-// kept is what each must do.
-type kept interface {
+// tokenLog is what each library must do.
+type tokenLog interface {
 	put(key uint64, value []byte) error // durable when it returns
 	close() error
 }
@@ -34,25 +34,25 @@
 }
 func (l logStore) close() error { return l.s.Close() }
 
-type bolt struct{ db *bbolt.DB }
+type boltStore struct{ db *bbolt.DB }
 
 var bucket = []byte("tokens")
 
-func (b bolt) put(key uint64, value []byte) error {
+func (b boltStore) put(key uint64, value []byte) error {
 	return b.db.Batch(func(tx *bbolt.Tx) error {
 		return tx.Bucket(bucket).Put(binary.BigEndian.AppendUint64(nil, key), value)
 	})
 }
-func (b bolt) close() error { return b.db.Close() }
+func (b boltStore) close() error { return b.db.Close() }
 
-type pebbles struct{ db *pebble.DB }
+type pebbleStore struct{ db *pebble.DB }
 
-func (p pebbles) put(key uint64, value []byte) error {
+func (p pebbleStore) put(key uint64, value []byte) error {
 	return p.db.Set(binary.BigEndian.AppendUint64(nil, key), value, pebble.Sync)
 }
-func (p pebbles) close() error { return p.db.Close() }
+func (p pebbleStore) close() error { return p.db.Close() }
 
-func open(name, dir string) (kept, error) {
+func open(name, dir string) (tokenLog, error) {
 	switch name {
 	case "log":
 		fs, err := store.OpenDir(dir)
@@ -68,26 +68,27 @@
 			return nil, err
 		}
 		db.MaxBatchDelay = time.Millisecond // the default of 10 ms is all latency here
-		return bolt{db}, db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
+		return boltStore{db}, db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
 	}
-	db, err := pebble.Open(dir, &pebble.Options{Logger: quiet{}})
-	return pebbles{db}, err
+	db, err := pebble.Open(dir, &pebble.Options{Logger: quietLogger{}})
+	return pebbleStore{db}, err
 }
 
-type quiet struct{}
+type quietLogger struct{}
 
-func (quiet) Infof(string, ...any)      {}
-func (quiet) Errorf(string, ...any)     {}
-func (quiet) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
+func (quietLogger) Infof(string, ...any)      {}
+func (quietLogger) Errorf(string, ...any)     {}
+func (quietLogger) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
-func sizeOf(dir string) (n int64) {
-	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
+// sizeOf returns the bytes of all files in a folder. Those that go meanwhile are left out.
+func sizeOf(dir string) (n int64, err error) {
+	err = filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && !i.IsDir() {
 			n += i.Size()
 		}
 		return nil
 	})
-	return n
+	return n, err
 }
 
 // One token is a record as it begins and one of 512 bytes as it ends; 32 buyers at once.
@@ -123,7 +124,11 @@
 			}
 			wg.Wait()
 			b.StopTimer()
-			b.ReportMetric(float64(sizeOf(dir))/float64(b.N), "disk-B/op")
+			size, err := sizeOf(dir)
+			if err != nil {
+				b.Fatal(err)
+			}
+			b.ReportMetric(float64(size)/float64(b.N), "disk-B/op")
 			if err := k.close(); err != nil {
 				b.Fatal(err)
 			}
@@ -132,7 +137,9 @@
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "reopen-ms")
-			k.close()
+			if err := k.close(); err != nil {
+				b.Fatal(err)
+			}
 		})
 	}
 }
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -30,7 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	cases := []struct {
 		key    string
 		state  recovery.State
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -1,8 +1,5 @@
 package store
 
-// This file owns the way to the disk: what a store needs of a folder, and the real one. Tests put one in its place that
-// fails. It must never report as written what the system has not taken.
-
 import (
 	"errors"
 	"fmt"
@@ -12,90 +9,93 @@
 	"syscall"
 )
 
-// FS is one folder.
+// FS is the folder of a store. Tests replace it by one that fails.
 type FS interface {
-	Create(name string) (File, error) // empty; it must not exist
+	Create(name string) (File, error) // an empty file for appending; the name must not exist
 	Open(name string) (File, error)   // for reading
 	List() ([]string, error)
 	Remove(name string) error
-	Sync() error // of the folder: names that were created or removed
+	Sync() error // makes names that were created or removed durable
 	Close() error
 }
 
-// File is one file of it.
+// File is one file of a folder. Write appends.
 type File interface {
 	io.Writer
 	io.ReaderAt
-	Sync() error
+	Sync() error // makes what was written durable
 	Size() (int64, error)
 	Close() error
 }
 
-// ErrLocked is that another process has the folder.
+// ErrLocked is the error of OpenDir for a folder that another process uses.
 var ErrLocked = errors.New("store: another process uses the folder")
 
-// dir is a real folder, locked for this process.
-type dir struct {
+// lockName is the file whose lock marks a folder as used.
+const lockName = "LOCK"
+
+// osFolder is a folder of the file system, locked for this process.
+type osFolder struct {
 	path string
 	lock *os.File
 }
 
-// OpenDir locks a folder, which is made if it is not there.
+// OpenDir locks a folder and creates it if it does not exist. Closing the folder unlocks it.
 func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
 	}
-	lock, err := os.OpenFile(filepath.Join(path, "LOCK"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close() // nothing was written
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrLocked
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return &dir{path, lock}, nil
+	return &osFolder{path, lock}, nil
 }
 
-type file struct{ *os.File }
+type osFile struct{ *os.File }
 
-func (f file) Size() (int64, error) {
-	i, err := f.Stat()
+func (f osFile) Size() (int64, error) {
+	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	return i.Size(), nil
+	return info.Size(), nil
 }
 
-func (d *dir) Create(name string) (File, error) {
+func (d *osFolder) Create(name string) (File, error) {
 	f, err := os.OpenFile(filepath.Join(d.path, name), os.O_CREATE|os.O_EXCL|os.O_RDWR|os.O_APPEND, 0o600)
-	return file{f}, err
+	return osFile{f}, err
 }
 
-func (d *dir) Open(name string) (File, error) {
+func (d *osFolder) Open(name string) (File, error) {
 	f, err := os.Open(filepath.Join(d.path, name))
-	return file{f}, err
+	return osFile{f}, err
 }
 
-func (d *dir) List() (names []string, err error) {
-	all, err := os.ReadDir(d.path)
-	for _, e := range all {
+func (d *osFolder) List() (names []string, err error) {
+	entries, err := os.ReadDir(d.path)
+	for _, e := range entries {
 		names = append(names, e.Name())
 	}
 	return names, err
 }
 
-func (d *dir) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
+func (d *osFolder) Remove(name string) error { return os.Remove(filepath.Join(d.path, name)) }
 
-func (d *dir) Sync() error {
+func (d *osFolder) Sync() error {
 	f, err := os.Open(d.path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was opened to be synced only
 	return f.Sync()
 }
 
-func (d *dir) Close() error { return d.lock.Close() }
+func (d *osFolder) Close() error { return d.lock.Close() }
--- a/internal/store/gate_test.go
+++ b/internal/store/gate_test.go
@@ -14,18 +14,18 @@
 	"sorrelvalve/internal/store"
 )
 
-const told = "classes.count=2\nclasses.0.name=view\nclasses.0.aim=1000000000\nclasses.0.give_up=2000000000\n" +
+const serverSettings = "classes.count=2\nclasses.0.name=view\nclasses.0.aim=1000000000\nclasses.0.give_up=2000000000\n" +
 	"classes.1.name=buy\nclasses.1.aim=1000000000\nclasses.1.give_up=2000000000\nclasses.1.idempotency=idempotency_key\nclasses.1.window=8000000000\n" +
 	"family_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\nlimits.max_retry_after=60000000000\n"
 
-// server is a gate whose tokens are kept on a disk that fails.
+// server is a gate whose tokens are stored on a disk that can fail.
 type server struct {
 	*rig
 	g *gate.Gate
 }
 
-func serve(t interface{ Fatalf(string, ...any) }) *server {
-	s := &server{rig: &rig{t: t, disk: standin.NewDisk(1), b: usual, at: 1.7e12}}
+func startServer(t failer) *server {
+	s := &server{rig: &rig{t: t, disk: standin.NewDisk(1), b: defaultLimits, at: 1.7e12}}
 	s.b.MaxWindow = 10e3
 	s.restart()
 	return s
@@ -33,8 +33,8 @@
 
 // restart opens store and gate anew, as a process does.
 func (s *server) restart() {
-	s.must()
-	o, err := startup.Parse(told)
+	s.mustOpen()
+	o, err := startup.Parse(serverSettings)
 	if err != nil {
 		s.t.Fatalf("%v", err)
 	}
@@ -46,16 +46,16 @@
 
 func (s *server) crash() {
 	s.disk.PowerOff()
-	s.s.Close()
+	_ = s.s.Close() // the power is off
 	s.disk.Configure(func(d *standin.Disk) { d.FailSyncs, d.Delay = 0, 0 })
 	s.restart()
 }
 
-func (s *server) enter(key, body string) (*gate.Ticket, error) {
+func (s *server) submit(key, body string) (*gate.Ticket, error) {
 	return s.g.Submit(gate.RPC{Method: "buy", Token: key, Body: []byte(body), ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
 }
 
-// verdict is the next one, in short.
+// verdict is the next verdict, in short.
 func (s *server) verdict(t *gate.Ticket) string {
 	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
 	defer end()
@@ -72,8 +72,8 @@
 	return "gone"
 }
 
-func (s *server) try(key, body string) (*gate.Ticket, string) {
-	t, err := s.enter(key, body)
+func (s *server) attempt(key, body string) (*gate.Ticket, string) {
+	t, err := s.submit(key, body)
 	if err != nil {
 		return nil, "no sense"
 	}
@@ -87,58 +87,58 @@
 		want string
 	}{
 		{"a repeat after a crash gets the first answer", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			first := s.verdict(a)
 			s.crash()
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return first + ", " + again
 		}, "ok done, ok done"},
 		{"with another body it makes no sense", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.verdict(a)
 			s.crash()
-			_, again := s.try("k", "y")
+			_, again := s.attempt("k", "y")
 			return again
 		}, "no sense"},
 		{"a crash while it runs: it may have run", func(s *server) string {
-			s.try("k", "x")
+			s.attempt("k", "x")
 			s.crash()
-			_, again := s.try("k", "x")
-			_, more := s.try("k", "x")
+			_, again := s.attempt("k", "x")
+			_, more := s.attempt("k", "x")
 			return again + ", " + more
 		}, "aborted, aborted"},
 		{"and may run once its window is over", func(s *server) string {
-			s.try("k", "x")
+			s.attempt("k", "x")
 			s.crash()
-			s.pass(9000)
-			_, again := s.try("k", "x")
+			s.advance(9000)
+			_, again := s.attempt("k", "x")
 			return again
 		}, "run"},
 		{"a crash between its end and the sync", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 20 * time.Millisecond })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.crash()
 			first := s.verdict(a)
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return first + ", " + again
 		}, "aborted, aborted"},
 		{"a sync that fails at its end: its caller hears what a repeat will", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			first := s.verdict(a)
 			s.crash()
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return first + ", " + again
 		}, "aborted, aborted"},
 		{"a sync that fails at its beginning: pushed back, and it may run later", func(s *server) string {
 			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
-			_, first := s.try("k", "x")
+			_, first := s.attempt("k", "x")
 			s.crash()
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return first + ", " + again
 		}, "pushed back, run"},
 		{"a full store pushes back what is tokened, and nothing else", func(s *server) string {
@@ -146,7 +146,7 @@
 			s.crash()
 			var last string
 			for i := range 5 {
-				_, last = s.try(fmt.Sprint(i), "x")
+				_, last = s.attempt(fmt.Sprint(i), "x")
 			}
 			v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
 			if err != nil {
@@ -156,7 +156,7 @@
 		}, "pushed back, run"},
 		{"a stalled disk: what is tokened waits, and nothing else", func(s *server) string {
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 200 * time.Millisecond })
-			a, err := s.enter("k", "x")
+			a, err := s.submit("k", "x")
 			if err != nil {
 				return err.Error()
 			}
@@ -173,11 +173,11 @@
 		}, "run, run"},
 		{"a stalled disk past the due time: answered then, and never run", func(s *server) string {
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 300 * time.Millisecond })
-			a, err := s.enter("k", "x")
+			a, err := s.submit("k", "x")
 			if err != nil {
 				return err.Error()
 			}
-			s.pass(2100)
+			s.advance(2100)
 			s.g.Tick(nil)
 			first := s.verdict(a)
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
@@ -193,7 +193,7 @@
 		}, "aborted"},
 		{"its caller leaves while it is being begun: it never runs, and a repeat may", func(s *server) string {
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
-			a, err := s.enter("k", "x")
+			a, err := s.submit("k", "x")
 			if err != nil {
 				return err.Error()
 			}
@@ -205,48 +205,48 @@
 					return "still in hand"
 				}
 			}
-			s.s.Close()
+			s.close()
 			s.restart()
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return first + ", " + again
 		}, "gone, run"},
 		{"a repeat that arrives during recovery: pushed back, then told what the first was", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.verdict(a)
 			s.crash()
 			kept := s.g
-			o, err := startup.Parse(told)
+			o, err := startup.Parse(serverSettings)
 			if err != nil {
 				return err.Error()
 			}
 			s.g = gate.New(o, 64, func(string, string) {}) // not started, as the store is being read
 			s.g.UseClock(func() time.Time { return time.UnixMilli(int64(s.now())) })
-			_, early := s.try("k", "x")
+			_, early := s.attempt("k", "x")
 			s.g = kept
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return early + ", " + again
 		}, "pushed back, ok done"},
 		{"the gate is closed while an end is on its way to the disk: never pushed back", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
 			a.Report(gate.Succeeded, 1, []byte("done"))
 			s.g.Close()
 			return s.verdict(a)
 		}, "aborted"},
 		{"a result too large to keep", func(s *server) string {
-			a, _ := s.try("k", "x")
+			a, _ := s.attempt("k", "x")
 			a.Report(gate.Succeeded, 1, make([]byte, 5000))
 			s.verdict(a)
 			s.crash()
-			_, again := s.try("k", "x")
+			_, again := s.attempt("k", "x")
 			return again
 		}, "aborted"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := serve(t)
-			defer func() { s.s.Close() }()
+			s := startServer(t)
+			defer s.close()
 			if got := c.do(s); got != c.want {
 				t.Errorf("%s; want %s; log %q", got, c.want, s.lines)
 			}
@@ -258,8 +258,8 @@
 // who was told ok is told the same for as long.
 func TestGateModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := serve(t)
-		defer func() { s.s.Close() }()
+		s := startServer(t)
+		defer s.close()
 		type known struct {
 			ran    float64 // when it last began; 0 for never
 			answer string
@@ -279,7 +279,7 @@
 				if k.open != nil {
 					continue // a repeat would wait for it
 				}
-				ticket, got := s.try(key, "x")
+				ticket, got := s.attempt(key, "x")
 				within := k.ran > 0 && s.now() < k.ran+8000
 				switch {
 				case got == "run" && within:
@@ -308,7 +308,7 @@
 					k.open = nil
 				}
 			case 4:
-				s.pass(rapid.Float64Range(0, 6000).Draw(t, "by"))
+				s.advance(rapid.Float64Range(0, 6000).Draw(t, "by"))
 			case 5:
 				s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
 			}
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -15,18 +15,18 @@
 		first := uint32(1)
 		for i := range rapid.IntRange(1, 4000).Draw(t, "steps") {
 			seg := first + uint32(i/200)
-			print := uint64(rapid.IntRange(0, 3000).Draw(t, "print")) * 0x9e3779b97f4a7c15
-			x.put(print, seg, uint32(i))
-			plain[print] = [2]uint32{seg, uint32(i)}
+			fingerprint := uint64(rapid.IntRange(0, 3000).Draw(t, "print")) * 0x9e3779b97f4a7c15
+			x.put(fingerprint, seg, uint32(i))
+			plain[fingerprint] = [2]uint32{seg, uint32(i)}
 			if i%1000 == 999 {
 				first += 2
 				x.dropBefore(first)
 			}
 		}
-		for print, want := range plain {
-			seg, off, has := x.get(print)
+		for fingerprint, want := range plain {
+			seg, off, has := x.get(fingerprint)
 			if has != (want[0] >= first) || has && (seg != want[0] || off != want[1]) {
-				t.Fatalf("%x: segment %d at %d, %v; want %v from %d on", print, seg, off, has, want, first)
+				t.Fatalf("%x: segment %d at %d, %v; want %v from %d on", fingerprint, seg, off, has, want, first)
 			}
 		}
 	})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -23,17 +23,23 @@
 
 const window = 10e3
 
-var usual = store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: window, ClockTolerance: 500}
+var defaultLimits = store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: window, ClockTolerance: 500}
 
-// rig is a store on a disk that fails, with a clock of its own.
+// failer is what testing.T and rapid.T have in common.
+type failer interface {
+	Errorf(string, ...any)
+	Fatalf(string, ...any)
+}
+
+// rig is a store on a disk that can fail, with a clock that the test moves.
 type rig struct {
-	t      interface{ Fatalf(string, ...any) }
+	t      failer
 	disk   *standin.Disk
 	b      store.Limits
 	s      *store.Store
 	mu     sync.Mutex
 	at     float64
-	window float64 // of today's settings, where it is longer
+	window float64 // of the settings of now, where it is longer
 	lines  []string
 }
 
@@ -43,7 +49,7 @@
 	return r.at
 }
 
-func (r *rig) pass(ms float64) {
+func (r *rig) advance(ms float64) {
 	r.mu.Lock()
 	r.at += ms
 	r.mu.Unlock()
@@ -59,24 +65,34 @@
 	return err
 }
 
-func (r *rig) must() {
+func (r *rig) mustOpen() {
 	if err := r.open(); err != nil {
 		r.t.Fatalf("open: %v", err)
 	}
 }
 
-func start(t interface{ Fatalf(string, ...any) }, b store.Limits) *rig {
+func start(t failer, b store.Limits) *rig {
 	r := &rig{t: t, disk: standin.NewDisk(1), b: b, at: 1.7e12}
-	r.must()
+	r.mustOpen()
 	return r
 }
 
+// close closes the store, which must succeed.
+func (r *rig) close() {
+	if r.s == nil {
+		return // it could not be opened
+	}
+	if err := r.s.Close(); err != nil {
+		r.t.Errorf("close: %v", err)
+	}
+}
+
 // crash is a power loss: what is under way fails, and the store is opened again.
 func (r *rig) crash() {
 	r.disk.PowerOff()
-	r.s.Close()
+	_ = r.s.Close() // the power is off
 	r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 0 })
-	r.must()
+	r.mustOpen()
 }
 
 func (r *rig) begin(key string, body uint64) error {
@@ -94,8 +110,22 @@
 	return <-done
 }
 
-// says is what a repeat is told, in short.
-func (r *rig) says(key string, body uint64) string {
+// mustBegin is begin, which must succeed.
+func (r *rig) mustBegin(key string, body uint64) {
+	if err := r.begin(key, body); err != nil {
+		r.t.Fatalf("begin %s: %v", key, err)
+	}
+}
+
+// mustEnd is end, which must succeed.
+func (r *rig) mustEnd(key string, state recovery.State, body uint64, result string) {
+	if err := r.end(key, state, body, result); err != nil {
+		r.t.Fatalf("end %s: %v", key, err)
+	}
+}
+
+// resolution is how a duplicate is answered, in short.
+func (r *rig) resolution(key string, body uint64) string {
 	f, has, err := r.s.Lookup(store.FingerprintOf(key))
 	switch {
 	case err != nil:
@@ -117,7 +147,7 @@
 }
 
 func (r *rig) expect(want, key string) {
-	if got := r.says(key, 7); got != want {
+	if got := r.resolution(key, 7); got != want {
 		r.t.Fatalf("%s: %q, want %q; log %q", key, got, want, r.lines)
 	}
 }
@@ -142,15 +172,15 @@
 		do   func(r *rig)
 	}{
 		{"a restart", func(r *rig) {
-			r.begin("a", 7)
-			r.end("a", recovery.Succeeded, 7, strings.Repeat("x", 600))
-			r.begin("b", 7)
-			r.begin("c", 7)
-			r.end("c", recovery.Failed, 7, "")
-			r.begin("d", 7)
-			r.end("d", recovery.Succeeded, 7, strings.Repeat("x", 2000))
-			r.begin("e", 7)
-			r.end("e", recovery.NeverRan, 7, "")
+			r.mustBegin("a", 7)
+			r.mustEnd("a", recovery.Succeeded, 7, strings.Repeat("x", 600))
+			r.mustBegin("b", 7)
+			r.mustBegin("c", 7)
+			r.mustEnd("c", recovery.Failed, 7, "")
+			r.mustBegin("d", 7)
+			r.mustEnd("d", recovery.Succeeded, 7, strings.Repeat("x", 2000))
+			r.mustBegin("e", 7)
+			r.mustEnd("e", recovery.NeverRan, 7, "")
 			r.crash()
 			r.expect("answer "+strings.Repeat("x", 600), "a")
 			r.expect("may have run", "b")
@@ -158,17 +188,17 @@
 			r.expect("has run", "d")
 			r.expect("unknown", "e")
 			r.expect("unknown", "f")
-			if got := r.says("a", 8); got != "other body" {
+			if got := r.resolution("a", 8); got != "other body" {
 				r.t.Fatalf("says %q", got)
 			}
 		}},
 		{"entries age out, and their segments go", func(r *rig) {
 			for i := range 100 {
-				r.begin(fmt.Sprint(i), 7)
-				r.end(fmt.Sprint(i), recovery.Succeeded, 7, "x")
+				r.mustBegin(fmt.Sprint(i), 7)
+				r.mustEnd(fmt.Sprint(i), recovery.Succeeded, 7, "x")
 			}
 			before := r.s.Status()
-			r.pass(window + 1000)
+			r.advance(window + 1000)
 			r.expect("unknown", "1")
 			r.s.Reserve()
 			if after := r.s.Status(); before.Segments < 2 || after.Segments != 1 || after.UsedBytes > 9000 {
@@ -176,17 +206,17 @@
 			}
 		}},
 		{"a run that goes on keeps its segment", func(r *rig) {
-			r.begin("long", 7)
+			r.mustBegin("long", 7)
 			for i := range 200 {
-				r.begin(fmt.Sprint(i), 7)
-				r.end(fmt.Sprint(i), recovery.Succeeded, 7, "x")
+				r.mustBegin(fmt.Sprint(i), 7)
+				r.mustEnd(fmt.Sprint(i), recovery.Succeeded, 7, "x")
 			}
-			r.pass(window + 1000)
+			r.advance(window + 1000)
 			r.s.Reserve()
 			if n := r.s.Status().Segments; n < 2 {
 				r.t.Fatalf("%d segments", n)
 			}
-			r.end("long", recovery.Succeeded, 7, "late")
+			r.mustEnd("long", recovery.Succeeded, 7, "late")
 			r.s.Reserve()
 			r.expect("answer late", "long")
 			if n := r.s.Status().Segments; n != 1 {
@@ -194,7 +224,7 @@
 			}
 		}},
 		{"a torn tail", func(r *rig) {
-			r.begin("a", 7)
+			r.mustBegin("a", 7)
 			r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = true })
 			if r.begin("b", 7) == nil {
 				r.t.Fatalf("begun on a disk that takes half")
@@ -208,7 +238,7 @@
 		}},
 		{"a flipped bit before the tail: nothing new until all windows are over", func(r *rig) {
 			for i := range 10 {
-				r.begin(fmt.Sprint(i), 7)
+				r.mustBegin(fmt.Sprint(i), 7)
 			}
 			r.disk.FlipBit(r.segment(-1), 100)
 			r.crash()
@@ -216,20 +246,20 @@
 			if x == nil || x.RetryAfterMs < window {
 				r.t.Fatalf("%+v", x)
 			}
-			r.pass(window + 501)
+			r.advance(window + 501)
 			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v", x)
 			}
 		}},
 		{"a flipped bit in the last record: as a torn tail", func(r *rig) {
-			r.begin("a", 7)
-			r.begin("b", 7)
+			r.mustBegin("a", 7)
+			r.mustBegin("b", 7)
 			r.disk.FlipBit(r.segment(-1), -3)
 			r.crash()
 			r.expect("may have run", "a")
 		}},
 		{"a sync that fails once: what it was to keep has not begun, and a new segment takes over", func(r *rig) {
-			r.begin("a", 7)
+			r.mustBegin("a", 7)
 			r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 			if err := r.begin("b", 7); !errors.Is(err, store.ErrNotDurable) {
 				r.t.Fatalf("%v", err)
@@ -237,7 +267,7 @@
 			if x := r.s.Reserve(); x == nil {
 				r.t.Fatalf("it may begin on a broken disk")
 			}
-			r.end("a", recovery.Succeeded, 7, "x") // which begins the new segment
+			r.mustEnd("a", recovery.Succeeded, 7, "x") // which begins the new segment
 			if err := r.begin("c", 7); err != nil {
 				r.t.Fatalf("%v", err)
 			}
@@ -270,20 +300,20 @@
 			if x = r.s.Reserve(); x != nil && x.RetryAfterMs > window+1000 {
 				r.t.Fatalf("%+v", x)
 			}
-			r.pass(window + 1000)
+			r.advance(window + 1000)
 			if x := r.s.Reserve(); x != nil {
 				r.t.Fatalf("%+v once all is over", x)
 			}
 		}},
 		{"a disk that is full before the bounds are", func(r *rig) {
-			r.begin("a", 7)
+			r.mustBegin("a", 7)
 			r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = 10 })
 			if r.begin("b", 7) == nil {
 				r.t.Fatalf("begun without space")
 			}
 			r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = -1 })
 			for end := time.Now().Add(10 * time.Second); r.begin("c", 7) != nil; time.Sleep(time.Millisecond) {
-				r.end("x", recovery.NeverRan, 7, "")
+				_ = r.end("x", recovery.NeverRan, 7, "") // it fails until there is space
 				if time.Now().After(end) {
 					r.t.Fatalf("never written again")
 				}
@@ -292,25 +322,25 @@
 			r.expect("may have run", "a")
 		}},
 		{"an entry that can't be read: it must not run", func(r *rig) {
-			r.begin("a", 7)
+			r.mustBegin("a", 7)
 			r.disk.Configure(func(d *standin.Disk) { d.FailReads = true })
 			r.expect("unreadable", "a")
 			r.expect("unknown", "b")
 		}},
 		{"reads that fail during recovery", func(r *rig) {
-			r.begin("a", 7)
-			r.s.Close()
+			r.mustBegin("a", 7)
+			r.close()
 			r.disk.Configure(func(d *standin.Disk) { d.FailReads = true })
 			if err := r.open(); err == nil {
 				r.t.Fatalf("opened")
 			}
 			r.disk.Configure(func(d *standin.Disk) { d.FailReads = false })
-			r.must()
+			r.mustOpen()
 			r.expect("may have run", "a")
 		}},
 		{"a store of another version, and of another server: untouched", func(r *rig) {
-			r.begin("a", 7)
-			r.s.Close()
+			r.mustBegin("a", 7)
+			r.close()
 			name := r.segment(-1)
 			if _, err := store.Open(r.disk.Folder(), r.b, "n2", r.now, func(string, error) {}); !errors.Is(err, store.ErrOwner) {
 				r.t.Fatalf("%v", err)
@@ -320,38 +350,38 @@
 				r.t.Fatalf("%v", err)
 			}
 			r.disk.FlipBit(name, 7)
-			r.must()
+			r.mustOpen()
 			r.expect("may have run", "a")
 		}},
 		{"a clock stepped back by more than a window, and forward", func(r *rig) {
-			r.begin("a", 7)
-			r.end("a", recovery.Succeeded, 7, "x")
-			r.pass(-3 * window)
+			r.mustBegin("a", 7)
+			r.mustEnd("a", recovery.Succeeded, 7, "x")
+			r.advance(-3 * window)
 			r.crash()
 			r.expect("answer x", "a") // kept longer, never shorter
-			r.pass(3*window + window + 400)
+			r.advance(3*window + window + 400)
 			r.crash()
 			r.expect("answer x", "a") // within the tolerance
-			r.pass(200)
+			r.advance(200)
 			r.expect("unknown", "a")
 		}},
 		{"a window longer than before in the new settings", func(r *rig) {
-			r.begin("a", 7)
-			r.end("a", recovery.Succeeded, 7, "x")
-			r.s.Close()
+			r.mustBegin("a", 7)
+			r.mustEnd("a", recovery.Succeeded, 7, "x")
+			r.close()
 			r.b.MaxWindow, r.window = 3*window, 3*window
-			r.must()
-			r.pass(2 * window)
+			r.mustOpen()
+			r.advance(2 * window)
 			if r.s.Reserve(); r.s.Status().Segments != 2 {
 				r.t.Fatalf("its segment is gone")
 			}
 			r.expect("answer x", "a")
-			r.pass(window + 1000)
+			r.advance(window + 1000)
 			r.expect("unknown", "a")
 		}},
 		{"the power goes again and again while it is read", func(r *rig) {
-			r.begin("a", 7)
-			r.end("a", recovery.Succeeded, 7, "x")
+			r.mustBegin("a", 7)
+			r.mustEnd("a", recovery.Succeeded, 7, "x")
 			for range 20 {
 				r.crash()
 			}
@@ -364,7 +394,7 @@
 			r.s.Reserve()
 			done := make(chan error, 1)
 			r.s.RecordStart(store.FingerprintOf("a"), 7, r.now()+window, func(err error) { done <- err })
-			r.s.Close()
+			r.close()
 			if err := <-done; err != nil {
 				r.t.Fatalf("%v", err)
 			}
@@ -372,15 +402,15 @@
 			if err := <-done; err == nil {
 				r.t.Fatalf("begun after the end")
 			}
-			r.must()
+			r.mustOpen()
 			r.expect("may have run", "a")
 			r.expect("unknown", "b")
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, usual)
-			defer func() { r.s.Close() }()
+			r := start(t, defaultLimits)
+			defer r.close()
 			c.do(r)
 		})
 	}
@@ -390,11 +420,11 @@
 // written or not at all, and nothing is found that was never written.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := usual
+		b := defaultLimits
 		b.SegmentBytes = 600
 		r := start(t, b)
-		defer func() { r.s.Close() }()
-		r.disk.Configure(func(d *standin.Disk) {})
+		defer r.close()
+		r.disk.Configure(func(*standin.Disk) {})
 		type known struct {
 			sure  string          // what it must say; "" if it is not sure
 			maybe map[string]bool // else one of these
@@ -446,7 +476,7 @@
 				r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
 			}
 			for key, k := range model {
-				got := r.says(key, 7)
+				got := r.resolution(key, 7)
 				if k.sure != "" && got != k.sure || k.sure == "" && !k.maybe[got] {
 					t.Fatalf("%s: %q, want %q or %v; log %q", key, got, k.sure, k.maybe, r.lines)
 				}
@@ -465,17 +495,21 @@
 	if _, err := store.OpenDir(path); !errors.Is(err, store.ErrLocked) {
 		t.Error(err)
 	}
-	a.Close()
+	if err := a.Close(); err != nil {
+		t.Error(err)
+	}
 	b, err := store.OpenDir(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	s, err := store.Open(b, usual, "n", func() float64 { return 1e12 }, func(string, error) {})
+	defer func() { _ = b.Close() }() // closed by the store already, unless that was not opened
+	s, err := store.Open(b, defaultLimits, "n", func() float64 { return 1e12 }, func(string, error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
 	if _, err := os.Stat(filepath.Join(path, "00000001.seg")); err != nil {
 		t.Error(err)
 	}
@@ -484,7 +518,7 @@
 // Many at once share syncs.
 func TestGroupCommit(t *testing.T) {
 	r := start(t, store.Limits{MaxBytes: 1 << 24, SegmentBytes: 1 << 22, MaxResultBytes: 1 << 10, MaxWindow: window, ClockTolerance: 500})
-	defer r.s.Close()
+	defer r.close()
 	r.disk.Configure(func(d *standin.Disk) { d.Delay = 2 * time.Millisecond })
 	var wg sync.WaitGroup
 	for i := range 200 {
@@ -525,12 +559,16 @@
 				s.RecordEnd(store.FingerprintOf(fmt.Sprint(i)), recovery.Succeeded, 7, 2e12, nil, []byte("bought for 20 dollars"), func(error) { wg.Done() })
 			}
 			wg.Wait()
-			s.Close()
+			if err := s.Close(); err != nil {
+				b.Fatal(err)
+			}
 			var st store.Status
 			for b.Loop() {
 				s := open()
 				st = s.Status()
-				s.Close()
+				if err := s.Close(); err != nil {
+					b.Fatal(err)
+				}
 			}
 			b.ReportMetric(st.IndexKB*1024/float64(n), "B/entry")
 			b.ReportMetric(st.RecoveryTime.Seconds(), "s")
