--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
 	"sorrelvalve/decision/permit"
@@ -58,8 +59,8 @@
 
 func (x *trio) start(i int, fresh, join bool) (err error) {
 	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.net.Endpoint(x.peers[i].Name).ListenAddr(), DataDir: x.dirs[i], Bootstrap: fresh, Join: join, Log: quiet(), snapshotThreshold: 40}
-	if i == 0 {
-		o.writeDelay = x.slow
+	if i == 0 && x.slow > 0 {
+		o.wrapLog = func(l raft.LogStore) raft.LogStore { return delayedLog{LogStore: l, delay: x.slow} }
 	}
 	if x.all[i], err = Start(o); err != nil {
 		x.all[i] = nil
@@ -67,6 +68,19 @@
 	return err
 }
 
+// delayedLog is a log on a slow disk: each write takes longer by a delay.
+type delayedLog struct {
+	raft.LogStore
+	delay time.Duration
+}
+
+func (l delayedLog) StoreLog(e *raft.Log) error { return l.StoreLogs([]*raft.Log{e}) }
+
+func (l delayedLog) StoreLogs(e []*raft.Log) error {
+	time.Sleep(l.delay)
+	return l.LogStore.StoreLogs(e)
+}
+
 // leader waits for one that leads among some, and can commit.
 func (x *trio) leader(among ...int) int {
 	x.Helper()
@@ -163,7 +177,9 @@
 		hear(k, 3)
 		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
 		if err == nil && a.OK {
-			k.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1})
+			if _, err := k.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); err != nil {
+				t.Logf("permit %d is not returned: %v", a.PermitID, err)
+			}
 		}
 	}
 	lost := (x.leader(0, 1, 2) + 1) % 3
@@ -340,7 +356,9 @@
 		}
 		if err == nil {
 			for _, p := range st.Granted() {
-				k.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, PermitID: p.ID, Incarnation: 1})
+				if _, err := k.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, PermitID: p.ID, Incarnation: 1}); err != nil {
+					t.Logf("permit %d is not returned: %v", p.ID, err)
+				}
 			}
 		}
 	}
--- a/internal/permitserver/http.go
+++ b/internal/permitserver/http.go
@@ -1,7 +1,7 @@
 package permitserver
 
-// This file owns what clients ask a keeper, over HTTP with JSON: any keeper does, who does not lead names the leader. It must
-// never hold more than a bounded number of bounded bodies.
+// This file owns the clients' API over HTTP with JSON: any replica accepts requests, and one that is not the leader names the
+// leader. It must never hold more than a bounded number of bounded bodies.
 
 import (
 	"encoding/json"
@@ -9,6 +9,7 @@
 	"net"
 	"net/http"
 	"strconv"
+	"sync"
 	"time"
 
 	"sorrelvalve/decision/permit"
@@ -18,125 +19,181 @@
 
 const (
 	maxBodyBytes   = 4 << 20 // a roster of 4,096 servers takes about 300 KB
-	maxRequests    = 256
+	maxHeaderBytes = 8 << 10
+	maxRequests    = 256 // at a time
 	requestTimeout = 5 * time.Second
+	idleTimeout    = time.Minute // of a connection
 )
 
-// Serve answers clients on ln until it is closed, or until the keeper ends: with ErrBroken if that was by itself.
-func (k *Server) Serve(ln net.Listener) error {
-	places := make(chan struct{}, maxRequests)
-	answer := func(w http.ResponseWriter, v any, err error) {
-		var other *NotLeaderError
-		switch {
-		case errors.As(err, &other):
-			w.Header().Set(permitclient.LeaderHeader, other.Addr)
-			http.Error(w, err.Error(), http.StatusMisdirectedRequest)
-		case err != nil:
-			http.Error(w, err.Error(), http.StatusServiceUnavailable)
-		default:
-			b, _ := json.Marshal(v)
-			w.Header().Set("Content-Type", "application/json")
-			w.Write(b)
-		}
-	}
-	read := func(w http.ResponseWriter, r *http.Request, v any) bool {
-		d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-		d.DisallowUnknownFields()
-		if err := d.Decode(v); err != nil {
-			http.Error(w, "no message: "+err.Error(), http.StatusBadRequest)
-			return false
-		}
-		return true
+// Serve serves clients on ln until it is closed or the replica closes: with ErrCorruptLog if it closed of its own.
+func (s *Server) Serve(ln net.Listener) error {
+	server := &http.Server{
+		Handler:        limitRequests(s.routes()),
+		ReadTimeout:    requestTimeout,
+		WriteTimeout:   requestTimeout,
+		IdleTimeout:    idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/command", func(w http.ResponseWriter, r *http.Request) {
-		var c permit.Command
-		if read(w, r, &c) {
-			a, err := k.Do(c)
-			answer(w, a, err)
-		}
-	})
-	mux.HandleFunc("POST /v1/here", func(w http.ResponseWriter, r *http.Request) {
-		var h permitclient.Heartbeat
-		if read(w, r, &h) {
-			if !k.IsLeader() {
-				answer(w, nil, k.notLeader())
-				return
-			}
-			if len(h.MembersOut) > permitclient.MaxMembers || len(h.MemberDrains) > permitclient.MaxMembers {
-				http.Error(w, "too many members", http.StatusBadRequest)
-				return
-			}
-			answer(w, k.Heartbeat(h), nil)
-		}
-	})
-	mux.HandleFunc("POST /v1/release", func(w http.ResponseWriter, r *http.Request) {
-		var c release.Command
-		if read(w, r, &c) {
-			if c.Kind == release.Observe {
-				http.Error(w, "looks are the leader's", http.StatusBadRequest)
-				return
-			}
-			a, err := k.Release(c)
-			answer(w, a, err)
-		}
-	})
-	mux.HandleFunc("GET /v1/version", func(w http.ResponseWriter, r *http.Request) {
-		number, err := strconv.ParseUint(r.URL.Query().Get("number"), 10, 64)
-		if err != nil {
-			http.Error(w, "number: one expected", http.StatusBadRequest)
-			return
-		}
-		if !k.IsLeader() { // a copy may not have it yet; what is kept under a number never changes
-			answer(w, nil, k.notLeader())
-			return
-		}
-		if v := k.version(release.Settings, number); v != nil {
-			answer(w, v, nil)
-		} else {
-			http.Error(w, "not kept", http.StatusBadRequest)
-		}
-	})
-	mux.HandleFunc("POST /v1/keepers", func(w http.ResponseWriter, r *http.Request) {
-		var x permitclient.Replacement
-		if read(w, r, &x) {
-			answer(w, struct{}{}, k.Replace(x.Removed, Peer{Name: x.Added, RaftAddr: x.AddedRaftAddr}))
+	served := make(chan struct{})
+	var closer sync.WaitGroup
+	closer.Go(func() {
+		select {
+		case <-s.closed:
+			_ = server.Close() // the listener may be closed already
+		case <-served:
 		}
 	})
-	mux.HandleFunc("GET /v1/state", func(w http.ResponseWriter, r *http.Request) {
-		s, seen, err := k.State()
-		x := permitclient.Status{Leader: k.options.Name, Observations: seen, State: s}
-		if err == nil {
-			x.SettingsReleases, err = k.releaseState(release.Settings)
-			if err == nil {
-				x.ProgramReleases, err = k.releaseState(release.Program)
-			}
-			words, pushed := k.drainReports()
-			x.RejectedShare, x.Drains = pushed, s.DrainProgress(words)
-		}
-		answer(w, x, err)
-	})
-	srv := &http.Server{ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10,
-		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			select {
-			case places <- struct{}{}:
-				defer func() { <-places }()
-				mux.ServeHTTP(w, r)
-			default:
-				http.Error(w, "too many at a time", http.StatusTooManyRequests)
-			}
-		})}
-	go func() {
-		<-k.closed
-		srv.Close()
-	}()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+	err := server.Serve(ln)
+	close(served)
+	closer.Wait()
+	if !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
-	k.machine.mu.Lock()
-	defer k.machine.mu.Unlock()
-	if k.machine.corrupt {
+	if s.machine.isCorrupt() {
 		return ErrCorruptLog
 	}
 	return nil
 }
+
+// limitRequests rejects requests beyond maxRequests at a time.
+func limitRequests(next http.Handler) http.Handler {
+	slots := make(chan struct{}, maxRequests)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
+			next.ServeHTTP(w, r)
+		default:
+			http.Error(w, "too many at a time", http.StatusTooManyRequests)
+		}
+	})
+}
+
+func (s *Server) routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v1/command", s.serveCommand)
+	mux.HandleFunc("POST /v1/here", s.serveHeartbeat)
+	mux.HandleFunc("POST /v1/release", s.serveRelease)
+	mux.HandleFunc("GET /v1/version", s.serveVersion)
+	mux.HandleFunc("POST /v1/keepers", s.serveReplacement)
+	mux.HandleFunc("GET /v1/state", s.serveState)
+	return mux
+}
+
+// respond writes v as JSON, or the error with its status.
+func respond(w http.ResponseWriter, v any, err error) {
+	var notLeader *NotLeaderError
+	if errors.As(err, &notLeader) {
+		w.Header().Set(permitclient.LeaderHeader, notLeader.Addr)
+		http.Error(w, err.Error(), http.StatusMisdirectedRequest)
+		return
+	}
+	var body []byte
+	if err == nil {
+		body, err = json.Marshal(v)
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = w.Write(body) // a client that is gone retries
+}
+
+// decode reads the body's JSON into v. It reports whether it could; if not, it has responded.
+func decode(w http.ResponseWriter, r *http.Request, v any) bool {
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	d.DisallowUnknownFields()
+	if err := d.Decode(v); err != nil {
+		http.Error(w, "no message: "+err.Error(), http.StatusBadRequest)
+		return false
+	}
+	return true
+}
+
+func (s *Server) serveCommand(w http.ResponseWriter, r *http.Request) {
+	var c permit.Command
+	if !decode(w, r, &c) {
+		return
+	}
+	result, err := s.Do(c)
+	respond(w, result, err)
+}
+
+func (s *Server) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
+	var h permitclient.Heartbeat
+	if !decode(w, r, &h) {
+		return
+	}
+	if !s.IsLeader() {
+		respond(w, nil, s.notLeader())
+		return
+	}
+	if len(h.MembersOut) > permitclient.MaxMembers || len(h.MemberDrains) > permitclient.MaxMembers {
+		http.Error(w, "too many members", http.StatusBadRequest)
+		return
+	}
+	respond(w, s.Heartbeat(h), nil)
+}
+
+func (s *Server) serveRelease(w http.ResponseWriter, r *http.Request) {
+	var c release.Command
+	if !decode(w, r, &c) {
+		return
+	}
+	if c.Kind == release.Observe {
+		http.Error(w, "looks are the leader's", http.StatusBadRequest)
+		return
+	}
+	result, err := s.Release(c)
+	respond(w, result, err)
+}
+
+func (s *Server) serveVersion(w http.ResponseWriter, r *http.Request) {
+	number, err := strconv.ParseUint(r.URL.Query().Get("number"), 10, 64)
+	if err != nil {
+		http.Error(w, "number: one expected", http.StatusBadRequest)
+		return
+	}
+	if !s.IsLeader() { // a follower may not have it yet; what is stored under a number never changes
+		respond(w, nil, s.notLeader())
+		return
+	}
+	v := s.version(release.Settings, number)
+	if v == nil {
+		http.Error(w, "not kept", http.StatusBadRequest)
+		return
+	}
+	respond(w, v, nil)
+}
+
+func (s *Server) serveReplacement(w http.ResponseWriter, r *http.Request) {
+	var x permitclient.Replacement
+	if decode(w, r, &x) {
+		respond(w, struct{}{}, s.replacement(&x))
+	}
+}
+
+func (s *Server) serveState(w http.ResponseWriter, _ *http.Request) {
+	status, err := s.status()
+	respond(w, status, err)
+}
+
+// status returns all that the replica knows, for operators.
+func (s *Server) status() (permitclient.Status, error) {
+	permits, observations, err := s.State()
+	if err != nil {
+		return permitclient.Status{}, err
+	}
+	x := permitclient.Status{Leader: s.options.Name, Observations: observations, State: permits}
+	if x.SettingsReleases, err = s.releaseState(release.Settings); err != nil {
+		return permitclient.Status{}, err
+	}
+	if x.ProgramReleases, err = s.releaseState(release.Program); err != nil {
+		return permitclient.Status{}, err
+	}
+	reports, rejectedShare := s.drainReports()
+	x.RejectedShare = rejectedShare
+	x.Drains = permits.DrainProgress(reports)
+	return x, nil
+}
--- a/internal/permitserver/server_test.go
+++ b/internal/permitserver/server_test.go
@@ -63,7 +63,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
 	return ln.Addr().String()
 }
 
@@ -86,7 +88,7 @@
 	}
 	s.Client = permitclient.New(addrs)
 	t.Cleanup(func() {
-		s.Client.Close()
+		s.Close()
 		for name := range s.procs {
 			s.kill(name)
 		}
@@ -111,16 +113,18 @@
 
 func (s *set) kill(name string) {
 	if c := s.procs[name]; c != nil {
-		c.Process.Signal(syscall.SIGCONT)
-		c.Process.Kill()
-		c.Wait()
+		_ = c.Process.Signal(syscall.SIGCONT) // it may have ended
+		_ = c.Process.Kill()                  // likewise
+		_ = c.Wait()                          // it tells that it was killed
 		delete(s.procs, name)
 	}
 }
 
 func (s *set) signal(name string, x syscall.Signal) {
 	if c := s.procs[name]; c != nil {
-		c.Process.Signal(x)
+		if err := c.Process.Signal(x); err != nil {
+			s.Errorf("signal %v to %s: %v", x, name, err)
+		}
 	}
 }
 
@@ -168,7 +172,7 @@
 			defer wg.Done()
 			for ctx.Err() == nil {
 				one, done := context.WithTimeout(ctx, 2*time.Second)
-				s.Heartbeat(one, permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
+				_, _ = s.Heartbeat(one, permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1}) // without a leader, the next one counts
 				done()
 				select {
 				case <-ctx.Done():
@@ -272,7 +276,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(soon); !k.IsLeader() && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(soon); !k.IsLeader() && time.Now().Before(end); {
+		time.Sleep(10 * time.Millisecond)
 	}
 	if a, err := k.Do(permit.Command{ID: "1", Kind: permit.Halt, Actor: "me", Reason: "test"}); err != nil || !a.OK {
 		t.Errorf("%+v %v", a, err)
