--- a/internal/standin/cores.go
+++ b/internal/standin/cores.go
@@ -1,6 +1,3 @@
-// Package stand holds the stand-ins with which this repository tests and measures itself: an engine, application
-// servers, a membership service, callers, and a checker of the rules. They speak the published protocols on loopback
-// only, are bounded in count and time, and can be told to fail. Nothing that serves RPCs for others may depend on them.
 package standin
 
 import (
@@ -9,72 +6,77 @@
 	"time"
 )
 
-// Cores is a machine whose cores are shared by all that runs on it: each job gets an even part. Beyond a crowd the
-// machine loses time, as real ones do. Its clock is the real one.
+// Cores is a machine whose cores are shared evenly by all jobs on it. Above a number of jobs it loses throughput, as real
+// machines do. It runs on the real clock, and its methods may be called concurrently.
 type Cores struct {
-	mu     sync.Mutex
-	cores  float64
-	speed  float64
-	crowd  float64 // jobs above which time is lost
-	jobs   map[*job]struct{}
-	last   time.Time
-	timer  *time.Timer
-	use    float64 // share of the cores busy, of late
-	closed bool
+	mu         sync.Mutex
+	cores      float64
+	speed      float64
+	overloadAt float64 // jobs above which throughput is lost; 0 for never
+	jobs       map[*job]struct{}
+	advancedTo time.Time
+	timer      *time.Timer
+	busyShare  float64 // of the cores, smoothed
+	closed     bool
 }
 
 type job struct {
-	left float64 // ms of work
-	done func()
+	remainingMs float64 // of one core at speed 1
+	done        func()
 }
 
 const (
-	useTime = 250.0 // ms: the time constant of the gauge, half of the half second that it stands for
-	thrash  = 0.5   // of its speed is what a machine keeps with twice the crowd on it
-	never   = time.Hour
+	gaugeTimeConstantMs = 250.0 // half of the half second that the gauge stands for
+	overloadFactor      = 0.5   // share of the throughput left with twice the jobs of overloadAt
+	minJobMs            = 0.001
+	workRounding        = 1e-6 // ms of work below which a job is done
+	timeRounding        = 1e-3 // ms below which time counts as passed
+	timerSlack          = 20 * time.Microsecond
+	idleTimer           = time.Hour // the timer's time while nothing ends
 )
 
-// NewCores returns a machine. Beyond crowd jobs for each core it slows down; 0 for never.
-func NewCores(cores, crowd float64) *Cores {
-	c := &Cores{cores: cores, speed: 1, crowd: crowd * cores, jobs: map[*job]struct{}{}, last: time.Now()}
-	c.timer = time.AfterFunc(never, c.wake)
+// NewCores returns a machine that slows down above overloadPerCore jobs for each core; 0 for never.
+func NewCores(cores, overloadPerCore float64) *Cores {
+	c := &Cores{cores: cores, speed: 1, overloadAt: overloadPerCore * cores, jobs: map[*job]struct{}{}, advancedTo: time.Now()}
+	c.timer = time.AfterFunc(idleTimer, c.onTimer)
 	return c
 }
 
-// SetSpeed makes the machine slower or faster from now on; 0 has it stand still.
+// SetSpeed scales the machine's speed from now on; 0 makes it stand still.
 func (c *Cores) SetSpeed(speed float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	over := c.pass()
+	done := c.advance()
 	c.speed = speed
-	c.arm()
-	go each(over)
+	c.schedule()
+	go runAll(done)
 }
 
-// Run begins a job of some ms of work and calls done at its end, from another goroutine.
+// Run begins a job of some ms of work. done is called at its end from another goroutine.
 func (c *Cores) Run(work float64, done func()) {
 	c.mu.Lock()
-	over := c.pass()
+	ended := c.advance()
 	if !c.closed {
-		c.jobs[&job{math.Max(work, 0.001), done}] = struct{}{}
+		c.jobs[&job{math.Max(work, minJobMs), done}] = struct{}{}
 	}
-	c.arm()
+	c.schedule()
 	c.mu.Unlock()
-	each(over)
+	runAll(ended)
 }
 
-// Gauges are the share of the cores that is busy and the number of jobs.
-func (c *Cores) Gauges() (use, on float64) {
+// Gauges returns the busy share of the cores and the number of jobs.
+func (c *Cores) Gauges() (busyShare, jobs float64) {
 	c.mu.Lock()
-	over := c.pass()
-	use, on = c.use, float64(len(c.jobs))
-	c.arm()
+	ended := c.advance()
+	busyShare = c.busyShare
+	jobs = float64(len(c.jobs))
+	c.schedule()
 	c.mu.Unlock()
-	each(over)
-	return use, on
+	runAll(ended)
+	return busyShare, jobs
 }
 
-// Close ends the machine; what runs on it never ends.
+// Close ends the machine; its jobs never end.
 func (c *Cores) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,74 +85,77 @@
 	clear(c.jobs)
 }
 
-func (c *Cores) wake() {
+func (c *Cores) onTimer() {
 	c.mu.Lock()
-	over := c.pass()
-	c.arm()
+	ended := c.advance()
+	c.schedule()
 	c.mu.Unlock()
-	each(over)
+	runAll(ended)
 }
 
-func each(over []func()) {
-	for _, done := range over {
-		done()
+func runAll(done []func()) {
+	for _, f := range done {
+		f()
 	}
 }
 
-// rate is the work that one job gets done in a ms.
-func (c *Cores) rate() float64 {
+// jobRate is the work that one job gets done in a ms. The lock is held, as for the methods below.
+func (c *Cores) jobRate() float64 {
 	n := float64(len(c.jobs))
 	if n == 0 {
 		return 0
 	}
-	r := c.speed * math.Min(1, c.cores/n)
-	if c.crowd > 0 && n > c.crowd {
-		r *= math.Pow(thrash, n/c.crowd-1)
+	rate := c.speed * math.Min(1, c.cores/n)
+	if c.overloadAt > 0 && n > c.overloadAt {
+		rate *= math.Pow(overloadFactor, n/c.overloadAt-1)
 	}
-	return r
+	return rate
 }
 
-// pass lives through the time since the last look, job end by job end, and returns whose jobs are over.
-func (c *Cores) pass() (over []func()) {
+// shortestJobMs is the work left of the job that ends first; infinite without jobs.
+func (c *Cores) shortestJobMs() float64 {
+	shortest := math.Inf(1)
+	for j := range c.jobs {
+		shortest = math.Min(shortest, j.remainingMs)
+	}
+	return shortest
+}
+
+// advance plays the time since the last call, one job's end after the other, and returns the callbacks of the jobs that ended.
+func (c *Cores) advance() (ended []func()) {
 	now := time.Now()
 	for {
-		gap := float64(now.Sub(c.last)) / 1e6
-		rate := c.rate()
-		least := math.Inf(1)
-		for j := range c.jobs {
-			least = math.Min(least, j.left)
-		}
-		step := gap
+		elapsed := float64(now.Sub(c.advancedTo)) / float64(time.Millisecond)
+		rate := c.jobRate()
+		step := elapsed
 		if rate > 0 {
-			step = math.Min(gap, least/rate)
+			step = math.Min(elapsed, c.shortestJobMs()/rate)
 		}
 		busy := math.Min(1, float64(len(c.jobs))/c.cores)
-		c.use += (1 - math.Exp(-step/useTime)) * (busy - c.use)
-		c.last = c.last.Add(time.Duration(step * 1e6))
-		ended := false
+		c.busyShare += (1 - math.Exp(-step/gaugeTimeConstantMs)) * (busy - c.busyShare)
+		c.advancedTo = c.advancedTo.Add(time.Duration(step * float64(time.Millisecond)))
+		before := len(ended)
 		for j := range c.jobs {
-			if j.left -= step * rate; j.left <= 1e-6 {
+			j.remainingMs -= step * rate
+			if j.remainingMs <= workRounding {
 				delete(c.jobs, j)
-				over = append(over, j.done)
-				ended = true
+				ended = append(ended, j.done)
 			}
 		}
-		if !ended || gap-step < 1e-3 {
-			c.last = now
-			return over
+		if len(ended) == before || elapsed-step < timeRounding {
+			c.advancedTo = now
+			return ended
 		}
 	}
 }
 
-func (c *Cores) arm() {
-	rate := c.rate()
+// schedule sets the timer to the end of the next job.
+func (c *Cores) schedule() {
+	rate := c.jobRate()
 	if c.closed || rate == 0 {
-		c.timer.Reset(never)
+		c.timer.Reset(idleTimer)
 		return
 	}
-	least := math.Inf(1)
-	for j := range c.jobs {
-		least = math.Min(least, j.left)
-	}
-	c.timer.Reset(time.Duration(math.Max(0, least/rate)*1e6) + 20*time.Microsecond)
+	wait := math.Max(0, c.shortestJobMs()/rate)
+	c.timer.Reset(time.Duration(wait*float64(time.Millisecond)) + timerSlack)
 }
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -1,8 +1,5 @@
 package standin
 
-// This file owns the stand-in disk: a folder in memory that loses what was not synced when the power goes, tears what was
-// being written, flips bits, fills up, stalls and fails. It must never lose what a sync has confirmed, unless told to.
-
 import (
 	"errors"
 	"io"
@@ -14,84 +11,89 @@
 	"sorrelvalve/internal/store"
 )
 
-// Errors of the disk.
+// Errors of a Disk.
 var (
-	ErrNoSpace = errors.New("disk: no space left")
-	ErrIO      = errors.New("disk: input/output error")
-	errPower   = errors.New("disk: the power is out")
+	ErrNoSpace  = errors.New("disk: no space left")
+	ErrIO       = errors.New("disk: input/output error")
+	errPowerOff = errors.New("disk: the power is out")
+	errExists   = errors.New("disk: it exists")
+	errNotFound = errors.New("disk: no such file")
 )
 
-// Disk is a folder that fails as it is told.
+// Disk is a directory in memory that loses what was not synced when the power goes off, tears what was being written, flips
+// bits, fills up, stalls and fails. What a sync has confirmed it loses only by FailSyncs, FlipBit and Remove. The exported
+// fields are set by Configure, and read once nothing uses the disk.
 type Disk struct {
-	mu     sync.Mutex
-	chance *rand.Rand
-	data   map[string]*diskData
-	names  map[string]bool // that a sync of the folder has confirmed
-	life   int             // of the power: files opened in an earlier one are dead
-
-	FreeBytes    int           // bytes that may still be written; below 0 for any
-	FailSyncs    int           // so many syncs fail, and lose what they were to keep
-	FailReads    bool          //
-	ShortWrites  bool          // writes take half of what they are given, and fail
-	Delay        time.Duration // each write and sync takes so long
-	Writes       int
-	Syncs        int
+	mu          sync.Mutex
+	rand        *rand.Rand
+	data        map[string]*diskData
+	syncedNames map[string]bool // names that a sync of the directory has confirmed
+	incarnation int             // counts power failures: files opened before the latest are unusable
+
+	FreeBytes    int // bytes that may still be written; negative for no bound
+	FailSyncs    int // so many syncs fail and lose what they should have synced
+	FailReads    bool
+	ShortWrites  bool          // writes write half and fail with ErrIO
+	Delay        time.Duration // of each write and sync
+	Writes       int           // writes so far
+	Syncs        int           // syncs so far, failed ones included
 	BytesWritten int
 }
 
+// diskData is the contents of a file: what a sync has confirmed, and what was written since.
 type diskData struct {
-	kept  []byte // what a sync has confirmed
-	fresh []byte // what was written since
+	synced   []byte
+	unsynced []byte
 }
 
 // NewDisk returns an empty disk without faults.
 func NewDisk(seed int64) *Disk {
-	return &Disk{chance: rand.New(rand.NewSource(seed)), data: map[string]*diskData{}, names: map[string]bool{}, FreeBytes: -1}
+	return &Disk{rand: rand.New(rand.NewSource(seed)), data: map[string]*diskData{}, syncedNames: map[string]bool{}, FreeBytes: -1}
 }
 
-// Set changes how it fails.
+// Configure changes how the disk fails.
 func (d *Disk) Configure(change func(*Disk)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(d)
 }
 
-// PowerOff loses what was not synced, but for a part of the beginning of each file's rest, which may be torn; names that
-// were not synced may be gone. All files and the folder must be opened again.
+// PowerOff loses what was not synced, except for a random part at its beginning, which may be torn; names that were not synced
+// may be gone. Files and the folder must be opened again.
 func (d *Disk) PowerOff() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
+	d.incarnation++
 	for name, f := range d.data {
-		if !d.names[name] && d.chance.Intn(2) == 0 {
+		if !d.syncedNames[name] && d.rand.Intn(2) == 0 {
 			delete(d.data, name)
 			continue
 		}
-		f.kept = append(f.kept, f.fresh[:d.chance.Intn(len(f.fresh)+1)]...)
-		f.fresh = nil
+		f.synced = append(f.synced, f.unsynced[:d.rand.Intn(len(f.unsynced)+1)]...)
+		f.unsynced = nil
 	}
 }
 
-// FlipBit turns one bit of a file, counted from its end if at is below 0.
+// FlipBit flips one bit of a file at an offset, which counts from the end if it is negative.
 func (d *Disk) FlipBit(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.data[name]
-	f.kept, f.fresh = append(f.kept, f.fresh...), nil
+	f.synced, f.unsynced = append(f.synced, f.unsynced...), nil
 	if at < 0 {
-		at += len(f.kept)
+		at += len(f.synced)
 	}
-	f.kept[at] ^= 0x10
+	f.synced[at] ^= 0x10
 }
 
-// Size is the length of a file.
+// Size is the length of a file, which must exist.
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.data[name].kept) + len(d.data[name].fresh)
+	return len(d.data[name].synced) + len(d.data[name].unsynced)
 }
 
-// Names are the files there.
+// Files returns the names of all files, sorted.
 func (d *Disk) Files() (names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,134 +104,134 @@
 	return names
 }
 
-// Folder opens the folder, as a process does.
+// Folder opens the directory, as a process does at its start.
 func (d *Disk) Folder() store.FS {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return &folder{d, d.life}
+	return &diskFolder{d, d.incarnation}
 }
 
-type folder struct {
-	d    *Disk
-	life int
+type diskFolder struct {
+	disk        *Disk
+	incarnation int
 }
 
-func (f *folder) Create(name string) (store.File, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.life != f.d.life {
-		return nil, errPower
+func (f *diskFolder) Create(name string) (store.File, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.incarnation != f.disk.incarnation {
+		return nil, errPowerOff
 	}
-	if f.d.FreeBytes == 0 {
+	if f.disk.FreeBytes == 0 {
 		return nil, ErrNoSpace
 	}
-	if f.d.data[name] != nil {
-		return nil, errors.New("disk: it exists")
+	if f.disk.data[name] != nil {
+		return nil, errExists
 	}
-	f.d.data[name] = &diskData{}
-	return &diskFile{f.d, f.d.data[name], f.life}, nil
+	f.disk.data[name] = &diskData{}
+	return &diskFile{f.disk, f.disk.data[name], f.incarnation}, nil
 }
 
-func (f *folder) Open(name string) (store.File, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.data[name] == nil {
-		return nil, errors.New("disk: no such file")
+func (f *diskFolder) Open(name string) (store.File, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.data[name] == nil {
+		return nil, errNotFound
 	}
-	return &diskFile{f.d, f.d.data[name], f.life}, nil
+	return &diskFile{f.disk, f.disk.data[name], f.incarnation}, nil
 }
 
-func (f *folder) List() ([]string, error) { return f.d.Files(), nil }
+func (f *diskFolder) List() ([]string, error) { return f.disk.Files(), nil }
 
-func (f *folder) Remove(name string) error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.life != f.d.life {
-		return errPower
+func (f *diskFolder) Remove(name string) error {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.incarnation != f.disk.incarnation {
+		return errPowerOff
 	}
-	if x := f.d.data[name]; x != nil && f.d.FreeBytes >= 0 {
-		f.d.FreeBytes += len(x.kept) + len(x.fresh)
+	if x := f.disk.data[name]; x != nil && f.disk.FreeBytes >= 0 {
+		f.disk.FreeBytes += len(x.synced) + len(x.unsynced)
 	}
-	delete(f.d.data, name)
+	delete(f.disk.data, name)
 	return nil
 }
 
-func (f *folder) Sync() error {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.life != f.d.life {
-		return errPower
+func (f *diskFolder) Sync() error {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.incarnation != f.disk.incarnation {
+		return errPowerOff
 	}
-	for name := range f.d.data {
-		f.d.names[name] = true
+	for name := range f.disk.data {
+		f.disk.syncedNames[name] = true
 	}
 	return nil
 }
 
-func (f *folder) Close() error { return nil }
+func (f *diskFolder) Close() error { return nil }
 
 type diskFile struct {
-	d    *Disk
-	data *diskData
-	life int
+	disk        *Disk
+	data        *diskData
+	incarnation int
 }
 
-func (f *diskFile) stall() {
-	f.d.mu.Lock()
-	stall := f.d.Delay
-	f.d.mu.Unlock()
+func (f *diskFile) wait() {
+	f.disk.mu.Lock()
+	stall := f.disk.Delay
+	f.disk.mu.Unlock()
 	if stall > 0 {
 		time.Sleep(stall)
 	}
 }
 
 func (f *diskFile) Write(b []byte) (int, error) {
-	f.stall()
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.life != f.d.life {
-		return 0, errPower
+	f.wait()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.incarnation != f.disk.incarnation {
+		return 0, errPowerOff
 	}
-	f.d.Writes++
+	f.disk.Writes++
 	n, err := len(b), error(nil)
-	if f.d.ShortWrites {
+	if f.disk.ShortWrites {
 		n, err = n/2, ErrIO
 	}
-	if f.d.FreeBytes >= 0 && n > f.d.FreeBytes {
-		n, err = f.d.FreeBytes, ErrNoSpace
+	if f.disk.FreeBytes >= 0 && n > f.disk.FreeBytes {
+		n, err = f.disk.FreeBytes, ErrNoSpace
 	}
-	if f.d.FreeBytes >= 0 {
-		f.d.FreeBytes -= n
+	if f.disk.FreeBytes >= 0 {
+		f.disk.FreeBytes -= n
 	}
-	f.data.fresh = append(f.data.fresh, b[:n]...)
-	f.d.BytesWritten += n
+	f.data.unsynced = append(f.data.unsynced, b[:n]...)
+	f.disk.BytesWritten += n
 	return n, err
 }
 
 func (f *diskFile) Sync() error {
-	f.stall()
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.life != f.d.life {
-		return errPower
-	}
-	f.d.Syncs++
-	if f.d.FailSyncs > 0 { // as kernels do: the pages count as clean, and are lost
-		f.d.FailSyncs--
-		f.data.fresh = nil
+	f.wait()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.incarnation != f.disk.incarnation {
+		return errPowerOff
+	}
+	f.disk.Syncs++
+	if f.disk.FailSyncs > 0 { // as kernels do: the pages count as clean and are lost
+		f.disk.FailSyncs--
+		f.data.unsynced = nil
 		return ErrIO
 	}
-	f.data.kept, f.data.fresh = append(f.data.kept, f.data.fresh...), nil
+	f.data.synced, f.data.unsynced = append(f.data.synced, f.data.unsynced...), nil
 	return nil
 }
 
 func (f *diskFile) ReadAt(b []byte, off int64) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.FailReads {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.FailReads {
 		return 0, ErrIO
 	}
-	all := append(append([]byte(nil), f.data.kept...), f.data.fresh...)
+	all := append(append([]byte(nil), f.data.synced...), f.data.unsynced...)
 	if off >= int64(len(all)) {
 		return 0, io.EOF
 	}
@@ -241,9 +243,9 @@
 }
 
 func (f *diskFile) Size() (int64, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	return int64(len(f.data.kept) + len(f.data.fresh)), nil
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	return int64(len(f.data.synced) + len(f.data.unsynced)), nil
 }
 
 func (f *diskFile) Close() error { return nil }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,99 +1,100 @@
 package standin
 
-// This file owns the stand-in engine: JSON lines over TCP, runs on a machine of its own or one shared with others. It
-// must keep what the protocol promises: numbered notices, kept over links, and a run once for each id.
-
 import (
 	"bufio"
 	"encoding/base64"
 	"encoding/json"
 	"fmt"
-	"io"
 	"math/rand"
 	"net"
-	"strings"
 	"sync"
 	"time"
 )
 
-// Worker tells the work of a run in ms, and what it makes of the body; nil for an echo.
+// Worker returns the work of a run in ms, and its result; nil for an echo of the body.
 type Worker func(method string, body []byte) (work float64, result []byte)
 
-// Engine is a stand-in engine.
+// Engine is a stand-in engine: it speaks JSON lines over TCP and runs RPCs on Cores of its own or shared ones. As the protocol
+// promises, its notices are numbered and retained over links, and it runs each id once.
 type Engine struct {
-	cores *Cores
-	work  Worker
-	rules *InvariantChecker
-	ln    net.Listener
-
-	mu     sync.Mutex
-	no     uint64
-	past   [][]byte // notices from number first on
-	first  uint64
-	runs   map[string]bool
-	links  map[net.Conn]chan []byte // lines to be written, in their order
-	began  time.Time
-	closed bool
+	cores    *Cores
+	work     Worker
+	checker  *InvariantChecker
+	listener net.Listener
+
+	mu         sync.Mutex
+	lastNotice uint64
+	notices    [][]byte // the latest ones, from number first on
+	first      uint64
+	runs       map[string]bool
+	links      map[net.Conn]chan []byte // lines to be written to each attached link
+	startedAt  time.Time
 }
 
-// keptNotices is what the protocol says.
-const keptNotices = 4000
+const (
+	maxNotices     = 4000 // notices that the protocol has an engine retain
+	lineBufferSize = 64 << 10
+	maxLineSize    = 32 << 20
+)
 
-// NewEngine starts an engine on a loopback address; rules, which may be nil, hears of each run.
-func NewEngine(cores *Cores, work Worker, rules *InvariantChecker) (*Engine, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// NewEngine starts an engine on a loopback address; checker, which may be nil, is told of each run.
+func NewEngine(cores *Cores, work Worker, checker *InvariantChecker) (*Engine, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{cores: cores, work: work, rules: rules, ln: ln, first: 1, runs: map[string]bool{}, links: map[net.Conn]chan []byte{}, began: time.Now()}
+	e := &Engine{
+		cores: cores, work: work, checker: checker, listener: listener, first: 1,
+		runs: map[string]bool{}, links: map[net.Conn]chan []byte{}, startedAt: time.Now(),
+	}
 	go e.accept()
 	return e, nil
 }
 
-// Addr is where it listens.
-func (e *Engine) Addr() string { return e.ln.Addr().String() }
+// Addr is the address at which it listens.
+func (e *Engine) Addr() string { return e.listener.Addr().String() }
 
-// Close ends it and its links.
+// Close ends the engine and its links.
 func (e *Engine) Close() {
-	e.ln.Close()
+	_ = e.listener.Close() // only fails if it is closed already
 	e.DropLinks()
-	e.mu.Lock()
-	e.closed = true
-	e.mu.Unlock()
 }
 
-// DropLinks ends all links; runs go on.
+// DropLinks closes all links; runs go on.
 func (e *Engine) DropLinks() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for c := range e.links {
-		c.Close()
+		_ = c.Close() // the peer may have closed it
 	}
 }
 
 func (e *Engine) accept() {
 	for {
-		c, err := e.ln.Accept()
+		c, err := e.listener.Accept()
 		if err != nil {
 			return
 		}
-		go e.link(c)
+		go e.serveLink(c)
 	}
 }
 
-func (e *Engine) link(c net.Conn) {
-	out := make(chan []byte, keptNotices)
-	say := func(b []byte) {
-		select {
-		case out <- b:
-		default: // a peer that does not read has lost its link
-			c.Close()
-		}
+// queueLine queues a line for a link. A peer that doesn't read loses its link.
+func queueLine(c net.Conn, out chan<- []byte, line []byte) {
+	select {
+	case out <- line:
+	default:
+		_ = c.Close() // the peer may have closed it
 	}
+}
+
+// serveLink handles the commands of one link.
+func (e *Engine) serveLink(c net.Conn) {
+	out := make(chan []byte, maxNotices)
 	go func() {
-		for b := range out {
-			if _, err := c.Write(b); err != nil {
-				c.Close()
+		for line := range out {
+			if _, err := c.Write(line); err != nil {
+				_ = c.Close() // so that the reader ends too
 			}
 		}
 	}()
@@ -102,53 +103,74 @@
 		delete(e.links, c)
 		close(out)
 		e.mu.Unlock()
-		c.Close()
+		_ = c.Close() // the peer may have closed it
 	}()
 	in := bufio.NewScanner(c)
-	in.Buffer(make([]byte, 64<<10), 32<<20)
+	in.Buffer(make([]byte, lineBufferSize), maxLineSize)
 	for in.Scan() {
-		var cmd struct {
-			T, Rid, Route, B64, Mark string
-			No                       uint64
-		}
-		if json.Unmarshal(in.Bytes(), &cmd) != nil {
+		if !e.handle(c, out, in.Bytes()) {
 			return
 		}
-		switch cmd.T {
-		case "ATTACH":
-			e.mu.Lock()
-			hello := fmt.Appendf(nil, `{"t":"HELLO","status":"steady","time_ms":%d}`+"\n", time.Since(e.began).Milliseconds())
-			for n, b := range e.past {
-				if e.first+uint64(n) > cmd.No {
-					hello = append(hello, b...)
-				}
-			}
-			say(hello) // under the lock, so that no notice overtakes those that were missed
-			e.links[c] = out
-			e.mu.Unlock()
-		case "STAT":
-			use, on := e.cores.Gauges()
-			say(fmt.Appendf(nil, `{"t":"STATS","mark":%q,"v":[%g,%g]}`+"\n", cmd.Mark, use, on))
-		case "RUN":
-			body, err := base64.StdEncoding.DecodeString(cmd.B64)
-			if err != nil {
-				return
-			}
-			e.run(cmd.Rid, cmd.Route, body)
+	}
+}
+
+// command is one line of a peer.
+type command struct {
+	Type   string `json:"t"`
+	RunID  string `json:"rid"`
+	Method string `json:"route"`
+	Body   string `json:"b64"`
+	Mark   string `json:"mark"`
+	Notice uint64 `json:"no"` // the last one that the peer has
+}
+
+// handle handles a command; false ends the link.
+func (e *Engine) handle(c net.Conn, out chan []byte, line []byte) bool {
+	var cmd command
+	if json.Unmarshal(line, &cmd) != nil {
+		return false
+	}
+	switch cmd.Type {
+	case "ATTACH":
+		e.attach(c, out, cmd.Notice)
+	case "STAT":
+		use, jobs := e.cores.Gauges()
+		queueLine(c, out, fmt.Appendf(nil, `{"t":"STATS","mark":%q,"v":[%g,%g]}`+"\n", cmd.Mark, use, jobs))
+	case "RUN":
+		body, err := base64.StdEncoding.DecodeString(cmd.Body)
+		if err != nil {
+			return false
+		}
+		e.run(cmd.RunID, cmd.Method, body)
+	}
+	return true
+}
+
+// attach greets a link with the notices after lastSeen, and sends it all later ones.
+func (e *Engine) attach(c net.Conn, out chan []byte, lastSeen uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock() // held while the line is queued, so that no notice overtakes it
+	hello := fmt.Appendf(nil, `{"t":"HELLO","status":"steady","time_ms":%d}`+"\n", time.Since(e.startedAt).Milliseconds())
+	for i, notice := range e.notices {
+		if e.first+uint64(i) > lastSeen {
+			hello = append(hello, notice...)
 		}
 	}
+	queueLine(c, out, hello)
+	e.links[c] = out
 }
 
-func (e *Engine) run(rid, method string, body []byte) {
+// run runs an RPC, unless its id has run before.
+func (e *Engine) run(id, method string, body []byte) {
 	e.mu.Lock()
-	again := e.runs[rid]
-	e.runs[rid] = true
+	known := e.runs[id]
+	e.runs[id] = true
 	e.mu.Unlock()
-	if again {
+	if known {
 		return
 	}
-	if e.rules != nil {
-		e.rules.RecordRun(method, body)
+	if e.checker != nil {
+		e.checker.RecordRun(method, body)
 	}
 	work, result := e.work(method, body)
 	if result == nil {
@@ -156,78 +178,40 @@
 	}
 	began := time.Now()
 	e.cores.Run(work, func() {
-		e.notice(`"t":"DONE","rid":%q,"status":"success","time_ms":%g,"b64":%q`, rid, float64(time.Since(began))/1e6, base64.StdEncoding.EncodeToString(result))
+		ms := float64(time.Since(began)) / float64(time.Millisecond)
+		e.notify(`"t":"DONE","rid":%q,"status":"success","time_ms":%g,"b64":%q`, id, ms, base64.StdEncoding.EncodeToString(result))
 	})
 }
 
-func (e *Engine) notice(format string, a ...any) {
+// notify numbers a notice, retains it and sends it to all links.
+func (e *Engine) notify(format string, a ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.no++
-	b := fmt.Appendf(nil, `{"no":%d,`+format+"}\n", append([]any{e.no}, a...)...)
-	if e.past = append(e.past, b); len(e.past) > keptNotices {
-		e.past = e.past[1:]
+	e.lastNotice++
+	notice := fmt.Appendf(nil, `{"no":%d,`+format+"}\n", append([]any{e.lastNotice}, a...)...)
+	e.notices = append(e.notices, notice)
+	if len(e.notices) > maxNotices {
+		e.notices = e.notices[1:]
 		e.first++
 	}
 	for c, out := range e.links {
-		select {
-		case out <- b:
-		default:
-			c.Close()
-		}
+		queueLine(c, out, notice)
 	}
 }
 
-// Mixed is a Worker by method: lognormal-like work around a mean, from a seed.
+// WorkByMethod is a Worker that draws each work around its method's mean, from a seed, and echoes the body.
 func WorkByMethod(means map[string]float64, seed int64) Worker {
 	var mu sync.Mutex
-	chance := rand.New(rand.NewSource(seed))
-	return func(method string, body []byte) (float64, []byte) {
+	rng := rand.New(rand.NewSource(seed))
+	return func(method string, _ []byte) (float64, []byte) {
 		mu.Lock()
 		defer mu.Unlock()
-		return RandomWork(chance, means[method]), nil
+		return RandomWork(rng, means[method]), nil
 	}
 }
 
-// RandomWork is one draw around a mean, with a variation of 0.7: the sum of two exponential parts and a fixed one.
-func RandomWork(chance *rand.Rand, mean float64) float64 {
-	return mean * (0.1 + 0.9*(chance.ExpFloat64()+chance.ExpFloat64())/2)
-}
-
-// StartMembershipService is a membership service that takes every report. It returns its address and what ends it.
-func StartMembershipService() (addr string, end func(), err error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", nil, err
-	}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer c.Close()
-				c.SetDeadline(time.Now().Add(time.Minute))
-				in := bufio.NewReader(c)
-				for length := 0; ; {
-					line, err := in.ReadString('\n')
-					if err != nil {
-						return
-					}
-					fmt.Sscanf(strings.ToLower(line), "content-length: %d", &length)
-					if strings.TrimSpace(line) != "" {
-						continue
-					}
-					if _, err := in.Discard(min(length, 1<<10)); err != nil {
-						return
-					}
-					if _, err := io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n"); err != nil {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return ln.Addr().String(), func() { ln.Close() }, nil
+// RandomWork draws a work around a mean with a coefficient of variation of about 0.64: a fixed part of a tenth, and the mean of
+// two exponential ones.
+func RandomWork(rng *rand.Rand, mean float64) float64 {
+	return mean * (0.1 + 0.9*(rng.ExpFloat64()+rng.ExpFloat64())/2)
 }
--- a/internal/standin/script/script.go
+++ b/internal/standin/script/script.go
@@ -117,7 +117,7 @@
 	return s
 }
 
-// Names is the list in an argument; nil for *, everybody.
+// ParseNames is the list in an argument; nil for *, everybody.
 func ParseNames(s string) []string {
 	if s == "*" {
 		return nil
