--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -60,8 +60,7 @@
 			delete(instances, ev.Instance)
 			continue
 		case simwire.InstanceOpened:
-			c := ev.Config
-			instances[ev.Instance] = control.New(c.Node, c.Fleet, c.Dependency, c.Limits, c.Methods, c.Customers)
+			instances[ev.Instance] = control.New(ev.Config.Config)
 		}
 		controller := instances[ev.Instance]
 		if controller == nil {
--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -44,7 +44,7 @@
 		return fmt.Errorf("%d events in %d parts: too few to plan by", len(steps), c.Parts)
 	}
 	o := &r.Header.Startup
-	s := replay.Settings{Node: o.Node, Fleet: o.Fleet, Dependency: o.Dependency, Limits: o.Limits, Methods: o.Methods, Customers: o.Customers}
+	s := replay.Settings(o.Config)
 	p := plan.Search(s, split(steps, c.Parts), c.Budget, c.Seed)
 	text := c.file(&p, &s)
 	if err := validate(text, operator.KnownNames(o)); err != nil {
--- a/control/api.go
+++ b/control/api.go
@@ -4,6 +4,16 @@
 // and durations are milliseconds and all memory sizes kilobytes. The numeric values of the enumerations are stored in
 // traces and the start-up facts are stored there as JSON under the names in the tags: neither may change.
 
+// Config is what an instance is made from.
+type Config struct {
+	Node       Node
+	Fleet      Fleet
+	Dependency Dependency `json:"Below"`
+	Limits     Limits     `json:"Rules"`
+	Methods    []Method   // at least one
+	Customers  []Customer
+}
+
 // Idempotency says whether an RPC of a method may be executed more than once.
 type Idempotency int
 
--- a/control/control.go
+++ b/control/control.go
@@ -60,10 +60,10 @@
 	ranks          weightRanks
 }
 
-// New makes an instance for a server that is just starting. Its first event must be Started.
-func New(
-	node Node, fleet Fleet, dependency Dependency, limits Limits, methods []Method, customers []Customer,
-) *Controller {
+// New makes an instance for a server that is just starting. Its first event must be Started. The slices of the
+// configuration are read as long as the instance is in use.
+func New(config Config) *Controller {
+	node, fleet, methods := config.Node, config.Fleet, config.Methods
 	// These are divisors: missing or zero values must not lead to infinite or undefined shares.
 	fleet.Callers = max(1, fleet.Callers)
 	fleet.Peers = max(1, fleet.Peers)
@@ -71,8 +71,8 @@
 	c := &Controller{
 		node:               node,
 		methods:            methods,
-		drainGrace:         limits.DrainGrace,
-		displaceableFor:    limits.DisplaceableFor,
+		drainGrace:         config.Limits.DrainGrace,
+		displaceableFor:    config.Limits.DisplaceableFor,
 		overQuotaFraction:  fleet.OverQuotaFraction,
 		maxRetryAfter:      fleet.MaxRetryAfter,
 		propagatesDeadline: fleet.PropagatesDeadline,
@@ -81,9 +81,9 @@
 		random:             rand.New(rand.NewSource(int64(node.Seed))),
 		slowStart:          newSlowStart(node.WarmingUp, node.WarmUpTime, fleet.Callers, node.Seed),
 		pressure:           admissionLoop{admitFraction: 1, lateness: make([]float64, len(methods))},
-		runLimit:           newRunLimit(&node, limits.MaxRunsPerCore),
+		runLimit:           newRunLimit(&node, config.Limits.MaxRunsPerCore),
 		tokens:             tokenCache{entryKB: node.TokenKB},
-		calls:              newCallLimiter(&dependency),
+		calls:              newCallLimiter(&config.Dependency),
 		retries:            newRetryMonitor(&fleet),
 		health:             health{healthy: true, changedAt: math.Inf(-1)},
 		feedback:           loadFeedback{kind: fleet.Feedback, callers: float64(fleet.Callers)},
@@ -96,7 +96,7 @@
 		c.runTimes[i] = newRunTimeModel(objective)
 		c.tightestObjective = math.Min(c.tightestObjective, objective)
 	}
-	for _, customer := range customers {
+	for _, customer := range config.Customers {
 		c.quotas = append(c.quotas, quotaMeter{rate: customer.Quota / float64(fleet.Peers) / 1000})
 	}
 	return c
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -12,6 +12,12 @@
 	customers  []Customer
 }
 
+func (s *setup) config() Config {
+	return Config{
+		Node: s.node, Fleet: s.fleet, Dependency: s.dependency, Limits: s.limits, Methods: s.methods, Customers: s.customers,
+	}
+}
+
 func defaultSetup() setup {
 	return setup{
 		node: Node{
@@ -37,7 +43,7 @@
 
 func newHarness(t *testing.T, s setup) *harness {
 	w := &harness{
-		t: t, controller: New(s.node, s.fleet, s.dependency, s.limits, s.methods, s.customers),
+		t: t, controller: New(s.config()),
 		answers: map[uint32]ActionKind{}, runs: map[uint32]int{},
 	}
 	w.handle(Event{Kind: Started})
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -108,7 +108,7 @@
 		now: 1e6 * r.Float64(), runnableFraction: r.Float64(), callSlowdown: 1,
 	}
 	m.startedAt = m.now
-	m.controller = New(s.node, s.fleet, s.dependency, s.limits, s.methods, s.customers)
+	m.controller = New(s.config())
 	m.handle(Event{Kind: Started})
 	return m
 }
--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -23,17 +23,10 @@
 }
 
 // Settings are what the decisions are made from.
-type Settings struct {
-	Node       control.Node
-	Fleet      control.Fleet
-	Dependency control.Dependency
-	Limits     control.Limits
-	Methods    []control.Method
-	Customers  []control.Customer
-}
+type Settings control.Config
 
 func (s *Settings) newControl() *control.Controller {
-	return control.New(s.Node, s.Fleet, s.Dependency, s.Limits, s.Methods, s.Customers)
+	return control.New(control.Config(*s))
 }
 
 // Verdict is what became of an RPC.
--- a/internal/daemon/tracecmd.go
+++ b/internal/daemon/tracecmd.go
@@ -93,11 +93,9 @@
 }
 
 func replaySettings(c *startup.Config, warmingUp bool) *replay.Settings {
-	s := &replay.Settings{
-		Node: c.Node, Fleet: c.Fleet, Dependency: c.Dependency, Limits: c.Limits, Methods: c.Methods, Customers: c.Customers,
-	}
+	s := replay.Settings(c.Config)
 	s.Node.WarmingUp = warmingUp
-	return s
+	return &s
 }
 
 // close reports what the trace lacks.
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -144,14 +144,14 @@
 	now := g.now()
 	g.origin = now.Add(-ago)
 	config := g.startup
-	node := config.Node
-	node.WarmingUp = warmingUp
+	controlConfig := config.Config
+	controlConfig.Node.WarmingUp = warmingUp
 	if g.tracer != nil {
 		g.tracer.Begin(config, warmingUp, g.origin)
 	}
-	g.controller = control.New(node, config.Fleet, config.Dependency, config.Limits, config.Methods, config.Customers)
+	g.controller = control.New(controlConfig)
 	g.handle(0, control.Event{Kind: control.Started})
-	for at := g.nextTimer; warmingUp && at <= math.Min(g.elapsedMs(now), node.WarmUpTime); at = g.nextTimer {
+	for at := g.nextTimer; warmingUp && at <= math.Min(g.elapsedMs(now), config.Node.WarmUpTime); at = g.nextTimer {
 		g.handle(at, control.Event{Kind: control.TimerFired, Label: g.timerLabel})
 	}
 	g.sendDrainNotice(now)
--- a/internal/startup/config.go
+++ b/internal/startup/config.go
@@ -16,14 +16,10 @@
 	nsPerSec = 1e9
 )
 
-// Config is what a controller is made from. Traces store it as JSON under the names in the tags.
+// Config is the start-up configuration of a controller and of what surrounds it. Traces store it as JSON: the fields of
+// the embedded struct stand beside the others, under the names in the tags.
 type Config struct {
-	Node        control.Node
-	Fleet       control.Fleet
-	Dependency  control.Dependency `json:"Below"`
-	Limits      control.Limits     `json:"Rules"`
-	Methods     []control.Method
-	Customers   []control.Customer
+	control.Config
 	Gauges      []string // the names of the gauges, in their order
 	AnswerSlack float64  `json:"Slack"` // ms after its deadline that the answer to an RPC may come
 }
@@ -42,12 +38,14 @@
 // config reads all settings. Of several faults the first in this order is reported.
 func (v *values) config() *Config {
 	c := &Config{
-		Node:       v.node(),
-		Fleet:      v.fleet(),
-		Dependency: v.dependency(),
-		Limits: control.Limits{
-			DrainGrace:     v.milliseconds("rules.drain_grace", 0),
-			MaxRunsPerCore: v.number("rules.tip_multiple", 2),
+		Config: control.Config{
+			Node:       v.node(),
+			Fleet:      v.fleet(),
+			Dependency: v.dependency(),
+			Limits: control.Limits{
+				DrainGrace:     v.milliseconds("rules.drain_grace", 0),
+				MaxRunsPerCore: v.number("rules.tip_multiple", 2),
+			},
 		},
 		AnswerSlack: v.milliseconds("rules.answer_slack", 60*nsPerMs),
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -17,7 +17,7 @@
 )
 
 func header() *Header {
-	return &Header{Startup: startup.Config{Methods: []control.Method{{Name: "view", LatencyObjective: 100}}, Gauges: []string{"core_use"}}, SlowStart: true, OriginMS: 5, Build: "b"}
+	return &Header{Startup: startup.Config{Config: control.Config{Methods: []control.Method{{Name: "view", LatencyObjective: 100}}}, Gauges: []string{"core_use"}}, SlowStart: true, OriginMS: 5, Build: "b"}
 }
 
 func entry(i int) Entry {
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -267,15 +267,17 @@
 		}
 	}
 	t := &startup.Config{
-		Node: control.Node{
-			Seed: o.Seed, InitialSpeed: 0.2, WarmUpTime: millis(positive(o.WarmUpTime, 20*time.Second)), Cores: positive(o.Cores, cores()),
-			MemoryKB: float64(positive(o.Memory, 1<<30)) / 1024, RunMemoryFactor: 1, TokenKB: 0, Tick: 1,
+		Config: control.Config{
+			Node: control.Node{
+				Seed: o.Seed, InitialSpeed: 0.2, WarmUpTime: millis(positive(o.WarmUpTime, 20*time.Second)), Cores: positive(o.Cores, cores()),
+				MemoryKB: float64(positive(o.Memory, 1<<30)) / 1024, RunMemoryFactor: 1, TokenKB: 0, Tick: 1,
+			},
+			Fleet: control.Fleet{
+				Peers: positive(o.Servers, 1), Callers: positive(o.Callers, 4), MarksRetries: true, FeedbackTTL: 1000, IdleTimeout: 30e3,
+				MaxRetryAfter: millis(o.MaxRetryAfter), OverQuotaFraction: positive(o.OverQuotaFraction, 1),
+			},
+			Limits: control.Limits{DrainGrace: millis(positive(o.DrainGrace, 2*time.Second)), MaxRunsPerCore: positive(o.MaxRunsPerCore, 8), DisplaceableFor: millis(o.DisplaceableFor)},
 		},
-		Fleet: control.Fleet{
-			Peers: positive(o.Servers, 1), Callers: positive(o.Callers, 4), MarksRetries: true, FeedbackTTL: 1000, IdleTimeout: 30e3,
-			MaxRetryAfter: millis(o.MaxRetryAfter), OverQuotaFraction: positive(o.OverQuotaFraction, 1),
-		},
-		Limits:      control.Limits{DrainGrace: millis(positive(o.DrainGrace, 2*time.Second)), MaxRunsPerCore: positive(o.MaxRunsPerCore, 8), DisplaceableFor: millis(o.DisplaceableFor)},
 		Gauges:      []string{"core_use", "on_cores"},
 		AnswerSlack: 80, // ms: two ticks, in which what is due is answered
 	}
