--- a/internal/experiment/drain_log.go
+++ b/internal/experiment/drain_log.go
@@ -12,8 +12,8 @@
 // Events that the servers log, read from their logs in logrus's text form.
 const (
 	eventServing       = "server.started"
-	eventDrainStarted  = "drain: begins by permit"
-	eventDrainFinished = "drain: back and warm, the permit is returned"
+	eventDrainStarted  = "drain.started_by_permit"
+	eventDrainFinished = "drain.permit_returned"
 )
 
 // lossKnownAfter a kill the permit servers know of it: three reports missed, one on its way, and a leader's change.
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -70,12 +70,12 @@
 	if v.wantsProgram(&permitclient.Directives{ProgramVersion: 4, Index: 57}) || !v.wantsProgram(&permitclient.Directives{ProgramVersion: 4, Index: 58}) {
 		t.Error("the program's word is not the 57th")
 	}
-	if v.applyOrders(t.Context(), nil, &permitclient.Directives{SettingsVersion: 9, SettingsHash: "x", Index: 41}) {
+	if v.applyDirectives(t.Context(), nil, &permitclient.Directives{SettingsVersion: 9, SettingsHash: "x", Index: 41}) {
 		t.Error("an older word about the settings is followed")
 	}
 	// What is written again is what was there.
 	v.persist()
-	if err := v.recordProgram(3, "build-2", 57); err != nil {
+	if err := v.store.writeProgram(&storedProgram{Version: 3, Name: "build-2", Index: 57}); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"version.json", "program.json", "program"} {
