--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -28,17 +28,17 @@
 // rig is a pool of application servers whose work is quick.
 type rig struct {
 	*testing.T
-	backs *Backends
-	apps  []*standin.App
-	rules *standin.InvariantChecker
-	file  *operator.File
-	run   gate.Runner
+	backends *Backends
+	apps     []*standin.App
+	rules    *standin.InvariantChecker
+	file     *operator.File
+	run      gate.Runner
 }
 
 func start(t *testing.T, members int, change ...func(*operator.Pool)) *rig {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &rig{T: t, rules: standin.NewInvariantChecker("/buy"), backs: New(1, log.WithField("node", "n0"))}
+	r := &rig{T: t, rules: standin.NewInvariantChecker("/buy"), backends: New(1, log.WithField("node", "n0"))}
 	var addrs []string
 	cores := standin.NewCores(64, 0)
 	t.Cleanup(cores.Close)
@@ -58,14 +58,14 @@
 	}
 	r.file = &operator.File{Version: "t", Pools: map[string]operator.Pool{"p": p}, Methods: map[string]operator.Method{
 		"view": {Pool: "p", Path: "/view", Verb: "GET"}, "buy": {Pool: "p", Path: "/buy", Verb: "POST", Variables: map[string]string{"X": "y"}}}}
-	r.backs.Set(r.file)
-	r.run = r.backs.Runner(func(_ gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
+	r.backends.Set(r.file)
+	r.run = r.backends.Runner(func(_ gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		done(gate.Succeeded, 1, nil, []byte("engine"))
 	}, func(m string) bool { return m == "view" })
 	ctx, end := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Add(1)
-	go func() { defer wg.Done(); r.backs.Serve(ctx) }()
+	go func() { defer wg.Done(); r.backends.Serve(ctx) }()
 	t.Cleanup(func() { end(); wg.Wait() })
 	return r
 }
@@ -78,7 +78,7 @@
 
 func (r *rig) begin(method, body string, due time.Duration) <-chan end {
 	over := make(chan end, 2)
-	r.run(gate.RunRequest{ID: "1", Method: method, Body: []byte(body), DueMs: now() + float64(due.Milliseconds())}, func(how gate.Outcome, _ float64, head, result []byte) {
+	r.run(gate.RunRequest{ID: "1", Method: method, Body: []byte(body), DueMs: nowMs() + float64(due.Milliseconds())}, func(how gate.Outcome, _ float64, head, result []byte) {
 		status, _, _ := strings.Cut(string(head), "\r\n")
 		over <- end{how, status, string(result)}
 	})
@@ -108,8 +108,8 @@
 	return n
 }
 
-// One member that fails in each way: what an idempotent RPC and one with an effect come to, and how often at the most
-// their bodies arrive whole. The second member is sound.
+// One member that fails in each way: the outcome of an idempotent RPC and of one with an effect, and how often at most
+// their bodies arrive complete. The second member is healthy.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -192,7 +192,7 @@
 		}
 	}
 	out := 0
-	for _, m := range r.backs.States()[0].Members {
+	for _, m := range r.backends.States()[0].Members {
 		if m.Ejection != 0 {
 			out++
 		}
@@ -249,7 +249,7 @@
 	p.Members = slices.Delete(slices.Clone(p.Members), first, first+1)
 	next := *r.file
 	next.Pools = map[string]operator.Pool{"p": p}
-	r.backs.Set(&next)
+	r.backends.Set(&next)
 	for range 20 {
 		if e := r.do("view", "1"); e.how != gate.Succeeded {
 			t.Fatalf("%+v", e)
@@ -261,8 +261,8 @@
 	if e := r.end(old); e.how != gate.Succeeded || e.result != "300 a" {
 		t.Errorf("%+v", e)
 	}
-	r.backs.Set(&operator.File{Version: "none"})
-	if e := r.do("view", "1"); e.result != "engine" || r.backs.Serves("view") {
+	r.backends.Set(&operator.File{Version: "none"})
+	if e := r.do("view", "1"); e.result != "engine" || r.backends.Serves("view") {
 		t.Errorf("%+v", e)
 	}
 }
@@ -271,7 +271,7 @@
 func TestSetWhileWaiting(t *testing.T) {
 	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.RecoveryMs, p.QueueTimeoutMs = 1, 0, 5000 })
 	var a, b <-chan end
-	for late := time.Now().Add(soon); r.backs.States()[0].Queued == 0; time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(soon); r.backends.States()[0].Queued == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("nobody waits")
 		}
@@ -279,7 +279,7 @@
 			a, b = r.begin("view", "100", soon), r.begin("view", "1", soon)
 		}
 	}
-	r.backs.Set(&operator.File{Version: "none"})
+	r.backends.Set(&operator.File{Version: "none"})
 	if x, y := r.end(a), r.end(b); x.how != gate.Succeeded || y.how != gate.Succeeded {
 		t.Errorf("%+v and %+v", x, y)
 	}
@@ -289,7 +289,7 @@
 func TestChecks(t *testing.T) {
 	r := start(t, 2, func(p *operator.Pool) { p.HealthCheckMs = 20 })
 	out := func() int {
-		return int(r.backs.States()[0].Members[0].Ejection)
+		return int(r.backends.States()[0].Members[0].Ejection)
 	}
 	r.apps[0].SetFault(standin.HangAfterRead)
 	for end := time.Now().Add(soon); out() == 0; time.Sleep(time.Millisecond) {
@@ -338,20 +338,24 @@
 }
 
 // A member that resets while the body is still being written: the variables were there, so it may have run.
-func TestReachedInMidBody(t *testing.T) {
+func TestProgressWithinBody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer func() {
+		if err := ln.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	go func() {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		io.ReadFull(c, make([]byte, 100))
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		_, _ = io.ReadFull(c, make([]byte, 100)) // the attempt's error is what is checked
+		_ = c.(*net.TCPConn).SetLinger(0)        // the same
+		_ = c.Close()                            // the same
 	}()
 	a := attempt{addr: ln.Addr().String(), connectTimeout: time.Second, deadline: time.Now().Add(soon), maxBodyBytes: 100}
 	_, _, failed := a.send(make([]byte, 100), make([]byte, 32<<20))
@@ -361,20 +365,20 @@
 }
 
 // limits are budgets of the fleet that allow so much.
-type limits struct {
+type fakeBudgets struct {
 	mu                    sync.Mutex
 	retries, calls, ended int
 	silent                int
 }
 
-func (l *limits) AllowRetry(string, float64) bool {
+func (l *fakeBudgets) AllowRetry(string, float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.retries--
 	return l.retries >= 0
 }
 
-func (l *limits) AllowCall(_ string, _, longest float64) bool {
+func (l *fakeBudgets) AllowCall(_ string, _, longest float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.calls == 0 || longest <= 0 {
@@ -384,7 +388,7 @@
 	return true
 }
 
-func (l *limits) CompleteCall(_ string, _, silent bool) {
+func (l *fakeBudgets) CompleteCall(_ string, _, silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
@@ -394,14 +398,14 @@
 	}
 }
 
-// What the fleet shares of a pool bounds it, beside its own rules: further tries, and calls in hand, each of which ends once.
+// The fleet's budgets bound a pool beside its own configuration: retries, and calls in flight, each of which ends once.
 func TestSharedBudgets(t *testing.T) {
 	r := start(t, 1, func(p *operator.Pool) {
 		p.Retry = operator.Retry{Share: 1, Floor: 100, MaxAttempts: 3}
 		p.MaxFailures = 0
 	})
-	l := &limits{retries: 1, calls: 1}
-	r.backs.UseBudgets(l, func(string) float64 { return 1 })
+	l := &fakeBudgets{retries: 1, calls: 1}
+	r.backends.UseBudgets(l, func(string) float64 { return 1 })
 	r.apps[0].SetFault(standin.ServerError)
 	for range 3 {
 		if e := r.end(r.begin("view", "1", 2*time.Second)); e.how != gate.Failed {
@@ -413,7 +417,8 @@
 	}
 	r.apps[0].SetFault(standin.HangAfterRead)
 	first := r.begin("buy", "2", time.Second)
-	for end := time.Now().Add(soon); r.apps[0].Received() < 5 && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(soon); r.apps[0].Received() < 5 && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
 	}
 	if e := r.end(r.begin("buy", "3", time.Second)); e.how != gate.NoCapacity {
 		t.Errorf("all of the fleet's calls are in hand: %+v", e)
@@ -468,13 +473,14 @@
 
 func (f *fakeDetection) SetMembers(map[string][]string, func(string) pool.Config) {}
 
-// A pool that the fleet judges: who is out gets one RPC where a probe is due, and nothing else; a 503 with the time to return is
-// told as such, not as a failure.
-func TestJudgedPool(t *testing.T) {
+// A pool under the fleet's outlier detection: an ejected member gets one RPC where a trial is due, and nothing else; a 503
+// with a Retry-After is reported as such, not as a failure.
+func TestOutlierDetection(t *testing.T) {
 	r := start(t, 2)
 	f := &fakeDetection{out: r.apps[0].Addr()}
-	r.backs.UseOutlierDetection(f)
-	for end := time.Now().Add(soon); r.backs.States()[0].Members[0].Ejection != pool.EjectedByFleet && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	r.backends.UseOutlierDetection(f)
+	for end := time.Now().Add(soon); r.backends.States()[0].Members[0].Ejection != pool.EjectedByFleet && time.Now().Before(end); {
+		time.Sleep(5 * time.Millisecond)
 	}
 	for range 10 {
 		r.end(r.begin("view", "1", time.Second))
@@ -509,11 +515,11 @@
 	}
 }
 
-// A member that says nothing is told of long before the RPC's deadline, and once.
-func TestQuietMemberIsToldSoon(t *testing.T) {
+// A member that does not respond is reported long before the RPC's deadline, and once.
+func TestSilentMemberReportedSoon(t *testing.T) {
 	r := start(t, 1)
 	f := &fakeDetection{}
-	r.backs.UseOutlierDetection(f)
+	r.backends.UseOutlierDetection(f)
 	for i := range 20 { // so that the usual latency is known
 		r.end(r.begin("view", fmt.Sprint(i), time.Second))
 	}
