--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -24,8 +24,8 @@
 
 func newIndex() *index { return &index{slots: make([]slot, minSlots), firstSegment: 1} }
 
-// probeStart returns the first slot for a fingerprint.
-func (x *index) probeStart(fingerprint uint64) int {
+// firstSlot returns the first slot for a fingerprint.
+func (x *index) firstSlot(fingerprint uint64) int {
 	return int(fingerprint >> 20 & uint64(len(x.slots)-1))
 }
 
@@ -34,7 +34,7 @@
 	if 4*x.used >= 3*len(x.slots) {
 		x.rebuild()
 	}
-	for i := x.probeStart(fingerprint); ; i = (i + 1) & (len(x.slots) - 1) {
+	for i := x.firstSlot(fingerprint); ; i = (i + 1) & (len(x.slots) - 1) {
 		s := &x.slots[i]
 		if s.segment == 0 {
 			x.used++
@@ -48,7 +48,7 @@
 
 // get returns the place of a fingerprint; false if there is none, or its segment is dropped.
 func (x *index) get(fingerprint uint64) (segment, offset uint32, ok bool) {
-	for i := x.probeStart(fingerprint); ; i = (i + 1) & (len(x.slots) - 1) {
+	for i := x.firstSlot(fingerprint); ; i = (i + 1) & (len(x.slots) - 1) {
 		s := &x.slots[i]
 		if s.segment == 0 {
 			return 0, 0, false
--- a/valve/gauges.go
+++ b/valve/gauges.go
@@ -1,80 +1,91 @@
 package valve
 
-// This file owns the gauges of a process without an engine: how busy its cores are and how much work wants one. It must
-// never tell a figure that it could not read.
-
 import (
-	"runtime"
 	"runtime/metrics"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// cores is how many the process may use at once.
-func cores() int { return runtime.GOMAXPROCS(0) }
+const (
+	// gaugeWindow is the time that the CPU utilization is taken over: the decisions are tuned to half a second.
+	gaugeWindow = 500 * time.Millisecond
+	// minGaugeWindow is the shortest time that it is taken over, at the start.
+	minGaugeWindow = gaugeWindow / 10
+	// maxSamples is the number of samples that are kept for it: one every 40 ms, and some more.
+	maxSamples = 32
+)
 
+// The runtime's metrics that Gauges.Runnable is the sum of.
 const (
-	// span is what the share of busy cores is taken over: the decisions are tuned to half a second.
-	span = 500 * time.Millisecond
-	// looks is how many looks are kept for it: one each 40 ms, and some more.
-	looks = 32
+	runningMetric  = "/sched/goroutines/running:goroutines"
+	runnableMetric = "/sched/goroutines/runnable:goroutines"
 )
 
-// ownGauges reads this process's own.
-type ownGauges struct {
+// processGauges measures this process. It may be used by many goroutines at once.
+type processGauges struct {
 	cores float64
 
-	mu      sync.Mutex
-	samples []metrics.Sample
-	at      [looks]time.Time
-	used    [looks]time.Duration // CPU time so far
-	n       int
+	mu         sync.Mutex
+	goroutines []metrics.Sample // nil if the runtime has no such metrics
+	samples    [maxSamples]cpuSample
+	sampled    int // so far; the last samples are kept
 }
 
-func newOwnGauges(cores int) *ownGauges {
-	g := &ownGauges{cores: float64(cores)}
-	for _, name := range []string{"/sched/goroutines/running:goroutines", "/sched/goroutines/runnable:goroutines"} {
-		g.samples = append(g.samples, metrics.Sample{Name: name})
+// cpuSample is the CPU time that the process had used by some moment.
+type cpuSample struct {
+	at   time.Time
+	used time.Duration
+}
+
+func newProcessGauges(cores int) *processGauges {
+	g := &processGauges{
+		cores:      float64(cores),
+		goroutines: []metrics.Sample{{Name: runningMetric}, {Name: runnableMetric}},
 	}
-	metrics.Read(g.samples)
-	for _, s := range g.samples {
+	metrics.Read(g.goroutines)
+	for _, s := range g.goroutines {
 		if s.Value.Kind() != metrics.KindUint64 {
-			g.samples = nil // a runtime that does not tell
+			g.goroutines = nil
 			break
 		}
 	}
 	return g
 }
 
-// read returns the gauges; false until there is a span to take them over, or where the system does not tell.
-func (g *ownGauges) read() (Gauges, bool) {
+// read returns the gauges; false until there are two samples to take them from, or where the system has none.
+func (g *processGauges) read() (Gauges, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil || g.samples == nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil || g.goroutines == nil {
 		return Gauges{}, false
 	}
-	now := time.Now()
-	used := time.Duration(u.Utime.Nano() + u.Stime.Nano())
-	g.at[g.n%looks], g.used[g.n%looks] = now, used
-	g.n++
-	first := -1
-	for i := max(0, g.n-looks); i < g.n-1; i++ { // the oldest look within the span
-		if now.Sub(g.at[i%looks]) <= span {
-			first = i % looks
-			break
-		}
-	}
-	if first < 0 {
+	now := cpuSample{at: time.Now(), used: time.Duration(usage.Utime.Nano() + usage.Stime.Nano())}
+	g.samples[g.sampled%maxSamples] = now
+	g.sampled++
+	first, ok := g.oldest(now.at)
+	if !ok {
 		return Gauges{}, false
 	}
-	gap := now.Sub(g.at[first])
-	if gap < span/10 {
+	elapsed := now.at.Sub(first.at)
+	if elapsed < minGaugeWindow {
 		return Gauges{}, false
 	}
-	use := float64(used-g.used[first]) / float64(gap) / g.cores
-	metrics.Read(g.samples)
-	on := float64(g.samples[0].Value.Uint64()+g.samples[1].Value.Uint64()) - 1 // but the one that looks
-	return Gauges{CPUUtilization: min(1, use), Runnable: max(0, on)}, true
+	utilization := float64(now.used-first.used) / float64(elapsed) / g.cores
+	metrics.Read(g.goroutines)
+	running := g.goroutines[0].Value.Uint64()
+	runnable := g.goroutines[1].Value.Uint64()
+	others := float64(running+runnable) - 1 // without the goroutine that reads
+	return Gauges{CPUUtilization: min(1, utilization), Runnable: max(0, others)}, true
+}
+
+// oldest returns the oldest sample within gaugeWindow, the last one left out; false if there is none.
+func (g *processGauges) oldest(now time.Time) (cpuSample, bool) {
+	for i := max(0, g.sampled-maxSamples); i < g.sampled-1; i++ {
+		if s := g.samples[i%maxSamples]; now.Sub(s.at) <= gaugeWindow {
+			return s, true
+		}
+	}
+	return cpuSample{}, false
 }
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -1,106 +1,109 @@
 package valve
 
-// This file owns what a program can watch a Valve by: each event as it happens, and a trace of all of them. It must never
-// let a watcher hold up the decisions.
-
 import (
 	"time"
 
 	"sorrelvalve/control"
-	"sorrelvalve/decision/recovery"
 	"sorrelvalve/internal/startup"
 	"sorrelvalve/internal/trace"
 )
 
-// What happened.
+// EventKind says what happened to an RPC.
 type EventKind int
 
+// The kinds of events.
 const (
-	Arrived   EventKind = iota // an RPC was admitted to the decisions
-	Started                    // its run was asked for
-	Joined                     // it waits for the try that it repeats
-	Rejected                   // it was pushed back
-	GaveUp                     // it was aborted
-	Cancelled                  // its caller left
-	Completed                  // its run or join ended
+	Arrived    EventKind = iota // it was put to the decisions
+	Started                     // its run was asked for
+	Joined                      // it waits for the attempt that it duplicates
+	Rejected                    // it was rejected
+	Aborted                     // it was aborted
+	CallerGone                  // its caller left
+	Completed                   // its run, or what it joined, ended
 )
 
-// Event is one thing that happened. RPC numbers count from 1 for each Valve.
+// Event is something that happened to an RPC.
 type Event struct {
-	At     time.Duration // since the Valve began
+	At     time.Duration // since the Valve was made
 	Kind   EventKind
-	RPC    uint32
+	RPC    uint32 // number of the RPC, from 1 up for each Valve
 	Method string // Arrived
 }
 
-// TraceOptions says where all that the decisions are told and say is recorded: no bodies, tokens as hashes. The file is read by
-// the daemon's trace commands.
+// TraceOptions have all events and decisions recorded in files for the daemon's trace commands: no bodies, tokens as hashes.
 type TraceOptions struct {
-	Path      string
-	FileBytes int64       // the next file begins when one is so long; 64 MiB if 0
-	Files     int         // that are kept; 4 if 0
-	OnError   func(error) // hears that the file can't be written; may be nil
+	Path         string
+	MaxFileBytes int64       // from which on the next file is begun; default 64 MiB
+	MaxFiles     int         // that are kept; default 4
+	OnError      func(error) // is called when a file can't be written; nil for none
+}
+
+// The defaults of TraceOptions.
+const (
+	defaultTraceFileBytes = 64 << 20
+	defaultTraceFiles     = 4
+)
+
+// traceBuild is what the files name as the build that recorded them.
+const traceBuild = "library"
+
+func (o *TraceOptions) recorder() *trace.Recorder {
+	onError := o.OnError
+	if onError == nil {
+		onError = func(error) {}
+	}
+	limits := trace.FileLimits{
+		MaxFileBytes: withDefault(o.MaxFileBytes, defaultTraceFileBytes),
+		MaxFiles:     withDefault(o.MaxFiles, defaultTraceFiles),
+	}
+	return trace.NewRecorder(o.Path, limits, traceBuild, onError)
 }
 
-// watch is the gate's tracer.
-type watch struct {
-	see     func(Event)
-	rec     *trace.Recorder
-	methods []string
+// eventTracer is the gate's tracer: it records a trace and passes events to the program.
+type eventTracer struct {
+	observe  func(Event)     // nil for none
+	recorder *trace.Recorder // nil for none
+	methods  []string        // names
 }
 
-func (w *watch) Begin(told *startup.Config, cold bool, origin time.Time) {
-	for _, m := range told.Methods {
-		w.methods = append(w.methods, m.Name)
+// Begin is called as the decisions begin.
+func (t *eventTracer) Begin(config *startup.Config, warmingUp bool, origin time.Time) {
+	for _, m := range config.Methods {
+		t.methods = append(t.methods, m.Name)
 	}
-	if w.rec != nil {
-		w.rec.Begin(told, cold, origin)
+	if t.recorder != nil {
+		t.recorder.Begin(config, warmingUp, origin)
 	}
 }
 
-func (w *watch) Event(now float64, ev control.Event, actions []control.Action, token string) {
-	if w.rec != nil {
-		w.rec.Event(now, ev, actions, token)
+// Event is called for each event of the decisions, under the gate's lock.
+func (t *eventTracer) Event(now float64, ev control.Event, actions []control.Action, tokenKey string) {
+	if t.recorder != nil {
+		t.recorder.Event(now, ev, actions, tokenKey)
 	}
-	if w.see == nil {
+	if t.observe == nil {
 		return
 	}
-	at := time.Duration(now * float64(time.Millisecond))
+	at := duration(now)
 	switch ev.Kind {
 	case control.Arrived:
-		w.see(Event{at, Arrived, ev.RPC, w.methods[ev.Method]})
+		t.observe(Event{At: at, Kind: Arrived, RPC: ev.RPC, Method: t.methods[ev.Method]})
 	case control.CallerGone:
-		w.see(Event{At: at, Kind: Cancelled, RPC: ev.RPC})
+		t.observe(Event{At: at, Kind: CallerGone, RPC: ev.RPC})
 	case control.Completed:
-		w.see(Event{At: at, Kind: Completed, RPC: ev.RPC})
+		t.observe(Event{At: at, Kind: Completed, RPC: ev.RPC})
 	}
 	for _, a := range actions {
-		switch a.Kind {
-		case control.Run:
-			w.see(Event{At: at, Kind: Started, RPC: a.RPC})
-		case control.Join:
-			w.see(Event{At: at, Kind: Joined, RPC: a.RPC})
-		case control.Reject:
-			w.see(Event{At: at, Kind: Rejected, RPC: a.RPC})
-		case control.Abort:
-			w.see(Event{At: at, Kind: GaveUp, RPC: a.RPC})
+		if kind, ok := actionEvents[a.Kind]; ok {
+			t.observe(Event{At: at, Kind: kind, RPC: a.RPC})
 		}
 	}
 }
 
-// StoreState is how a Valve's store stands, for the program's own metrics.
-type StoreState struct {
-	Broken                            bool  // it can't be written: what is tokened is pushed back
-	Used, Reserved                    int64 // bytes
-	Segments                          int
-	Records, Syncs, Dropped, Failures uint64 // so far; Dropped are segments
-}
-
-// StoreState returns how the store stands; false without one.
-func (v *Valve) StoreState() (StoreState, bool) {
-	if v.kept == nil {
-		return StoreState{}, false
-	}
-	s := v.kept.Status()
-	return StoreState{s.Health == recovery.Broken, int64(s.UsedBytes), int64(s.ReservedBytes), s.Segments, s.Records, s.Syncs, s.SegmentsDropped, s.Failures}, true
+// actionEvents are the events that stand for actions of the decisions.
+var actionEvents = map[control.ActionKind]EventKind{
+	control.Run:    Started,
+	control.Join:   Joined,
+	control.Reject: Rejected,
+	control.Abort:  Aborted,
 }
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clock is one that a test moves.
+// clock is one that the test moves.
 type clock struct {
 	mu sync.Mutex
 	at time.Time
@@ -27,8 +27,8 @@
 	return c.at
 }
 
-// pass lets time go by, with a tick each 10 ms.
-func (c *clock) pass(v *Valve, d time.Duration) {
+// advance moves the clock, with a tick every 10 ms.
+func (c *clock) advance(v *Valve, d time.Duration) {
 	for end := c.now().Add(d); c.now().Before(end); {
 		c.mu.Lock()
 		c.at = c.at.Add(10 * time.Millisecond)
@@ -54,8 +54,8 @@
 	return v, c
 }
 
-// later is an Admit that may be held.
-func later(v *Valve, ctx context.Context, r RPC) <-chan struct {
+// admitLater calls Admit for an RPC that may be queued.
+func admitLater(ctx context.Context, v *Valve, r RPC) <-chan struct {
 	*Run
 	error
 } {
@@ -77,9 +77,9 @@
 	return got
 }
 
-type finisher func(error)
+type finalHandlerFunc func(error)
 
-func (f finisher) HandleFinal(err error) { f(err) }
+func (f finalHandlerFunc) HandleFinal(err error) { f(err) }
 
 func TestAdmit(t *testing.T) {
 	ctx := context.Background()
@@ -103,7 +103,7 @@
 		}},
 		{"held until the first ends", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "view"})
-			b := later(v, ctx, RPC{Method: "view"})
+			b := admitLater(ctx, v, RPC{Method: "view"})
 			if len(b) > 0 {
 				t.Fatal("not held")
 			}
@@ -117,7 +117,7 @@
 		{"its context ends while it is held", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "view"})
 			ctx, end := context.WithCancel(ctx)
-			b := later(v, ctx, RPC{Method: "view"})
+			b := admitLater(ctx, v, RPC{Method: "view"})
 			end()
 			if got := <-b; !errors.Is(got.error, context.Canceled) {
 				t.Error(got.error)
@@ -126,8 +126,8 @@
 		}},
 		{"pushed back when it is late for its target", func(t *testing.T, v *Valve, c *clock) {
 			a := must(t, v, RPC{Method: "view"})
-			b := later(v, ctx, RPC{Method: "view"})
-			c.pass(v, 1500*time.Millisecond)
+			b := admitLater(ctx, v, RPC{Method: "view"})
+			c.advance(v, 1500*time.Millisecond)
 			got := <-b
 			var p *RejectedError
 			if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &p) || p.RetryAfter <= 0 {
@@ -138,12 +138,12 @@
 		{"given up when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
 			r := must(t, v, RPC{Method: "view"})
 			var got error
-			r.NotifyFinal(finisher(func(err error) { got = err }))
-			c.pass(v, 1900*time.Millisecond)
+			r.NotifyFinal(finalHandlerFunc(func(err error) { got = err }))
+			c.advance(v, 1900*time.Millisecond)
 			if got != nil {
 				t.Fatal(got)
 			}
-			c.pass(v, 100*time.Millisecond)
+			c.advance(v, 100*time.Millisecond)
 			var a *AbortedError
 			if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
 				t.Errorf("error %v, %d in hand", got, v.InFlight())
@@ -154,7 +154,7 @@
 		}},
 		{"repeats get the answer that was kept", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
-			b := later(v, ctx, RPC{Method: "buy", Token: "k", Body: []byte("x")})
+			b := admitLater(ctx, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
 			a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
 			for _, r := range []*Run{(<-b).Run, must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
 				if kept, is := r.Cached(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.Complete(Failed, Result{}) {
@@ -187,7 +187,7 @@
 		{"past the drain's grace", func(t *testing.T, v *Valve, c *clock) {
 			v.Drain(5 * time.Second)
 			must(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
-			c.pass(v, 2100*time.Millisecond)
+			c.advance(v, 2100*time.Millisecond)
 			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrRejected) || v.Healthy() {
 				t.Error(err)
 			}
@@ -195,8 +195,8 @@
 		{"closed while one runs and one is held", func(t *testing.T, v *Valve, _ *clock) {
 			a := must(t, v, RPC{Method: "view"})
 			told := make(chan error, 1)
-			a.NotifyFinal(finisher(func(err error) { told <- err }))
-			b := later(v, ctx, RPC{Method: "view"})
+			a.NotifyFinal(finalHandlerFunc(func(err error) { told <- err }))
+			b := admitLater(ctx, v, RPC{Method: "view"})
 			v.Close()
 			if got := <-b; !errors.Is(got.error, ErrRejected) {
 				t.Error(got.error)
@@ -290,7 +290,7 @@
 	for v.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if s, has := v.StoreState(); !has || s.Records != 2 || s.Broken || s.Segments != 1 {
+	if s, has := v.StoreStatus(); !has || s.Records != 2 || s.Broken || s.Segments != 1 {
 		t.Errorf("state %+v", s)
 	}
 	v.Close()
@@ -309,7 +309,8 @@
 
 // What the gauges say of a process that spins, and of one that waits.
 func TestGauges(t *testing.T) {
-	g := newOwnGauges(1)
+	g := newProcessGauges(1)
+	spins := 0
 	look := func(d time.Duration, spin bool) (got Gauges) {
 		for end := time.Now().Add(d); time.Now().Before(end); {
 			if spin {
@@ -323,6 +324,7 @@
 			}
 			if spin {
 				for stop := time.Now().Add(20 * time.Millisecond); time.Now().Before(stop); {
+					spins++
 				}
 			}
 		}
