--- a/control/admission.go
+++ b/control/admission.go
@@ -38,7 +38,7 @@
 		c.reject(i, math.Min(ev.RetryAfter, c.maxRetryAfter), false)
 	case abandoned:
 		c.reject(i, 0, false)
-	case !c.pressure.admits(c.random, r.rank) || !c.displaceFor(&r) || !c.hasMemory():
+	case !c.admission.admits(c.random, r.rank) || !c.displaceFor(&r) || !c.hasMemory():
 		c.retries.rejectFraction += attemptWeight
 		c.feedback.rejections++
 		c.shed(i)
--- a/control/completion.go
+++ b/control/completion.go
@@ -26,7 +26,7 @@
 	}
 	if ev.Outcome == OutcomeOK && r.state == running {
 		c.learnRunTime(r, ev.Elapsed-r.dependencyTime)
-		c.pressure.observe(r.method, c.now-r.arrivedAt, c.methods[r.method].LatencyObjective)
+		c.admission.observe(r.method, c.now-r.arrivedAt, c.methods[r.method].LatencyObjective)
 	}
 	c.remove(i)
 }
--- a/control/control.go
+++ b/control/control.go
@@ -44,7 +44,7 @@
 	random       *rand.Rand
 
 	slowStart      slowStart
-	pressure       admissionLoop
+	admission      admissionLoop
 	queue          runQueue
 	runLimit       runLimit
 	tokens         tokenCache
@@ -80,7 +80,7 @@
 		rpcs:               rpcTable{byID: map[uint32]int{}},
 		random:             rand.New(rand.NewSource(int64(node.Seed))),
 		slowStart:          newSlowStart(node.WarmingUp, node.WarmUpTime, fleet.Callers, node.Seed),
-		pressure:           admissionLoop{admitFraction: 1, lateness: make([]float64, len(methods))},
+		admission:          admissionLoop{admitFraction: 1, lateness: make([]float64, len(methods))},
 		runLimit:           newRunLimit(&node, config.Limits.MaxRunsPerCore),
 		tokens:             tokenCache{entryKB: node.TokenKB},
 		calls:              newCallLimiter(&config.Dependency),
--- a/control/log.go
+++ b/control/log.go
@@ -25,7 +25,7 @@
 func (c *Controller) logConditions() {
 	conditions := [conditionCount]bool{
 		conditionSlowStart:        !c.slowStart.complete,
-		conditionAdmissionReduced: c.pressure.admitFraction < 1,
+		conditionAdmissionReduced: c.admission.admitFraction < 1,
 		conditionUnhealthy:        !c.health.healthy,
 		conditionMemoryShort:      c.memoryShort,
 		conditionCallsReduced:     c.calls.reduced(),
--- a/control/timer.go
+++ b/control/timer.go
@@ -32,7 +32,7 @@
 		calmCPU        = 0.5  // utilization
 		calmRejections = 0.02 // fraction of arrivals
 	)
-	c.pressure.step(g)
+	c.admission.step(g)
 	// With cores to spare and no rejections, an open connection costs less than opening the next one.
 	calm := !g.Stale && g.CPUUtilization < calmCPU && c.retries.rejectFraction < calmRejections
 	if c.retries.updateIdleTimeout(c.runLimit.unreadWait, calm) {
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -14,7 +14,7 @@
 type Command struct {
 	Operator string `type:"path" placeholder:"RECORD" help:"The operator's record, as valvectl compile wrote it; it is taken anew on SIGHUP with the configuration."`
 	Trace    string `type:"path" placeholder:"FILE" hidden:"" help:"Record a trace there, whatever the record says."`
-	StandIn  bool   `help:"Start a stand-in engine, and callers that ask for more than it can do, within this process, to see the main job run."`
+	Demo     bool   `name:"stand-in" help:"Start a stand-in engine, and callers that ask for more than it can do, within this process, to see the main job run."`
 }
 
 // Config is all that a process is configured with.
@@ -40,7 +40,7 @@
 	signal.Notify(reload, syscall.SIGHUP) // before all else: unhandled, it would end the process
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	load := loadFromEnvironment
-	if s.StandIn {
+	if s.Demo {
 		loadDemo, end, err := startDemo()
 		if err != nil {
 			return err
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -96,9 +96,9 @@
 }
 
 // start notes how and when the decisions began; only the first call counts.
-func (l *lifecycle) start(cold bool, ago time.Duration) {
+func (l *lifecycle) start(warmingUp bool, ago time.Duration) {
 	at := time.Now().Add(-ago)
-	if !cold {
+	if !warmingUp {
 		at = time.Time{}
 	}
 	l.startedAt.CompareAndSwap(nil, &at)
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -28,7 +28,7 @@
 // A record with a fleet is rejected by name where the command has none.
 func TestFleetRefused(t *testing.T) {
 	r := record(t, &operator.File{Version: "t", Fleet: &operator.Fleet{Listen: "127.0.0.1:7946"}})
-	err := Command{StandIn: true, Operator: r}.Run(nil)
+	err := Command{Demo: true, Operator: r}.Run(nil)
 	if err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), "valvefleet serve") {
 		t.Errorf("a fleet without valvefleet: %v", err)
 	}
@@ -40,7 +40,7 @@
 	u := &operator.UWSGI{Listen: addr, KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 8192, ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 16}
 	r := record(t, &operator.File{Version: "t", UWSGI: u, Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "GET", Method: "account-view", Type: "text/plain"}}})
 	over := make(chan error, 1)
-	go func() { over <- Command{StandIn: true, Operator: r}.Run(nil) }()
+	go func() { over <- Command{Demo: true, Operator: r}.Run(nil) }()
 	for end := time.Now().Add(soon); ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -156,7 +156,7 @@
 		x.tokenStore = tokens
 		x.closers = append(x.closers, func() { tokens.close(o.Log) }, func() { tokens.logStatus(o.Log) }) // as it stood at the end
 		x.runPart(func(ctx context.Context) { tokens.logPeriodically(ctx, o.Log) })
-		startDecisions = func(cold bool, ago time.Duration) {
+		startDecisions = func(warmingUp bool, ago time.Duration) {
 			since := time.Now()
 			<-tokens.ready
 			if tokens.err != nil {
@@ -165,12 +165,12 @@
 			if !x.Gate.Started() {
 				x.Gate.UseTokenStore(store.TokenStore{Store: tokens.store})
 			}
-			x.Gate.Start(cold, ago+time.Since(since))
+			x.Gate.Start(warmingUp, ago+time.Since(since))
 		}
 	}
-	x.link = engine.New(o.Config.Engine, o.Log, func(cold bool, ago time.Duration) {
-		x.lifecycle.start(cold, ago)
-		startDecisions(cold, ago)
+	x.link = engine.New(o.Config.Engine, o.Log, func(warmingUp bool, ago time.Duration) {
+		x.lifecycle.start(warmingUp, ago)
+		startDecisions(warmingUp, ago)
 	})
 }
 
