--- a/decision/permit/state.go
+++ b/decision/permit/state.go
@@ -89,18 +89,18 @@
 
 // apply dispatches a command that is new and well formed.
 func (s *State) apply(c *Command) Result {
-	held := s.Permits[c.Subject]
+	current := s.Permits[c.Subject]
 	switch c.Kind {
 	case Acquire:
-		return s.acquire(c, held)
+		return s.acquire(c, current)
 	case Begin:
-		return s.begin(c, held)
+		return s.begin(c, current)
 	case Return:
-		return s.returnPermit(c, held)
+		return s.returnPermit(c, current)
 	case Free:
-		return s.free(c, held)
+		return s.free(c, current)
 	case Recall:
-		return s.recall(c, held)
+		return s.recall(c, current)
 	case Halt:
 		s.HaltReason = cmp.Or(c.Reason, noReason)
 		s.HaltedBy = c.Actor
--- a/internal/permitclient/client.go
+++ b/internal/permitclient/client.go
@@ -1,5 +1,6 @@
-// Package ask is how servers and operators ask keepers, over HTTP with JSON: any keeper does, who does not lead names the
-// leader. It links no raft. It must never send anything that may not come twice.
+// Package permitclient is the client of the permit service, over HTTP with JSON: any replica accepts requests, and one that is
+// not the leader names the leader. It links no raft. It must never send a request that may not be carried out twice, since it
+// retries.
 package permitclient
 
 import (
@@ -18,66 +19,126 @@
 )
 
 const (
-	attemptTimeout = 3 * time.Second // longer than a keeper waits for the others
-	attemptPause   = 100 * time.Millisecond
+	attemptTimeout     = 3 * time.Second // longer than a replica waits for a majority
+	attemptPause       = 100 * time.Millisecond
+	dialTimeout        = time.Second
+	maxIdleConnections = 2        // to each replica
+	maxResponseBytes   = 64 << 20 // the status of the largest roster is a few MB
 )
 
-// LeaderField of an answer names where the leader takes clients.
+// LeaderHeader is the response header that names where the leader takes clients.
 const LeaderHeader = "Keeper-Leader"
 
-// Here is a server's word: how much of it is out of use, which start of its name it is, and what it knows of members of pools.
+// MaxMembers bounds the pool members of a heartbeat; a server that has more reports none.
+const MaxMembers = 512
+
+// ErrNoServers is returned by a client that was given no addresses.
+var ErrNoServers = errors.New("no keeper is known")
+
+// ResponseError is a response of a replica that is not a result.
+type ResponseError struct {
+	StatusCode int
+	Text       string // as the replica gave it
+	Leader     string // where the leader takes clients; "" if the replica does not know
+}
+
+// Error returns the text.
+func (e *ResponseError) Error() string { return e.Text }
+
+// Heartbeat is what a server reports about itself, each second.
 type Heartbeat struct {
 	Name         string                        `json:"name"`
-	OutOfService float64                       `json:"out"`
-	Incarnation  uint64                        `json:"start"`
-	DecidedRPS   float64                       `json:"seen,omitempty"`    // RPCs a second that it decided on of late
-	RejectedRPS  float64                       `json:"pushed,omitempty"`  // of these, pushed back
-	MembersOut   map[string]bool               `json:"members,omitempty"` // pool/member: whether it is out here, whyever
-	MemberDrains map[string]permit.MemberDrain `json:"left,omitempty"`    // of those that it was told to leave alone
-	Release      *release.Report               `json:"runs,omitempty"`    // the version that it runs, and what it carried by that
+	OutOfService float64                       `json:"out"`               // share of the server, from 0 to 1
+	Incarnation  uint64                        `json:"start"`             // larger after each restart
+	DecidedRPS   float64                       `json:"seen,omitempty"`    // RPCs per second that it decided on recently
+	RejectedRPS  float64                       `json:"pushed,omitempty"`  // of these, rejected
+	MembersOut   map[string]bool               `json:"members,omitempty"` // by pool/member: whether it is out of service here, for any reason
+	MemberDrains map[string]permit.MemberDrain `json:"left,omitempty"`    // by pool/member: of those that it was directed to stop using
+	Release      *release.Report               `json:"runs,omitempty"`    // the versions that it runs, and their counts
 }
 
-// Orders are what a server is to do.
+// Directives are what a server is to do.
 type Directives struct {
 	permit.Directives
-	Index           uint64 `json:"index"` // of the keepers' log: an older word goes behind a newer
-	SettingsVersion uint64 `json:"version"`
-	SettingsHash    string `json:"hash,omitempty"`    // SHA-256 of its body; "" for the own file's
-	ProgramVersion  uint64 `json:"program,omitempty"` // version of the program; 0: what it is started with by itself
-	ProgramName     string `json:"name,omitempty"`    // by which that is started
+	Index           uint64 `json:"index"`             // of the raft log; directives of a lower index are older and must not be followed
+	SettingsVersion uint64 `json:"version"`           // 0: its own file's
+	SettingsHash    string `json:"hash,omitempty"`    // SHA-256 of the version's body, hex; "" for its own file's
+	ProgramVersion  uint64 `json:"program,omitempty"` // 0: the program that it is started with by default
+	ProgramName     string `json:"name,omitempty"`    // by which the supervisor starts the program
 }
 
-// MostMembers of pools are told of by a server; of more, none is.
-const MaxMembers = 512
-
-// Status is what a keeper that leads tells.
+// Status is what the leader reports to operators.
 type Status struct {
-	Leader       string               `json:"leader"`
-	Observations []permit.Observation `json:"seen"`
-	State        *permit.State        `json:"state"`
-
-	SettingsReleases *release.State       `json:"releases"` // of settings
+	Leader           string               `json:"leader"` // the replica's name
+	Observations     []permit.Observation `json:"seen"`
+	State            *permit.State        `json:"state"`
+	SettingsReleases *release.State       `json:"releases"`
 	ProgramReleases  *release.State       `json:"programs"`
-	RejectedShare    float64              `json:"pushed"` // share of its RPCs that the heard fleet pushes back
+	RejectedShare    float64              `json:"pushed"` // of the RPCs of all reachable servers
 	Drains           []permit.DrainStatus `json:"drained,omitempty"`
 }
 
-// Client asks keepers. It may be used by many goroutines.
+// Replacement replaces one replica by another: either may be empty.
+type Replacement struct {
+	Removed       string `json:"out"`  // the name of the replica to remove
+	Added         string `json:"name"` // the name of the replica to add
+	AddedRaftAddr string `json:"raft"` // where the other replicas reach that
+}
+
+// Client sends requests to the permit service. It may be used by many goroutines.
 type Client struct {
 	addrs []string
 	http  http.Client
 }
 
-// New returns a client of the keepers at these addresses.
+// New returns a client of the replicas at these addresses (IP and port).
 func New(addrs []string) *Client {
-	return &Client{addrs: addrs, http: http.Client{Timeout: attemptTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 2, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}}
+	dialer := net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, DialContext: dialer.DialContext}
+	return &Client{addrs: addrs, http: http.Client{Timeout: attemptTimeout, Transport: transport}}
 }
 
-// Close ends its connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// ask goes from keeper to keeper until one answers as the leader, or ctx ends. What is asked must do nothing if it comes again.
-func (c *Client) request(ctx context.Context, verb, path string, in, out any) error {
+// Do sends a command until it has its result or ctx ends.
+func (c *Client) Do(ctx context.Context, command permit.Command) (result permit.Result, err error) {
+	err = c.request(ctx, http.MethodPost, "/v1/command", command, &result)
+	return result, err
+}
+
+// Heartbeat reports a server to the leader and returns the server's directives.
+func (c *Client) Heartbeat(ctx context.Context, h Heartbeat) (d Directives, err error) {
+	err = c.request(ctx, http.MethodPost, "/v1/here", h, &d)
+	return d, err
+}
+
+// Release sends a command on versions and releases until it has its result or ctx ends.
+func (c *Client) Release(ctx context.Context, command release.Command) (result release.Result, err error) {
+	err = c.request(ctx, http.MethodPost, "/v1/release", command, &result)
+	return result, err
+}
+
+// Version reads a stored version of settings from the leader.
+func (c *Client) Version(ctx context.Context, number uint64) (v release.Version, err error) {
+	err = c.request(ctx, http.MethodGet, fmt.Sprint("/v1/version?number=", number), nil, &v)
+	return v, err
+}
+
+// Replace has the leader remove a replica from the cluster and add another. A repeated request changes nothing more.
+func (c *Client) Replace(ctx context.Context, x Replacement) error {
+	return c.request(ctx, http.MethodPost, "/v1/keepers", x, &struct{}{})
+}
+
+// State reads the replicated state and what the leader observes.
+func (c *Client) State(ctx context.Context) (s Status, err error) {
+	err = c.request(ctx, http.MethodGet, "/v1/state", nil, &s)
+	return s, err
+}
+
+// request sends one request to replica after replica until one responds as the leader, a replica finds the request malformed,
+// or ctx ends. in is sent as JSON unless it is nil; the response is read into out.
+func (c *Client) request(ctx context.Context, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		var err error
@@ -85,82 +146,56 @@
 			return err
 		}
 	}
-	last := errors.New("no keeper is known")
-	next := ""
+	if len(c.addrs) == 0 {
+		return ErrNoServers
+	}
+	leader := "" // as the last response named it
 	for i := 0; ; i++ {
-		addr := next
-		if next = ""; addr == "" {
-			if len(c.addrs) == 0 {
-				return last
-			}
+		addr := leader
+		if addr == "" {
 			addr = c.addrs[i%len(c.addrs)]
 		}
-		r, err := http.NewRequestWithContext(ctx, verb, "http://"+addr+path, bytes.NewReader(body))
+		r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 		if err != nil {
 			return err
 		}
-		a, err := c.http.Do(r)
+		response, err := c.attempt(r)
 		if err == nil {
-			b, readErr := io.ReadAll(io.LimitReader(a.Body, 64<<20))
-			a.Body.Close()
-			switch {
-			case readErr != nil:
-				last = readErr
-			case a.StatusCode == http.StatusOK:
-				return json.Unmarshal(b, out)
-			case a.StatusCode == http.StatusBadRequest:
-				return errors.New(string(bytes.TrimSpace(b)))
-			default:
-				last = errors.New(string(bytes.TrimSpace(b)))
-				next = a.Header.Get(LeaderHeader)
+			return json.Unmarshal(response, out)
+		}
+		leader = ""
+		var refused *ResponseError
+		if errors.As(err, &refused) {
+			if refused.StatusCode == http.StatusBadRequest {
+				return refused
 			}
-		} else {
-			last = err
+			leader = refused.Leader
 		}
-		if next != "" {
+		if leader != "" {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("keepers: %w", last)
+			return fmt.Errorf("keepers: %w", err)
 		case <-time.After(attemptPause):
 		}
 	}
 }
 
-// Do sends a command until it has its answer or ctx ends.
-func (c *Client) Do(ctx context.Context, x permit.Command) (a permit.Result, err error) {
-	return a, c.request(ctx, http.MethodPost, "/v1/command", x, &a)
-}
-
-// Here tells the leader how a server is, and returns what the server is to do.
-func (c *Client) Heartbeat(ctx context.Context, h Heartbeat) (o Directives, err error) {
-	return o, c.request(ctx, http.MethodPost, "/v1/here", h, &o)
-}
-
-// Release sends a command on versions and releases until it has its answer or ctx ends.
-func (c *Client) Release(ctx context.Context, x release.Command) (a release.Result, err error) {
-	return a, c.request(ctx, http.MethodPost, "/v1/release", x, &a)
-}
-
-// Version reads one that is kept, from the leader.
-func (c *Client) Version(ctx context.Context, number uint64) (v release.Version, err error) {
-	return v, c.request(ctx, http.MethodGet, fmt.Sprint("/v1/version?number=", number), nil, &v)
-}
-
-// Exchange is one keeper for another: either may be empty.
-type Replacement struct {
-	Removed       string `json:"out"`  // the name of the one that goes
-	Added         string `json:"name"` // of the one that comes
-	AddedRaftAddr string `json:"raft"` // where keepers reach that
-}
-
-// Replace has the leader take a keeper out of the set, and another in. The same again does the same.
-func (c *Client) Replace(ctx context.Context, x Replacement) error {
-	return c.request(ctx, http.MethodPost, "/v1/keepers", x, &struct{}{})
-}
-
-// State reads all that is agreed on, through the leader.
-func (c *Client) State(ctx context.Context) (s Status, err error) {
-	return s, c.request(ctx, http.MethodGet, "/v1/state", nil, &s)
+// attempt sends one request to one replica and returns the body of its response, or a ResponseError.
+func (c *Client) attempt(r *http.Request) ([]byte, error) {
+	response, err := c.http.Do(r)
+	if err != nil {
+		return nil, err
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	_ = response.Body.Close() // it is read, or lost with its connection
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		text := string(bytes.TrimSpace(body))
+		return nil, &ResponseError{StatusCode: response.StatusCode, Text: text, Leader: response.Header.Get(LeaderHeader)}
+	}
+	return body, nil
 }
--- /dev/null
+++ b/internal/permitserver/command/operate.go
@@ -0,0 +1,143 @@
+package command
+
+// This file owns the operators' commands, which any replica accepts.
+
+import (
+	"bytes"
+	"context"
+	"crypto/rand"
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/user"
+	"strings"
+	"time"
+
+	"sorrelvalve/decision/permit"
+	"sorrelvalve/internal/permitclient"
+)
+
+// requestTimeout bounds each command: two elections and the answer.
+const requestTimeout = 10 * time.Second
+
+// cluster holds the flags of all operators' commands.
+type cluster struct {
+	Servers []string `name:"keepers" required:"" placeholder:"ADDRESS" help:"Where replicas take clients; any of them leads on to the leader."`
+}
+
+// withClient calls f with a client of the cluster.
+func (c cluster) withClient(f func(ctx context.Context, client *permitclient.Client) error) error {
+	client := permitclient.New(c.Servers)
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	return f(ctx, client)
+}
+
+// do sends one command, under an ID that stays the same over all attempts.
+func (c cluster) do(command permit.Command) error {
+	var id [12]byte
+	rand.Read(id[:]) // never fails
+	command.ID = fmt.Sprintf("op-%x", id)
+	if u, err := user.Current(); err == nil {
+		command.Actor = u.Username
+	}
+	return c.withClient(func(ctx context.Context, client *permitclient.Client) error {
+		result, err := client.Do(ctx, command)
+		if err == nil && !result.OK {
+			err = fmt.Errorf("%s: %s", command.Kind, result.Reason)
+		}
+		return err
+	})
+}
+
+type haltCommand struct {
+	cluster
+	Why string `required:"" help:"For other operators."`
+}
+
+// Run halts all new drains.
+func (c haltCommand) Run() error { return c.do(permit.Command{Kind: permit.Halt, Reason: c.Why}) }
+
+type resumeCommand struct {
+	cluster
+	Why string `help:"For other operators."`
+}
+
+// Run ends a manual halt.
+func (c resumeCommand) Run() error { return c.do(permit.Command{Kind: permit.Resume, Reason: c.Why}) }
+
+type freeCommand struct {
+	cluster
+	Subject string `arg:"" help:"A server's name, or pool/member."`
+	Why     string `required:"" help:"What is known of it: it is recorded with who said so."`
+}
+
+// Run frees a permit.
+func (c freeCommand) Run() error {
+	return c.do(permit.Command{Kind: permit.Free, Subject: c.Subject, Reason: c.Why})
+}
+
+type replaceCommand struct {
+	cluster
+	Out string `arg:"" help:"The name of the replica that is lost. It never votes again under that name."`
+	In  string `arg:"" optional:"" placeholder:"NAME=RAFT" help:"The new one, which runs with --join."`
+}
+
+// Run replaces a replica.
+func (c replaceCommand) Run() error {
+	x := permitclient.Replacement{Removed: c.Out}
+	if c.In != "" {
+		name, raft, ok := strings.Cut(c.In, "=")
+		if !ok || name == "" {
+			return fmt.Errorf("NAME=RAFT expected, %q there", c.In)
+		}
+		x.Added = name
+		x.AddedRaftAddr = raft
+	}
+	return c.withClient(func(ctx context.Context, client *permitclient.Client) error { return client.Replace(ctx, x) })
+}
+
+type setCommand struct {
+	cluster
+	File string `arg:"" type:"existingfile" help:"JSON: servers, members, limits (docs/operate/keepers.md)."`
+}
+
+// Run replaces the roster and the limits.
+func (c setCommand) Run() error {
+	b, err := os.ReadFile(c.File)
+	if err != nil {
+		return err
+	}
+	var roster struct {
+		Servers []permit.Server `json:"servers"`
+		Members []permit.Member `json:"members"`
+		Limits  *permit.Limits  `json:"limits"`
+	}
+	d := json.NewDecoder(bytes.NewReader(b))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&roster); err != nil {
+		line := 1 + bytes.Count(b[:min(len(b), int(d.InputOffset()))], []byte{'\n'})
+		return fmt.Errorf("%s:%d: %w", c.File, line, err)
+	}
+	return c.do(permit.Command{Kind: permit.Configure, Servers: roster.Servers, Members: roster.Members, Limits: roster.Limits})
+}
+
+type statusCommand struct {
+	cluster
+	JSON bool `help:"As the leader's API returns it."`
+}
+
+// Run prints the status.
+func (c statusCommand) Run() error {
+	return c.withClient(func(ctx context.Context, client *permitclient.Client) error {
+		status, err := client.State(ctx)
+		if err != nil {
+			return err
+		}
+		if c.JSON {
+			return json.NewEncoder(os.Stdout).Encode(status)
+		}
+		return permitclient.WriteStatus(os.Stdout, status)
+	})
+}
--- a/internal/permitserver/server.go
+++ b/internal/permitserver/server.go
@@ -248,6 +248,7 @@
 	Addr string // where the leader's clients connect; "" if it is unknown
 }
 
+// Error names the leader, for clients.
 func (e *NotLeaderError) Error() string {
 	if e.Addr == "" {
 		return "no keeper leads just now: most of them are not in contact"
