--- a/internal/experiment/outlier_detection.go
+++ b/internal/experiment/outlier_detection.go
@@ -32,7 +32,16 @@
 )
 
 // outlierRules are the usual ones of a pool.
-var outlierRules = pool.Config{MaxConnections: 32, MaxQueued: 0, QueueTimeout: 0, ConsecutiveFailures: 5, LatencyFactor: 4, MinHealthyShare: 0.5, BaseEjection: 2000, SlowStart: 5000}
+var outlierRules = pool.Config{
+	MaxConnections:      32,
+	MaxQueued:           0,
+	QueueTimeout:        0,
+	ConsecutiveFailures: 5,
+	LatencyFactor:       4,
+	MinHealthyShare:     0.5,
+	BaseEjection:        2000,
+	SlowStart:           5000,
+}
 
 // phase is one fault of the experiment.
 type phase struct {
@@ -163,9 +172,11 @@
 	half := x.servers / 2
 	var lines strings.Builder
 	for _, p := range x.phases {
-		if p.secondFault != nil {
-			fmt.Fprintf(&lines, "%dms split %s|%s\n%dms heal\n", int(p.beganMs-partitionLeadMs), strings.Join(names[:half], ","), strings.Join(names[half:], ","), int(p.beganMs+phaseMs))
+		if p.secondFault == nil {
+			continue
 		}
+		fmt.Fprintf(&lines, "%dms split %s|%s\n", int(p.beganMs-partitionLeadMs), strings.Join(names[:half], ","), strings.Join(names[half:], ","))
+		fmt.Fprintf(&lines, "%dms heal\n", int(p.beganMs+phaseMs))
 	}
 	return script.Parse(lines.String(), names)
 }
@@ -337,7 +348,8 @@
 	r.AddRow("tries to members bad for all, from 3 s after they turned so", x.lateAttempts[detectAlone], x.lateAttempts[detectShared], "")
 	r.AddRow("  in the first 3 s", x.earlyAttempts[detectAlone], x.earlyAttempts[detectShared], "")
 	r.AddRow("most members out at one server, share", "", x.maxEjectedShare(), "")
-	r.AddRow(fmt.Sprintf("%d servers, %d members, %g RPC/s each, %d seeds: s of real time", x.servers, outlierMembers, x.rate, x.seeds), "", time.Since(x.began).Seconds(), "")
+	size := fmt.Sprintf("%d servers, %d members, %g RPC/s each, %d seeds", x.servers, outlierMembers, x.rate, x.seeds)
+	r.AddRow(size+": s of real time", "", time.Since(x.began).Seconds(), "")
 	return nil
 }
 
--- a/internal/experiment/shared_quota.go
+++ b/internal/experiment/shared_quota.go
@@ -116,7 +116,8 @@
 				return err
 			}
 		}
-		r.AddRow(fmt.Sprintf("%d simulated servers, %s: most in any second over bound and burst", servers, scheme), seeds, result.peakUse, fmt.Sprintf("%d findings", len(result.findings)))
+		name := fmt.Sprintf("%d simulated servers, %s", servers, scheme)
+		r.AddRow(name+": most in any second over bound and burst", seeds, result.peakUse, fmt.Sprintf("%d findings", len(result.findings)))
 		r.AddRow("  in contact, from 2 s after a move: served of the whole quota, the least", seeds, result.inContact, "")
 		r.AddRow("  cut off with all callers: served of its floor", seeds, result.cutOff, "")
 		r.AddRow("  packets a second from a server, the most", seeds, result.packets, "")
