--- a/decision/evidence/evidence_test.go
+++ b/decision/evidence/evidence_test.go
@@ -5,49 +5,49 @@
 	"testing"
 )
 
-func TestViews(t *testing.T) {
-	var o Recorder
+func TestSummaries(t *testing.T) {
+	var recorder Recorder
 	for i := range 40 {
 		at := float64(i * 50)
-		o.RecordSuccess(at, "a", 20)
-		o.RecordSuccess(at, "b", 200)
+		recorder.RecordSuccess(at, "a", 20)
+		recorder.RecordSuccess(at, "b", 200)
 		if i%10 == 0 {
-			o.RecordSuccess(at, "c", 20)
+			recorder.RecordSuccess(at, "c", 20)
 		} else {
-			o.RecordFailure(at, "c")
+			recorder.RecordFailure(at, "c")
 		}
 	}
-	o.RecordBusy(1950, "d", 60e3)
-	v := o.Summaries(2000)
-	if len(v) != 4 || v[0].Run != MaxRun || v[0].Age != 50 || v[0].FailureFraction != 0 {
-		t.Fatalf("%+v", v)
+	recorder.RecordBusy(1950, "d", 60e3)
+	summaries := recorder.Summaries(2000)
+	if len(summaries) != 4 || summaries[0].Run != MaxRun || summaries[0].Age != 50 || summaries[0].FailureFraction != 0 {
+		t.Fatalf("%+v", summaries)
 	}
-	if d := v[1].LogLatencyRatio - v[0].LogLatencyRatio; math.Abs(d-math.Log(10)) > 0.1 || v[1].LatencySamples < 10 {
-		t.Errorf("b is ten times as slow as a: %+v", v)
+	if d := summaries[1].LogLatencyRatio - summaries[0].LogLatencyRatio; math.Abs(d-math.Log(10)) > 0.1 || summaries[1].LatencySamples < 10 {
+		t.Errorf("b is ten times as slow as a: %+v", summaries)
 	}
-	if v[2].Run != -9 || v[2].FailureFraction < 0.85 {
-		t.Errorf("c answers every tenth: %+v", v[2])
+	if summaries[2].Run != -9 || summaries[2].FailureFraction < 0.85 {
+		t.Errorf("c answers every tenth: %+v", summaries[2])
 	}
-	if v[3].BusyRemaining != mostBusy-50 || v[3].Run != 0 {
-		t.Errorf("d is busy, no more than may be heeded: %+v", v[3])
+	if summaries[3].BusyRemaining != maxBusy-50 || summaries[3].Run != 0 {
+		t.Errorf("d is busy, no more than may be heeded: %+v", summaries[3])
 	}
-	if n, w := v[0].Attempts, o.Summaries(2000 + halfEnds)[0].Attempts; math.Abs(w-n/2) > 1e-9 {
+	if n, w := summaries[0].Attempts, recorder.Summaries(2000 + failureHalfLife)[0].Attempts; math.Abs(w-n/2) > 1e-9 {
 		t.Errorf("%g, a half-life later %g", n, w)
 	}
-	if v := o.Summaries(2000 + 2*forget); len(v) != 0 {
-		t.Errorf("long after: %+v", v)
+	if summaries := recorder.Summaries(2000 + 2*retention); len(summaries) != 0 {
+		t.Errorf("long after: %+v", summaries)
 	}
-	o.Retain([]string{"a"})
-	if len(o.all) != 1 {
-		t.Errorf("%d are kept", len(o.all))
+	recorder.Retain([]string{"a"})
+	if len(recorder.members) != 1 {
+		t.Errorf("%d are retained", len(recorder.members))
 	}
 }
 
-func BenchmarkOK(b *testing.B) {
-	var o Recorder
+func BenchmarkRecordSuccess(b *testing.B) {
+	var recorder Recorder
 	b.ReportAllocs()
 	names := [...]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}
 	for i := 0; b.Loop(); i++ {
-		o.RecordSuccess(float64(i)/100, names[i%4], 20)
+		recorder.RecordSuccess(float64(i)/100, names[i%4], 20)
 	}
 }
