--- a/valve/fleetvalve/fleetvalve_test.go
+++ b/valve/fleetvalve/fleetvalve_test.go
@@ -20,7 +20,9 @@
 			panic(err)
 		}
 		addrs = append(addrs, ln.Addr().String())
-		ln.Close()
+		if err := ln.Close(); err != nil {
+			panic(err)
+		}
 	}
 	var parts []*fleetvalve.Fleet
 	for i, name := range []string{"shop-1", "shop-2"} {
@@ -35,7 +37,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	v := parts[0].View()
-	fmt.Println(v.State, v.MinServers, v.MaxServers, v.Zones[0].InContact)
+	fmt.Println(v.State, v.MinServers, v.MaxServers, v.Zones[0].Reachable)
 	// Output: whole 2 2 2
 }
 
--- a/valve/ginvalve/ginvalve.go
+++ b/valve/ginvalve/ginvalve.go
@@ -1,5 +1,5 @@
-// Package ginvalve passes the RPCs of a gin program through a Valve. It is httpvalve with gin's own writer and context:
-// the handlers behind it run in gin's goroutine, and exactly one answer goes out.
+// Package ginvalve passes the requests of a gin program through a Valve: it is httpvalve with gin's own writer and context.
+// The handlers behind it run in gin's goroutine, and exactly one response goes out.
 package ginvalve
 
 import (
@@ -11,7 +11,8 @@
 	"sorrelvalve/valve/httpvalve"
 )
 
-// New returns a gin middleware. Put it behind gin.Recovery, so that what a handler panics with is logged there.
+// New returns a gin middleware, under the terms of httpvalve.New. Use it behind gin.Recovery, so that a panic of a handler
+// is logged there.
 func New(v *valve.Valve, o httpvalve.Options) (gin.HandlerFunc, error) {
 	m, err := httpvalve.New(v, o)
 	if err != nil {
@@ -19,53 +20,65 @@
 	}
 	return func(c *gin.Context) {
 		own := c.Writer
-		p := &pass{c: c, writer: writer{ResponseWriter: own, status: http.StatusOK, size: -1}}
+		r := &request{context: c, writer: writer{ResponseWriter: own, status: http.StatusOK, size: noBody}}
 		defer func() { c.Writer = own }()
-		m.Serve(own, c.Request, p.next)
-		if !p.ran { // written now, or gin would add a body of its own to a 404
+		m.Serve(own, c.Request, r.next)
+		if !r.admitted { // written now, or gin would add a body of its own to a 404
 			c.Abort()
 			own.WriteHeaderNow()
 		}
 	}, nil
 }
 
-// pass is one message on its way through.
-type pass struct {
+// request is one request on its way through the valve.
+type request struct {
 	writer
-	c   *gin.Context
-	ran bool
+	context  *gin.Context
+	admitted bool
 }
 
 // next runs the handlers behind the valve.
-func (p *pass) next(w http.ResponseWriter, q *http.Request) {
-	p.ran = true
-	p.c.Request = q
-	if w != http.ResponseWriter(p.ResponseWriter) {
-		p.w = w
-		p.c.Writer = &p.writer
+func (r *request) next(w http.ResponseWriter, q *http.Request) {
+	r.admitted = true
+	r.context.Request = q
+	if w != http.ResponseWriter(r.ResponseWriter) {
+		r.guarded = w
+		r.context.Writer = &r.writer
 	}
-	p.c.Next()
-	p.c.Writer.WriteHeaderNow()
+	r.context.Next()
+	r.context.Writer.WriteHeaderNow()
 }
 
-// writer is gin's view of the guarded writer: gin puts off the head until the first byte.
+// noBody is the size of a response that has not begun, as gin has it.
+const noBody = -1
+
+// writer is httpvalve's guarded writer as a gin.ResponseWriter: gin puts off the header until the first byte.
 type writer struct {
 	gin.ResponseWriter
-	w      http.ResponseWriter
-	status int
-	size   int
+	guarded http.ResponseWriter
+	status  int
+	size    int
 }
 
-func (w *writer) Unwrap() http.ResponseWriter { return w.w }
-func (w *writer) Header() http.Header         { return w.w.Header() }
-func (w *writer) Status() int                 { return w.status }
-func (w *writer) Size() int                   { return w.size }
-func (w *writer) Written() bool               { return w.size >= 0 }
+// Unwrap returns the guarded writer, for http.ResponseController.
+func (w *writer) Unwrap() http.ResponseWriter { return w.guarded }
+
+// Header returns the header of the response.
+func (w *writer) Header() http.Header { return w.guarded.Header() }
+
+// Status returns the status that was set last.
+func (w *writer) Status() int { return w.status }
+
+// Size returns the bytes of the body so far, or -1 before the header is written.
+func (w *writer) Size() int { return w.size }
+
+// Written tells whether the header is written.
+func (w *writer) Written() bool { return w.size >= 0 }
 
-// WriteHeader notes the status; the head goes out with the first byte, or at the end.
+// WriteHeader sets the status; the header is written with the first byte or at the end. Interim responses are written now.
 func (w *writer) WriteHeader(status int) {
 	if status >= 100 && status < 200 && status != http.StatusSwitchingProtocols {
-		w.w.WriteHeader(status)
+		w.guarded.WriteHeader(status)
 		return
 	}
 	if status > 0 && !w.Written() {
@@ -73,25 +86,27 @@
 	}
 }
 
-// WriteHeaderNow begins the answer.
+// WriteHeaderNow writes the header.
 func (w *writer) WriteHeaderNow() {
 	if !w.Written() {
 		w.size = 0
-		w.w.WriteHeader(w.status)
+		w.guarded.WriteHeader(w.status)
 	}
 }
 
+// Write writes a part of the body.
 func (w *writer) Write(b []byte) (int, error) {
 	w.WriteHeaderNow()
-	n, err := w.w.Write(b)
+	n, err := w.guarded.Write(b)
 	w.size += n
 	return n, err
 }
 
+// WriteString is Write for a string.
 func (w *writer) WriteString(s string) (int, error) { return w.Write([]byte(s)) }
 
-// Flush sends what there is.
+// Flush sends what has been written.
 func (w *writer) Flush() {
 	w.WriteHeaderNow()
-	w.w.(http.Flusher).Flush()
+	w.guarded.(http.Flusher).Flush()
 }
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -68,7 +68,7 @@
 		case "abort":
 			c.AbortWithStatus(409)
 		case "error":
-			c.Error(fmt.Errorf("no"))
+			_ = c.Error(fmt.Errorf("no")) // it returns the error that it adds to the context
 			c.Status(502)
 		case "panic":
 			panic("x")
--- a/valve/httpvalve/guard.go
+++ b/valve/httpvalve/guard.go
@@ -1,51 +1,46 @@
 package httpvalve
 
-// This file owns the writer that a handler gets: whoever writes first, handler or valve, gives the one answer. It must
-// never let a second one out, nor let the handler touch a header map that the answer is being made of.
-
 import (
 	"bufio"
-	"bytes"
 	"errors"
 	"maps"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 
 	"sorrelvalve/valve"
 )
 
-// guard is the handler's writer.
+// guard is the writer that a handler gets: whichever writes first, handler or valve, gives the one response. It never lets a
+// second one out, nor lets the handler touch a header map that the response is being made of.
 type guard struct {
-	m    *Middleware
-	w    http.ResponseWriter
-	most int // bytes of an answer that is kept for repeats; 0 for none
-
-	mu     sync.Mutex
-	header http.Header // the handler's own, until it is written
-	begun  bool        // the handler has begun the answer
-	given  bool        // the valve has given it
-	taken  bool        // the handler has hijacked the connection
-	status int
-	kept   []byte // body so far
-	sent   http.Header
-	large  bool // it outgrew the bound, or was streamed in a way that can't be kept
+	w         http.ResponseWriter
+	maxCached int // bytes of a body that is cached for duplicates; 0 for none
+
+	mu          sync.Mutex
+	header      http.Header // the handler's own until it is written; nil for none
+	started     bool        // the handler has started the response
+	answered    bool        // the valve has given the response
+	hijacked    bool        // the handler has hijacked the connection
+	status      int         // of the handler's response
+	sentHeader  http.Header // as the response started, to be cached
+	body        []byte      // so far, to be cached
+	uncacheable bool        // it is too long, or was sent in a way that can't be repeated
 }
 
-// Header is the handler's own map, until it writes.
+// Header returns the handler's own header, until it writes.
 func (g *guard) Header() http.Header {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.header == nil {
 		g.header = http.Header{}
-		maps.Copy(g.header, g.w.Header()) // what stood there before, as the server and outer handlers set it
+		maps.Copy(g.header, g.w.Header()) // as the server and outer handlers have set it
 	}
 	return g.header
 }
 
-// WriteHeader begins the answer, unless the valve has given it. Interim answers pass.
+// WriteHeader starts the response, unless the valve has given it. Interim responses pass.
 func (g *guard) WriteHeader(status int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -53,173 +48,158 @@
 }
 
 func (g *guard) writeHeader(status int) {
-	if g.given || g.taken {
+	if g.answered || g.hijacked {
 		return
 	}
 	interim := status >= 100 && status < 200 && status != http.StatusSwitchingProtocols
-	if !g.begun {
-		h := g.w.Header()
-		for key := range h {
-			if _, stays := g.header[key]; !stays && g.header != nil {
-				delete(h, key)
-			}
-		}
-		for key, v := range g.header {
-			h[key] = v
-		}
+	if !g.started {
+		g.copyHeader()
 		if !interim {
-			g.begun, g.status = true, status
-			if g.most > 0 {
-				g.sent = h.Clone()
+			g.started = true
+			g.status = status
+			if g.maxCached > 0 {
+				g.sentHeader = g.w.Header().Clone()
 			}
 		}
 	}
 	g.w.WriteHeader(status) // a second one is the handler's fault, and the server says so
 }
 
-// Write is part of the body, unless the valve has given the answer.
+// copyHeader makes the server's header that of the handler.
+func (g *guard) copyHeader() {
+	h := g.w.Header()
+	for key := range h {
+		if _, stays := g.header[key]; !stays && g.header != nil {
+			delete(h, key)
+		}
+	}
+	maps.Copy(h, g.header)
+}
+
+// Write writes a part of the body, unless the valve has given the response.
 func (g *guard) Write(b []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case g.given:
+	case g.answered:
 		return 0, http.ErrHandlerTimeout
-	case g.taken:
+	case g.hijacked:
 		return 0, http.ErrHijacked
 	}
-	if !g.begun {
+	if !g.started {
 		g.writeHeader(http.StatusOK)
 	}
-	if g.most > 0 && !g.large {
-		if g.large = len(g.kept)+len(b) > g.most; g.large {
-			g.kept = nil
-		} else {
-			g.kept = append(g.kept, b...)
-		}
-	}
+	g.cache(b)
 	return g.w.Write(b)
 }
 
-// Flush sends what there is. It begins the answer.
-func (g *guard) Flush() { g.FlushError() }
+// cache keeps a part of the body for duplicates.
+func (g *guard) cache(b []byte) {
+	if g.maxCached == 0 || g.uncacheable {
+		return
+	}
+	if len(g.body)+len(b) > g.maxCached {
+		g.uncacheable = true
+		g.body = nil
+		return
+	}
+	g.body = append(g.body, b...)
+}
+
+// Flush sends what has been written. It starts the response.
+func (g *guard) Flush() { _ = g.FlushError() } // http.Flusher has no error
 
 // FlushError is Flush for http.ResponseController.
 func (g *guard) FlushError() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.given {
+	if g.answered {
 		return http.ErrHandlerTimeout
 	}
-	if !g.begun {
+	if !g.started {
 		g.writeHeader(http.StatusOK)
 	}
 	return http.NewResponseController(g.w).Flush()
 }
 
-// Hijack hands the connection to the handler, with the promise of an answer: the valve gives none from here on.
+// Hijack hands the connection to the handler, which then owes the response: the valve gives none from here on.
 func (g *guard) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.given {
+	if g.answered {
 		return nil, nil, http.ErrHandlerTimeout
 	}
 	c, rw, err := http.NewResponseController(g.w).Hijack()
 	if err == nil {
-		g.taken, g.large = true, true
+		g.hijacked = true
+		g.uncacheable = true
 	}
 	return c, rw, err
 }
 
-// Push and the deadlines of a ResponseController go to the server's writer.
+// Unwrap returns the server's writer, to which Push and the deadlines of an http.ResponseController go.
 func (g *guard) Unwrap() http.ResponseWriter { return g.w }
 
-// HandleFinal hears that the valve gave the RPC an end.
-func (g *guard) HandleFinal(err error) { go g.giveUp(err) }
+// HandleFinal answers for the handler, as the valve gave the RPC an end.
+func (g *guard) HandleFinal(err error) { go g.answer(err) }
 
-// giveUp answers in the handler's place, if that has not begun. What has begun is the handler's to end.
-func (g *guard) giveUp(err error) {
+// answer gives the response in the handler's place unless the handler has started one, which is then its own to end.
+func (g *guard) answer(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.begun || g.taken || g.given {
+	if g.started || g.hijacked || g.answered {
 		return
 	}
-	g.given = true
-	h := g.w.Header()
-	clear(h)
-	var pushed *valve.RejectedError
-	if errors.As(err, &pushed) { // it ran, or may have: that is never said to have been pushed back
+	g.answered = true
+	clear(g.w.Header())
+	var rejected *valve.RejectedError
+	if errors.As(err, &rejected) { // it runs, or may have: that is never said to have been rejected
 		err = &valve.AbortedError{Reason: "it may have run"}
 	}
-	g.m.failed(g.w, err)
-	http.NewResponseController(g.w).Flush() // the handler may go on for long
+	writeError(g.w, err)
+	_ = http.NewResponseController(g.w).Flush() // the handler may go on for long; without a flusher the response waits for it
 }
 
-// finish ends the run of a handler that has returned, and what it left unsaid.
+// finish completes the run of a handler that has returned, and the response as far as it is missing.
 func (g *guard) finish(run *valve.Run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.given && !g.taken && !g.begun {
-		g.writeHeader(http.StatusOK) // a handler that writes nothing has said 200
-	}
-	if g.begun && g.header != nil { // trailers are set after the body
-		h := g.w.Header()
-		for _, names := range g.header["Trailer"] {
-			for _, name := range strings.Split(names, ",") {
-				name = http.CanonicalHeaderKey(strings.TrimSpace(name))
-				if v := g.header[name]; v != nil {
-					h[name] = v
-				}
-			}
-		}
-		for key, v := range g.header {
-			if strings.HasPrefix(key, http.TrailerPrefix) {
-				h[key] = v
-				g.large = true // a repeat could not say them
-			}
-		}
-		g.large = g.large || g.header["Trailer"] != nil
+	if !g.answered && !g.hijacked && !g.started {
+		g.writeHeader(http.StatusOK) // as for any handler that writes nothing
+	}
+	if g.started && g.header != nil {
+		g.writeTrailers()
 	}
 	switch {
-	case g.status >= 500:
+	case g.status >= http.StatusInternalServerError:
 		run.Complete(valve.Failed, valve.Result{})
-	case g.most == 0:
+	case g.maxCached == 0:
 		run.Complete(valve.Succeeded, valve.Result{})
-	case g.given || g.large || g.taken:
+	case g.answered || g.uncacheable || g.hijacked:
 		run.CompleteUncached()
 	default:
-		run.Complete(valve.Succeeded, valve.Result{Head: headOf(g.status, g.sent), Body: g.kept})
+		run.Complete(valve.Succeeded, valve.Result{Head: encodeHead(g.status, g.sentHeader), Body: g.body})
 	}
 }
 
-// headOf is status and header as they are kept: an HTTP/1.1 head, so that any front can tell them.
-func headOf(status int, h http.Header) []byte {
-	var b bytes.Buffer
-	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	h.WriteSubset(&b, ofConnection)
-	b.WriteString("\r\n")
-	return b.Bytes()
-}
-
-// ofConnection are the fields that hold for one connection or one answer only.
-var ofConnection = map[string]bool{"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Upgrade": true, "Trailer": true,
-	"Date": true, "Content-Length": true}
-
-// replay writes a kept answer.
-func replay(w http.ResponseWriter, a valve.Result) {
-	status, rest, ok := bytes.Cut(a.Head, []byte("\r\n"))
-	code := http.StatusOK
-	if ok && len(status) >= 12 {
-		if n, err := strconv.Atoi(string(status[9:12])); err == nil {
-			code = n
+// writeTrailers passes on the trailers that the handler has set after the body. A cached response could not repeat them.
+func (g *guard) writeTrailers() {
+	h := g.w.Header()
+	for _, names := range g.header["Trailer"] {
+		for _, name := range strings.Split(names, ",") {
+			name = http.CanonicalHeaderKey(strings.TrimSpace(name))
+			if values := g.header[name]; values != nil {
+				h[name] = values
+			}
 		}
 	}
-	h := w.Header()
-	for _, line := range bytes.Split(rest, []byte("\r\n")) {
-		if name, v, ok := strings.Cut(string(line), ": "); ok {
-			h.Add(name, v)
+	for key, values := range g.header {
+		if strings.HasPrefix(key, http.TrailerPrefix) {
+			h[key] = values
+			g.uncacheable = true
 		}
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	w.WriteHeader(code)
-	w.Write(a.Body)
+	if g.header["Trailer"] != nil {
+		g.uncacheable = true
+	}
 }
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -77,6 +78,20 @@
 	return r
 }
 
+// writeString writes a part of a response, which must succeed.
+func writeString(t testing.TB, w io.Writer, s string) {
+	if _, err := io.WriteString(w, s); err != nil {
+		t.Errorf("write: %v", err)
+	}
+}
+
+// mustClose closes c, which must succeed.
+func mustClose(t testing.TB, c io.Closer) {
+	if err := c.Close(); err != nil {
+		t.Errorf("close: %v", err)
+	}
+}
+
 // got is an answer in short: status and body, or the error.
 func (r *rig) got(verb, path, body string, header ...string) (string, http.Header) {
 	q, err := http.NewRequest(verb, r.s.URL+path, strings.NewReader(body))
@@ -90,7 +105,7 @@
 	if err != nil {
 		return "error", nil
 	}
-	defer a.Body.Close()
+	defer mustClose(r, a.Body)
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		return fmt.Sprintf("%d cut", a.StatusCode), a.Header
@@ -129,7 +144,7 @@
 		{"writes", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("A", "b")
 			w.WriteHeader(201)
-			io.WriteString(w, "x")
+			writeString(t, w, "x")
 		}, func(r *rig) {
 			if h := r.expect("201 x", "GET", "/view/1", ""); h.Get("A") != "b" {
 				r.Errorf("head %v", h)
@@ -140,7 +155,7 @@
 		{"writes its head twice", func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(404)
 			w.WriteHeader(200)
-			io.WriteString(w, "x")
+			writeString(t, w, "x")
 		}, func(r *rig) {
 			r.expect("404 x", "GET", "/view/1", "")
 		}},
@@ -151,20 +166,20 @@
 		}},
 		{"panics after its first byte", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
-			io.WriteString(w, "half")
+			writeString(t, w, "half")
 			w.(http.Flusher).Flush()
 			panic("x")
 		}, func(r *rig) { r.expect("200 cut", "GET", "/view/1", "") }},
 		{"aborts", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, func(r *rig) { r.expect("error", "GET", "/view/1", "") }},
 		{"streams", func(w http.ResponseWriter, _ *http.Request) {
 			for i := range 3 {
-				fmt.Fprint(w, i)
+				writeString(t, w, fmt.Sprint(i))
 				w.(http.Flusher).Flush()
 			}
 		}, func(r *rig) { r.expect("200 012", "GET", "/view/1", "") }},
 		{"trailers", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", "Sum")
-			io.WriteString(w, "x")
+			writeString(t, w, "x")
 			w.Header().Set("Sum", "7")
 			w.Header().Set(http.TrailerPrefix+"Late", "8")
 		}, func(r *rig) {
@@ -176,7 +191,7 @@
 		{"early hints", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Link", "a")
 			w.WriteHeader(103)
-			io.WriteString(w, "x")
+			writeString(t, w, "x")
 		}, func(r *rig) {
 			hints := 0
 			trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
@@ -190,14 +205,14 @@
 			if err != nil {
 				r.Fatal(err)
 			}
-			defer a.Body.Close()
+			defer mustClose(r, a.Body)
 			if b, _ := io.ReadAll(a.Body); string(b) != "x" || hints != 1 {
 				r.Errorf("%q, %d hints", b, hints)
 			}
 		}},
 		{"HEAD", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "5")
-			io.WriteString(w, "12345")
+			writeString(t, w, "12345")
 		}, func(r *rig) {
 			if h := r.expect("200", "HEAD", "/view/1", ""); h.Get("Content-Length") != "5" {
 				r.Errorf("head %v", h)
@@ -208,11 +223,11 @@
 			if err != nil {
 				panic(err)
 			}
-			defer c.Close()
-			if _, err := w.Write(nil); err != http.ErrHijacked {
+			defer mustClose(t, c)
+			if _, err := w.Write(nil); !errors.Is(err, http.ErrHijacked) {
 				return
 			}
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown")
+			writeString(t, c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown")
 		}, func(r *rig) { r.expect("200 own", "GET", "/view/1", "") }},
 		{"calls itself", nil, func(r *rig) { r.expect("200 inner", "GET", "/view/outer", "") }},
 		{"an unknown path and verb", nil, func(r *rig) {
@@ -238,7 +253,7 @@
 						r.s.Config.Handler.ServeHTTP(w, q)
 						return
 					}
-					io.WriteString(w, "inner")
+					writeString(t, w, "inner")
 				}
 			}
 			r = start(t, handler)
@@ -266,7 +281,7 @@
 		t.Errorf("%d in hand", r.v.InFlight())
 	}
 	close(release)
-	if err := <-wrote; err != http.ErrHandlerTimeout {
+	if err := <-wrote; !errors.Is(err, http.ErrHandlerTimeout) {
 		t.Error(err)
 	}
 	r.quiet()
@@ -275,7 +290,7 @@
 // Held RPCs: pushed back in time with when to return; a caller that leaves is not run.
 func TestHeld(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, func(w http.ResponseWriter, q *http.Request) {
+	r := start(t, func(_ http.ResponseWriter, q *http.Request) {
 		if strings.HasSuffix(q.URL.Path, "slow") {
 			<-release
 		}
@@ -294,7 +309,7 @@
 		defer wg.Done()
 		q, _ := http.NewRequestWithContext(ctx, "GET", r.s.URL+"/view/left", nil)
 		if a, err := http.DefaultClient.Do(q); err == nil {
-			a.Body.Close()
+			mustClose(t, a.Body)
 		}
 	}()
 	for r.v.InFlight() < 2 {
@@ -321,10 +336,13 @@
 	release := make(chan struct{})
 	var once sync.Once
 	defer once.Do(func() { close(release) })
-	slow := func(w http.ResponseWriter, _ *http.Request) { <-release; io.WriteString(w, "late") }
+	slow := func(w http.ResponseWriter, _ *http.Request) {
+		<-release
+		_, _ = io.WriteString(w, "late") // nobody waits for it any more
+	}
 	patient := func(v *valve.Options, _ *Options, _ *httptest.Server) { v.Methods[0].Deadline = time.Minute }
 	t.Run("a TimeoutHandler outside", func(t *testing.T) {
-		r := start(t, slow, patient, func(_ *valve.Options, _ *Options, s *httptest.Server) {})
+		r := start(t, slow, patient, func(*valve.Options, *Options, *httptest.Server) {})
 		inner := r.s.Config.Handler
 		r.s.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
 		r.expect("503 outer", "GET", "/view/1", "")
@@ -336,7 +354,10 @@
 	})
 	t.Run("the server's write time-out", func(t *testing.T) {
 		hold := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; io.WriteString(w, "late") }, patient,
+		r := start(t, func(w http.ResponseWriter, _ *http.Request) {
+			<-hold
+			_, _ = io.WriteString(w, "late") // nobody waits for it any more
+		}, patient,
 			func(_ *valve.Options, _ *Options, s *httptest.Server) { s.Config.WriteTimeout = 30 * time.Millisecond })
 		time.AfterFunc(100*time.Millisecond, func() { close(hold) })
 		r.expect("error", "GET", "/view/1", "")
@@ -344,7 +365,7 @@
 	})
 	t.Run("Shutdown while one runs and one is held", func(t *testing.T) {
 		hold := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; io.WriteString(w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
+		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; writeString(t, w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
 			v.Methods[0].Deadline, v.Methods[0].LatencyObjective = time.Minute, time.Minute
 		})
 		answers := make(chan string, 2)
@@ -385,16 +406,16 @@
 			b, _ := io.ReadAll(q.Body)
 			w.Header().Set("Receipt", "r1")
 			w.WriteHeader(201)
-			fmt.Fprintf(w, "bought %s", b)
+			writeString(t, w, fmt.Sprintf("bought %s", b))
 		}, []string{"201 bought x", "201 bought x"}},
 		{"an answer that outgrows the bound", func(w http.ResponseWriter, _ *http.Request) {
-			io.WriteString(w, strings.Repeat("y", 1001))
+			writeString(t, w, strings.Repeat("y", 1001))
 		}, []string{"200 " + strings.Repeat("y", 1001), "500"}},
 		{"a panic after its effect", func(http.ResponseWriter, *http.Request) { panic("x") }, []string{"500", "500"}},
-		{"an error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 502) }, []string{"502 no", "500"}},
+		{"an error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) }, []string{"502 no", "500"}},
 		{"trailers can't be kept", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", "Sum")
-			io.WriteString(w, "x")
+			writeString(t, w, "x")
 			w.Header().Set("Sum", "7")
 		}, []string{"200 x", "500"}},
 		{"writes nothing", func(http.ResponseWriter, *http.Request) {}, []string{"200", "200"}},
@@ -416,7 +437,7 @@
 	}
 	t.Run("two at once", func(t *testing.T) {
 		release := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-release; io.WriteString(w, "done") })
+		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-release; writeString(t, w, "done") })
 		answers := make(chan string, 2)
 		for range 2 {
 			go func() { s, _ := r.got("POST", "/buy", "x", key...); answers <- s }()
@@ -461,9 +482,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	io.WriteString(c, "POST /buy HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\nContent-Length: 10\r\n\r\nabc")
-	c.SetReadDeadline(time.Now().Add(soon))
+	defer mustClose(t, c)
+	writeString(t, c, "POST /buy HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\nContent-Length: 10\r\n\r\nabc")
+	if err := c.SetReadDeadline(time.Now().Add(soon)); err != nil {
+		t.Fatal(err)
+	}
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || a.StatusCode != 400 || r.runs.Load() != 0 {
 		t.Errorf("answer %+v, error %v", a, err)
@@ -482,7 +505,11 @@
 		fmt.Println(err)
 		return
 	}
-	h := m.Handler(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { fmt.Fprint(w, "account of ", q.URL.Path) }))
+	h := m.Handler(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+		if _, err := fmt.Fprint(w, "account of ", q.URL.Path); err != nil {
+			fmt.Println(err)
+		}
+	}))
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest("GET", "/accounts/7", nil))
 	fmt.Println(w.Code, w.Body)
