--- a/internal/msgpack/msgpack_test.go
+++ b/internal/msgpack/msgpack_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -46,7 +47,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := Parse([]byte(c.in))
-			if got := c.read(&p); p.Err() != c.bad || c.bad == nil && got != c.want {
+			if got := c.read(&p); !errors.Is(p.Err(), c.bad) || c.bad == nil && got != c.want {
 				t.Errorf("got %v, error %v; want %v, error %v", got, p.Err(), c.want, c.bad)
 			}
 		})
@@ -89,7 +90,7 @@
 			t.Fatalf("read %d of %d bytes", p.Offset(), len(b))
 		}
 		cut := Parse(bytes.Clone(b[:p.Offset()-1]))
-		if cut.Skip(); cut.Err() != ErrTruncated || cut.Missing() != 1 {
+		if cut.Skip(); !errors.Is(cut.Err(), ErrTruncated) || cut.Missing() != 1 {
 			t.Errorf("cut by one byte: error %v, %d lack", cut.Err(), cut.Missing())
 		}
 	})
--- a/internal/uwsgi/uwsgi_test.go
+++ b/internal/uwsgi/packet_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestParseAnswer(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	cases := []struct {
 		name, in     string
 		status, size int
@@ -103,7 +103,7 @@
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.0 500\nA: b\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
