--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -21,7 +21,7 @@
 func TestQuotaOfProcesses(t *testing.T) {
 	const bound, burst = 80.0, 12.0
 	rules := standin.NewInvariantChecker("view")
-	n := cachedNames(4)
+	n := serverNames(4)
 	customerQuota := func(bound float64) *operator.Budgets {
 		return &operator.Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, MaxLeaseMs: 1000}}}
 	}
@@ -61,7 +61,8 @@
 	do(t, b, "0s kill n0\n0s start n0\n0s term n2")
 	both.Wait()
 	do(t, b, "0s heal")
-	for end := time.Now().Add(within); b.Processes.Running("n2") && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(within); b.Processes.Running("n2") && time.Now().Before(deadline); {
+		time.Sleep(20 * time.Millisecond)
 	}
 	do(t, b, "0s start n2")
 	await(t, b, n, testbed.ExpectView("whole", 4))
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -163,7 +163,10 @@
 	listen := free(t)
 	f := open(t, &listen, Options{Name: "n0"})
 	b := f.ShareBudgets(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
-	if !b.AllowCall("p", 1, 100) || !b.AllowCall("p", 1, 100) || b.AllowCall("p", 1, 100) {
+	first := b.AllowCall("p", 1, 100)
+	second := b.AllowCall("p", 1, 100)
+	third := b.AllowCall("p", 1, 100)
+	if !first || !second || third {
 		t.Fatal("two of two expected")
 	}
 	b.CompleteCall("p", false, false)
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -26,14 +26,17 @@
 // One of three may be out: a server that drains by a permit ends, another may not until the first is back and warm; a loss uses
 // up the allowance; without keepers, and while halted, nothing begins.
 func TestDrainsByPermit(t *testing.T) {
-	n := cachedNames(3)
+	n := serverNames(3)
 	free := func() string {
 		ln, err := net.Listen("tcp", place())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer ln.Close()
-		return ln.Addr().String()
+		addr := ln.Addr().String()
+		if err := ln.Close(); err != nil {
+			t.Fatal(err)
+		}
+		return addr
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
@@ -46,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go k.Serve(ln)
+	serveClients(t, k, ln)
 	b := started(t, testbed.Options{Names: n, Seed: 6, Cores: 2, PermitServers: []string{ln.Addr().String()}})
 	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
@@ -132,6 +135,18 @@
 	return fmt.Sprintf("127.%d.%d.%d:0", 2+rand.IntN(200), rand.IntN(256), 1+rand.IntN(250))
 }
 
+// serveClients serves a permit server's clients until the test ends, which closes it.
+func serveClients(t *testing.T, server *permitserver.Server, ln net.Listener) {
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(ln) }()
+	t.Cleanup(func() {
+		server.Close()
+		if err := <-served; err != nil {
+			t.Errorf("permit server: %v", err)
+		}
+	})
+}
+
 // keepers are three in this process, and a client of theirs.
 type keepers struct {
 	*testing.T
@@ -164,7 +179,7 @@
 		if err != nil {
 			k.Fatal(err)
 		}
-		go x.Serve(ln)
+		serveClients(k.T, x, ln)
 		k.all = append(k.all, x)
 	}
 }
@@ -185,7 +200,9 @@
 			}
 			both[j] = ln
 		}
-		both[0].Close()
+		if err := both[0].Close(); err != nil {
+			t.Fatal(err)
+		}
 		lns = append(lns, both[1])
 		k.addrs = append(k.addrs, both[1].Addr().String())
 		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), RaftAddr: both[0].Addr().String(), HTTPAddr: both[1].Addr().String()})
@@ -197,12 +214,12 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(x.Close)
-		go x.Serve(lns[i])
+		serveClients(t, x, lns[i])
 		k.all = append(k.all, x)
 	}
 	k.peers = peers
 	k.Client = permitclient.New(k.addrs)
-	t.Cleanup(k.Client.Close)
+	t.Cleanup(k.Close)
 	return k
 }
 
@@ -250,7 +267,7 @@
 		t.Cleanup(a.Stop)
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
-	n := cachedNames(6)
+	n := serverNames(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 7, Cores: 2, PermitServers: k.addrs, SettingsJSON: strings.Replace(judgedSettings, `"drain_grace":200000000`, `"drain_grace":1700000000`, 1),
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -43,15 +43,17 @@
 	}
 }
 
-// free is an address whose packets and streams nobody takes just now.
-// free is an address that nobody listens on, of an IP address of its own: what calls from 127.0.0.1 takes ports there at any time.
+// free returns an address that nobody listens on, at an IP address of its own: clients at 127.0.0.1 take ports there at any time.
 func free(t *testing.T) string {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.Intn(200), rand.Intn(256), 1+rand.Intn(250)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
+	addr := ln.Addr().String()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return addr
 }
 
 // maxStartAttempts bounds how often start takes a fresh address.
@@ -78,11 +80,14 @@
 func taken(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err == nil {
-		ln.Close()
-		var pc net.PacketConn
-		if pc, err = net.ListenPacket("udp", addr); err == nil {
-			pc.Close()
-		}
+		err = ln.Close()
+	}
+	var pc net.PacketConn
+	if err == nil {
+		pc, err = net.ListenPacket("udp", addr)
+	}
+	if err == nil {
+		err = pc.Close()
 	}
 	return errors.Is(err, syscall.EADDRINUSE)
 }
@@ -101,6 +106,14 @@
 	return f
 }
 
+// publish gossips a record of a server.
+func publish(t *testing.T, f *Fleet, key, body string) {
+	t.Helper()
+	if err := f.Publish(key, []byte(body)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 func hears(f *Fleet, state health.ClusterState, heard int) func() bool {
 	return func() bool {
 		v := f.View()
@@ -136,7 +149,7 @@
 		t.Fatal(err)
 	}
 	wait(t, "a record travels", func() (has bool) {
-		fleet[2].Each("x", func(r *gossip.Record, age float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
+		fleet[2].Each("x", func(r *gossip.Record, _ float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
 		return has
 	})
 	fleet[1].Close()
@@ -153,7 +166,7 @@
 		t.Fatal(err)
 	}
 	wait(t, "a hears b", hears(a, health.Complete, 2))
-	b.Publish("x", []byte("old"))
+	publish(t, b, "x", "old")
 	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Crash()
 	b = open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
@@ -218,8 +231,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		io.WriteString(c, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n")
+		t.Cleanup(func() { _ = c.Close() }) // the server may have closed it
+		if _, err := io.WriteString(c, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+			t.Fatal(err)
+		}
 	}
 	if _, err := FetchStatus(ctx, path); err != nil {
 		t.Errorf("slow readers keep others out: %v", err)
@@ -233,29 +248,35 @@
 	a := open(t, &addrs[0], Options{Name: "a"})
 	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	wait(t, "whole", hears(a, health.Complete, 2))
-	b.Publish("x", []byte("first"))
+	publish(t, b, "x", "first")
 	var old []byte
 	wait(t, "the record", func() bool {
 		r, _, has := a.Get("b", "x")
 		old = r.Append(nil)
 		return has
 	})
-	b.Publish("x", []byte("second"))
+	publish(t, b, "x", "second")
 	wait(t, "the next record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
 	c, err := net.Dial("udp", addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	t.Cleanup(func() { _ = c.Close() }) // nothing is read from it
+	send := func(packet []byte) {
+		t.Helper()
+		if _, err := c.Write(packet); err != nil {
+			t.Fatal(err)
+		}
+	}
 	user := func(raw []byte) []byte { // memberlist's user message, as the transport sums it
 		b := append([]byte{8, 1, 'b'}, raw...)
 		return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 	}
-	c.Write(user(old))
-	c.Write(user(old[:len(old)-3]))
+	send(user(old))
+	send(user(old[:len(old)-3]))
 	wait(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
 	for i := range 20000 {
-		c.Write([]byte(strings.Repeat(string(rune(i)), 1+i%200)))
+		send([]byte(strings.Repeat(string(rune(i)), 1+i%200)))
 	}
 	wait(t, "the flood is dropped", func() bool { n := a.Status().Traffic; return n.Dropped > 1000 && n.Damaged > 0 })
 	if r, _, _ := a.Get("b", "x"); string(r.Body) != "second" {
--- a/internal/fleet/judge_process_test.go
+++ b/internal/fleet/outliers_process_test.go
@@ -34,7 +34,7 @@
 		t.Cleanup(a.Stop)
 		apps, addrs = append(apps, a), append(addrs, a.Addr())
 	}
-	n := cachedNames(4)
+	n := serverNames(4)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	b := started(t, testbed.Options{Names: n, Seed: 4, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, SettingsJSON: judgedSettings,
@@ -110,7 +110,7 @@
 	}
 	apps, addrs := laid(5)
 	few, fewAddrs := laid(3)
-	n := cachedNames(6)
+	n := serverNames(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
 		Retry: operator.Retry{Share: 0.2, Floor: 2, MaxAttempts: 2}}
 	other := pool
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -44,7 +44,7 @@
 
 func serve() testbed.Command { return testbed.Command{Path: os.Args[0], Args: []string{"serve"}} }
 
-func cachedNames(n int) (all []string) {
+func serverNames(n int) (all []string) {
 	for i := range n {
 		all = append(all, fmt.Sprint("n", i))
 	}
@@ -114,7 +114,7 @@
 }
 
 func TestHalvesAndOneAlone(t *testing.T) {
-	n := cachedNames(6)
+	n := serverNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 1, Zone: func(i int) string { return fmt.Sprint("z", i%2) }})
 	do(t, b, "0s split n0,n1,n2|n3,n4,n5")
 	await(t, b, n, testbed.ExpectView("part", 3))
@@ -134,7 +134,7 @@
 
 // A bridge: who is reached through another is there, and told from none.
 func TestBridgeAndOneWay(t *testing.T) {
-	n := cachedNames(3)
+	n := serverNames(3)
 	b := started(t, testbed.Options{Names: n, Seed: 2, Seeds: n[1:2]})
 	do(t, b, "0s split n0|n2")
 	await(t, b, n[:1], func(p *testbed.Observation) bool {
@@ -150,7 +150,7 @@
 
 // Loss, delay, doubled, overtaken and spoilt packets wrong nobody for good.
 func TestBadNetwork(t *testing.T) {
-	n := cachedNames(5)
+	n := serverNames(5)
 	b := started(t, testbed.Options{Names: n, Seed: 3})
 	do(t, b, "0s loss *>* 0.3")
 	time.Sleep(3 * time.Second) // the fault's own length
@@ -166,7 +166,7 @@
 // A third is stopped for longer than any judgement takes: the rest see them silent and on the roster; they see on waking
 // that it was they who stalled, and hold nothing against anybody.
 func TestStopped(t *testing.T) {
-	n := cachedNames(6)
+	n := serverNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 4})
 	w := b.Watch(20 * time.Millisecond)
 	defer w.Close()
@@ -216,7 +216,7 @@
 }
 
 func TestKilledAndTwin(t *testing.T) {
-	n := cachedNames(4)
+	n := serverNames(4)
 	b := started(t, testbed.Options{Names: n, Seed: 5})
 	do(t, b, "0s kill n2\n0s start n2")
 	await(t, b, n, func(p *testbed.Observation) bool {
@@ -241,7 +241,7 @@
 
 // Seeds that are down when all others start, and come later; before that, servers are alone and serve.
 func TestSeedsLate(t *testing.T) {
-	n := cachedNames(4)
+	n := serverNames(4)
 	b := lay(t, testbed.Options{Names: n, Seed: 6, Seeds: n[:1]})
 	do(t, b, "0s start n1,n2,n3")
 	await(t, b, n[1:], func(p *testbed.Observation) bool { return p.Connectivity == "alone" && !p.InGracePeriod })
@@ -251,7 +251,7 @@
 
 // Two processes with one name: the second gives way, says why, and serves on.
 func TestTwinProcess(t *testing.T) {
-	n := cachedNames(3)
+	n := serverNames(3)
 	b := started(t, testbed.Options{Names: n, Seed: 7})
 	e := b.Network.Endpoint("n1")
 	ln, err := net.Listen("tcp", net.JoinHostPort(e.ListenIP, "0"))
@@ -259,7 +259,9 @@
 		t.Fatal(err)
 	}
 	own := ln.Addr().String()
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
 	f := operator.Fleet{Listen: own, Seeds: []string{b.Network.Endpoint("n0").AdvertiseAddr(), b.Network.Endpoint("n2").AdvertiseAddr()}, Socket: b.Socket("twin")}
 	if err := b.StartDuplicate("twin", "n1", f); err != nil {
 		t.Fatal(err)
--- a/internal/fleet/release_process_test.go
+++ b/internal/fleet/rollouts_process_test.go
@@ -46,7 +46,7 @@
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
 	old, next, bad := app(standin.NoFault), app(standin.NoFault), app(standin.ServerError)
-	n := cachedNames(6)
+	n := serverNames(6)
 	folders := t.TempDir()
 	first := file("bed", old)
 	b := started(t, testbed.Options{Names: n, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, PermitServers: k.addrs, SettingsJSON: judgedSettings, Operator: first, VersionDir: folders})
@@ -199,7 +199,7 @@
 // crashes at its start stops at the canary, whose permit stays used, and nobody else meets it.
 func TestProgramByProcesses(t *testing.T) {
 	k := keep(t)
-	n := cachedNames(4)
+	n := serverNames(4)
 	folders := t.TempDir()
 	program := func(name string) string {
 		text, _ := os.ReadFile(filepath.Join(folders, name, "program"))
@@ -214,7 +214,9 @@
 		beside.Go(func() { // supervises
 			for ctx.Err() == nil {
 				if !b.Processes.Alive(name) {
-					b.Processes.Start(name)
+					if err := b.Processes.Start(name); err != nil {
+						t.Logf("start %s: %v", name, err) // it tries again, as a supervisor does
+					}
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -243,9 +245,10 @@
 		for _, c := range []release.Command{{Kind: release.PutVersion, Body: []byte(name)}, {Kind: release.PlanRelease, Rules: &rules}, {Kind: release.StartRelease}} {
 			at++
 			c.ID, c.Track, c.Actor, c.Reason = fmt.Sprint("program", at), release.Program, "me", "test"
-			if c.Kind == release.PlanRelease {
+			switch c.Kind {
+			case release.PlanRelease:
 				c.Version = a.Version
-			} else if c.Kind == release.StartRelease {
+			case release.StartRelease:
 				c.Release = a.Release.Number
 			}
 			ctx, end := context.WithTimeout(ctx, within)
@@ -273,7 +276,10 @@
 				ctx, end := context.WithTimeout(ctx, within)
 				defer end()
 				at++
-				k.Release(ctx, release.Command{ID: fmt.Sprint("on", at), Track: release.Program, Kind: release.Resume, Release: r.Number, Actor: "me"})
+				goOn := release.Command{ID: fmt.Sprint("on", at), Track: release.Program, Kind: release.Resume, Release: r.Number, Actor: "me"}
+				if _, err := k.Release(ctx, goOn); err != nil {
+					t.Logf("resume release %d: %v", r.Number, err) // asked again with the next look
+				}
 			}
 			return st.ProgramReleases.Release != nil && st.ProgramReleases.Release.Phase == want
 		})
@@ -309,7 +315,7 @@
 // versions that are none.
 func TestReleaseFaults(t *testing.T) {
 	k := keep(t)
-	n := cachedNames(6)
+	n := serverNames(6)
 	b := started(t, testbed.Options{Names: n, Seed: 12, Cores: 2, PermitServers: k.addrs, VersionDir: t.TempDir()})
 	ctx, end := context.WithCancel(context.Background())
 	var load sync.WaitGroup
