--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -225,6 +225,7 @@
 	OutOfService []string // what uses up the limit, if that is the reason
 }
 
+// Error names what was denied, why, and what uses up the limit.
 func (e *PermitDeniedError) Error() string {
 	if e.Step == "" {
 		return e.Reason
--- a/internal/fleet/drain_permit.go
+++ b/internal/fleet/drain_permit.go
@@ -19,6 +19,7 @@
 // UnreturnedPermitError reports that no drain can begin before the permit of a cancelled one is returned.
 type UnreturnedPermitError struct{ PermitID uint64 }
 
+// Error names the permit.
 func (e *UnreturnedPermitError) Error() string {
 	return fmt.Sprintf("the permit %d of the drain that was taken back is still to be returned", e.PermitID)
 }
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -14,6 +14,7 @@
 // RecordTooLargeError reports a record that is over the bounds of decision/gossip.
 type RecordTooLargeError struct{ Key string }
 
+// Error names the record's key.
 func (e *RecordTooLargeError) Error() string {
 	return fmt.Sprintf("fleet: the record %q is over the bounds", e.Key)
 }
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -18,6 +18,7 @@
 	Addr string // of the other process; "" if that is not known
 }
 
+// Error names the conflict and what follows from it, for the status.
 func (e *NameConflictError) Error() string {
 	if e.Addr == "" {
 		return fmt.Sprintf("the name %s is borne by another process, too; this one serves without the fleet", e.Name)
@@ -28,6 +29,7 @@
 // UnknownServerError reports the removal of a name that no other server of the fleet has.
 type UnknownServerError struct{ Name string }
 
+// Error names the server.
 func (e *UnknownServerError) Error() string {
 	return fmt.Sprintf("%q is no other server of the fleet that is known here", e.Name)
 }
@@ -35,6 +37,7 @@
 // ReachableServerError reports the removal of a server that is reachable.
 type ReachableServerError struct{ Name string }
 
+// Error names the server.
 func (e *ReachableServerError) Error() string {
 	return fmt.Sprintf("%s is heard: it is not gone", e.Name)
 }
--- a/internal/fleet/socket_client.go
+++ b/internal/fleet/socket_client.go
@@ -23,6 +23,7 @@
 	Message    string
 }
 
+// Error is the server's message.
 func (e *SocketError) Error() string { return e.Message }
 
 // socketRequest does one exchange with the server whose socket is at path.
