--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -22,7 +22,15 @@
 
 func always() bool { return true }
 
-func TestReadAnswer(t *testing.T) {
+// noError fails the test on an error of what must work.
+func noError(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Error(err)
+	}
+}
+
+func TestReadResponse(t *testing.T) {
 	cases := []struct {
 		name, in string
 		code     int
@@ -59,7 +67,7 @@
 	}
 }
 
-// TestReports has a stand-in service answer one report after the other, on as many connections as it takes.
+// TestReports has a fake service answer one report after the other, on as many connections as it takes.
 func TestReports(t *testing.T) {
 	const good = "HTTP/1.1 204 No Content\r\n\r\n"
 	cases := []struct {
@@ -90,7 +98,7 @@
 			ctx, end := context.WithCancel(context.Background())
 			reporting, serving, heard := make(chan struct{}), make(chan struct{}), make(chan string)
 			go func() { r.Serve(ctx); close(reporting) }()
-			go func() { stand(ln, c.answers, &reports, heard); close(serving) }()
+			go func() { fakeService(ln, c.answers, &reports, heard); close(serving) }()
 			for _, want := range strings.Fields(c.want) {
 				select {
 				case got := <-heard:
@@ -102,15 +110,15 @@
 				}
 			}
 			end()
-			ln.Close()
+			noError(t, ln.Close())
 			<-reporting
 			<-serving
 		})
 	}
 }
 
-// stand answers reports on ln, one connection after the other, and tells what it has heard.
-func stand(ln net.Listener, answers []string, reports *atomic.Int32, heard chan<- string) {
+// fakeService answers reports on ln, one connection after the other, and passes on what they said.
+func fakeService(ln net.Listener, answers []string, reports *atomic.Int32, heard chan<- string) {
 	for n := 0; len(answers) > 0; n++ {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -118,7 +126,9 @@
 		}
 		in := bufio.NewReader(conn)
 		for len(answers) > 0 {
-			conn.SetDeadline(time.Now().Add(soon))
+			if conn.SetDeadline(time.Now().Add(soon)) != nil {
+				break
+			}
 			q, err := http.ReadRequest(in)
 			if err != nil {
 				break
@@ -131,16 +141,16 @@
 			heard <- fmt.Sprint(strings.Trim(strings.TrimPrefix(string(body), `{"phase":"`), `"}`), n)
 			answer := answers[0]
 			answers = answers[1:]
-			io.WriteString(conn, answer)
+			_, _ = io.WriteString(conn, answer) // the next report tells whether it came
 			if !strings.HasSuffix(answer, "\r\n\r\n") {
 				break
 			}
 		}
-		conn.Close()
+		_ = conn.Close() // the reporter may have closed it
 	}
 }
 
-// One that gets no answer delays neither a change nor the next report, and a move takes effect at once.
+// A report without an answer delays neither a change nor the next report, and a new address takes effect at once.
 func TestUnanswered(t *testing.T) {
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,15 +164,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(soon))
+		noError(t, conn.SetDeadline(time.Now().Add(soon)))
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			t.Fatal(err)
 		}
 		return conn
 	}
 	ln, next := listen(), listen()
-	defer ln.Close()
-	defer next.Close()
+	closeAll := func(all ...io.Closer) {
+		for _, c := range all {
+			noError(t, c.Close())
+		}
+	}
+	defer closeAll(ln, next)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	changed := make(chan struct{})
@@ -172,69 +186,76 @@
 	go func() { r.Serve(ctx); close(reporting) }()
 	defer func() { end(); <-reporting }()
 	began := time.Now()
-	defer accept(ln).Close()
+	defer closeAll(accept(ln))
 	changed <- struct{}{}
-	defer accept(ln).Close()
+	defer closeAll(accept(ln))
 	r.SetAddr(ctx, next.Addr().String())
-	defer accept(next).Close()
+	defer closeAll(accept(next))
 	if gone := time.Since(began); gone > reportInterval {
 		t.Errorf("three reports without an answer took %v", gone)
 	}
-	defer accept(next).Close() // at its time, though none has had an answer
+	defer closeAll(accept(next)) // at its time, though none has had an answer
 	if gone := time.Since(began); gone < reportInterval {
 		t.Errorf("repeated after %v", gone)
 	}
 }
 
-// order is a reporter that reports at changes only, and a service that takes each report when the test says so.
-type order struct {
+// changeRig is a reporter that reports at changes only, and a service that answers each report when the test says so.
+type changeRig struct {
 	*testing.T
-	r       *Reporter
-	up      atomic.Bool
-	changed chan struct{}
-	ln      net.Listener
+	reporter *Reporter
+	up       atomic.Bool
+	changed  chan struct{}
+	ln       net.Listener
 }
 
-func startOrder(t *testing.T) *order {
+func startChangeRig(t *testing.T) *changeRig {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o := &order{T: t, ln: ln, changed: make(chan struct{})}
+	o := &changeRig{T: t, ln: ln, changed: make(chan struct{})}
 	o.up.Store(true)
-	o.r = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.up.Load, always, o.changed)
-	o.r.interval = time.Hour
+	o.reporter = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.up.Load, always, o.changed)
+	o.reporter.interval = time.Hour
 	return o
 }
 
-func (o *order) serve() {
+func (o *changeRig) serve() {
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan struct{})
-	go func() { o.r.Serve(ctx); close(over) }()
-	o.Cleanup(func() { end(); <-over; o.ln.Close() })
+	go func() { o.reporter.Serve(ctx); close(over) }()
+	o.Cleanup(func() {
+		end()
+		<-over
+		noError(o.T, o.ln.Close())
+	})
 }
 
 // next is the next report, on a connection of its own, and its answer.
-func (o *order) next() (phase string, answer func()) {
+func (o *changeRig) next() (phase string, answer func()) {
 	o.Helper()
-	o.ln.(*net.TCPListener).SetDeadline(time.Now().Add(soon))
+	noError(o.T, o.ln.(*net.TCPListener).SetDeadline(time.Now().Add(soon)))
 	conn, err := o.ln.Accept()
 	if err != nil {
 		o.Fatalf("no report: %v", err)
 	}
-	o.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(soon))
+	o.Cleanup(func() { noError(o.T, conn.Close()) })
+	noError(o.T, conn.SetDeadline(time.Now().Add(soon)))
 	q, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		o.Fatal(err)
 	}
 	body, _ := io.ReadAll(q.Body)
-	return string(body), func() { io.WriteString(conn, "HTTP/1.1 204 X\r\nConnection: close\r\n\r\n") }
+	return string(body), func() {
+		// The reporter may have given up; the reports that follow are what is checked.
+		_, _ = io.WriteString(conn, "HTTP/1.1 204 X\r\nConnection: close\r\n\r\n")
+	}
 }
 
-func (o *order) expect(phase string) (answer func()) {
+func (o *changeRig) expect(phase string) (answer func()) {
 	o.Helper()
 	got, answer := o.next()
 	if want := `{"phase":"` + phase + `"}`; got != want {
@@ -243,12 +264,12 @@
 	return answer
 }
 
-// A drain that begins while a report is being dialled is what that report tells.
+// A drain that begins while a report is being dialled is what that report says.
 func TestDrainDuringDial(t *testing.T) {
-	o := startOrder(t)
+	o := startChangeRig(t)
 	dialling, dialled := make(chan struct{}), make(chan struct{})
-	dial := o.r.dial
-	o.r.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := o.reporter.dial
+	o.reporter.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling <- struct{}{}
 		<-dialled
 		return dial(ctx, network, addr)
@@ -260,9 +281,9 @@
 	o.expect("OUT")()
 }
 
-// A service that takes a report after the one that followed it is told once more what holds.
+// A service that handles a report after the one that followed it gets another one that says what holds.
 func TestOvertaken(t *testing.T) {
-	o := startOrder(t)
+	o := startChangeRig(t)
 	o.serve()
 	late := o.expect("UP")
 	o.up.Store(false)
@@ -274,7 +295,7 @@
 
 // Each change is reported, however many reports have no answer yet.
 func TestChangesUnanswered(t *testing.T) {
-	o := startOrder(t)
+	o := startChangeRig(t)
 	o.serve()
 	o.expect("UP")
 	for i := range 2 * maxInFlight {
@@ -285,7 +306,7 @@
 	}
 }
 
-func FuzzReadAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	f.Fuzz(func(t *testing.T, s string) {
 		if code, _, err := readResponse(bufio.NewReaderSize(strings.NewReader(s), 1<<10)); err == nil && (code < 200 || code > 999) {
