--- a/decision/count/count.go
+++ b/decision/count/count.go
@@ -1,8 +1,8 @@
 // Package count aggregates fleet-wide counters: request rates by customer and method, requests in flight and failures by
 // upstream service, as each server reports its own.
 //
-// Each origin's report is a last-writer-wins record versioned by (start, sequence), so the aggregate does not depend on
-// the order in which reports arrive. An aggregate is an interval that widens for origins whose reports are stale; a
+// Each origin's report is a last-writer-wins record versioned by (generation, sequence), so the aggregate does not depend
+// on the order in which reports arrive. An aggregate is an interval that widens for origins whose reports are stale; a
 // reader must use the conservative bound. Silence is never read as zero.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. An instance is
@@ -15,132 +15,158 @@
 	"strings"
 )
 
-// Config are what an instance goes by. Times are ms.
+// Config holds the settings of local and aggregated counters. Times are ms.
 type Config struct {
-	TimeConstant float64 // time constant of a rate
-	FreshPeriod  float64 // for which a figure stands as it was said
+	TimeConstant float64 // of a rate's exponential average
+	FreshPeriod  float64 // for which a reported counter stands as it is
 	StalePeriod  float64 // after which nothing is known of it any more
-	MaxPerServer float64 // that one server can have of anything: a second, or in hand
-	MaxKeys      int     // of one server, at the most
+	MaxPerServer float64 // of any counter: a second, or in flight
+	MaxKeys      int     // of one server
 }
 
-// Usual: a rate over five seconds follows load within a pulse or two; figures come each second, three missed ones are chance,
-// and after fifteen seconds anything may have happened.
+// DefaultConfig averages rates over five seconds, which follow a change of load within a few reports. Reports come every
+// second or two: one missed is chance, and after fifteen seconds anything may have happened.
 var DefaultConfig = Config{TimeConstant: 5000, FreshPeriod: 3000, StalePeriod: 15000, MaxPerServer: 1e4, MaxKeys: 64}
 
-// Counter is one figure of one server.
+// Counter is one counter of one server.
 type Counter struct {
 	Key      string
-	Value    float64 // a second, or in hand
-	MaxError float64 // by which it may be too high: it stands for others that there was no room for
+	Value    float64 // a second, or in flight
+	MaxError float64 // by which Value may be too high: it may include other keys that had no place
 }
 
-// Local counts on one server. What is new weighs more instead of what is old fading, so that a count touches one key.
+// Local counts rates on one server. Instead of decaying what is old, it gives what is new more weight (forward decay), so
+// that an addition touches one key.
 type Local struct {
-	r    Config
-	top  *SpaceSaving
-	base float64 // ms at which the weight is 1
+	config    Config
+	sketch    *SpaceSaving
+	reference float64 // ms at which the weight is 1
 }
 
-// mostWeight is when the weights begin anew: 250 time constants, far inside what a float64 holds beside any count.
-const mostWeight = 250.0
+// maxExponent is the number of time constants after which the weights begin anew: far inside what a float64 holds beside
+// any count.
+const maxExponent = 250.0
 
-// NewLocal returns one that has counted nothing.
-func NewLocal(r Config) *Local { return &Local{r: r, top: NewSpaceSaving(r.MaxKeys)} }
+// NewLocal returns a Local that has counted nothing.
+func NewLocal(config Config) *Local {
+	return &Local{config: config, sketch: NewSpaceSaving(config.MaxKeys)}
+}
 
-func (o *Local) weight(now float64) float64 {
-	x := (now - o.base) / o.r.TimeConstant
-	if x > mostWeight {
-		o.top.Scale(math.Exp(-x))
-		o.base, x = now, 0
+func (l *Local) weight(now float64) float64 {
+	exponent := (now - l.reference) / l.config.TimeConstant
+	if exponent > maxExponent {
+		l.sketch.Scale(math.Exp(-exponent))
+		l.reference = now
+		exponent = 0
 	}
-	return math.Exp(x)
+	return math.Exp(exponent)
 }
 
 // Add counts n under a key. It allocates nothing for a key that is known.
-func (o *Local) Add(now float64, key string, n float64) {
-	o.top.Add(key, n*1000/o.r.TimeConstant*o.weight(now))
+func (l *Local) Add(now float64, key string, n float64) {
+	l.sketch.Add(key, n*1000/l.config.TimeConstant*l.weight(now))
 }
 
-// Largest are the largest figures, at most so many, the largest first.
-func (o *Local) Largest(now float64, most int) []Counter {
-	w := o.weight(now)
-	all := o.top.Largest(most)
-	for i := range all {
-		all[i].Value, all[i].MaxError = all[i].Value/w, all[i].MaxError/w
+// Largest returns the largest counters, at most maxCounters, the largest first.
+func (l *Local) Largest(now float64, maxCounters int) []Counter {
+	weight := l.weight(now)
+	counters := l.sketch.Largest(maxCounters)
+	for i := range counters {
+		counters[i].Value /= weight
+		counters[i].MaxError /= weight
 	}
-	return all
+	return counters
 }
 
-// Rest is what a key that is not among the items may have at the most.
-func (o *Local) MaxUnlisted(now float64) float64 { return o.top.MaxUnlisted() / o.weight(now) }
+// MaxUnlisted is the most that a key without a counter may have.
+func (l *Local) MaxUnlisted(now float64) float64 { return l.sketch.MaxUnlisted() / l.weight(now) }
 
-// Interval is a sum that is known as far as its parts are.
+// Interval holds a sum that is known as far as its parts are: the true one lies within.
 type Interval struct{ Min, Max float64 }
 
-type said struct {
-	start, seq uint64
-	at         float64
-	items      []Counter
-	rest       float64 // at most so much under any key that is not said
+// report is the latest one of an origin.
+type report struct {
+	generation, sequence uint64
+	receivedAt           float64
+	counters             []Counter
+	maxUnlisted          float64 // of any key without a counter
 }
 
-// Aggregate sums.
+// Aggregate sums the counters that servers report.
 type Aggregate struct {
-	r    Config
-	from map[string]*said
+	config  Config
+	reports map[string]*report // by origin
 }
 
-// NewAggregate returns one that has heard nothing.
-func NewAggregate(r Config) *Aggregate { return &Aggregate{r: r, from: map[string]*said{}} }
+// NewAggregate returns an Aggregate without reports.
+func NewAggregate(config Config) *Aggregate {
+	return &Aggregate{config: config, reports: map[string]*report{}}
+}
 
-// Merge hears what an origin says of itself. Keys that it does not say have at most rest. It tells whether that was news.
-func (f *Aggregate) Merge(now float64, origin string, start, seq uint64, items []Counter, rest float64) bool {
-	if s := f.from[origin]; s != nil && (start < s.start || start == s.start && seq <= s.seq) {
+// Merge takes an origin's report of its own counters; keys without one have at most maxUnlisted. It reports whether that
+// was newer than what was known.
+func (a *Aggregate) Merge(now float64, origin string, generation, sequence uint64, counters []Counter, maxUnlisted float64) bool {
+	if r := a.reports[origin]; r != nil && (generation < r.generation || generation == r.generation && sequence <= r.sequence) {
 		return false
 	}
-	if len(items) > f.r.MaxKeys {
-		items = items[:f.r.MaxKeys]
+	if len(counters) > a.config.MaxKeys {
+		counters = counters[:a.config.MaxKeys]
+	}
+	a.reports[origin] = &report{
+		generation:  generation,
+		sequence:    sequence,
+		receivedAt:  now,
+		counters:    slices.Clone(counters),
+		maxUnlisted: maxUnlisted,
 	}
-	f.from[origin] = &said{start, seq, now, slices.Clone(items), rest}
 	return true
 }
 
-// Forget drops an origin that has left.
-func (f *Aggregate) Forget(origin string) { delete(f.from, origin) }
+// Forget drops an origin that has departed.
+func (a *Aggregate) Forget(origin string) { delete(a.reports, origin) }
 
-// Sum is a key's over some origins, heard or not: those of the roster.
-func (f *Aggregate) Sum(now float64, key string, roster []string) (sum Interval) {
-	for _, name := range roster {
-		s := f.from[name]
-		if s == nil {
-			sum.Max += f.r.MaxPerServer
+// Sum adds up a key over the given origins, whether they reported or not: those of the membership list.
+func (a *Aggregate) Sum(now float64, key string, origins []string) (sum Interval) {
+	for _, origin := range origins {
+		r := a.reports[origin]
+		if r == nil {
+			sum.Max += a.config.MaxPerServer
 			continue
 		}
-		low, high := 0.0, s.rest
-		for i := range s.items {
-			if x := &s.items[i]; x.Key == key {
-				low, high = max(0, x.Value-x.MaxError), x.Value
-				break
-			}
-		}
-		if unheard := min(max((now-s.at-f.r.FreshPeriod)/max(1, f.r.StalePeriod-f.r.FreshPeriod), 0), 1); unheard > 0 {
-			low -= low * unheard
-			high += max(0, f.r.MaxPerServer-high) * unheard
-		}
-		sum.Min += low
-		sum.Max += high
+		value := a.widen(r.interval(key), now-r.receivedAt)
+		sum.Min += value.Min
+		sum.Max += value.Max
 	}
 	return sum
 }
 
-// Keys are all that anybody says, sorted.
-func (f *Aggregate) Keys() (all []string) {
-	for _, s := range f.from {
-		for i := range s.items {
-			all = append(all, s.items[i].Key)
+// interval is what a report says of a key.
+func (r *report) interval(key string) Interval {
+	for i := range r.counters {
+		if c := &r.counters[i]; c.Key == key {
+			return Interval{Min: max(0, c.Value-c.MaxError), Max: c.Value}
+		}
+	}
+	return Interval{Max: r.maxUnlisted}
+}
+
+// widen turns what was reported age ms ago into what may be true now.
+func (a *Aggregate) widen(value Interval, age float64) Interval {
+	staleness := min(max((age-a.config.FreshPeriod)/max(1, a.config.StalePeriod-a.config.FreshPeriod), 0), 1)
+	if staleness > 0 {
+		value.Min -= value.Min * staleness
+		value.Max += max(0, a.config.MaxPerServer-value.Max) * staleness
+	}
+	return value
+}
+
+// Keys returns all keys that any origin reported, sorted.
+func (a *Aggregate) Keys() (keys []string) {
+	for _, r := range a.reports {
+		for i := range r.counters {
+			keys = append(keys, r.counters[i].Key)
 		}
 	}
-	slices.SortFunc(all, strings.Compare)
-	return slices.Compact(all)
+	slices.SortFunc(keys, strings.Compare)
+	return slices.Compact(keys)
 }
--- a/decision/gossip/gossip_test.go
+++ b/decision/gossip/gossip_test.go
@@ -52,14 +52,14 @@
 // Fields that a later version adds are skipped when read, and passed on.
 func TestUnknownFields(t *testing.T) {
 	plain := record("a", "k", 1, 1, "x")
-	b := protowire.AppendString(protowire.AppendTag(nil, 9, protowire.BytesType), "of a later version")
+	b := protowire.AppendString(protowire.AppendTag(nil, 9, protowire.BytesType), "of a later build")
 	b = append(b, plain[:len(plain)-checksumBytes]...)
 	b = appendChecksum(b, 0)
 	table := NewTable(DefaultLimits)
 	if r, result := table.Put(1, b); result != Updated || string(r.Body) != "x" {
 		t.Fatalf("%d %+v", result, r)
 	}
-	if out := table.AppendState(nil, 1<<20); !bytes.Contains(out, []byte("of a later version")) {
+	if out := table.AppendState(nil, 1<<20); !bytes.Contains(out, []byte("of a later build")) {
 		t.Error("the unknown field was not passed on")
 	}
 }
