--- a/internal/gate/dispatch.go
+++ b/internal/gate/dispatch.go
@@ -70,7 +70,7 @@
 	default:
 		if t := g.tickets[a.RPC]; t != nil {
 			g.executeRPC(t, a)
-		} else if a.Kind == control.Run { // the RPC is over, but the controller must still hear of an end of its run
+		} else if a.Kind == control.Run { // the RPC is over, but the controller must still get an end of its run
 			g.handleNow(control.Event{Kind: control.Completed, RPC: a.RPC, Outcome: control.OutcomeNotStarted})
 		}
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -88,264 +88,6 @@
 	return Verdict{}
 }
 
-func TestVerdicts(t *testing.T) {
-	cases := []struct {
-		name string
-		do   func(w *testGate)
-	}{
-		{"ok", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Report(Succeeded, 100, []byte("r"))
-			if v := w.expect(a, OK); string(v.Result) != "r" {
-				w.Errorf("result %q", v.Result)
-			}
-		}},
-		{"a failed run", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Report(Failed, 100, nil)
-			w.expect(a, Aborted)
-		}},
-		{"an end that is told twice", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Report(Failed, 100, nil)
-			a.Report(Succeeded, 100, nil)
-			w.expect(a, Aborted)
-			w.expect(a, -1)
-		}},
-		{"given up when due, the run's end comes later", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			w.advance(1900 * time.Millisecond)
-			w.expect(a, -1)
-			w.advance(100 * time.Millisecond)
-			w.expect(a, Aborted)
-			a.Report(Succeeded, 2000, nil)
-			w.expect(a, -1)
-		}},
-		{"cancelled while held: what waits behind it runs", func(w *testGate) {
-			a, b, c, d := w.submit("view", ""), w.submit("view", ""), w.submit("view", ""), w.submit("view", "")
-			w.expect(a, Run)
-			w.expect(b, Run)
-			w.expect(c, -1)
-			c.Cancel()
-			w.expect(c, CallerGone)
-			a.Report(Succeeded, 100, nil)
-			w.expect(d, Run)
-		}},
-		{"cancelled while it runs", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Cancel()
-			w.expect(a, CallerGone)
-			a.Report(Succeeded, 100, nil)
-			w.expect(a, -1)
-		}},
-		{"an answer before the cancel", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Report(Succeeded, 100, nil)
-			a.Cancel()
-			w.expect(a, OK)
-			w.expect(a, -1)
-		}},
-		{"overdue, as the module never looked", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			w.controller.Handle(w.elapsedMs(w.at), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
-			w.advance(2100 * time.Millisecond)
-			w.expect(a, Aborted)
-		}},
-		{"drained: within the grace and after", func(w *testGate) {
-			w.Drain(3 * time.Second)
-			if w.Healthy() {
-				w.Error("health is good in a drain")
-			}
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			a.Report(Succeeded, 10, nil)
-			w.advance(1010 * time.Millisecond)
-			w.expect(w.submit("view", ""), Rejected)
-		}},
-		{"a stall is made up for by one tick", func(w *testGate) {
-			a := w.submit("view", "")
-			w.expect(a, Run)
-			w.at = w.at.Add(5 * time.Second)
-			if next := w.Tick(nil); next > 50*time.Millisecond {
-				w.Errorf("next tick in %v", next)
-			}
-			w.expect(a, Aborted)
-		}},
-		{"a clock of the callers that is wrong", func(w *testGate) {
-			w.expect(w.submitAt("view", "", w.at.Add(time.Hour)), Run)
-			w.expect(w.submitAt("view", "", w.at.Add(-time.Hour)), Rejected)
-		}},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			w := open(t, true)
-			c.do(w)
-			w.advance(20 * time.Second)
-			for _, left := range w.tickets {
-				if !left.final {
-					t.Error("one in hand at the end, without an answer")
-				}
-			}
-		})
-	}
-}
-
-func TestTokens(t *testing.T) {
-	cases := []struct {
-		name string
-		do   func(w *testGate, first *Ticket)
-	}{
-		{"a repeat waits for the run", func(w *testGate, first *Ticket) {
-			a := w.submit("buy", "k")
-			w.expect(a, -1)
-			first.Report(Succeeded, 10, []byte("r"))
-			if v := w.expect(a, OK); string(v.Result) != "r" {
-				w.Errorf("result %q", v.Result)
-			}
-		}},
-		{"a repeat gets the result kept", func(w *testGate, first *Ticket) {
-			first.Report(Succeeded, 10, []byte("r"))
-			w.advance(7 * time.Second)
-			if v := w.expect(w.submit("buy", "k"), OK); string(v.Result) != "r" {
-				w.Errorf("result %q", v.Result)
-			}
-		}},
-		{"another token runs", func(w *testGate, _ *Ticket) {
-			w.expect(w.submit("buy", "other"), Run)
-		}},
-		{"past the window it runs again", func(w *testGate, first *Ticket) {
-			first.Report(Succeeded, 10, nil)
-			w.advance(8020 * time.Millisecond)
-			w.expect(w.submit("buy", "k"), Run)
-		}},
-		{"written within the window, read after it", func(w *testGate, first *Ticket) {
-			first.Report(Succeeded, 10, []byte("r"))
-			door := w.at.Add(7990 * time.Millisecond)
-			w.advance(8500 * time.Millisecond)
-			w.expect(w.submitAt("buy", "k", door), OK)
-		}},
-		{"a failed run is not run again", func(w *testGate, first *Ticket) {
-			first.Report(Failed, 10, nil)
-			w.expect(w.submit("buy", "k"), Aborted)
-		}},
-		{"a run that never began leaves nothing", func(w *testGate, first *Ticket) {
-			a := w.submit("buy", "k")
-			first.Report(NotStarted, 0, nil)
-			w.expect(a, Aborted)
-			w.expect(w.submit("buy", "k"), Run)
-		}},
-		{"a run given up serves a later repeat", func(w *testGate, first *Ticket) {
-			w.advance(2 * time.Second)
-			w.expect(first, Aborted)
-			a := w.submit("buy", "k")
-			w.expect(a, -1)
-			first.Report(Succeeded, 2100, []byte("r"))
-			w.expect(a, OK)
-		}},
-		{"a repeat given up while it waits", func(w *testGate, first *Ticket) {
-			a := w.submit("buy", "k")
-			a.Cancel()
-			w.expect(a, CallerGone)
-			first.Report(Succeeded, 10, nil)
-			w.expect(a, -1)
-		}},
-		{"a repeat in a drain is not pushed back", func(w *testGate, _ *Ticket) {
-			w.Drain(3 * time.Second)
-			w.advance(1100 * time.Millisecond)
-			w.expect(w.submit("buy", "k"), Aborted)
-		}},
-		{"a try that left the hold is forgotten", func(w *testGate, first *Ticket) {
-			b, c := w.submit("view", ""), w.submit("buy", "held")
-			w.expect(b, Run)
-			w.expect(c, -1)
-			c.Cancel()
-			first.Report(Succeeded, 10, nil)
-			w.expect(w.submit("buy", "held"), Run)
-		}},
-		{"a try far older than its deadline", func(w *testGate, first *Ticket) {
-			first.Report(Succeeded, 10, []byte("r"))
-			door := w.at
-			w.advance(9 * time.Second)
-			w.expect(w.submitAt("buy", "k", door), OK)
-		}},
-		{"the table is full", func(w *testGate, first *Ticket) {
-			first.Report(Succeeded, 10, nil)
-			w.cacheFreeKB = tokenKB - 1
-			w.expect(w.submit("buy", "other"), Rejected)
-			w.expect(w.submit("buy", "k"), OK)
-		}},
-		{"a result too large to keep: its own caller gets it, a repeat hears that it ran", func(w *testGate, first *Ticket) {
-			late := w.submit("buy", "k")
-			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
-			if v := w.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
-				w.Errorf("%d bytes, head %q", len(v.Result), v.Head)
-			}
-			for _, t := range []*Ticket{late, w.submit("buy", "k")} {
-				if v := w.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
-					w.Errorf("why %q", v.Reason)
-				}
-			}
-		}},
-		{"larger results count for what they take, and give it back", func(w *testGate, first *Ticket) {
-			before := w.cacheFreeKB
-			first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 100<<10))
-			w.expect(first, OK)
-			if took := before - w.cacheFreeKB; took < 90 || took > 100 {
-				w.Errorf("took %g KB", took)
-			}
-			if v := w.expect(w.submit("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
-				w.Errorf("repeat got %d bytes, head %q", len(v.Result), v.Head)
-			}
-			w.advance(12 * time.Second)
-			if w.cacheFreeKB != before+tokenKB || len(w.tokens) != 0 {
-				w.Errorf("%g KB left of %g, %d tokens", w.cacheFreeKB, before+tokenKB, len(w.tokens))
-			}
-		}},
-		{"no room below: pushed back, its token is free", func(w *testGate, first *Ticket) {
-			late := w.submit("buy", "k")
-			first.Report(NoCapacity, 0, nil)
-			if v := w.expect(first, Rejected); v.RetryAfterMs <= 0 {
-				w.Errorf("away %g", v.RetryAfterMs)
-			}
-			w.expect(late, Aborted)
-			w.expect(w.submit("buy", "k"), Run)
-		}},
-		{"the module asks for a second run", func(w *testGate, first *Ticket) {
-			a := w.submit("buy", "other")
-			w.expect(a, Run)
-			a.running, a.tokenKey, a.arrivedMs = false, first.tokenKey, first.arrivedMs
-			w.execute(control.Action{Kind: control.Run, RPC: a.id})
-			w.expect(a, Aborted)
-		}},
-		{"the module pushes back what has run", func(w *testGate, first *Ticket) {
-			w.execute(control.Action{Kind: control.Reject, RPC: first.id})
-			w.expect(first, Aborted)
-		}},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			w := open(t, true)
-			first := w.submit("buy", "k")
-			w.expect(first, Run)
-			c.do(w, first)
-			first.Report(Failed, 10, nil)
-			w.advance(30 * time.Second)
-			for key, k := range w.tokens {
-				if k.completed {
-					t.Errorf("token %q is still kept", key)
-				}
-			}
-		})
-	}
-}
-
 func TestEnterErrors(t *testing.T) {
 	cases := []struct {
 		name, bad string
@@ -381,7 +123,7 @@
 			w := open(t, false)
 			w.expect(w.submit("view", ""), Rejected) // before the start
 			w.Start(c.cold, c.ago)
-			w.Start(!c.cold, 0) // a new link tells it again
+			w.Start(!c.cold, 0) // as for a new link to the engine
 			taken := 0
 			for i := range 100 {
 				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMillis(w.at)})
@@ -400,7 +142,7 @@
 	}
 }
 
-// A panic in the decisions costs one RPC.
+// TestPanic checks that a panic in the decisions costs one RPC.
 func TestPanic(t *testing.T) {
 	w := open(t, true)
 	a := w.submit("view", "")
@@ -417,7 +159,7 @@
 	}
 }
 
-// All that can end an RPC races for it; each gets one final verdict and at most one run, and each token one run.
+// TestOneAnswer races all that can end an RPC: each RPC gets one final verdict and at most one run, and each token one run.
 func TestOneAnswer(t *testing.T) {
 	w := open(t, true)
 	w.now = time.Now
@@ -471,7 +213,8 @@
 	}
 }
 
-// The grace of a drain counts from its notice, though the decisions begin after that, as with an engine that starts late.
+// TestStartInDrain checks that the grace period of a drain counts from its notice, though the decisions begin after that,
+// as with an engine that starts late.
 func TestStartInDrain(t *testing.T) {
 	for _, cold := range []bool{false, true} {
 		w := open(t, false)
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -17,7 +17,7 @@
 	reasonUncached   = "the try that it repeats has run; its result was too large to keep"
 )
 
-// controlOutcome is what the controller hears of each outcome.
+// controlOutcome is the outcome that is passed to the controller.
 var controlOutcome = [...]control.Outcome{
 	Failed:            control.OutcomeError,
 	Succeeded:         control.OutcomeOK,
@@ -75,7 +75,7 @@
 }
 
 // recordEnd has the end of a recorded run written to the token store and gives the verdict once it is durable. An end that
-// can't be made durable counts as a run that may have had its effect: a duplicate would hear that after a restart.
+// can't be made durable counts as a run that may have had its effect, which is what a duplicate would get after a restart.
 func (t *Ticket) recordEnd(outcome Outcome, head, result []byte) {
 	g := t.gate
 	until := t.arrivedMs + g.startup.Methods[t.method].DedupWindow
@@ -173,7 +173,7 @@
 	t.gate.handleNow(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
 }
 
-// completeUnrun gives a queued or joined RPC its final verdict and tells the controller that it is over.
+// completeUnrun gives a queued or joined RPC its final verdict and reports to the controller that it is over.
 func (g *Gate) completeUnrun(t *Ticket, v Verdict) {
 	if !t.finish(v) {
 		return
--- a/internal/gate/ticket.go
+++ b/internal/gate/ticket.go
@@ -13,7 +13,7 @@
 // gate's lock; taken belongs to the goroutine that waits.
 type Ticket struct {
 	gate       *Gate
-	id         uint32  // 0 if the controller never heard of it
+	id         uint32  // 0 if it was not passed to the controller
 	protocolID string  // RPC.ID
 	method     int     // index into the start-up configuration
 	customer   int     // likewise; its number of customers for one that it does not have
@@ -87,8 +87,8 @@
 	t.gate.endTicket(t, outcome, Verdict{Kind: CallerGone})
 }
 
-// endTicket gives a final verdict that is not the controller's. The controller hears first, so that it can still evict the
-// token of what never ran.
+// endTicket gives a final verdict that is not the controller's. The controller gets the event first, so that it can
+// still evict the token of an RPC that never ran.
 func (g *Gate) endTicket(t *Ticket, outcome control.Outcome, v Verdict) {
 	if !t.final {
 		g.handleNow(control.Event{Kind: control.CallerGone, RPC: t.id, Outcome: outcome})
--- a/internal/gate/tokens.go
+++ b/internal/gate/tokens.go
@@ -69,7 +69,7 @@
 }
 
 // cacheResult notes the end of a token's run and caches its result if there is memory for it. A duplicate of one whose
-// result is not cached hears that it ran, and never runs.
+// result is not cached is aborted and never runs.
 func (g *Gate) cacheResult(k *token, outcome Outcome, head, result []byte) {
 	k.completed = true
 	k.succeeded = outcome == Succeeded
--- a/internal/gate/wheel_test.go
+++ b/internal/gate/wheel_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Against a plain map: nothing goes before its time, all goes within a slot and a look of it, and what was taken out
-// never comes, over steps of the clock to either side.
+// TestWheel compares the wheel with a map: no entry is handed out before its time, all are within a slot and an advance of
+// it, and none that was removed, over steps of the clock to either side.
 func TestWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 2e12).Draw(t, "begin")
@@ -59,7 +59,7 @@
 	})
 }
 
-// What is due all at once is handed out in bounded parts, and all of it in the end.
+// TestWheelBurst checks that entries which are due all at once are handed out in bounded parts, and all in the end.
 func TestWheelBurst(t *testing.T) {
 	w := newWheel(0)
 	const all = 50 * minMoves
@@ -79,7 +79,7 @@
 	}
 }
 
-// byTime is the plain heap that the wheel is measured against.
+// byTime is the binary heap that the wheel is measured against.
 type byTime []*expiry
 
 func (h byTime) Len() int           { return len(h) }
@@ -93,7 +93,7 @@
 	return e
 }
 
-// One tick of 40 ms at a steady rate: what is over goes, as much comes. The map is what the gate had before.
+// BenchmarkExpiry is one tick of 40 ms at a steady rate: as many entries come as expire. The map is what the gate had before.
 func BenchmarkExpiry(b *testing.B) {
 	const window = 18e3 // ms: a window of 13.6 s and a deadline of 4.5 s
 	for _, size := range []int{1000, 8000, 100000} {
--- a/internal/store/compare/compare_test.go
+++ b/internal/store/compare/compare_test.go
@@ -1,5 +1,5 @@
-// Package compare measures the store beside libraries that could have been it: each is asked for a token that begins and
-// ends, durable both times, by many at once. It holds no code of the product.
+// Package compare measures the store beside libraries that could have been it: each records a token that starts and
+// ends, durable both times, for many callers at once. It holds no code of the product.
 package compare
 
 import (
@@ -91,7 +91,7 @@
 	return n, err
 }
 
-// One token is a record as it begins and one of 512 bytes as it ends; 32 buyers at once.
+// BenchmarkToken: a token is a record as it starts and one of 512 bytes as it ends; 32 callers at once.
 func BenchmarkToken(b *testing.B) {
 	for _, name := range []string{"log", "bbolt", "pebble"} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -10,7 +10,8 @@
 	"sorrelvalve/internal/store"
 )
 
-// A segment written by version b631b89 of this code (testdata/b631b89) is read by this one, each entry as it was.
+// TestReadsStoreOfB631b89 reads a segment that version b631b89 of this code has written (testdata/b631b89): each entry is as
+// it was.
 func TestReadsStoreOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	b, err := os.ReadFile(filepath.Join("testdata", "b631b89", "00000001.seg"))
--- a/internal/store/gate_test.go
+++ b/internal/store/gate_test.go
@@ -80,170 +80,174 @@
 	return t, s.verdict(t)
 }
 
-func TestGateCases(t *testing.T) {
-	cases := []struct {
-		name string
-		do   func(s *server) string
-		want string
-	}{
-		{"a repeat after a crash gets the first answer", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			first := s.verdict(a)
-			s.crash()
-			_, again := s.attempt("k", "x")
-			return first + ", " + again
-		}, "ok done, ok done"},
-		{"with another body it makes no sense", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			s.verdict(a)
-			s.crash()
-			_, again := s.attempt("k", "y")
-			return again
-		}, "no sense"},
-		{"a crash while it runs: it may have run", func(s *server) string {
-			s.attempt("k", "x")
-			s.crash()
-			_, again := s.attempt("k", "x")
-			_, more := s.attempt("k", "x")
-			return again + ", " + more
-		}, "aborted, aborted"},
-		{"and may run once its window is over", func(s *server) string {
-			s.attempt("k", "x")
-			s.crash()
-			s.advance(9000)
-			_, again := s.attempt("k", "x")
-			return again
-		}, "run"},
-		{"a crash between its end and the sync", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 20 * time.Millisecond })
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			s.crash()
-			first := s.verdict(a)
-			_, again := s.attempt("k", "x")
-			return first + ", " + again
-		}, "aborted, aborted"},
-		{"a sync that fails at its end: its caller hears what a repeat will", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			first := s.verdict(a)
-			s.crash()
-			_, again := s.attempt("k", "x")
-			return first + ", " + again
-		}, "aborted, aborted"},
-		{"a sync that fails at its beginning: pushed back, and it may run later", func(s *server) string {
-			s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
-			_, first := s.attempt("k", "x")
-			s.crash()
-			_, again := s.attempt("k", "x")
-			return first + ", " + again
-		}, "pushed back, run"},
-		{"a full store pushes back what is tokened, and nothing else", func(s *server) string {
-			s.b.MaxBytes = 3000
-			s.crash()
-			var last string
-			for i := range 5 {
-				_, last = s.attempt(fmt.Sprint(i), "x")
-			}
-			v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
-			if err != nil {
-				return err.Error()
-			}
-			return last + ", " + s.verdict(v)
-		}, "pushed back, run"},
-		{"a stalled disk: what is tokened waits, and nothing else", func(s *server) string {
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 200 * time.Millisecond })
-			a, err := s.submit("k", "x")
-			if err != nil {
-				return err.Error()
-			}
-			began := time.Now()
-			v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
-			if err != nil {
-				return err.Error()
-			}
-			first := s.verdict(v)
-			if time.Since(began) > 150*time.Millisecond {
-				return "it waited"
-			}
-			return first + ", " + s.verdict(a)
-		}, "run, run"},
-		{"a stalled disk past the due time: answered then, and never run", func(s *server) string {
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 300 * time.Millisecond })
-			a, err := s.submit("k", "x")
-			if err != nil {
-				return err.Error()
-			}
-			s.advance(2100)
-			s.g.Tick(nil)
-			first := s.verdict(a)
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
-			for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
-					return "still in hand"
-				}
-			}
-			if _, there := a.TryWait(); there {
-				return "a second verdict"
-			}
-			return first
-		}, "aborted"},
-		{"its caller leaves while it is being begun: it never runs, and a repeat may", func(s *server) string {
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
-			a, err := s.submit("k", "x")
-			if err != nil {
-				return err.Error()
-			}
-			a.Cancel()
-			first := s.verdict(a)
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
-			for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
-					return "still in hand"
-				}
+// gateCase is one way of an RPC with a token through gate, store and faults of the disk.
+type gateCase struct {
+	name string
+	do   func(s *server) string
+	want string
+}
+
+var gateCases = []gateCase{
+	{"a repeat after a crash gets the first answer", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		first := s.verdict(a)
+		s.crash()
+		_, again := s.attempt("k", "x")
+		return first + ", " + again
+	}, "ok done, ok done"},
+	{"with another body it makes no sense", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		s.verdict(a)
+		s.crash()
+		_, again := s.attempt("k", "y")
+		return again
+	}, "no sense"},
+	{"a crash while it runs: it may have run", func(s *server) string {
+		s.attempt("k", "x")
+		s.crash()
+		_, again := s.attempt("k", "x")
+		_, more := s.attempt("k", "x")
+		return again + ", " + more
+	}, "aborted, aborted"},
+	{"and may run once its window is over", func(s *server) string {
+		s.attempt("k", "x")
+		s.crash()
+		s.advance(9000)
+		_, again := s.attempt("k", "x")
+		return again
+	}, "run"},
+	{"a crash between its end and the sync", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 20 * time.Millisecond })
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		s.crash()
+		first := s.verdict(a)
+		_, again := s.attempt("k", "x")
+		return first + ", " + again
+	}, "aborted, aborted"},
+	{"a sync that fails at its end: its caller hears what a repeat will", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		first := s.verdict(a)
+		s.crash()
+		_, again := s.attempt("k", "x")
+		return first + ", " + again
+	}, "aborted, aborted"},
+	{"a sync that fails at its beginning: pushed back, and it may run later", func(s *server) string {
+		s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
+		_, first := s.attempt("k", "x")
+		s.crash()
+		_, again := s.attempt("k", "x")
+		return first + ", " + again
+	}, "pushed back, run"},
+	{"a full store pushes back what is tokened, and nothing else", func(s *server) string {
+		s.b.MaxBytes = 3000
+		s.crash()
+		var last string
+		for i := range 5 {
+			_, last = s.attempt(fmt.Sprint(i), "x")
+		}
+		v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
+		if err != nil {
+			return err.Error()
+		}
+		return last + ", " + s.verdict(v)
+	}, "pushed back, run"},
+	{"a stalled disk: what is tokened waits, and nothing else", func(s *server) string {
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 200 * time.Millisecond })
+		a, err := s.submit("k", "x")
+		if err != nil {
+			return err.Error()
+		}
+		began := time.Now()
+		v, err := s.g.Submit(gate.RPC{Method: "view", ArrivedMs: s.now(), QueuedKB: 10, CostHintMs: 100})
+		if err != nil {
+			return err.Error()
+		}
+		first := s.verdict(v)
+		if time.Since(began) > 150*time.Millisecond {
+			return "it waited"
+		}
+		return first + ", " + s.verdict(a)
+	}, "run, run"},
+	{"a stalled disk past the due time: answered then, and never run", func(s *server) string {
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 300 * time.Millisecond })
+		a, err := s.submit("k", "x")
+		if err != nil {
+			return err.Error()
+		}
+		s.advance(2100)
+		s.g.Tick(nil)
+		first := s.verdict(a)
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
+		for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				return "still in hand"
 			}
-			s.close()
-			s.restart()
-			_, again := s.attempt("k", "x")
-			return first + ", " + again
-		}, "gone, run"},
-		{"a repeat that arrives during recovery: pushed back, then told what the first was", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			s.verdict(a)
-			s.crash()
-			kept := s.g
-			o, err := startup.Parse(serverSettings)
-			if err != nil {
-				return err.Error()
+		}
+		if _, there := a.TryWait(); there {
+			return "a second verdict"
+		}
+		return first
+	}, "aborted"},
+	{"its caller leaves while it is being begun: it never runs, and a repeat may", func(s *server) string {
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
+		a, err := s.submit("k", "x")
+		if err != nil {
+			return err.Error()
+		}
+		a.Cancel()
+		first := s.verdict(a)
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
+		for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				return "still in hand"
 			}
-			s.g = gate.New(o, 64, func(string, string) {}) // not started, as the store is being read
-			s.g.UseClock(func() time.Time { return time.UnixMilli(int64(s.now())) })
-			_, early := s.attempt("k", "x")
-			s.g = kept
-			_, again := s.attempt("k", "x")
-			return early + ", " + again
-		}, "pushed back, ok done"},
-		{"the gate is closed while an end is on its way to the disk: never pushed back", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
-			a.Report(gate.Succeeded, 1, []byte("done"))
-			s.g.Close()
-			return s.verdict(a)
-		}, "aborted"},
-		{"a result too large to keep", func(s *server) string {
-			a, _ := s.attempt("k", "x")
-			a.Report(gate.Succeeded, 1, make([]byte, 5000))
-			s.verdict(a)
-			s.crash()
-			_, again := s.attempt("k", "x")
-			return again
-		}, "aborted"},
-	}
-	for _, c := range cases {
+		}
+		s.close()
+		s.restart()
+		_, again := s.attempt("k", "x")
+		return first + ", " + again
+	}, "gone, run"},
+	{"a repeat that arrives during recovery: pushed back, then told what the first was", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		s.verdict(a)
+		s.crash()
+		kept := s.g
+		o, err := startup.Parse(serverSettings)
+		if err != nil {
+			return err.Error()
+		}
+		s.g = gate.New(o, 64, func(string, string) {}) // not started, as the store is being read
+		s.g.UseClock(func() time.Time { return time.UnixMilli(int64(s.now())) })
+		_, early := s.attempt("k", "x")
+		s.g = kept
+		_, again := s.attempt("k", "x")
+		return early + ", " + again
+	}, "pushed back, ok done"},
+	{"the gate is closed while an end is on its way to the disk: never pushed back", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
+		a.Report(gate.Succeeded, 1, []byte("done"))
+		s.g.Close()
+		return s.verdict(a)
+	}, "aborted"},
+	{"a result too large to keep", func(s *server) string {
+		a, _ := s.attempt("k", "x")
+		a.Report(gate.Succeeded, 1, make([]byte, 5000))
+		s.verdict(a)
+		s.crash()
+		_, again := s.attempt("k", "x")
+		return again
+	}, "aborted"},
+}
+
+func TestGateCases(t *testing.T) {
+	for _, c := range gateCases {
 		t.Run(c.name, func(t *testing.T) {
 			s := startServer(t)
 			defer s.close()
@@ -254,8 +258,8 @@
 	}
 }
 
-// Store and gate against a plain model, with crashes between any two steps: nothing runs twice within its window, and
-// who was told ok is told the same for as long.
+// TestGateModel compares store and gate with a model, with crashes between any two steps: nothing runs twice within its
+// window, and a caller that got a result gets the same for as long.
 func TestGateModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := startServer(t)
@@ -277,7 +281,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				if k.open != nil {
-					continue // a repeat would wait for it
+					continue // a duplicate would wait for it
 				}
 				ticket, got := s.attempt(key, "x")
 				within := k.ran > 0 && s.now() < k.ran+8000
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Against a plain map, over puts and segments that go.
+// TestIndex compares the index with a map, over puts and segments that are dropped.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, plain := newIndex(), map[uint64][2]uint32{}
@@ -32,7 +32,7 @@
 	})
 }
 
-// The index beside a plain map from fingerprint to place: memory for each entry, and a look.
+// BenchmarkIndex measures the index beside a map from fingerprint to place: memory for each entry, and a lookup.
 func BenchmarkIndex(b *testing.B) {
 	const n = 1000000
 	prints := make([]uint64, n)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
 // Package store keeps the state of idempotency tokens on disk, so that duplicates are recognised after a restart: that a run
-// has started, before it does, and how it ended, with its result, before the caller hears of it.
+// has started, before it does, and how it ended, with its result, before the caller is answered.
 //
 // A store is a log of segments with an index in memory of where the last record of each token stands. A segment is dropped
 // once all windows in it are over. Records that are waiting share one write and one sync (group commit). What records mean,
--- a/valve/admit.go
+++ b/valve/admit.go
@@ -16,7 +16,7 @@
 	Caller    uint64        // a hash of the calling process: slow start admits callers by it
 	Subject   uint64        // a hash of the affinity key, such as a user or an object; 0 for none
 	Token     string        // idempotency token, the same in all attempts; IdempotencyKeyed only
-	Body      []byte        // by which two attempts are known to be the same; IdempotencyKeyed only. It is not kept
+	Body      []byte        // by which two attempts are known to be the same; IdempotencyKeyed only. It is not retained
 	ArrivedAt time.Time     // when it reached the machine; now if zero
 	CostHint  time.Duration // expected work on one core; 0 if it is not known
 	Memory    int64         // bytes that it takes while it is queued; 16 KiB if 0
@@ -143,7 +143,7 @@
 	return r.complete(gate.Outcome(outcome), result)
 }
 
-// CompleteUncached is Complete for a run that succeeded with a result that can't be cached: its duplicates hear that it ran.
+// CompleteUncached is Complete for a run that succeeded with a result that can't be cached: its duplicates are aborted.
 func (r *Run) CompleteUncached() bool { return r.complete(gate.SucceededUncached, Result{}) }
 
 func (r *Run) complete(outcome gate.Outcome, result Result) bool {
--- a/valve/errors.go
+++ b/valve/errors.go
@@ -12,7 +12,7 @@
 var (
 	ErrRejected   = errors.New("valve: pushed back") // the RPC never ran; the error is a *RejectedError
 	ErrAborted    = errors.New("valve: aborted")     // the RPC gets no result; the error is an *AbortedError
-	ErrInvalidRPC = errors.New("valve: no sense")    // its method, customer or token is wrong; the text tells
+	ErrInvalidRPC = errors.New("valve: no sense")    // its method, customer or token is wrong, as the text says
 	ErrClosed     = errors.New("valve: closed")      // the Valve has been closed
 )
 
--- a/valve/fleetvalve/fleetvalve_test.go
+++ b/valve/fleetvalve/fleetvalve_test.go
@@ -11,7 +11,7 @@
 	"sorrelvalve/valve/fleetvalve"
 )
 
-// Two programs on one machine come to hear each other.
+// Two programs on one machine find each other.
 func Example() {
 	var addrs []string
 	for range 2 {
--- a/valve/gauges.go
+++ b/valve/gauges.go
@@ -12,7 +12,7 @@
 	gaugeWindow = 500 * time.Millisecond
 	// minGaugeWindow is the shortest time that it is taken over, at the start.
 	minGaugeWindow = gaugeWindow / 10
-	// maxSamples is the number of samples that are kept for it: one every 40 ms, and some more.
+	// maxSamples is the number of samples that are retained for it: one every 40 ms, and some more.
 	maxSamples = 32
 )
 
@@ -29,7 +29,7 @@
 	mu         sync.Mutex
 	goroutines []metrics.Sample // nil if the runtime has no such metrics
 	samples    [maxSamples]cpuSample
-	sampled    int // so far; the last samples are kept
+	sampled    int // so far; the last maxSamples are retained
 }
 
 // cpuSample is the CPU time that the process had used by some moment.
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -55,7 +55,7 @@
 	return w
 }
 
-// What gin handlers may do: one answer each.
+// TestHandlers shows what gin handlers may do: each request gets one response.
 func TestGin(t *testing.T) {
 	runs := 0
 	release := make(chan struct{})
@@ -112,8 +112,8 @@
 	}
 }
 
-// The middleware's cost on top of bare gin, admitted and pushed back. The bars are those of the project: under 5 us and
-// 10 allocations admitted, under 3 us pushed back.
+// The cost of the middleware on top of gin alone, for admitted and rejected requests. The bars are those of the project: under 5 us and
+// 10 allocations admitted, under 3 us rejected.
 func BenchmarkGin(b *testing.B) {
 	serve := func(b *testing.B, e *gin.Engine, want int) {
 		q := httptest.NewRequest("GET", "/view/7", nil)
@@ -148,7 +148,7 @@
 	})
 }
 
-// sink is a writer that keeps nothing.
+// sink is a writer that discards all.
 type sink struct {
 	header http.Header
 	status int
--- a/valve/httpvalve/guard.go
+++ b/valve/httpvalve/guard.go
@@ -93,7 +93,7 @@
 	return g.w.Write(b)
 }
 
-// cache keeps a part of the body for duplicates.
+// cache retains a part of the body for duplicates.
 func (g *guard) cache(b []byte) {
 	if g.maxCached == 0 || g.uncacheable {
 		return
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -10,8 +10,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"net/http/httptrace"
-	"net/textproto"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -35,7 +33,7 @@
 	{Name: "buy", Path: "/buy", Verb: "POST", Method: "buy", Token: route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Hint: route.Source{Variable: "HTTP_WORK_MS"}},
 }
 
-// rig is a server whose handler the test gives.
+// rig is a server behind a valve, with a handler that the test gives.
 type rig struct {
 	*testing.T
 	v    *valve.Valve
@@ -92,7 +90,7 @@
 	}
 }
 
-// got is an answer in short: status and body, or the error.
+// got is a response in short: status and body, or the error.
 func (r *rig) got(verb, path, body string, header ...string) (string, http.Header) {
 	q, err := http.NewRequest(verb, r.s.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -134,137 +132,8 @@
 	}
 }
 
-// What a handler may do: one answer each, and nothing left in hand.
-func TestHandlers(t *testing.T) {
-	cases := []struct {
-		name    string
-		handler http.HandlerFunc
-		do      func(r *rig)
-	}{
-		{"writes", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("A", "b")
-			w.WriteHeader(201)
-			writeString(t, w, "x")
-		}, func(r *rig) {
-			if h := r.expect("201 x", "GET", "/view/1", ""); h.Get("A") != "b" {
-				r.Errorf("head %v", h)
-			}
-		}},
-		{"writes nothing", func(http.ResponseWriter, *http.Request) {}, func(r *rig) { r.expect("200", "GET", "/view/1", "") }},
-		{"says an error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }, func(r *rig) { r.expect("500 no", "GET", "/view/1", "") }},
-		{"writes its head twice", func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(404)
-			w.WriteHeader(200)
-			writeString(t, w, "x")
-		}, func(r *rig) {
-			r.expect("404 x", "GET", "/view/1", "")
-		}},
-		{"panics before its first byte", func(http.ResponseWriter, *http.Request) { panic("x") }, func(r *rig) {
-			if h := r.expect("500", "GET", "/view/1", ""); h.Get("Valve-Why") != "the handler panicked" {
-				r.Errorf("head %v", h)
-			}
-		}},
-		{"panics after its first byte", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", "10")
-			writeString(t, w, "half")
-			w.(http.Flusher).Flush()
-			panic("x")
-		}, func(r *rig) { r.expect("200 cut", "GET", "/view/1", "") }},
-		{"aborts", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, func(r *rig) { r.expect("error", "GET", "/view/1", "") }},
-		{"streams", func(w http.ResponseWriter, _ *http.Request) {
-			for i := range 3 {
-				writeString(t, w, fmt.Sprint(i))
-				w.(http.Flusher).Flush()
-			}
-		}, func(r *rig) { r.expect("200 012", "GET", "/view/1", "") }},
-		{"trailers", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Trailer", "Sum")
-			writeString(t, w, "x")
-			w.Header().Set("Sum", "7")
-			w.Header().Set(http.TrailerPrefix+"Late", "8")
-		}, func(r *rig) {
-			h := r.expect("200 x", "GET", "/view/1", "")
-			if fmt.Sprint(h["Trailer:Sum"], h["Trailer:Late"]) != "[7] [8]" {
-				r.Errorf("head %v", h)
-			}
-		}},
-		{"early hints", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Link", "a")
-			w.WriteHeader(103)
-			writeString(t, w, "x")
-		}, func(r *rig) {
-			hints := 0
-			trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
-				if code == 103 && h.Get("Link") == "a" {
-					hints++
-				}
-				return nil
-			}}
-			q, _ := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), "GET", r.s.URL+"/view/1", nil)
-			a, err := http.DefaultClient.Do(q)
-			if err != nil {
-				r.Fatal(err)
-			}
-			defer mustClose(r, a.Body)
-			if b, _ := io.ReadAll(a.Body); string(b) != "x" || hints != 1 {
-				r.Errorf("%q, %d hints", b, hints)
-			}
-		}},
-		{"HEAD", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", "5")
-			writeString(t, w, "12345")
-		}, func(r *rig) {
-			if h := r.expect("200", "HEAD", "/view/1", ""); h.Get("Content-Length") != "5" {
-				r.Errorf("head %v", h)
-			}
-		}},
-		{"takes the connection", func(w http.ResponseWriter, _ *http.Request) {
-			c, _, err := http.NewResponseController(w).Hijack()
-			if err != nil {
-				panic(err)
-			}
-			defer mustClose(t, c)
-			if _, err := w.Write(nil); !errors.Is(err, http.ErrHijacked) {
-				return
-			}
-			writeString(t, c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown")
-		}, func(r *rig) { r.expect("200 own", "GET", "/view/1", "") }},
-		{"calls itself", nil, func(r *rig) { r.expect("200 inner", "GET", "/view/outer", "") }},
-		{"an unknown path and verb", nil, func(r *rig) {
-			r.expect("404", "GET", "/none", "")
-			r.expect("405", "GET", "/buy", "")
-			r.expect("400", "POST", "/buy", "")
-			r.expect("413", "POST", "/buy", strings.Repeat("x", 101), "Idempotency-Key", "k")
-			r.expect("400", "POST", "/buy", "", "Idempotency-Key", "k", "Work-Ms", "NaN")
-			if r.runs.Load() != 0 {
-				r.Error("it ran")
-			}
-		}},
-	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			var r *rig
-			handler := c.handler
-			if handler == nil {
-				handler = func(w http.ResponseWriter, q *http.Request) { // calls itself through the whole chain, on the one core
-					if strings.HasSuffix(q.URL.Path, "outer") {
-						q = q.Clone(q.Context())
-						q.URL.Path = "/view/inner"
-						r.s.Config.Handler.ServeHTTP(w, q)
-						return
-					}
-					writeString(t, w, "inner")
-				}
-			}
-			r = start(t, handler)
-			c.do(r)
-			r.quiet()
-		})
-	}
-}
-
-// A handler that outlasts its due time: its caller hears in time, once; what it writes then goes nowhere, and its work
-// counts until it ends.
+// TestOverdue is about a handler that outlasts its deadline: its caller is answered in time, once; what it writes then is
+// dropped, and its run counts until it ends.
 func TestOverdue(t *testing.T) {
 	release, wrote := make(chan struct{}), make(chan error, 1)
 	r := start(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -287,8 +156,8 @@
 	r.quiet()
 }
 
-// Held RPCs: pushed back in time with when to return; a caller that leaves is not run.
-func TestHeld(t *testing.T) {
+// TestQueued is about queued RPCs: they are rejected in time with a retry-after; one whose caller has left is not run.
+func TestQueued(t *testing.T) {
 	release := make(chan struct{})
 	r := start(t, func(_ http.ResponseWriter, q *http.Request) {
 		if strings.HasSuffix(q.URL.Path, "slow") {
@@ -331,7 +200,8 @@
 	}
 }
 
-// Time-outs other than the valve's fire first: one answer, the run counts until the handler returns.
+// TestOtherTimeouts has time-outs other than the valve's fire first: there is one response, and the run counts until the
+// handler returns.
 func TestOtherTimeouts(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
@@ -394,13 +264,13 @@
 	})
 }
 
-// Tokened handlers: the whole answer is kept, and nothing runs twice.
-func TestTokened(t *testing.T) {
+// TestTokens is about handlers with idempotency tokens: the complete response is cached, and nothing runs twice.
+func TestTokens(t *testing.T) {
 	key := []string{"Idempotency-Key", "k"}
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		want    []string // of tries one after the other
+		want    []string // of attempts one after the other
 	}{
 		{"status, head and body", func(w http.ResponseWriter, q *http.Request) {
 			b, _ := io.ReadAll(q.Body)
@@ -475,7 +345,7 @@
 	}
 }
 
-// A client that sends half a tokened body and stays is answered, and reaches nothing.
+// TestHalfBody has a client send half a body with a token and stay: it is answered, and nothing runs.
 func TestHalfBody(t *testing.T) {
 	r := start(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyTimeout = 30 * time.Millisecond })
 	c, err := net.Dial("tcp", r.s.Listener.Addr().String())
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -34,7 +34,7 @@
 type TraceOptions struct {
 	Path         string
 	MaxFileBytes int64       // from which on the next file is begun; default 64 MiB
-	MaxFiles     int         // that are kept; default 4
+	MaxFiles     int         // that are retained; default 4
 	OnError      func(error) // is called when a file can't be written; nil for none
 }
 
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -81,138 +81,143 @@
 
 func (f finalHandlerFunc) HandleFinal(err error) { f(err) }
 
-func TestAdmit(t *testing.T) {
-	ctx := context.Background()
-	must := func(t *testing.T, v *Valve, r RPC) *Run {
-		t.Helper()
-		run, err := v.Admit(ctx, r)
-		if err != nil {
-			t.Fatal(err)
+// admitCase is one way of an RPC through a Valve.
+type admitCase struct {
+	name string
+	do   func(t *testing.T, v *Valve, c *clock)
+}
+
+var admitCases = []admitCase{
+	{"a run, ended once", func(t *testing.T, v *Valve, _ *clock) {
+		r := mustAdmit(t, v, RPC{Method: "view"})
+		if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
+			t.Errorf("%d in hand", v.InFlight())
 		}
-		return run
-	}
-	cases := []struct {
-		name string
-		do   func(t *testing.T, v *Valve, c *clock)
-	}{
-		{"a run, ended once", func(t *testing.T, v *Valve, _ *clock) {
-			r := must(t, v, RPC{Method: "view"})
-			if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
-				t.Errorf("%d in hand", v.InFlight())
-			}
-		}},
-		{"held until the first ends", func(t *testing.T, v *Valve, _ *clock) {
-			a := must(t, v, RPC{Method: "view"})
-			b := admitLater(ctx, v, RPC{Method: "view"})
-			if len(b) > 0 {
-				t.Fatal("not held")
-			}
-			a.Complete(Succeeded, Result{})
-			if got := <-b; got.error != nil {
-				t.Error(got.error)
-			} else {
-				got.Complete(Succeeded, Result{})
-			}
-		}},
-		{"its context ends while it is held", func(t *testing.T, v *Valve, _ *clock) {
-			a := must(t, v, RPC{Method: "view"})
-			ctx, end := context.WithCancel(ctx)
-			b := admitLater(ctx, v, RPC{Method: "view"})
-			end()
-			if got := <-b; !errors.Is(got.error, context.Canceled) {
-				t.Error(got.error)
-			}
-			a.Complete(Succeeded, Result{})
-		}},
-		{"pushed back when it is late for its target", func(t *testing.T, v *Valve, c *clock) {
-			a := must(t, v, RPC{Method: "view"})
-			b := admitLater(ctx, v, RPC{Method: "view"})
-			c.advance(v, 1500*time.Millisecond)
-			got := <-b
-			var p *RejectedError
-			if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &p) || p.RetryAfter <= 0 {
-				t.Error(got.error)
-			}
-			a.Complete(Succeeded, Result{})
-		}},
-		{"given up when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
-			r := must(t, v, RPC{Method: "view"})
-			var got error
-			r.NotifyFinal(finalHandlerFunc(func(err error) { got = err }))
-			c.advance(v, 1900*time.Millisecond)
-			if got != nil {
-				t.Fatal(got)
-			}
-			c.advance(v, 100*time.Millisecond)
-			var a *AbortedError
-			if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
-				t.Errorf("error %v, %d in hand", got, v.InFlight())
-			}
-			if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-				t.Errorf("%d in hand", v.InFlight())
-			}
-		}},
-		{"repeats get the answer that was kept", func(t *testing.T, v *Valve, _ *clock) {
-			a := must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
-			b := admitLater(ctx, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
-			a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
-			for _, r := range []*Run{(<-b).Run, must(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
-				if kept, is := r.Cached(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.Complete(Failed, Result{}) {
-					t.Errorf("kept %+v", kept)
-				}
-			}
-			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
-				t.Error(err)
-			}
-		}},
-		{"an answer that can't be kept: repeats hear that it ran", func(t *testing.T, v *Valve, _ *clock) {
-			must(t, v, RPC{Method: "buy", Token: "k"}).CompleteUncached()
-			var a *AbortedError
-			if _, err := v.Admit(ctx, RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Reason, "has run") {
-				t.Error(err)
-			}
-		}},
-		{"no room below", func(t *testing.T, v *Valve, _ *clock) {
-			r := must(t, v, RPC{Method: "buy", Token: "k"})
-			r.Complete(NoCapacity, Result{})
-			must(t, v, RPC{Method: "buy", Token: "k"}).Complete(Succeeded, Result{})
-		}},
-		{"what makes no sense", func(t *testing.T, v *Valve, _ *clock) {
-			for _, r := range []RPC{{Method: "sell"}, {Method: "buy"}} {
-				if _, err := v.Admit(ctx, r); !errors.Is(err, ErrInvalidRPC) {
-					t.Error(err)
-				}
-			}
-		}},
-		{"past the drain's grace", func(t *testing.T, v *Valve, c *clock) {
-			v.Drain(5 * time.Second)
-			must(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
-			c.advance(v, 2100*time.Millisecond)
-			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrRejected) || v.Healthy() {
-				t.Error(err)
-			}
-		}},
-		{"closed while one runs and one is held", func(t *testing.T, v *Valve, _ *clock) {
-			a := must(t, v, RPC{Method: "view"})
-			told := make(chan error, 1)
-			a.NotifyFinal(finalHandlerFunc(func(err error) { told <- err }))
-			b := admitLater(ctx, v, RPC{Method: "view"})
-			v.Close()
-			if got := <-b; !errors.Is(got.error, ErrRejected) {
-				t.Error(got.error)
-			}
-			if err := <-told; !errors.Is(err, ErrAborted) {
-				t.Error(err)
+	}},
+	{"held until the first ends", func(t *testing.T, v *Valve, _ *clock) {
+		a := mustAdmit(t, v, RPC{Method: "view"})
+		b := admitLater(context.Background(), v, RPC{Method: "view"})
+		if len(b) > 0 {
+			t.Fatal("not held")
+		}
+		a.Complete(Succeeded, Result{})
+		if got := <-b; got.error != nil {
+			t.Error(got.error)
+		} else {
+			got.Complete(Succeeded, Result{})
+		}
+	}},
+	{"its context ends while it is held", func(t *testing.T, v *Valve, _ *clock) {
+		a := mustAdmit(t, v, RPC{Method: "view"})
+		ctx, end := context.WithCancel(context.Background())
+		b := admitLater(ctx, v, RPC{Method: "view"})
+		end()
+		if got := <-b; !errors.Is(got.error, context.Canceled) {
+			t.Error(got.error)
+		}
+		a.Complete(Succeeded, Result{})
+	}},
+	{"pushed back when it is late for its target", func(t *testing.T, v *Valve, c *clock) {
+		a := mustAdmit(t, v, RPC{Method: "view"})
+		b := admitLater(context.Background(), v, RPC{Method: "view"})
+		c.advance(v, 1500*time.Millisecond)
+		got := <-b
+		var p *RejectedError
+		if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &p) || p.RetryAfter <= 0 {
+			t.Error(got.error)
+		}
+		a.Complete(Succeeded, Result{})
+	}},
+	{"given up when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
+		r := mustAdmit(t, v, RPC{Method: "view"})
+		var got error
+		r.NotifyFinal(finalHandlerFunc(func(err error) { got = err }))
+		c.advance(v, 1900*time.Millisecond)
+		if got != nil {
+			t.Fatal(got)
+		}
+		c.advance(v, 100*time.Millisecond)
+		var a *AbortedError
+		if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
+			t.Errorf("error %v, %d in hand", got, v.InFlight())
+		}
+		if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
+			t.Errorf("%d in hand", v.InFlight())
+		}
+	}},
+	{"repeats get the answer that was kept", func(t *testing.T, v *Valve, _ *clock) {
+		a := mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
+		b := admitLater(context.Background(), v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
+		a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
+		for _, r := range []*Run{(<-b).Run, mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
+			if kept, is := r.Cached(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.Complete(Failed, Result{}) {
+				t.Errorf("kept %+v", kept)
 			}
-			if _, err := v.Admit(ctx, RPC{Method: "view"}); !errors.Is(err, ErrClosed) {
+		}
+		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
+			t.Error(err)
+		}
+	}},
+	{"an answer that can't be kept: repeats hear that it ran", func(t *testing.T, v *Valve, _ *clock) {
+		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).CompleteUncached()
+		var a *AbortedError
+		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Reason, "has run") {
+			t.Error(err)
+		}
+	}},
+	{"no room below", func(t *testing.T, v *Valve, _ *clock) {
+		r := mustAdmit(t, v, RPC{Method: "buy", Token: "k"})
+		r.Complete(NoCapacity, Result{})
+		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).Complete(Succeeded, Result{})
+	}},
+	{"what makes no sense", func(t *testing.T, v *Valve, _ *clock) {
+		for _, r := range []RPC{{Method: "sell"}, {Method: "buy"}} {
+			if _, err := v.Admit(context.Background(), r); !errors.Is(err, ErrInvalidRPC) {
 				t.Error(err)
 			}
-			if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-				t.Errorf("%d in hand", v.InFlight())
-			}
-		}},
+		}
+	}},
+	{"past the drain's grace", func(t *testing.T, v *Valve, c *clock) {
+		v.Drain(5 * time.Second)
+		mustAdmit(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
+		c.advance(v, 2100*time.Millisecond)
+		if _, err := v.Admit(context.Background(), RPC{Method: "view"}); !errors.Is(err, ErrRejected) || v.Healthy() {
+			t.Error(err)
+		}
+	}},
+	{"closed while one runs and one is held", func(t *testing.T, v *Valve, _ *clock) {
+		a := mustAdmit(t, v, RPC{Method: "view"})
+		told := make(chan error, 1)
+		a.NotifyFinal(finalHandlerFunc(func(err error) { told <- err }))
+		b := admitLater(context.Background(), v, RPC{Method: "view"})
+		v.Close()
+		if got := <-b; !errors.Is(got.error, ErrRejected) {
+			t.Error(got.error)
+		}
+		if err := <-told; !errors.Is(err, ErrAborted) {
+			t.Error(err)
+		}
+		if _, err := v.Admit(context.Background(), RPC{Method: "view"}); !errors.Is(err, ErrClosed) {
+			t.Error(err)
+		}
+		if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
+			t.Errorf("%d in hand", v.InFlight())
+		}
+	}},
+}
+
+// mustAdmit is Admit, which must succeed.
+func mustAdmit(t *testing.T, v *Valve, r RPC) *Run {
+	t.Helper()
+	run, err := v.Admit(context.Background(), r)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for _, c := range cases {
+	return run
+}
+
+func TestAdmit(t *testing.T) {
+	for _, c := range admitCases {
 		t.Run(c.name, func(t *testing.T) {
 			v, clock := open(t)
 			c.do(t, v, clock)
@@ -238,7 +243,7 @@
 	}
 }
 
-// Several valves in one process go by themselves, take what comes from many goroutines, and leave none behind.
+// TestByItself has several valves in one process tick by themselves, admit RPCs of many goroutines and leave none behind.
 func TestByItself(t *testing.T) {
 	var all []*Valve
 	for range 3 {
@@ -275,7 +280,8 @@
 	}
 }
 
-// With a store, a repeat after the program has started anew gets the first answer; a folder of another server is an error.
+// TestStore checks that with a store a duplicate after a restart gets the first result, and that a folder of another server is
+// an error.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	kept := func(server string) func(*Options) {
@@ -307,7 +313,7 @@
 	}
 }
 
-// What the gauges say of a process that spins, and of one that waits.
+// TestGauges reads the gauges of a process that spins, and of one that waits.
 func TestGauges(t *testing.T) {
 	g := newProcessGauges(1)
 	spins := 0
