--- a/internal/testbed/demo.go
+++ b/internal/testbed/demo.go
@@ -1,25 +1,21 @@
 package testbed
 
-// This file owns the demonstration: real processes with stand-in engines and callers on loopback, what each hears and what
-// became of each method, told every second, and faults by typed acts or a script. It leaves nothing behind.
-
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"slices"
 	"strings"
 	"sync"
-	"text/tabwriter"
 	"time"
 
-	"sorrelvalve/internal/fleet"
 	"sorrelvalve/internal/standin"
 	"sorrelvalve/internal/standin/script"
 )
 
-// demoSettings are three methods before an engine of two cores.
+// demoSettings are three methods in front of an engine of two cores.
 const demoSettings = `{"classes":[
 {"name":"account-view","aim":500000000,"give_up":1500000000,"worth":1,"late_worth":0.2},
 {"name":"settings-save","aim":500000000,"give_up":1500000000,"worth":1},
@@ -28,26 +24,43 @@
 "client_habits":{"marks_retry":true},"limits":{"retry_after":true,"max_retry_after":1000000000},"tick":4000000,
 "rules":{"answer_slack":80000000,"cold":3000000000,"drain_grace":500000000,"tip_multiple":8}}`
 
-// demoLoad is what callers ask of each server, as a share of what its engine can do.
-const demoLoad = 1.1
+const (
+	demoLoad        = 1.1 // of each server, over its engine's capacity
+	demoCores       = 2
+	demoWorkMs      = 20.0
+	demoZones       = 3
+	demoCallers     = 3
+	demoLoadPeriod  = time.Second / 4
+	demoDeadline    = 1500 * time.Millisecond
+	demoSeedsPerRun = 1000 // distance between the seeds of two load periods
+	purchaseMethod  = "topup-buy"
+)
 
-// Acts tells what may be typed.
+// ActionsHelp lists the actions that may be typed into a demonstration.
 const ActionsHelp = `acts, each ended by Enter: split n0,n1|n2,n3   cut n0>*   loss *>* 0.2   delay *>* 200ms 100ms   mess *>* 0.05   heal
   stop n1   cont n1   kill n1   start n1   term n1   relay n1   (several names with commas, * for all)   quit`
 
-// Demo runs one until ctx ends, quit is typed or, if it has a script, that is over; in may be nil.
+// errQuit ends a demonstration.
+var errQuit = errors.New("quit")
+
+// Demo runs real processes with stand-in engines and callers on loopback, plays a fault script and typed actions, and prints
+// every second whom each process finds alive and what became of each method's RPCs. It ends when ctx is done, when quit is typed
+// or, without an input, with the script. in may be nil. Nothing is left behind.
 func Demo(ctx context.Context, servers int, text string, serve Command, in io.Reader, out io.Writer) error {
 	var names []string
 	for i := range servers {
 		names = append(names, fmt.Sprint("n", i))
 	}
-	acts, err := script.Parse(text, names)
+	steps, err := script.Parse(text, names)
 	if err != nil {
 		return fmt.Errorf("script: %w", err)
 	}
-	rules := standin.NewInvariantChecker("topup-buy")
-	b, err := New(Options{Names: names, Seed: 1, Zone: func(i int) string { return string(rune('a' + i%3)) }, Cores: 2, SettingsJSON: demoSettings, Invariants: rules,
-		ServeCommand: func() Command { return serve }})
+	checker := standin.NewInvariantChecker(purchaseMethod)
+	b, err := New(Options{
+		Names: names, Seed: 1, Zone: func(i int) string { return string(rune('a' + i%demoZones)) },
+		Cores: demoCores, SettingsJSON: demoSettings, Invariants: checker,
+		ServeCommand: func() Command { return serve },
+	})
 	if err != nil {
 		return err
 	}
@@ -55,161 +68,164 @@
 	if err := b.StartAll(); err != nil {
 		return err
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	typed := make(chan string)
-	if in != nil {
-		fmt.Fprintln(out, ActionsHelp)
-		go func() { // it ends with the program: nothing wakes a read of a terminal
-			for lines := bufio.NewScanner(in); lines.Scan(); {
-				select {
-				case typed <- lines.Text():
-				case <-ctx.Done():
-					return
-				}
-			}
-		}()
+	d := &demo{bed: b, in: in, out: out, checker: checker, counts: &tally{}}
+	return d.run(ctx, steps)
+}
+
+// demo is a running demonstration.
+type demo struct {
+	bed     *Bed
+	in      io.Reader // nil for none
+	out     io.Writer
+	checker *standin.InvariantChecker
+	counts  *tally
+}
+
+// run plays the steps and typed actions under load.
+func (d *demo) run(ctx context.Context, steps script.Script) error {
+	ctx, cancel := context.WithCancel(ctx)
+	var load sync.WaitGroup
+	defer load.Wait()
+	defer cancel()
+	typed, err := d.readLines(ctx)
+	if err != nil {
+		return err
 	}
 	played := make(chan error, 1)
-	if len(acts) > 0 {
-		go func() { played <- b.Play(ctx, acts) }()
+	if len(steps) > 0 {
+		go func() { played <- d.bed.Play(ctx, steps) }()
 	}
-	var load sync.WaitGroup
-	defer load.Wait()
-	defer end()
-	counts := &tally{}
-	for i, name := range names {
-		load.Go(func() { ask(ctx, b, name, int64(i+1), rules, counts) })
+	for i, name := range d.bed.Names {
+		load.Go(func() { d.loadServer(ctx, name, int64(i+1)) })
 	}
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for second := 1; ; {
 		select {
 		case <-ctx.Done():
 			return nil
 		case err := <-played:
-			if err != nil || in == nil {
+			if err != nil || d.in == nil {
 				return err
 			}
 		case line := <-typed:
-			line = strings.TrimSpace(line)
-			if line == "quit" || line == "q" {
+			if err := d.applyLine(line); errors.Is(err, errQuit) {
 				return nil
-			}
-			s, err := script.Parse("0s "+line, names)
-			for _, x := range s {
-				if err == nil {
-					err = b.Apply(x)
+			} else if err != nil {
+				if _, err := fmt.Fprintln(d.out, err); err != nil {
+					return err
 				}
 			}
-			if err != nil {
-				fmt.Fprintln(out, err)
+		case <-ticker.C:
+			if err := d.printSecond(ctx, second); err != nil {
+				return err
 			}
-		case <-tick.C:
-			b.tell(ctx, out, second, counts)
 			second++
 		}
 	}
 }
 
-// tally counts outcomes by method for a second.
+// readLines prints the help and returns the lines that are typed from then on; without an input there are none.
+func (d *demo) readLines(ctx context.Context) (<-chan string, error) {
+	typed := make(chan string)
+	if d.in == nil {
+		return typed, nil
+	}
+	if _, err := fmt.Fprintln(d.out, ActionsHelp); err != nil {
+		return nil, err
+	}
+	go func() { // not waited for: nothing wakes a read of a terminal
+		for lines := bufio.NewScanner(d.in); lines.Scan(); {
+			select {
+			case typed <- lines.Text():
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	return typed, nil
+}
+
+// applyLine carries out a typed action; errQuit ends the demonstration.
+func (d *demo) applyLine(line string) error {
+	line = strings.TrimSpace(line)
+	if line == "quit" || line == "q" {
+		return errQuit
+	}
+	steps, err := script.Parse("0s "+line, d.bed.Names)
+	if err != nil {
+		return err
+	}
+	for _, step := range steps {
+		if err := d.bed.Apply(step); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// loadServer loads one server, a quarter of a second at a time.
+func (d *demo) loadServer(ctx context.Context, name string, seed int64) {
+	router := standin.NewRouter(d.bed.ListenAddr(name))
+	defer router.Close()
+	callers := map[string]standin.Caller{"msgpack": router}
+	var running sync.WaitGroup
+	defer running.Wait()
+	for period := int64(0); ctx.Err() == nil; period++ {
+		plan := standin.LoadPlan{
+			Rate: demoLoad * demoCores * 1000 / demoWorkMs, Duration: demoLoadPeriod, Callers: demoCallers,
+			Seed: seed + demoSeedsPerRun*period, Deadline: demoDeadline,
+			Kinds: []standin.RequestKind{
+				{Method: "account-view", Share: 0.5, MeanWorkMs: demoWorkMs},
+				{Method: "settings-save", Share: 0.35, MeanWorkMs: demoWorkMs},
+				{Method: purchaseMethod, Share: 0.15, MeanWorkMs: demoWorkMs, WithToken: true},
+			},
+		}
+		running.Go(func() { d.counts.add(plan.Run(ctx, callers, d.checker)) })
+		select {
+		case <-ctx.Done():
+		case <-time.After(plan.Duration):
+		}
+	}
+}
+
+// outcomeCounts are numbers of RPCs by outcome.
+type outcomeCounts [standin.Lost + 1]int
+
+// tally counts outcomes by method. Its methods may be called concurrently.
 type tally struct {
-	mu  sync.Mutex
-	all map[string][standin.Lost + 1]int
+	mu     sync.Mutex
+	counts map[string]outcomeCounts
 }
 
 func (t *tally) add(samples []standin.Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.all == nil {
-		t.all = map[string][standin.Lost + 1]int{}
+	if t.counts == nil {
+		t.counts = map[string]outcomeCounts{}
 	}
 	for _, s := range samples {
-		n := t.all[s.Method]
+		n := t.counts[s.Method]
 		n[s.Outcome]++
-		t.all[s.Method] = n
+		t.counts[s.Method] = n
 	}
 }
 
-func (t *tally) take() map[string][standin.Lost + 1]int {
+// take returns the counts since the last call.
+func (t *tally) take() map[string]outcomeCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	was := t.all
-	t.all = nil
-	return was
+	counts := t.counts
+	t.counts = nil
+	return counts
 }
 
-// ask loads one server, a quarter of a second at a time.
-func ask(ctx context.Context, b *Bed, name string, seed int64, rules *standin.InvariantChecker, counts *tally) {
-	router := standin.NewRouter(b.ListenAddr(name))
-	defer router.Close()
-	const work = 20.0 // ms of one of two cores
-	var late sync.WaitGroup
-	defer late.Wait()
-	for n := int64(0); ctx.Err() == nil; n++ {
-		p := standin.LoadPlan{Rate: demoLoad * 2 * 1000 / work, Duration: time.Second / 4, Callers: 3, Seed: seed + 1000*n, Deadline: 1500 * time.Millisecond, Kinds: []standin.RequestKind{
-			{Method: "account-view", Share: 0.5, MeanWorkMs: work}, {Method: "settings-save", Share: 0.35, MeanWorkMs: work}, {Method: "topup-buy", Share: 0.15, MeanWorkMs: work, WithToken: true}}}
-		late.Go(func() { counts.add(p.Run(ctx, map[string]standin.Caller{"msgpack": router}, rules)) })
-		select {
-		case <-ctx.Done():
-		case <-time.After(p.Duration):
-		}
-	}
-}
-
-// tell prints who hears whom and what became of each method in the last second.
-func (b *Bed) tell(ctx context.Context, out io.Writer, second int, counts *tally) {
-	var sockets []string
-	for _, name := range b.Names {
-		if b.Processes.Running(name) {
-			sockets = append(sockets, b.Socket(name))
-		}
-	}
-	views, _ := fleet.FetchStatuses(ctx, sockets, 500*time.Millisecond)
-	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "\nsecond %d\tphase\thears\t%s\n", second, strings.Join(b.Names, "\t"))
-	for _, name := range b.Names {
-		i := slices.IndexFunc(views, func(v fleet.Status) bool { return v.Name == name })
-		if i < 0 {
-			fmt.Fprintf(w, "%s\t-\tdoes not answer\n", name)
-			continue
-		}
-		v := views[i]
-		cells := make([]string, len(b.Names))
-		for k, other := range b.Names {
-			cells[k] = "?"
-			for _, p := range v.Peers {
-				switch {
-				case p.Name != other:
-				case p.Departed != "":
-					cells[k] = p.Departed
-				case p.FlapDamped:
-					cells[k] = "flaps"
-				case p.Reachable:
-					cells[k] = map[string]string{"both ways": "yes", "one way": "in", "through others": "via"}[p.Contact]
-				default:
-					cells[k] = "no"
-				}
-			}
-			if other == name {
-				cells[k] = "self"
-			}
-		}
-		state := fmt.Sprintf("%s %d/%d", v.Connectivity, v.Reachable, v.Members)
-		if v.InGracePeriod {
-			state = "listens"
-		}
-		fmt.Fprintf(w, "%s\t%s %.0f%%\t%s\t%s\n", name, v.Phase, 100*v.WarmupProgress, state, strings.Join(cells, "\t"))
-	}
-	w.Flush()
-	n := counts.take()
-	methods := make([]string, 0, len(n))
-	for m := range n {
-		methods = append(methods, m)
+// sortedMethods returns the methods of some counts.
+func sortedMethods(counts map[string]outcomeCounts) []string {
+	methods := make([]string, 0, len(counts))
+	for method := range counts {
+		methods = append(methods, method)
 	}
 	slices.Sort(methods)
-	for _, m := range methods {
-		fmt.Fprintf(w, "%s\tok %d\tpushed back %d\taborted %d\tno answer %d\n", m, n[m][standin.OK], n[m][standin.Rejected], n[m][standin.Aborted]+n[m][standin.Invalid], n[m][standin.Lost])
-	}
-	w.Flush()
+	return methods
 }
--- a/internal/testbed/play.go
+++ b/internal/testbed/play.go
@@ -1,8 +1,5 @@
 package testbed
 
-// This file owns how a schedule of faults is carried out on relays and real processes. It must never go on after an act that
-// could not be done.
-
 import (
 	"context"
 	"errors"
@@ -15,83 +12,98 @@
 	"sorrelvalve/internal/standin/script"
 )
 
-// Apply carries out one step.
-func (b *Bed) Apply(x script.Step) error {
-	ways := func(f func(*Rule)) {
-		from, to := script.ParseDirection(x.Args[0])
-		b.Network.UpdateRules(x.Action+" "+strings.Join(x.Args, " "), from, to, f)
-	}
-	each := func(f func(string) error) error {
-		names := script.ParseNames(x.Args[0])
-		if names == nil {
-			names = b.Names
-		}
-		for _, name := range names {
-			if err := f(name); err != nil {
-				return err
-			}
-		}
-		return nil
-	}
-	signal := func(s syscall.Signal) error {
-		return each(func(name string) error {
-			if err := b.Processes.Signal(name, s); !errors.Is(err, os.ErrProcessDone) { // one that has ended can't be stopped or woken
-				return err
-			}
-			return nil
-		})
-	}
-	switch x.Action {
+// Apply carries out one step of a script on the relays and processes.
+func (b *Bed) Apply(step script.Step) error {
+	switch step.Action {
 	case "split":
-		b.Network.Split(script.ParseSets(x.Args[0])...)
+		b.Network.Split(script.ParseSets(step.Args[0])...)
 	case "cut":
-		ways(func(r *Rule) { r.Cut = true })
+		b.updateRules(step, func(r *Rule) { r.Cut = true })
 	case "loss":
-		ways(func(r *Rule) { r.DropRate = x.NumberArg(1) })
+		b.updateRules(step, func(r *Rule) { r.DropRate = step.NumberArg(1) })
 	case "mess":
-		ways(func(r *Rule) {
-			r.DuplicateRate, r.ReorderRate, r.CorruptRate = x.NumberArg(1), x.NumberArg(1), x.NumberArg(1)
+		b.updateRules(step, func(r *Rule) {
+			r.DuplicateRate = step.NumberArg(1)
+			r.ReorderRate = step.NumberArg(1)
+			r.CorruptRate = step.NumberArg(1)
 		})
 	case "delay":
-		ways(func(r *Rule) { r.Delay, r.Jitter = x.DurationArg(1), x.DurationArg(2) })
+		b.updateRules(step, func(r *Rule) {
+			r.Delay = step.DurationArg(1)
+			r.Jitter = step.DurationArg(2)
+		})
 	case "slow":
-		ways(func(r *Rule) { r.BytesPerSecond = x.NumberArg(1) })
+		b.updateRules(step, func(r *Rule) { r.BytesPerSecond = step.NumberArg(1) })
 	case "heal":
 		b.Network.Heal()
 	case "stop":
-		return signal(syscall.SIGSTOP)
+		return b.signalEach(step, syscall.SIGSTOP)
 	case "cont":
-		return signal(syscall.SIGCONT)
+		return b.signalEach(step, syscall.SIGCONT)
 	case "term":
-		return signal(syscall.SIGTERM)
+		return b.signalEach(step, syscall.SIGTERM)
 	case "kill":
-		return each(b.Processes.Kill)
+		return b.forEach(step, b.Processes.Kill)
 	case "start":
-		return each(func(name string) error {
-			if b.Processes.Alive(name) {
-				return nil
-			}
-			return b.Processes.Start(name)
-		})
+		return b.forEach(step, b.startIfEnded)
 	case "relay":
-		return each(b.Network.RestartRelay)
+		return b.forEach(step, b.Network.RestartRelay)
 	default:
-		return fmt.Errorf("%s: only in simulation", x.Action)
+		return fmt.Errorf("%s: only in simulation", step.Action)
 	}
 	return nil
 }
 
-// Play carries out a script from now on, and returns with its last step or when ctx ends.
+// updateRules changes the rules of the direction that a step names.
+func (b *Bed) updateRules(step script.Step, change func(*Rule)) {
+	from, to := script.ParseDirection(step.Args[0])
+	b.Network.UpdateRules(step.Action+" "+strings.Join(step.Args, " "), from, to, change)
+}
+
+// forEach calls f for each name of a step, until one fails.
+func (b *Bed) forEach(step script.Step, f func(name string) error) error {
+	names := script.ParseNames(step.Args[0])
+	if names == nil {
+		names = b.Names
+	}
+	for _, name := range names {
+		if err := f(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// signalEach sends a signal to each process of a step. One that has ended can't be stopped or woken, which is no error.
+func (b *Bed) signalEach(step script.Step, signal syscall.Signal) error {
+	return b.forEach(step, func(name string) error {
+		err := b.Processes.Signal(name, signal)
+		if errors.Is(err, os.ErrProcessDone) {
+			return nil
+		}
+		return err
+	})
+}
+
+// startIfEnded starts a name's process unless it runs.
+func (b *Bed) startIfEnded(name string) error {
+	if b.Processes.Alive(name) {
+		return nil
+	}
+	return b.Processes.Start(name)
+}
+
+// Play carries out a script from now on, and returns after its last step, at the first step that fails, or when ctx is done.
 func (b *Bed) Play(ctx context.Context, s script.Script) error {
 	began := time.Now()
-	for _, x := range s {
+	for _, step := range s {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(time.Until(began.Add(x.At))):
+		case <-time.After(time.Until(began.Add(step.At))):
 		}
-		if err := b.Apply(x); err != nil {
-			return fmt.Errorf("%s %s: %w", x.At, x.Action, err)
+		if err := b.Apply(step); err != nil {
+			return fmt.Errorf("%s %s: %w", step.At, step.Action, err)
 		}
 	}
 	return nil
--- a/internal/testbed/bed_test.go
+++ b/internal/testbed/testbed_test.go
@@ -7,13 +7,31 @@
 	"time"
 )
 
-// A relay knows who speaks, passes both ways, cuts one way, and lets a stream that stood still go on.
+// closeAtEnd closes c when the test ends.
+func closeAtEnd(t *testing.T, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// sendTo sends one datagram.
+func sendTo(t *testing.T, c *net.UDPConn, text string, to *net.UDPAddr) {
+	t.Helper()
+	if _, err := c.WriteToUDP([]byte(text), to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A relay knows the sender, passes packets both ways, cuts one direction, and lets a stream that stood still go on.
 func TestRelay(t *testing.T) {
 	n, err := NewNetwork(1, "a", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Close()
+	t.Cleanup(n.Close)
 	a, b := n.Endpoint("a"), n.Endpoint("b")
 	ends := map[*Endpoint]*net.UDPConn{}
 	for _, e := range []*Endpoint{a, b} {
@@ -21,20 +39,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(20 * time.Second))
+		closeAtEnd(t, c)
+		if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+			t.Fatal(err)
+		}
 		ends[e] = c
 	}
-	to, _ := net.ResolveUDPAddr("udp", b.AdvertiseAddr())
+	to, err := net.ResolveUDPAddr("udp", b.AdvertiseAddr())
+	if err != nil {
+		t.Fatal(err)
+	}
 	buf := make([]byte, 100)
-	ends[a].WriteToUDP([]byte("word"), to)
+	sendTo(t, ends[a], "word", to)
 	size, from, err := ends[b].ReadFromUDP(buf)
 	if err != nil || string(buf[:size]) != "word" || from.String() != a.AdvertiseAddr() {
 		t.Fatalf("%q from %v, %v", buf[:size], from, err)
 	}
 	n.UpdateRules("one way", []string{"a"}, []string{"b"}, func(r *Rule) { r.Cut = true })
-	ends[a].WriteToUDP([]byte("lost"), to)
-	ends[b].WriteToUDP([]byte("back"), from)
+	sendTo(t, ends[a], "lost", to)
+	sendTo(t, ends[b], "back", from)
 	if size, _, err := ends[a].ReadFromUDP(buf); err != nil || string(buf[:size]) != "back" {
 		t.Fatalf("the other way: %q %v", buf[:size], err)
 	}
@@ -47,14 +70,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	closeAtEnd(t, ln)
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go io.Copy(c, c)
+			go func() { _, _ = io.Copy(c, c) }() // echoes until the stream breaks
 		}
 	}()
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(a.ListenIP)}}
@@ -62,9 +85,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(20 * time.Second))
-	c.Write([]byte("held"))
+	closeAtEnd(t, c)
+	if err := c.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.Write([]byte("held")); err != nil {
+		t.Fatal(err)
+	}
 	n.mu.Lock()
 	streams := n.counts.Streams
 	n.mu.Unlock()
@@ -87,7 +114,7 @@
 	if _, err := w.SettledAt(0, time.Second, []string{"a"}, ExpectView("whole", 2)); err == nil {
 		t.Error("a watch that saw nothing says that all is well")
 	}
-	w.points = []Observation{{At: 1, Name: "a"}, {At: 2, Name: "a"}, {At: 3, Name: "a"}}
+	w.observations = []Observation{{At: 1, Name: "a"}, {At: 2, Name: "a"}, {At: 3, Name: "a"}}
 	if _, err := w.SettledAt(0, time.Second, []string{"a"}, ExpectView("whole", 2)); err == nil {
 		t.Error("views that never were as wanted pass")
 	}
