--- a/internal/ci/main_test.go
+++ b/internal/ci/main_test.go
@@ -69,7 +69,11 @@
 			write(listFile, c.list)
 			if c.more != "" {
 				write("b/b_test.go", strings.Replace(strings.Replace(fails, "%", "b", 1), "%", "", 1))
-				defer os.RemoveAll("b")
+				defer func() {
+					if err := os.RemoveAll("b"); err != nil {
+						t.Error(err)
+					}
+				}()
 			}
 			var out strings.Builder
 			err := run(&out, []string{"-count=1"})
