--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -55,7 +55,7 @@
 	return w
 }
 
-// TestHandlers shows what gin handlers may do: each request gets one response.
+// TestGin shows what gin handlers may do: each request gets one response.
 func TestGin(t *testing.T) {
 	runs := 0
 	release := make(chan struct{})
@@ -112,7 +112,7 @@
 	}
 }
 
-// The cost of the middleware on top of gin alone, for admitted and rejected requests. The bars are those of the project: under 5 us and
+// BenchmarkGin measures the cost of the middleware on top of gin alone. The bars are those of the project: under 5 us and
 // 10 allocations admitted, under 3 us rejected.
 func BenchmarkGin(b *testing.B) {
 	serve := func(b *testing.B, e *gin.Engine, want int) {
