--- a/decision/expect/expect.go
+++ b/decision/expect/expect.go
@@ -13,143 +13,173 @@
 	"sorrelvalve/decision/route"
 )
 
-// Expectation is one, as an operator writes it: either a message and what it comes to, or an order of two methods.
+// Expectation is one expectation as an operator writes it: either of a request (Path and the fields up to Unrouted) or of
+// the order in which two methods are shed (First, Then, OverQuota).
 type Expectation struct {
 	Host, Path, Verb, Query string
-	Variables               map[string]string
+	Variables               map[string]string // of the request, such as CGI variables
 
-	Method   string // that the message becomes
-	Customer string // "": not looked at
-	Pool     string // that does the work; "": not looked at
-	Unrouted bool   // no route takes it
+	Method   string // that the request becomes
+	Customer string // "": not checked
+	Pool     string // that serves it; "": not checked
+	Unrouted bool   // no route matches the request
 
-	First, Then string // RPCs of First are pushed back before those of Then
-	OverQuota   bool   // also where those of Then are beyond their customer's quota
+	First, Then string // RPCs of First are shed before those of Then
+	OverQuota   bool   // also where those of Then exceed their customer's quota
 }
 
-// Settings are what expectations are held against.
+// Settings are what expectations are checked against.
 type Settings struct {
 	Routes          []route.Rule
-	Pools           map[string]string  // by method; methods that are not here are the engine's
-	Methods         []string           // nil: not known here
-	Criticality     map[string]float64 // by method; nil: not known here
-	OverQuotaFactor float64            // what an RPC over its quota keeps of its criticality
+	Pools           map[string]string  // by method; the engine serves methods that are not here
+	Methods         []string           // nil: not known
+	Criticality     map[string]float64 // by method; nil: not known
+	OverQuotaFactor float64            // by which the criticality of an RPC over its quota is multiplied
 }
 
-// Failure is an expectation that does not hold, or can't be tested.
+// Failure is an expectation that does not hold, or can't be evaluated.
 type Failure struct {
 	Name       string
-	Text       string
-	Untestable bool // it can never be tested as it is written
+	Text       string // what routing does instead, or what is wrong with the expectation
+	Untestable bool   // it can't be evaluated as it is written
 }
 
-// Check returns those that do not hold, by name. What needs settings that are not known is left to whoever knows them.
-func Check(all map[string]Expectation, s Settings) (faults []Failure) {
-	table := route.New(s.Routes)
+// Check returns the expectations that do not hold, by name. Expectations on settings that are not known here hold.
+func Check(all map[string]Expectation, settings Settings) (failures []Failure) {
+	table := route.New(settings.Routes)
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		x := all[name]
-		add := func(untested bool, format string, a ...any) {
-			faults = append(faults, Failure{name, fmt.Sprintf(format, a...), untested})
-		}
-		message, order := x.Path != "" || x.Host != "" || x.Verb != "", x.First != "" || x.Then != ""
-		switch {
-		case message && order:
-			add(true, "it is a message and an order of methods at once; make two of it")
-		case message:
-			s.message(table, &x, add)
-		case order:
-			s.order(&x, add)
-		default:
-			add(true, "it names neither a message (path) nor an order (first, then)")
+		if text, untestable := settings.check(table, &x); text != "" {
+			failures = append(failures, Failure{Name: name, Text: text, Untestable: untestable})
 		}
 	}
-	return faults
+	return failures
 }
 
-type values map[string]string
-
-func (v values) Get(name string) (string, bool) { x, has := v[name]; return x, has }
+// check evaluates one expectation; the text is "" if it holds.
+func (s *Settings) check(table *route.Table, x *Expectation) (text string, untestable bool) {
+	isRequest := x.Path != "" || x.Host != "" || x.Verb != ""
+	isOrder := x.First != "" || x.Then != ""
+	switch {
+	case isRequest && isOrder:
+		return "it is a message and an order of methods at once; make two of it", true
+	case isRequest:
+		if text = s.requestMistake(x); text != "" {
+			return text, true
+		}
+		return s.checkRequest(table, x), false
+	case isOrder:
+		if text = s.orderMistake(x); text != "" {
+			return text, true
+		}
+		return s.checkOrder(x), false
+	}
+	return "it names neither a message (path) nor an order (first, then)", true
+}
 
-func (s *Settings) message(table *route.Table, x *Expectation, add func(bool, string, ...any)) {
-	if s.known(x.Method, add) {
-		return
+// requestMistake tells what is wrong with an expectation of a request as it is written.
+func (s *Settings) requestMistake(x *Expectation) string {
+	if text := s.unknownMethod(x.Method); text != "" {
+		return text
 	}
 	switch {
 	case x.Unrouted == (x.Method != ""):
-		add(true, "either method or none expected")
-		return
+		return "either method or none expected"
 	case x.Unrouted && (x.Customer != "" || x.Pool != ""):
-		add(true, "what no route takes has no customer and no pool")
-		return
+		return "what no route takes has no customer and no pool"
 	case len(x.Path) == 0 || x.Path[0] != '/':
-		add(true, "a path that begins with a slash expected, %.60q there", x.Path)
-		return
+		return fmt.Sprintf("a path that begins with a slash expected, %.60q there", x.Path)
 	case !slices.Contains(route.Verbs, x.Verb):
-		add(true, "%.20q is no verb that a front takes", x.Verb)
-		return
+		return fmt.Sprintf("%.20q is no verb that a front takes", x.Verb)
 	}
-	found, err := table.Resolve(&route.Message{Host: x.Host, Path: x.Path, Verb: x.Verb, Query: x.Query, Variables: values(x.Variables)})
+	return ""
+}
+
+// checkRequest tells what routing does instead; "" if the expectation holds.
+func (s *Settings) checkRequest(table *route.Table, x *Expectation) string {
+	resolved, err := table.Resolve(&route.Message{
+		Host:      x.Host,
+		Path:      x.Path,
+		Verb:      x.Verb,
+		Query:     x.Query,
+		Variables: variables(x.Variables),
+	})
 	rule := ""
-	if found.Rule >= 0 && found.Rule < len(s.Routes) {
-		rule = s.Routes[found.Rule].Name
+	if resolved.Rule >= 0 && resolved.Rule < len(s.Routes) {
+		rule = s.Routes[resolved.Rule].Name
 	}
 	switch {
 	case x.Unrouted && err != nil:
-		return
+		return ""
 	case x.Unrouted:
-		add(false, "route %s takes it as %s", rule, found.Method)
+		return fmt.Sprintf("route %s takes it as %s", rule, resolved.Method)
 	case err != nil:
-		add(false, "no RPC comes of it: %v", err)
-	case found.Method != x.Method:
-		add(false, "by route %s it becomes %s", rule, found.Method)
-	case x.Customer != "" && found.Customer != x.Customer:
-		add(false, "by route %s its customer is %q", rule, found.Customer)
-	case x.Pool != "" && s.Pools[found.Method] != x.Pool:
-		add(false, "the work of %s is done by %s", found.Method, pool(s.Pools[found.Method]))
+		return fmt.Sprintf("no RPC comes of it: %v", err)
+	case resolved.Method != x.Method:
+		return fmt.Sprintf("by route %s it becomes %s", rule, resolved.Method)
+	case x.Customer != "" && resolved.Customer != x.Customer:
+		return fmt.Sprintf("by route %s its customer is %q", rule, resolved.Customer)
+	case x.Pool != "" && s.Pools[resolved.Method] != x.Pool:
+		return fmt.Sprintf("the work of %s is done by %s", resolved.Method, poolName(s.Pools[resolved.Method]))
 	}
+	return ""
+}
+
+// variables is route's access to a request's variables.
+type variables map[string]string
+
+// Get returns a variable by its name.
+func (v variables) Get(name string) (string, bool) {
+	value, has := v[name]
+	return value, has
 }
 
-func pool(name string) string {
+func poolName(name string) string {
 	if name == "" {
 		return "the engine"
 	}
 	return "pool " + name
 }
 
-// known tells of a method that the settings do not have.
-func (s *Settings) known(method string, add func(bool, string, ...any)) (bad bool) {
+// unknownMethod tells of a method that the settings do not have; "" if they do, or their methods are not known.
+func (s *Settings) unknownMethod(method string) string {
 	if method != "" && s.Methods != nil && !slices.Contains(s.Methods, method) {
-		add(true, "%.40q is no method of the settings", method)
-		return true
+		return fmt.Sprintf("%.40q is no method of the settings", method)
 	}
-	return false
+	return ""
 }
 
-// order is by criticality, which is what admission goes by: equal ones are told apart by chance, and that is no order.
-func (s *Settings) order(x *Expectation, add func(bool, string, ...any)) {
+// orderMistake tells what is wrong with an expectation of an order as it is written.
+func (s *Settings) orderMistake(x *Expectation) string {
 	switch {
 	case x.First == "" || x.Then == "":
-		add(true, "first and then expected")
-		return
+		return "first and then expected"
 	case x.First == x.Then:
-		add(true, "a method is not pushed back before itself")
-		return
+		return "a method is not pushed back before itself"
 	case x.Method != "" || x.Customer != "" || x.Pool != "" || x.Unrouted:
-		add(true, "an order of methods has no method, customer or pool of its own")
-		return
+		return "an order of methods has no method, customer or pool of its own"
 	}
-	if s.known(x.First, add) || s.known(x.Then, add) || s.Criticality == nil {
-		return
+	if text := s.unknownMethod(x.First); text != "" {
+		return text
 	}
-	a, b := s.Criticality[x.First], s.Criticality[x.Then]
+	return s.unknownMethod(x.Then)
+}
+
+// checkOrder compares by criticality, which is what admission goes by: of equal ones a random one is shed first, and that
+// is no order.
+func (s *Settings) checkOrder(x *Expectation) string {
+	if s.Criticality == nil {
+		return ""
+	}
+	first := s.Criticality[x.First]
+	then := s.Criticality[x.Then]
+	suffix := ""
 	if x.OverQuota {
-		b *= s.OverQuotaFactor
+		then *= s.OverQuotaFactor
+		suffix = " beyond its quota"
 	}
-	if !(a < b) {
-		over := ""
-		if x.OverQuota {
-			over = " beyond its quota"
-		}
-		add(false, "%s counts %g, and %s%s %g: no less", x.First, a, x.Then, over, b)
+	if first < then {
+		return ""
 	}
+	return fmt.Sprintf("%s counts %g, and %s%s %g: no less", x.First, first, x.Then, suffix, then)
 }
--- a/decision/expect/expect_test.go
+++ b/decision/expect/expect_test.go
@@ -7,7 +7,7 @@
 	"sorrelvalve/decision/route"
 )
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Routes: []route.Rule{
 			{Name: "buy", Path: "/buy/{key}", Verb: "POST", Method: "topup-buy", Customer: route.Source{Fixed: "kaipara"}, Token: route.Source{Segment: "key"}},
@@ -24,21 +24,21 @@
 func TestExpectations(t *testing.T) {
 	buy := Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Customer: "kaipara"}
 	for _, c := range []struct {
-		name     string
-		x        Expectation
-		change   func(*Settings)
-		want     string
-		untested bool
+		name       string
+		x          Expectation
+		change     func(*Settings)
+		want       string
+		untestable bool
 	}{
 		{"holds", buy, nil, "", false},
 		{"an order", Expectation{First: "account-view", Then: "topup-buy"}, nil, "", false},
 		{"an order of equals", Expectation{First: "account-view", Then: "settings-save"}, nil, "no less", false},
 		{"an order that quotas turn round", Expectation{First: "account-view", Then: "topup-buy", OverQuota: true}, nil, "beyond its quota", false},
-		{"an edit elsewhere: another route takes it", buy, func(s *Settings) {
-			s.Routes = append(s.Routes, route.Rule{Name: "new", Path: "/buy/7", Verb: "POST", Method: "account-view", Customer: route.Source{Fixed: "kaipara"}})
+		{"an edit elsewhere: another route takes it", buy, func(settings *Settings) {
+			settings.Routes = append(settings.Routes, route.Rule{Name: "new", Path: "/buy/7", Verb: "POST", Method: "account-view", Customer: route.Source{Fixed: "kaipara"}})
 		}, "by route new it becomes account-view", false},
-		{"an edit elsewhere: the route is gone", buy, func(s *Settings) { s.Routes = s.Routes[1:] }, "no RPC comes of it", false},
-		{"an edit elsewhere: criticality", Expectation{First: "account-view", Then: "topup-buy"}, func(s *Settings) { s.Criticality["topup-buy"] = 1 }, "no less", false},
+		{"an edit elsewhere: the route is gone", buy, func(settings *Settings) { settings.Routes = settings.Routes[1:] }, "no RPC comes of it", false},
+		{"an edit elsewhere: criticality", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Criticality["topup-buy"] = 1 }, "no less", false},
 		{"another customer", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Customer: "ruapehu"}, nil, `"kaipara"`, false},
 		{"another pool", Expectation{Path: "/account/1", Verb: "GET", Query: "c=k", Method: "account-view", Pool: "old"}, nil, "pool pages", false},
 		{"the engine's", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Pool: "pages"}, nil, "the engine", false},
@@ -55,20 +55,20 @@
 		{"a verb that is none", Expectation{Path: "/buy/7", Verb: "BREW", Method: "topup-buy"}, nil, "no verb", true},
 		{"a method and none", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Unrouted: true}, nil, "either", true},
 		{"none, and a pool", Expectation{Path: "/admin", Verb: "GET", Unrouted: true, Pool: "pages"}, nil, "no pool", true},
-		{"settings that are not known here", Expectation{First: "account-view", Then: "topup-buy"}, func(s *Settings) { s.Methods, s.Criticality = nil, nil }, "", false},
+		{"settings that are not known here", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Methods, settings.Criticality = nil, nil }, "", false},
 	} {
-		s := settings()
+		settings := testSettings()
 		if c.change != nil {
-			c.change(&s)
+			c.change(&settings)
 		}
-		got := Check(map[string]Expectation{"x": c.x}, s)
+		got := Check(map[string]Expectation{"x": c.x}, settings)
 		if c.want == "" {
 			if len(got) > 0 {
 				t.Errorf("%s: %+v", c.name, got)
 			}
 			continue
 		}
-		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, c.want) || got[0].Untestable != c.untested {
+		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, c.want) || got[0].Untestable != c.untestable {
 			t.Errorf("%s: %+v, %q wanted", c.name, got, c.want)
 		}
 	}
