--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -1,86 +1,86 @@
 package trace
 
-// This file owns the reading of traces, block by block, in bounded memory. It must never hand out an entry of a block
-// whose checksum does not fit.
+// This file owns the reading of traces, block by block, in bounded memory. It must never return an entry of a block whose
+// checksum does not fit.
 
 import (
 	"bufio"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"hash/crc32"
 	"io"
 	"os"
 
-	"github.com/klauspost/compress/s2"
 	"google.golang.org/protobuf/encoding/protowire"
 
 	"sorrelvalve/control"
 )
 
-// Reader reads one trace, or several files of one in their order.
+// Reader reads the files of one trace in their order. It is not safe for concurrent use.
 type Reader struct {
-	Header Header
+	Header Header // of the file that is read
 
-	in      *bufio.Reader
-	files   []string
-	file    *os.File
-	packed  []byte
-	raw     []byte
-	unread  []byte // of raw
-	actions []control.Action
+	in         *bufio.Reader
+	files      []string // not opened yet
+	file       *os.File
+	compressed []byte
+	raw        []byte // the block, decompressed
+	unread     []byte // part of raw
+	actions    []control.Action
 }
 
-// Open reads the files of one trace, the oldest first.
+// Open reads the header of the first of a trace's files, the oldest first.
 func Open(files ...string) (*Reader, error) {
 	r := &Reader{files: files}
 	if err := r.openNext(); err != nil {
-		return nil, err
+		return nil, errors.Join(err, r.Close())
 	}
 	return r, nil
 }
 
-// Close ends the reading.
+// Close closes the file that is read.
 func (r *Reader) Close() error {
 	if r.file == nil {
 		return nil
 	}
-	return r.file.Close()
+	file := r.file
+	r.file = nil
+	return file.Close()
 }
 
-// next opens the next file.
+// openNext opens the next file; io.EOF if there is none.
 func (r *Reader) openNext() error {
 	if len(r.files) == 0 {
 		return io.EOF
 	}
-	if r.file != nil {
-		r.file.Close()
+	if err := r.Close(); err != nil {
+		return err
 	}
-	f, err := os.Open(r.files[0])
+	name := r.files[0]
+	file, err := os.Open(name)
 	if err != nil {
 		return err
 	}
-	name := r.files[0]
-	r.files, r.file = r.files[1:], f
-	if err := r.Begin(f); err != nil {
+	r.files = r.files[1:]
+	r.file = file
+	if err := r.Begin(file); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
 }
 
-// Begin reads the beginning of a file and its header.
+// Begin reads the beginning of a file and its header. Open does so; a Reader of another source begins with it.
 func (r *Reader) Begin(in io.Reader) error {
-	r.in = bufio.NewReaderSize(in, 64<<10)
+	r.in = bufio.NewReaderSize(in, readerBufferBytes)
 	magic := make([]byte, len(fileMagic))
 	if _, err := io.ReadFull(r.in, magic); err != nil {
 		return ErrNoTrace
 	}
-	if string(magic[:7]) != string(fileMagic[:7]) {
+	if string(magic[:versionOffset]) != string(fileMagic[:versionOffset]) {
 		return ErrNoTrace
 	}
-	if magic[7] != Version {
-		return fmt.Errorf("%w: %d, this build reads %d", ErrVersion, magic[7], Version)
+	if magic[versionOffset] != Version {
+		return fmt.Errorf("%w: %d, this build reads %d", ErrVersion, magic[versionOffset], Version)
 	}
 	if err := r.readBlock(); err != nil {
 		return err
@@ -100,48 +100,13 @@
 	return err
 }
 
-// block reads the next block.
-func (r *Reader) readBlock() error {
-	head := make([]byte, blockHeaderBytes)
-	if _, err := io.ReadFull(r.in, head); err == io.EOF {
-		return io.EOF
-	} else if err != nil {
-		return ErrTorn
-	}
-	packed, raw := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[8:])
-	if binary.LittleEndian.Uint32(head) != blockMagic || raw > maxBlockBytes || packed > 2*maxBlockBytes {
-		return ErrDamaged
-	}
-	if cap(r.packed) < int(packed) {
-		r.packed = make([]byte, packed)
-	}
-	r.packed = r.packed[:packed]
-	if _, err := io.ReadFull(r.in, r.packed); err != nil {
-		return ErrTorn
-	}
-	if crc32.Checksum(r.packed, castagnoli) != binary.LittleEndian.Uint32(head[12:]) {
-		return ErrDamaged
-	}
-	if n, err := s2.DecodedLen(r.packed); err != nil || n != int(raw) {
-		return ErrDamaged
-	}
-	b, err := s2.Decode(r.raw[:cap(r.raw)], r.packed)
-	if err != nil {
-		return ErrDamaged
-	}
-	r.raw, r.unread = b, b
-	return nil
-}
-
-// Next returns the next entry, which is valid until the one after; io.EOF at the end. ErrTorn and ErrDamaged tell that
-// the trace ends early: what was returned before is whole.
+// Next returns the next entry, whose actions are valid until the next call; io.EOF at the end. ErrTorn and ErrDamaged mean
+// that the trace ends early: what was returned before is complete.
 func (r *Reader) Next() (Entry, error) {
 	for len(r.unread) == 0 {
 		err := r.readBlock()
-		if err == io.EOF && len(r.files) > 0 {
-			if err = r.openNext(); err == nil {
-				continue
-			}
+		if errors.Is(err, io.EOF) && len(r.files) > 0 {
+			err = r.openNext() // which reads the header's block
 		}
 		if err != nil {
 			return Entry{}, err
@@ -151,24 +116,27 @@
 	if n < 0 || kind != protowire.BytesType || f != fieldEntry {
 		return Entry{}, ErrDamaged
 	}
-	m, k := protowire.ConsumeBytes(r.unread[n:])
-	if k < 0 {
+	message, size := protowire.ConsumeBytes(r.unread[n:])
+	if size < 0 {
 		return Entry{}, ErrDamaged
 	}
-	r.unread = r.unread[n+k:]
-	e, err := parseEntry(m, r.actions[:0])
+	r.unread = r.unread[n+size:]
+	e, err := parseEntry(message, r.actions[:0])
 	r.actions = e.Actions
 	return e, err
 }
 
-// Files are those of the trace at path, the oldest first.
-func Files(path string) (files []string) {
+// Files returns the files of the trace at path that exist, the oldest first.
+func Files(path string) []string {
+	files := []string{path}
 	for n := 1; ; n++ {
-		name := fmt.Sprintf("%s.%d", path, n)
+		name := rotatedName(path, n)
 		if _, err := os.Stat(name); errors.Is(err, os.ErrNotExist) {
-			break
+			return files
 		}
 		files = append([]string{name}, files...)
 	}
-	return append(files, path)
 }
+
+// rotatedName returns the name of the nth file before the one that is written.
+func rotatedName(path string, n int) string { return fmt.Sprintf("%s.%d", path, n) }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -1,7 +1,7 @@
 package trace
 
-// This file owns the recorder as a gate's tracer: it begins the file when the decisions begin. It must never keep a
-// gate from deciding because a file can't be written.
+// This file owns the recorder as the gate's tracer: it begins a trace when the decisions begin. It must never keep a gate from
+// deciding because a file can't be written.
 
 import (
 	"sync"
@@ -11,67 +11,71 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Recorder is a gate.Tracer that writes a trace.
+// Recorder implements gate.Tracer by a Writer.
 type Recorder struct {
-	path      string
-	limits    FileLimits
-	build     string
-	onFailure func(error)
+	path    string
+	limits  FileLimits
+	build   string
+	onError func(error)
 
 	mu     sync.Mutex
-	w      *Writer
-	closed bool
+	writer *Writer // nil before Begin, after Close, and where no file could be opened
 }
 
-// NewRecorder returns a recorder; fail hears, once, that its file can't be written.
-func NewRecorder(path string, b FileLimits, build string, fail func(error)) *Recorder {
-	return &Recorder{path: path, limits: b, build: build, onFailure: fail}
+// NewRecorder returns a recorder to path. onError is called once if the file can't be created.
+func NewRecorder(path string, limits FileLimits, build string, onError func(error)) *Recorder {
+	return &Recorder{path: path, limits: limits, build: build, onError: onError}
 }
 
-// Begin opens the file.
-func (r *Recorder) Begin(told *startup.Config, cold bool, origin time.Time) {
+// Begin creates the file. origin is the time at which the decisions' clock was 0.
+func (r *Recorder) Begin(config *startup.Config, slowStart bool, origin time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w, err := Create(r.path, &Header{Startup: *told, SlowStart: cold, OriginMS: float64(origin.UnixNano()) / 1e6, Build: r.build}, r.limits)
+	header := &Header{Startup: *config, SlowStart: slowStart, OriginMS: float64(origin.UnixNano()) / 1e6, Build: r.build}
+	writer, err := Create(r.path, header, r.limits)
 	if err != nil {
-		r.onFailure(err)
+		r.onError(err)
 		return
 	}
-	r.w = w
+	r.writer = writer
 }
 
-// Event records one event. It is called under the gate's lock, so by one goroutine at a time.
-func (r *Recorder) Event(now float64, ev control.Event, actions []control.Action, token string) {
+// current returns the writer; nil if there is none.
+func (r *Recorder) current() *Writer {
 	r.mu.Lock()
-	w := r.w
-	r.mu.Unlock()
-	if w == nil {
+	defer r.mu.Unlock()
+	return r.writer
+}
+
+// Event records one event. It is called with the gate's lock held, hence by one goroutine at a time.
+func (r *Recorder) Event(now float64, ev control.Event, actions []control.Action, token string) {
+	writer := r.current()
+	if writer == nil {
 		return
 	}
 	hash := uint64(0)
 	if token != "" {
 		hash = Hash(token)
 	}
-	w.Event(now, ev, actions, hash)
+	writer.Event(now, ev, actions, hash)
 }
 
-// Close writes what there is and ends; events after that are not recorded.
+// Close writes the entries that are queued; later events are not recorded.
 func (r *Recorder) Close() {
 	r.mu.Lock()
-	w := r.w
-	r.w = nil
+	writer := r.writer
+	r.writer = nil
 	r.mu.Unlock()
-	if w != nil {
-		w.Close()
+	if writer != nil {
+		writer.Close()
 	}
 }
 
-// Dropped is the number of entries that were not written.
+// Dropped returns the number of entries that were not written; 0 after Close.
 func (r *Recorder) Dropped() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.w == nil {
+	writer := r.current()
+	if writer == nil {
 		return 0
 	}
-	return r.w.Dropped.Load()
+	return writer.Dropped.Load()
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -21,11 +21,11 @@
 }
 
 func entry(i int) Entry {
-	chance := rand.New(rand.NewSource(int64(i)))
-	e := Entry{Now: chance.Float64() * 1e6, Token: chance.Uint64()}
+	random := rand.New(rand.NewSource(int64(i)))
+	e := Entry{Now: random.Float64() * 1e6, Token: random.Uint64()}
 	e.Event = control.Event{
-		Kind: control.EventKind(i % int(control.TimerFired+1)), RPC: uint32(i), Method: i % 3, Customer: i % 5, Caller: uint16(i), Subject: chance.Uint64(),
-		DuplicateOf: uint32(i / 2), Remaining: chance.Float64(), Age: -chance.Float64(), CostHint: chance.ExpFloat64(), QueuedKB: 1, Retry: i%2 == 0,
+		Kind: control.EventKind(i % int(control.TimerFired+1)), RPC: uint32(i), Method: i % 3, Customer: i % 5, Caller: uint16(i), Subject: random.Uint64(),
+		DuplicateOf: uint32(i / 2), Remaining: random.Float64(), Age: -random.Float64(), CostHint: random.ExpFloat64(), QueuedKB: 1, Retry: i%2 == 0,
 		Outcome: control.Outcome(i % int(control.OutcomeNotStarted+1)), Elapsed: float64(i), Label: uint64(i),
 		Gauges: control.Gauges{Stale: i%7 == 0, CPUUtilization: 0.5, Runnable: 3},
 	}
@@ -75,12 +75,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer r.Close()
+	t.Cleanup(func() {
+		if err := r.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if !reflect.DeepEqual(r.Header, *header()) {
 		t.Errorf("header %+v", r.Header)
 	}
 	got, err := all(r)
-	if err != io.EOF || len(got) != n {
+	if !errors.Is(err, io.EOF) || len(got) != n {
 		t.Fatalf("%d entries, error %v", len(got), err)
 	}
 	for i, e := range got {
@@ -103,7 +107,7 @@
 		t.Fatal(err)
 	}
 	got, err := all(r)
-	if err != io.EOF || len(got) < 2000 {
+	if !errors.Is(err, io.EOF) || len(got) < 2000 {
 		t.Fatalf("%d entries, error %v", len(got), err)
 	}
 	for i, e := range got {
@@ -210,7 +214,7 @@
 	if err := r.Begin(buf); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := all(r); err != ErrTorn || len(got) == 0 {
+	if got, err := all(r); !errors.Is(err, ErrTorn) || len(got) == 0 {
 		t.Errorf("%d entries, error %v", len(got), err)
 	}
 }
@@ -249,7 +253,7 @@
 	for _, e := range got {
 		told += e.Dropped
 	}
-	if err != io.EOF || told == 0 || uint64(len(got))+w.Dropped.Load() != n+1 {
+	if !errors.Is(err, io.EOF) || told == 0 || uint64(len(got))+w.Dropped.Load() != n+1 {
 		t.Errorf("%d entries, %d dropped, %d told, error %v", len(got), w.Dropped.Load(), told, err)
 	}
 }
@@ -265,9 +269,12 @@
 		w.Event(e.Now, e.Event, e.Actions, e.Token)
 	}
 	w.Close()
-	b, _ := os.ReadFile(path)
+	b, err := os.ReadFile(path)
+	if err != nil {
+		f.Fatal(err)
+	}
 	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(_ *testing.T, b []byte) {
 		r := &Reader{}
 		if r.Begin(bytes.NewReader(b)) != nil {
 			return
--- a/internal/trace/writer.go
+++ b/internal/trace/writer.go
@@ -1,76 +1,86 @@
 package trace
 
-// This file owns the recorder: it gathers entries, packs them beside the decisions and writes blocks to files that are
-// rotated. It must never block who tells it of an event.
+// This file owns the writer: it gathers entries into blocks and writes these to rotated files beside the decisions. It must
+// never block the caller of Event.
 
 import (
-	"fmt"
+	"io"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/klauspost/compress/s2"
-
 	"sorrelvalve/control"
 )
 
-// Bounds are those of a recorder.
+// FileLimits bound the files of a trace.
 type FileLimits struct {
 	MaxFileBytes int64 // a file is full then, and the next begins
-	MaxFiles     int   // that are kept, the one that is written included
+	MaxFiles     int   // that are retained, the one that is written included
 }
 
 const (
-	targetBlockBytes = 64 << 10    // of entries: about a thousand; a block is packed in some tens of microseconds
-	maxQueuedBlocks  = 8           // blocks that may wait for the disk; what comes beyond is dropped
+	targetBlockBytes = 64 << 10    // of entries: about a thousand; a block is compressed in some tens of microseconds
+	blockSpareBytes  = 4 << 10     // for the entry that completes a block
+	maxQueuedBlocks  = 8           // blocks that may wait for the disk; entries beyond are dropped
 	flushInterval    = time.Second // a block that is not full is written after that
 )
 
-// Writer records to a file. Event may be called by one goroutine at a time; the rest by any.
+// File is what a writer writes to.
+type File interface{ io.WriteCloser }
+
+// entryBlock is a block of encoded entries.
+type entryBlock struct {
+	bytes   []byte
+	entries int
+}
+
+// Writer records to files. Event may be called by one goroutine at a time; all else by any.
 type Writer struct {
 	path   string
 	limits FileLimits
 	header []byte
 
-	mu           sync.Mutex
-	block        []byte
-	blockEntries int
-	scratch      []byte
-	dropped      int // since the last entry that was taken
-	closed       bool
+	mu      sync.Mutex
+	block   *entryBlock // that is filled
+	scratch []byte
+	dropped int // entries since the last that was taken
+	closed  bool
 
-	fullBlocks chan []byte
-	blockPool  sync.Pool
+	fullBlocks chan *entryBlock
+	blockPool  sync.Pool // of *entryBlock
 	running    sync.WaitGroup
 	stop       chan struct{}
 
 	Dropped      atomic.Uint64 // entries, in all
-	FailedBlocks atomic.Uint64 // blocks that the disk did not take
-	size         int64
-	file         File
-	open         func(path string) (File, error)
-}
+	FailedBlocks atomic.Uint64 // blocks and files that the disk did not take
 
-// File is what a recorder writes to.
-type File interface {
-	Write([]byte) (int, error)
-	Close() error
+	// Of the goroutine that writes.
+	size int64 // of the file
+	file File  // nil where none could be opened
+	open func(path string) (File, error)
 }
 
-// Create begins a trace at path; what stood there is kept as path.1 and so on, as far as the bounds allow.
-func Create(path string, h *Header, b FileLimits) (*Writer, error) {
-	return create(path, h, b, func(path string) (File, error) { return os.Create(path) })
+// Create begins a trace at path; an earlier file there is retained as path.1 and so on, as far as the limits allow.
+func Create(path string, h *Header, limits FileLimits) (*Writer, error) {
+	return create(path, h, limits, func(path string) (File, error) { return os.Create(path) })
 }
 
-func create(path string, h *Header, b FileLimits, open func(string) (File, error)) (*Writer, error) {
+func create(path string, h *Header, limits FileLimits, open func(string) (File, error)) (*Writer, error) {
 	header, err := appendHeader(nil, h)
 	if err != nil {
 		return nil, err
 	}
-	w := &Writer{path: path, limits: b, header: header, fullBlocks: make(chan []byte, maxQueuedBlocks), stop: make(chan struct{}), open: open}
-	w.blockPool.New = func() any { return make([]byte, 0, targetBlockBytes+4096) }
-	w.block = w.blockPool.Get().([]byte)
+	w := &Writer{
+		path:       path,
+		limits:     limits,
+		header:     header,
+		fullBlocks: make(chan *entryBlock, maxQueuedBlocks),
+		stop:       make(chan struct{}),
+		open:       open,
+	}
+	w.blockPool.New = func() any { return &entryBlock{bytes: make([]byte, 0, targetBlockBytes+blockSpareBytes)} }
+	w.block = w.emptyBlock()
 	if err := w.rotate(); err != nil {
 		return nil, err
 	}
@@ -80,7 +90,19 @@
 	return w, nil
 }
 
-// Event takes one entry. The actions are copied.
+// emptyBlock returns a block of the pool.
+func (w *Writer) emptyBlock() *entryBlock {
+	block := w.blockPool.Get().(*entryBlock)
+	block.clear()
+	return block
+}
+
+func (b *entryBlock) clear() {
+	b.bytes = b.bytes[:0]
+	b.entries = 0
+}
+
+// Event records one entry. The actions are copied.
 func (w *Writer) Event(now float64, ev control.Event, actions []control.Action, token uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,30 +110,30 @@
 		return
 	}
 	e := Entry{Now: now, Event: ev, Token: token, Actions: actions, Dropped: w.dropped}
-	w.block = appendEntry(w.block, &e, &w.scratch)
-	w.blockEntries++
+	w.block.bytes = appendEntry(w.block.bytes, &e, &w.scratch)
+	w.block.entries++
 	w.dropped = 0
-	if len(w.block) >= targetBlockBytes {
+	if len(w.block.bytes) >= targetBlockBytes {
 		w.enqueueBlock()
 	}
 }
 
-// hand gives the block to the disk, or drops it if that does not keep up. It is called with the lock held.
+// enqueueBlock queues the block for the disk, or drops its entries if the disk does not keep up. The caller holds the lock.
 func (w *Writer) enqueueBlock() {
-	if w.blockEntries == 0 {
+	if w.block.entries == 0 {
 		return
 	}
 	select {
 	case w.fullBlocks <- w.block:
-		w.block = w.blockPool.Get().([]byte)[:0]
+		w.block = w.emptyBlock()
 	default:
-		w.dropped += w.blockEntries
-		w.Dropped.Add(uint64(w.blockEntries))
-		w.block = w.block[:0]
+		w.dropped += w.block.entries
+		w.Dropped.Add(uint64(w.block.entries))
+		w.block.clear()
 	}
-	w.blockEntries = 0
 }
 
+// flushPeriodically queues blocks that are not full.
 func (w *Writer) flushPeriodically() {
 	defer w.running.Done()
 	t := time.NewTicker(flushInterval)
@@ -128,62 +150,75 @@
 	}
 }
 
+// writeBlocks writes the queued blocks until the queue is closed.
 func (w *Writer) writeBlocks() {
 	defer w.running.Done()
-	var packed, out []byte
-	for raw := range w.fullBlocks {
+	var compressed, out []byte
+	for block := range w.fullBlocks {
 		if w.size >= w.limits.MaxFileBytes {
 			if err := w.rotate(); err != nil {
 				w.FailedBlocks.Add(1)
 			}
 		}
-		packed = s2.Encode(packed[:cap(packed)], raw)
-		out = append(appendBlockHeader(out[:0], packed, len(raw)), packed...)
-		if w.file == nil {
-			w.FailedBlocks.Add(1)
-		} else if n, err := w.file.Write(out); err != nil { // a block is never written on behind a torn one: the file ends here
-			w.size += int64(n)
-			w.FailedBlocks.Add(1)
-			w.file.Close()
-			w.file = nil
-			w.size = w.limits.MaxFileBytes // the next block tries a new file
-		} else {
-			w.size += int64(n)
-		}
-		w.blockPool.Put(raw[:0])
+		out = appendBlock(out[:0], block.bytes, &compressed)
+		w.writeBlock(out)
+		w.blockPool.Put(block)
 	}
-	if w.file != nil {
-		w.file.Close()
+	w.closeFile()
+}
+
+// writeBlock writes one block. Nothing is written behind a torn block: the file ends there, and the next block begins a new
+// one.
+func (w *Writer) writeBlock(block []byte) {
+	if w.file == nil {
+		w.FailedBlocks.Add(1)
+		return
+	}
+	n, err := w.file.Write(block)
+	w.size += int64(n)
+	if err != nil {
+		w.FailedBlocks.Add(1)
+		w.closeFile()
+		w.size = w.limits.MaxFileBytes
 	}
 }
 
+// closeFile closes the file, if there is one.
+func (w *Writer) closeFile() {
+	if w.file == nil {
+		return
+	}
+	if err := w.file.Close(); err != nil {
+		w.FailedBlocks.Add(1)
+	}
+	w.file = nil
+}
+
 // rotate begins the next file.
 func (w *Writer) rotate() error {
-	if w.file != nil {
-		w.file.Close()
-		w.file = nil
-	}
+	w.closeFile()
 	if w.limits.MaxFiles > 1 {
 		for n := w.limits.MaxFiles - 1; n > 1; n-- {
-			os.Rename(fmt.Sprintf("%s.%d", w.path, n-1), fmt.Sprintf("%s.%d", w.path, n))
+			_ = os.Rename(rotatedName(w.path, n-1), rotatedName(w.path, n)) // there may be fewer files yet
 		}
-		os.Rename(w.path, w.path+".1")
+		_ = os.Rename(w.path, rotatedName(w.path, 1)) // it may be the first
 	}
-	f, err := w.open(w.path)
+	file, err := w.open(w.path)
 	if err != nil {
 		return err
 	}
-	packed := s2.Encode(nil, w.header)
-	out := append(append([]byte(nil), fileMagic...), appendBlockHeader(nil, packed, len(w.header))...)
-	if _, err := f.Write(append(out, packed...)); err != nil {
-		f.Close()
+	var buffer []byte
+	beginning := appendBlock(append([]byte(nil), fileMagic...), w.header, &buffer)
+	if _, err := file.Write(beginning); err != nil {
+		_ = file.Close() // the first error tells
 		return err
 	}
-	w.file, w.size = f, int64(len(out)+len(packed))
+	w.file = file
+	w.size = int64(len(beginning))
 	return nil
 }
 
-// Close writes what there is and ends.
+// Close writes the entries that are queued and closes the file; later events are not recorded.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -191,8 +226,8 @@
 		return
 	}
 	w.closed = true
-	if w.blockEntries > 0 {
-		w.fullBlocks <- w.block // the writer still runs
+	if w.block.entries > 0 {
+		w.fullBlocks <- w.block // writeBlocks still runs
 	}
 	w.mu.Unlock()
 	close(w.stop)
