--- a/decision/retry/retry.go
+++ b/decision/retry/retry.go
@@ -41,6 +41,7 @@
 	RetryAfter float64 // ms for which the other end asks to be left alone; 0 if it did not ask
 }
 
+// Error returns the reason and how far the attempt got.
 func (e *Error) Error() string { return fmt.Sprintf("%s (%s)", e.Reason, e.Progress) }
 
 // Config is the operator's configuration of a policy.
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -91,6 +91,7 @@
 	Got  string
 }
 
+// Error returns what was expected and what came, cut to 40 bytes.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("%s (route %s): %s expected, %.40q there", e.Key, e.Rule, e.Want, e.Got)
 }
--- a/internal/back/engine/engine.go
+++ b/internal/back/engine/engine.go
@@ -50,7 +50,7 @@
 // Link is the link to one engine. Its methods may be called from any goroutine.
 type Link struct {
 	log            *logrus.Entry
-	onStart        func(cold bool, ago time.Duration)
+	onStart        func(coldStart bool, ago time.Duration)
 	silenceTimeout time.Duration // without a line from the engine, after which the connection is made anew
 	helloTimeout   time.Duration // the same before the first HELLO
 
@@ -79,7 +79,7 @@
 
 // New returns a link to the engine at addr; Serve runs it. onStart is called, from Serve's goroutine, each time that a
 // connection reports how long ago the engine started.
-func New(addr string, log *logrus.Entry, onStart func(cold bool, ago time.Duration)) *Link {
+func New(addr string, log *logrus.Entry, onStart func(coldStart bool, ago time.Duration)) *Link {
 	return &Link{
 		addr:           addr,
 		log:            log,
