--- a/cmd/valvectl/plan.go
+++ b/cmd/valvectl/plan.go
@@ -99,11 +99,11 @@
 			h.After.Critical, h.Before.Critical)
 	}
 	fmt.Fprintf(&b, "package sorrelvalve\n\nversion: %q\n", "plan "+strconv.FormatInt(c.Seed, 10))
-	if p.Best.SettleMS >= 0 {
-		fmt.Fprintf(&b, "hold: settled_ms: %g\n", p.Best.SettleMS)
+	if p.Best.DisplaceableMS >= 0 {
+		fmt.Fprintf(&b, "hold: settled_ms: %g\n", p.Best.DisplaceableMS)
 	}
-	if p.Best.OverShare >= 0 {
-		fmt.Fprintf(&b, "limits: over_share: %g\n", p.Best.OverShare)
+	if p.Best.OverQuotaFraction >= 0 {
+		fmt.Fprintf(&b, "limits: over_share: %g\n", p.Best.OverQuotaFraction)
 	}
 	if p.Best.MaxRunsPerCore > 0 {
 		fmt.Fprintf(&b, "limits: runs_a_core: %g\n", p.Best.MaxRunsPerCore)
--- a/decision/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -19,15 +19,15 @@
 		Methods:   []control.Method{{Name: "view", LatencyObjective: 400, Deadline: 1000, Criticality: 1}, {Name: "buy", LatencyObjective: 400, Deadline: 1000, Criticality: 3}},
 		Customers: []control.Customer{{Name: "a", Quota: 1}, {Name: "b", Quota: 100}},
 	}
-	chance := rand.New(rand.NewSource(1))
+	random := rand.New(rand.NewSource(1))
 	var parts [][]replay.Step
 	id := uint32(0)
 	for p := range 4 {
 		var steps []replay.Step
-		for at := 0.0; at < 5000; at += chance.ExpFloat64() * 9 {
+		for at := 0.0; at < 5000; at += random.ExpFloat64() * 9 {
 			id++
-			ev := control.Event{Kind: control.Arrived, RPC: id, Customer: chance.Intn(2), CostHint: 10 + 30*chance.Float64(), QueuedKB: 10}
-			if chance.Intn(8) == 0 {
+			ev := control.Event{Kind: control.Arrived, RPC: id, Customer: random.Intn(2), CostHint: 10 + 30*random.Float64(), QueuedKB: 10}
+			if random.Intn(8) == 0 {
 				ev.Method = 1
 			}
 			steps = append(steps, replay.Step{Now: float64(p)*5000 + at, Event: ev})
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -1,6 +1,7 @@
 package replay
 
 import (
+	"errors"
 	"flag"
 	"io"
 	"math/rand"
@@ -25,22 +26,22 @@
 
 // arrivals are some seconds of load at a share of what the machine can do, with the ends that a recorder saw left out.
 func arrivals(load float64, seconds int, seed int64) (steps []Step) {
-	chance := rand.New(rand.NewSource(seed))
+	random := rand.New(rand.NewSource(seed))
 	steps = append(steps, Step{Event: control.Event{Kind: control.Started}})
 	id, token := uint32(0), uint64(0)
 	for at := 0.0; at < float64(seconds)*1000; {
-		at += chance.ExpFloat64() * 40 / 4 / load
+		at += random.ExpFloat64() * 40 / 4 / load
 		id++
-		ev := control.Event{Kind: control.Arrived, RPC: id, Caller: uint16(chance.Intn(3)), Customer: chance.Intn(2), CostHint: 8 + 32*chance.ExpFloat64(), QueuedKB: 10, Age: 1}
+		ev := control.Event{Kind: control.Arrived, RPC: id, Caller: uint16(random.Intn(3)), Customer: random.Intn(2), CostHint: 8 + 32*random.ExpFloat64(), QueuedKB: 10, Age: 1}
 		s := Step{Now: at, Event: ev}
-		if chance.Intn(8) == 0 {
+		if random.Intn(8) == 0 {
 			s.Event.Method, s.Token = 1, token+1
-			if token++; chance.Intn(3) == 0 && token > 1 {
+			if token++; random.Intn(3) == 0 && token > 1 {
 				s.Token = token - 1 // a repeat
 			}
 		}
 		steps = append(steps, s)
-		if chance.Intn(20) == 0 {
+		if random.Intn(20) == 0 {
 			steps = append(steps, Step{Now: at + 1, Event: control.Event{Kind: control.CallerGone, RPC: id}})
 		}
 	}
@@ -59,7 +60,7 @@
 }
 
 // Each arrival ends exactly once, a token runs once, the same steps give the same ends, and more load is turned away.
-func TestModel(t *testing.T) {
+func TestSimulate(t *testing.T) {
 	away := map[float64]float64{}
 	for _, load := range []float64{0.5, 1.2, 2} {
 		steps := arrivals(load, 30, 7)
@@ -101,9 +102,9 @@
 }
 
 // What an instance said is what another says to the same events; a changed event, setting or verdict is found.
-func TestExact(t *testing.T) {
+func TestVerify(t *testing.T) {
 	s := settings()
-	c := s.newControl()
+	c := s.newController()
 	var steps []Step
 	rec := func(now float64, ev control.Event) []control.Action {
 		x := Step{Now: now, Event: ev}
@@ -153,16 +154,18 @@
 			}
 		})
 	}
-	if _, err := Verify(settings(), feed(steps[5:]), func(Divergence) {}, func(Completion) {}); err != ErrNoBeginning {
+	if _, err := Verify(settings(), feed(steps[5:]), func(Divergence) {}, func(Completion) {}); !errors.Is(err, ErrNoBeginning) {
 		t.Errorf("error %v of a trace without its beginning", err)
 	}
 }
 
-func BenchmarkModel(b *testing.B) {
+func BenchmarkSimulate(b *testing.B) {
 	steps := arrivals(1.2, 60, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		Simulate(settings(), feed(steps), func(Completion) {})
+		if err := Simulate(settings(), feed(steps), func(Completion) {}); err != nil {
+			b.Fatal(err)
+		}
 	}
 	b.ReportMetric(float64(len(steps))*float64(b.N)/b.Elapsed().Seconds(), "steps/s")
 }
@@ -171,15 +174,15 @@
 
 // A trace of any length is replayed in the memory of what is in hand.
 func TestBounded(t *testing.T) {
-	chance := rand.New(rand.NewSource(1))
+	random := rand.New(rand.NewSource(1))
 	n, at := 0, 0.0
 	next := func() (Step, error) {
 		if n == *arrivalsFlag {
 			return Step{}, io.EOF
 		}
 		n++
-		at += chance.ExpFloat64() * 8
-		s := Step{Now: at, Event: control.Event{Kind: control.Arrived, RPC: uint32(n), Customer: n % 2, Caller: uint16(n % 3), CostHint: 10 + 30*chance.ExpFloat64(), QueuedKB: 10}}
+		at += random.ExpFloat64() * 8
+		s := Step{Now: at, Event: control.Event{Kind: control.Arrived, RPC: uint32(n), Customer: n % 2, Caller: uint16(n % 3), CostHint: 10 + 30*random.ExpFloat64(), QueuedKB: 10}}
 		if n%9 == 0 {
 			s.Event.Method, s.Token = 1, uint64(n)
 		}
