--- a/internal/fleet/budgets_process_test.go
+++ b/internal/fleet/budgets_process_test.go
@@ -15,33 +15,33 @@
 "replicas_of_me":4,"family_info":{"callers":3,"cores":4,"ram_kb":4000000,"run_factor":4},"limits":{"retry_after":true,"max_retry_after":1000000000},
 "rules":{"drain_grace":200000000,"cold":200000000,"tip_multiple":8}}`
 
-// A quota of four processes: one customer's callers at one of them have nearly all of it; answers lost, doubled and late, a borrower
-// killed, killed lenders that are back at once, a server that leaves and joins, a borrower stopped for longer than a loan,
-// and a smaller quota while loans are out do not let more run in any second than bound and burst; what is beyond is pushed back with the time to return.
+// A quota shared by four processes: the callers of one customer at one of them get nearly all of it. Messages lost, duplicated and delayed, a
+// lessee killed, grantors killed and back at once, a server that leaves and joins, a lessee stopped for longer than a lease, and a smaller
+// quota while leases are out admit no more in any second than bound and burst; the rest is rejected with the time to retry after.
 func TestQuotaOfProcesses(t *testing.T) {
 	const bound, burst = 80.0, 12.0
 	rules := standin.NewInvariantChecker("view")
-	n := serverNames(4)
+	names := serverNames(4)
 	customerQuota := func(bound float64) *operator.Budgets {
 		return &operator.Budgets{Servers: 4, ClockDrift: 1e-3, Customers: map[string]operator.Budget{"acme": {Bound: bound, Burst: burst, Floor: 0.5, MaxLeaseMs: 1000}}}
 	}
-	b := started(t, testbed.Options{Names: n, Seed: 9, Cores: 4, Invariants: rules, SettingsJSON: sharedSettings, Operator: operator.File{Budgets: customerQuota(bound)}})
-	pour := func(name string, rate float64, length time.Duration, seed int64) (samples []standin.Sample) {
-		router := standin.NewRouter(b.ListenAddr(name))
+	bed := startBed(t, testbed.Options{Names: names, Seed: 9, Cores: 4, Invariants: rules, SettingsJSON: sharedSettings, Operator: operator.File{Budgets: customerQuota(bound)}})
+	sendFor := func(name string, rate float64, length time.Duration, seed int64) (samples []standin.Sample) {
+		router := standin.NewRouter(bed.ListenAddr(name))
 		defer router.Close()
 		return standin.LoadPlan{Rate: rate, Duration: length, Callers: 3, Seed: seed, Deadline: 1200 * time.Millisecond, Customers: []string{"acme"},
 			Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 1}}}.Run(context.Background(), map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
 	}
-	pour("n0", 120, 3*time.Second, 1) // the start is over, and loans are made
-	await(t, b, n[:1], func(p *testbed.Observation) bool {
+	sendFor("n0", 120, 3*time.Second, 1) // the start is over, and leases are granted
+	await(t, bed, names[:1], func(p *testbed.Observation) bool {
 		if p.Budgets == nil || len(p.Budgets.Quotas) == 0 || p.Budgets.Quotas[0].Leased < 40 {
-			pour("n0", 120, 500*time.Millisecond, 2)
+			sendFor("n0", 120, 500*time.Millisecond, 2)
 			return false
 		}
 		return true
 	})
 	pushed, advised := 0, 0
-	for _, s := range pour("n0", 160, time.Second, 3) {
+	for _, s := range sendFor("n0", 160, time.Second, 3) {
 		if s.Outcome == standin.Rejected {
 			if pushed++; s.RetryAfterMs > 0 {
 				advised++
@@ -51,26 +51,26 @@
 	if pushed < 20 || advised < pushed/2 {
 		t.Errorf("%d of 160 pushed back, %d of them with a time", pushed, advised)
 	}
-	// Answers that are lost, doubled, overtaken and later than a loan lasts; a borrower killed with its loans; members that leave.
-	do(t, b, "0s loss *>* 0.3\n0s mess *>* 0.3\n0s delay *>* 200ms 1500ms")
+	// Messages lost, duplicated, reordered and delayed beyond a lease; a lessee killed with its leases; servers that leave.
+	do(t, bed, "0s loss *>* 0.3\n0s mess *>* 0.3\n0s delay *>* 200ms 1500ms")
 	var both sync.WaitGroup
 	for i, name := range []string{"n0", "n3"} {
-		both.Go(func() { pour(name, 140, 2500*time.Millisecond, int64(10+i)) })
+		both.Go(func() { sendFor(name, 140, 2500*time.Millisecond, int64(10+i)) })
 	}
 	time.Sleep(time.Second)
-	do(t, b, "0s kill n0\n0s start n0\n0s term n2")
+	do(t, bed, "0s kill n0\n0s start n0\n0s term n2")
 	both.Wait()
-	do(t, b, "0s heal")
-	for deadline := time.Now().Add(within); b.Processes.Running("n2") && time.Now().Before(deadline); {
+	do(t, bed, "0s heal")
+	for deadline := time.Now().Add(waitTimeout); bed.Processes.Running("n2") && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	do(t, b, "0s start n2")
-	await(t, b, n, testbed.ExpectView("whole", 4))
-	pour("n0", 120, 2500*time.Millisecond, 12)
-	do(t, b, "0s kill n1,n2\n0s start n1,n2\n0s stop n0")
-	pour("n3", 120, 1800*time.Millisecond, 4)
-	do(t, b, "0s cont n0")
-	pour("n0", 160, time.Second, 5)
+	do(t, bed, "0s start n2")
+	await(t, bed, names, testbed.ExpectView("whole", 4))
+	sendFor("n0", 120, 2500*time.Millisecond, 12)
+	do(t, bed, "0s kill n1,n2\n0s start n1,n2\n0s stop n0")
+	sendFor("n3", 120, 1800*time.Millisecond, 4)
+	do(t, bed, "0s cont n0")
+	sendFor("n0", 160, time.Second, 5)
 	most := 0
 	times := rules.RunTimes()
 	for from, to := 0, 0; to < len(times); to++ {
@@ -82,13 +82,13 @@
 	if most > bound+burst || most < bound/2 {
 		t.Errorf("%d ran in a second, of %g and %g", most, bound, burst)
 	}
-	await(t, b, n, testbed.ExpectView("whole", 4))
-	for _, name := range n {
-		if err := b.Reload(name, func(f *operator.File) { f.Budgets = customerQuota(20) }); err != nil {
+	await(t, bed, names, testbed.ExpectView("whole", 4))
+	for _, name := range names {
+		if err := bed.Reload(name, func(f *operator.File) { f.Budgets = customerQuota(20) }); err != nil {
 			t.Fatal(err)
 		}
 	}
-	await(t, b, n, func(p *testbed.Observation) bool { // the loans of the larger quota are over
+	await(t, bed, names, func(p *testbed.Observation) bool { // the leases of the larger quota have ended
 		if p.Budgets == nil {
 			return false
 		}
@@ -100,7 +100,7 @@
 		return true
 	})
 	ok := 0
-	for _, s := range pour("n0", 120, 2*time.Second, 6) {
+	for _, s := range sendFor("n0", 120, 2*time.Second, 6) {
 		if s.Outcome == standin.OK {
 			ok++
 		}
--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -15,7 +15,7 @@
 	"sorrelvalve/internal/operator"
 )
 
-func TestLoansOnTheWire(t *testing.T) {
+func TestLeaseMessages(t *testing.T) {
 	all := []quota.KeyedMessage{
 		{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 1 << 63, Amount: 12.5, PriorityWeight: 3, CurrentCapacity: 0.25, Renews: 6}},
 		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, RequestID: 8, Incarnation: 1, Amount: 1e6, Duration: 4000}},
@@ -38,7 +38,7 @@
 	}
 }
 
-func FuzzLoans(f *testing.F) {
+func FuzzLeaseMessages(f *testing.F) {
 	f.Add(appendLease(nil, &quota.KeyedMessage{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 3, Amount: 12.5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		all, _ := parseLeases(raw)
@@ -54,15 +54,15 @@
 	})
 }
 
-// customerQuota is one customer's, shared by so many servers.
+// customerQuota is a quota of one customer, shared by some servers.
 func customerQuota(bound float64, servers int) *operator.Budgets {
 	return &operator.Budgets{Servers: servers, ClockDrift: quota.DefaultClockDrift, Customers: map[string]operator.Budget{
 		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, MaxLeaseMs: 1000},
 	}}
 }
 
-// pour takes from one server for a while at a rate beyond the bound, and returns how many a second were within it.
-func pour(b *Budgets, rate int, length time.Duration) float64 {
+// takeFor takes from one server for a while at a rate beyond the bound, and returns how many a second were admitted.
+func takeFor(b *Budgets, rate int, length time.Duration) float64 {
 	n, began := 0, time.Now()
 	for sent := 0; time.Since(began) < length; {
 		if due := int(time.Since(began).Seconds() * float64(rate)); sent < due {
@@ -77,11 +77,11 @@
 	return float64(n) / length.Seconds()
 }
 
-// Three servers: one of them has nearly all of the quota while the others need none, status says so, and the quota may change
-// while it is lent. Who is not one of the budgets' customers is not told anything.
+// Three servers: one of them has nearly all of the quota while the others need none, the status shows that, and the quota may change while
+// leases are out. Customers without a budget are not limited.
 func TestQuotaMoves(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	addrs := []string{free(t), free(t), free(t)}
+	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	var fleet []*Fleet
 	var parts []*Budgets
 	for i := range addrs {
@@ -94,20 +94,20 @@
 		parts = append(parts, f.ShareBudgets(customerQuota(300, 3)))
 	}
 	for _, f := range fleet {
-		wait(t, "whole", hears(f, health.Complete, 3))
+		waitFor(t, "whole", connectivityIs(f, health.Complete, 3))
 	}
 	if stands, _ := parts[0].CheckQuota("view", "other", 1); stands != control.QuotaUnknown {
 		t.Error("a customer without a budget")
 	}
-	pour(parts[0], 400, 2500*time.Millisecond) // what a former life may have lent is back, and loans are made
-	if got := pour(parts[0], 400, time.Second); got < 0.9*296 || got > 300+12 {
+	takeFor(parts[0], 400, 2500*time.Millisecond) // what a former incarnation may have granted has ended, and leases are granted
+	if got := takeFor(parts[0], 400, time.Second); got < 0.9*296 || got > 300+12 {
 		t.Errorf("%g a second of 300", got)
 	}
 	s := fleet[0].Status()
 	if len(s.Budgets.Quotas) != 1 || s.Budgets.Quotas[0].Leased < 150 || len(s.Budgets.Quotas[0].Leases) < 2 {
 		t.Errorf("status: %+v", s.Budgets)
 	}
-	wait(t, "counts", func() bool {
+	waitFor(t, "counts", func() bool {
 		s := fleet[2].Status()
 		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].Min > 50
 	})
@@ -121,29 +121,29 @@
 	for _, b := range parts {
 		b.Set(customerQuota(60, 3))
 	}
-	pour(parts[0], 400, 1500*time.Millisecond) // the loans of the larger quota are over
-	if got := pour(parts[0], 400, time.Second); got > 60+12 {
+	takeFor(parts[0], 400, 1500*time.Millisecond) // the leases of the larger quota have ended
+	if got := takeFor(parts[0], 400, time.Second); got > 60+12 {
 		t.Errorf("%g a second of the new 60", got)
 	}
-	// Cut off from all it has its own part at the least, and asks nobody.
+	// Cut off from all it has at least its own share, and requests nothing.
 	for _, f := range fleet[1:] {
 		f.Crash()
 	}
-	time.Sleep(1200 * time.Millisecond) // a loan's length
-	if got := pour(parts[0], 400, time.Second); got < 2 || got > 20+12 {
+	time.Sleep(1200 * time.Millisecond) // the length of a lease
+	if got := takeFor(parts[0], 400, time.Second); got < 2 || got > 20+12 {
 		t.Errorf("%g a second alone, of an own part of 20", got)
 	}
-	// Another process of the name: nothing is used any more.
+	// Another process has the name: nothing is admitted any more.
 	fleet[0].mu.Lock()
 	fleet[0].exclude(fmt.Errorf("taken"))
 	fleet[0].mu.Unlock()
-	wait(t, "mute", func() bool { stands, _ := parts[0].CheckQuota("view", "acme", 1); return stands == control.OverQuota })
+	waitFor(t, "mute", func() bool { stands, _ := parts[0].CheckQuota("view", "acme", 1); return stands == control.OverQuota })
 }
 
-// A step of the wall clock beside the own one drops what is borrowed.
+// A step of the wall clock against the monotonic one drops the leases.
 func TestClockStepVoids(t *testing.T) {
-	listen := free(t)
-	f := open(t, &listen, Options{Name: "n0"})
+	listen := freeAddr(t)
+	f := startServer(t, &listen, Options{Name: "n0"})
 	b := f.ShareBudgets(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,10 +158,10 @@
 	}
 }
 
-// A call that was given up counts until the pool can't go on with it.
+// An abandoned call counts as in flight until the pool can't go on with it.
 func TestCallsLinger(t *testing.T) {
-	listen := free(t)
-	f := open(t, &listen, Options{Name: "n0"})
+	listen := freeAddr(t)
+	f := startServer(t, &listen, Options{Name: "n0"})
 	b := f.ShareBudgets(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
 	first := b.AllowCall("p", 1, 100)
 	second := b.AllowCall("p", 1, 100)
@@ -177,10 +177,10 @@
 	if b.AllowCall("p", 1, 100) {
 		t.Error("one was given up, and may be gone on with")
 	}
-	wait(t, "linger", func() bool { return b.AllowCall("p", 1, 100) })
+	waitFor(t, "linger", func() bool { return b.AllowCall("p", 1, 100) })
 }
 
-func BenchmarkArrives(b *testing.B) {
+func BenchmarkCheckQuota(b *testing.B) {
 	f, err := Start(Options{Name: "n0", Listen: "127.0.0.1:0", Advertise: "127.0.0.1:1", Log: quiet()})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -167,9 +167,9 @@
 // retryReturn returns the permit of a cancelled drain if it is still held.
 func (d *DrainCoordinator) retryReturn() {
 	d.mu.Lock()
-	held := d.unreturnedPermit != 0
+	unreturned := d.unreturnedPermit != 0
 	d.mu.Unlock()
-	if !held {
+	if !unreturned {
 		return
 	}
 	if err := d.returnPermit(d.ctx); err != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,9 +23,9 @@
 	"sorrelvalve/decision/health"
 )
 
-// soon bounds what must come: longer than the time between two exchanges of all that is known, by which a record arrives whose packets were
-// dropped where a starved machine had a server find that it had stalled.
-const soon = 60 * time.Second
+// waitTimeout bounds what must happen: longer than the time between two state exchanges, by which a record arrives whose packets were dropped
+// when a starved machine had a server find that it had stalled.
+const waitTimeout = 60 * time.Second
 
 func quiet() *logrus.Entry {
 	l := logrus.New()
@@ -33,18 +33,18 @@
 	return l.WithField("node", "test")
 }
 
-// wait polls until a thing holds.
-func wait(t *testing.T, what string, holds func() bool) {
+// waitFor polls until a condition holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(soon); !holds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, soon)
+			t.Fatalf("%s: not within %s", what, waitTimeout)
 		}
 	}
 }
 
-// free returns an address that nobody listens on, at an IP address of its own: clients at 127.0.0.1 take ports there at any time.
-func free(t *testing.T) string {
+// freeAddr returns an address that nobody listens on, at an IP address of its own: clients at 127.0.0.1 take ports there at any time.
+func freeAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.Intn(200), rand.Intn(256), 1+rand.Intn(250)))
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 // maxStartAttempts bounds how often start takes a fresh address.
 const maxStartAttempts = 5
 
-// start starts a fleet at *listen. free closes its socket before memberlist binds the port for streams and packets, so
+// start starts a server at *listen. freeAddr closes its socket before memberlist binds the port for streams and packets, so
 // another process may take it in between: then, and only then, start starts again at a fresh address, which it writes to
 // *listen for those that seed by it.
 func start(t *testing.T, listen *string, o Options) (*Fleet, error) {
@@ -71,7 +71,7 @@
 			return f, err
 		}
 		t.Logf("%s was taken before the bind: %v", *listen, err)
-		*listen = free(t)
+		*listen = freeAddr(t)
 	}
 }
 
@@ -92,8 +92,8 @@
 	return errors.Is(err, syscall.EADDRINUSE)
 }
 
-// open starts a fleet at *listen as start does, and closes it when the test ends.
-func open(t *testing.T, listen *string, o Options) *Fleet {
+// startServer starts a server at *listen as start does, and closes it when the test ends.
+func startServer(t *testing.T, listen *string, o Options) *Fleet {
 	t.Helper()
 	if o.Log == nil {
 		o.Log = quiet()
@@ -114,7 +114,7 @@
 	}
 }
 
-func hears(f *Fleet, state health.ClusterState, heard int) func() bool {
+func connectivityIs(f *Fleet, state health.ClusterState, heard int) func() bool {
 	return func() bool {
 		v := f.View()
 		return v.State == state && v.Reachable == heard
@@ -123,7 +123,7 @@
 
 func TestFourOnLoopback(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	addrs := []string{free(t), free(t), free(t), free(t)}
+	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)}
 	phase := WarmingUp
 	var fleet []*Fleet
 	for i := range addrs {
@@ -139,54 +139,54 @@
 		defer f.Close()
 	}
 	for _, f := range fleet {
-		wait(t, f.options.Name+" hears all", hears(f, health.Complete, 4))
+		waitFor(t, f.options.Name+" hears all", connectivityIs(f, health.Complete, 4))
 	}
-	wait(t, "the phase of n1 is known", func() bool {
+	waitFor(t, "the phase of n1 is known", func() bool {
 		s := fleet[3].Status()
 		return s.Peers[1].Phase == "cold" && s.Peers[1].WarmupProgress == 0.25 && s.Peers[1].Zone == "z1"
 	})
 	if err := fleet[0].Publish("x", []byte("word")); err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "a record travels", func() (has bool) {
+	waitFor(t, "a record travels", func() (has bool) {
 		fleet[2].Each("x", func(r *gossip.Record, _ float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
 		return has
 	})
 	fleet[1].Close()
-	wait(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Complete && v.Members == 3 })
+	waitFor(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Complete && v.Members == 3 })
 }
 
-// A server that comes again under its name goes before its former life, whose records are still about.
+// A restarted server supersedes its former incarnation, whose records are still gossiped.
 func TestRestart(t *testing.T) {
 	t.Parallel()
-	addrs := []string{free(t), free(t)}
-	a := open(t, &addrs[0], Options{Name: "a", Seeds: addrs})
+	addrs := []string{freeAddr(t), freeAddr(t)}
+	a := startServer(t, &addrs[0], Options{Name: "a", Seeds: addrs})
 	b, err := start(t, &addrs[1], Options{Name: "b", Seeds: addrs, Log: quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	wait(t, "a hears b", hears(a, health.Complete, 2))
+	waitFor(t, "a hears b", connectivityIs(a, health.Complete, 2))
 	publish(t, b, "x", "old")
-	wait(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
+	waitFor(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
 	b.Crash()
-	b = open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	wait(t, "b raises its start", func() bool { return b.Status().Generation == 2 })
-	wait(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Generation == 2 && s.Connectivity == "whole" })
+	b = startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs})
+	waitFor(t, "b raises its start", func() bool { return b.Status().Generation == 2 })
+	waitFor(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Generation == 2 && s.Connectivity == "whole" })
 	if _, _, has := a.Get("b", "x"); has {
 		t.Error("what its former life said is still held")
 	}
 }
 
-func TestTwin(t *testing.T) {
+func TestDuplicateName(t *testing.T) {
 	t.Parallel()
-	addrs := []string{free(t), free(t), free(t)}
-	a := open(t, &addrs[0], Options{Name: "a"})
-	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs[:1]})
-	wait(t, "whole", hears(a, health.Complete, 2))
-	wait(t, "whole", hears(b, health.Complete, 2))
-	twin := open(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
-	wait(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().ExclusionReason, "the name b is") })
-	wait(t, "both are named", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
+	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
+	a := startServer(t, &addrs[0], Options{Name: "a"})
+	b := startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs[:1]})
+	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
+	waitFor(t, "whole", connectivityIs(b, health.Complete, 2))
+	twin := startServer(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
+	waitFor(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().ExclusionReason, "the name b is") })
+	waitFor(t, "both are named", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
 	if s := b.Status(); s.ExclusionReason != "" || s.Connectivity != "whole" {
 		t.Errorf("the first b: %+v", s)
 	}
@@ -195,11 +195,11 @@
 	}
 }
 
-func TestSocketAndGone(t *testing.T) {
+func TestSocketAndRemoval(t *testing.T) {
 	t.Parallel()
-	addrs := []string{free(t), free(t)}
-	a := open(t, &addrs[0], Options{Name: "a"})
-	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
+	addrs := []string{freeAddr(t), freeAddr(t)}
+	a := startServer(t, &addrs[0], Options{Name: "a"})
+	b := startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs})
 	path := filepath.Join(t.TempDir(), "a.sock")
 	s, err := a.ServeSocket(path)
 	if err != nil {
@@ -209,13 +209,13 @@
 	if _, err := b.ServeSocket(path); err == nil {
 		t.Error("a second server takes the socket")
 	}
-	wait(t, "whole", hears(a, health.Complete, 2))
+	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
 	ctx := context.Background()
 	if err := RequestRemoval(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
 		t.Errorf("who is heard is declared gone: %v", err)
 	}
 	b.Crash()
-	wait(t, "b silent, on the roster", func() bool {
+	waitFor(t, "b silent, on the roster", func() bool {
 		st, err := FetchStatus(ctx, path)
 		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Members == 2 && !st.Peers[0].Reachable
 	})
@@ -225,7 +225,7 @@
 	if st, _ := FetchStatus(ctx, path); st.Members != 1 || st.Peers[0].Departed != "declared gone" {
 		t.Errorf("%+v", st)
 	}
-	// More readers than there are places, none of which reads on: the rest hear no at once, and all end.
+	// More readers than are served at a time, none of which reads on: the rest are rejected at once, and all end.
 	for range 3 * maxSocketRequests {
 		c, err := net.Dial("unix", path)
 		if err != nil {
@@ -244,19 +244,19 @@
 // Garbage, damaged and replayed packets, and a flood, change nothing and are dropped.
 func TestHostilePackets(t *testing.T) {
 	t.Parallel()
-	addrs := []string{free(t), free(t)}
-	a := open(t, &addrs[0], Options{Name: "a"})
-	b := open(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	wait(t, "whole", hears(a, health.Complete, 2))
+	addrs := []string{freeAddr(t), freeAddr(t)}
+	a := startServer(t, &addrs[0], Options{Name: "a"})
+	b := startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs})
+	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
 	publish(t, b, "x", "first")
 	var old []byte
-	wait(t, "the record", func() bool {
+	waitFor(t, "the record", func() bool {
 		r, _, has := a.Get("b", "x")
 		old = r.Append(nil)
 		return has
 	})
 	publish(t, b, "x", "second")
-	wait(t, "the next record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
+	waitFor(t, "the next record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
 	c, err := net.Dial("udp", addrs[0])
 	if err != nil {
 		t.Fatal(err)
@@ -268,17 +268,17 @@
 			t.Fatal(err)
 		}
 	}
-	user := func(raw []byte) []byte { // memberlist's user message, as the transport sums it
+	user := func(raw []byte) []byte { // memberlist's user message with the transport's checksum
 		b := append([]byte{8, 1, 'b'}, raw...)
 		return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 	}
 	send(user(old))
 	send(user(old[:len(old)-3]))
-	wait(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
+	waitFor(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
 	for i := range 20000 {
 		send([]byte(strings.Repeat(string(rune(i)), 1+i%200)))
 	}
-	wait(t, "the flood is dropped", func() bool { n := a.Status().Traffic; return n.Dropped > 1000 && n.Damaged > 0 })
+	waitFor(t, "the flood is dropped", func() bool { n := a.Status().Traffic; return n.Dropped > 1000 && n.Damaged > 0 })
 	if r, _, _ := a.Get("b", "x"); string(r.Body) != "second" {
 		t.Errorf("the record is %q", r.Body)
 	}
@@ -287,7 +287,7 @@
 	}
 }
 
-// A roster of many in one process, over memberlist's mock network.
+// Many servers in one process, over memberlist's mock network.
 func TestMany(t *testing.T) {
 	t.Parallel()
 	n := 60
@@ -314,7 +314,7 @@
 		mesh.Close()
 	}()
 	for _, f := range fleet {
-		wait(t, f.options.Name+" hears all", hears(f, health.Complete, n))
+		waitFor(t, f.options.Name+" hears all", connectivityIs(f, health.Complete, n))
 	}
 	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Reachable != n/3 {
 		t.Errorf("zones %v", z)
--- a/internal/fleet/views_test.go
+++ b/internal/fleet/views_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Where views differ is named; a server that listens first has no view yet.
+// The differences between views are named; a server in its grace period has no view yet.
 func TestDifferences(t *testing.T) {
 	view := func(name, settings string, listening bool, peers ...PeerStatus) Status {
 		return Status{Name: name, SettingsHash: settings, Connectivity: "part", InGracePeriod: listening, Peers: peers}
