--- a/internal/back/engine/engine_test.go
+++ b/internal/back/engine/engine_test.go
@@ -28,7 +28,7 @@
 	conn        net.Conn
 	in          *bufio.Scanner
 	completions chan string
-	cold        chan bool
+	coldStarts  chan bool
 }
 
 func start(t *testing.T, quiet time.Duration) *fakeEngine {
@@ -42,8 +42,8 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s := &fakeEngine{T: t, ln: ln, completions: make(chan string, 20), cold: make(chan bool, 20)}
-	s.link = New(ln.Addr().String(), log.WithField("node", "n0"), func(cold bool, _ time.Duration) { s.cold <- cold })
+	s := &fakeEngine{T: t, ln: ln, completions: make(chan string, 20), coldStarts: make(chan bool, 20)}
+	s.link = New(ln.Addr().String(), log.WithField("node", "n0"), func(cold bool, _ time.Duration) { s.coldStarts <- cold })
 	s.link.silenceTimeout, s.link.helloTimeout = quiet, renew
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan struct{})
@@ -64,7 +64,7 @@
 	}
 }
 
-// accept takes the next link, which must attach after so many notices.
+// accept accepts the next connection, which must attach after so many notices.
 func (s *fakeEngine) accept(last int) {
 	s.Helper()
 	conn, err := s.ln.Accept()
@@ -74,30 +74,30 @@
 	s.conn, s.in = conn, bufio.NewScanner(conn)
 	s.noError(s.conn.SetDeadline(time.Now().Add(soon)))
 	s.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
-	s.reads(fmt.Sprintf(`{"t":"ATTACH","no":%d}`, last))
+	s.expectLine(fmt.Sprintf(`{"t":"ATTACH","no":%d}`, last))
 }
 
-func (s *fakeEngine) reads(want string) {
+func (s *fakeEngine) expectLine(want string) {
 	s.Helper()
 	if !s.in.Scan() || s.in.Text() != want {
 		s.Fatalf("read %.99q, error %v; want %.99q", s.in.Text(), s.in.Err(), want)
 	}
 }
 
-func (s *fakeEngine) says(lines ...string) {
+func (s *fakeEngine) write(lines ...string) {
 	s.Helper()
 	if _, err := io.WriteString(s.conn, strings.Join(lines, "\n")+"\n"); err != nil {
 		s.Fatal(err)
 	}
 }
 
-// hello attaches a link: the STAT that follows is answered behind the notices missed.
+// hello answers an ATTACH: the STAT that follows is answered behind the notices that were missed.
 func (s *fakeEngine) hello(mark string, missed ...string) {
 	s.Helper()
-	s.says(`{"t":"HELLO","status":"booting","time_ms":12.5}`)
-	s.says(append(missed, `{"t":"NOTE","no":0,"status":"x"}`)...)
-	s.reads(`{"t":"STAT","mark":"` + mark + `"}`)
-	s.says(`{"t":"STATS","mark":"` + mark + `","v":[0.5,2,0.1,7]}`)
+	s.write(`{"t":"HELLO","status":"booting","time_ms":12.5}`)
+	s.write(append(missed, `{"t":"NOTE","no":0,"status":"x"}`)...)
+	s.expectLine(`{"t":"STAT","mark":"` + mark + `"}`)
+	s.write(`{"t":"STATS","mark":"` + mark + `","v":[0.5,2,0.1,7]}`)
 }
 
 func (s *fakeEngine) run(id, body string) {
@@ -111,11 +111,11 @@
 	})
 }
 
-func (s *fakeEngine) runs(id, body string) string {
+func (s *fakeEngine) runLine(id, body string) string {
 	return `{"t":"RUN","rid":"` + id + `","route":"m","b64":"` + base64.StdEncoding.EncodeToString([]byte(body)) + `"}`
 }
 
-func (s *fakeEngine) ended(want string) {
+func (s *fakeEngine) expectCompletion(want string) {
 	s.Helper()
 	select {
 	case got := <-s.completions:
@@ -147,27 +147,27 @@
 	}
 	s.accept(0)
 	s.hello("1")
-	s.reads(s.runs("a", "x"))
+	s.expectLine(s.runLine("a", "x"))
 }
 
-// An engine that says nothing any more has lost the link, though that never ended.
+// An engine that sends nothing any more has lost the connection, though that never ended.
 func TestQuiet(t *testing.T) {
 	s := start(t, 50*time.Millisecond)
 	s.accept(0)
 	s.run("z", "x") // an engine that has yet to start may take its time
 	time.Sleep(2 * s.link.silenceTimeout)
 	s.hello("1")
-	s.reads(s.runs("z", "x"))
-	s.says(`{"t":"NO","status":"RUN","rid":"z"}`)
+	s.expectLine(s.runLine("z", "x"))
+	s.write(`{"t":"NO","status":"RUN","rid":"z"}`)
 	s.run("a", "x")
-	s.reads(s.runs("a", "x"))
+	s.expectLine(s.runLine("a", "x"))
 	s.accept(0) // on which it does not even say hello
 	s.accept(0)
 	s.hello("2")
-	s.reads(s.runs("a", "x"))
+	s.expectLine(s.runLine("a", "x"))
 }
 
-// A link whose ATTACH was lost, as with a break, is made anew; so is each while the engine has yet to start.
+// A connection whose ATTACH was lost, as with a break, is made anew; so is each while the engine has yet to start.
 func TestAttachLost(t *testing.T) {
 	s := startWithHelloTimeout(t, soon, 200*time.Millisecond)
 	s.run("a", "x")
@@ -176,7 +176,7 @@
 	}
 	s.accept(0)
 	s.hello("1")
-	s.reads(s.runs("a", "x"))
+	s.expectLine(s.runLine("a", "x"))
 }
 
 func TestLink(t *testing.T) {
@@ -188,27 +188,27 @@
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "\x00\xff")
-			s.reads(s.runs("a", "\x00\xff"))
+			s.expectLine(s.runLine("a", "\x00\xff"))
 			s.run("b", "")
-			s.reads(s.runs("b", ""))
-			s.says(done(1, "b", "failure", ""), done(2, "a", "success", "\xfe"))
-			s.ended("b error 2")
-			s.ended("a ok 1.5 \xfe")
+			s.expectLine(s.runLine("b", ""))
+			s.write(done(1, "b", "failure", ""), done(2, "a", "success", "\xfe"))
+			s.expectCompletion("b error 2")
+			s.expectCompletion("a ok 1.5 \xfe")
 		}},
 		{"an engine that starts long after", func(s *fakeEngine) {
 			s.run("a", "x")
 			s.accept(0)
 			s.run("b", "x")
 			s.hello("1")
-			s.reads(s.runs("a", "x"))
-			s.reads(s.runs("b", "x"))
+			s.expectLine(s.runLine("a", "x"))
+			s.expectLine(s.runLine("b", "x"))
 		}},
 		{"a move: nothing waits for the old link to end, and what runs is found at the new address", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
-			s.says(done(1, "z", "success", "")) // and the link stays open
+			s.expectLine(s.runLine("a", "x"))
+			s.write(done(1, "z", "success", "")) // and the link stays open
 			var err error
 			if s.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 				s.Fatal(err)
@@ -225,8 +225,8 @@
 			s.accept(1)
 			s.run("b", "y")
 			s.hello("2", done(2, "a", "success", "r"))
-			s.ended("a ok 1.5 r")
-			s.reads(s.runs("b", "y"))
+			s.expectCompletion("a ok 1.5 r")
+			s.expectLine(s.runLine("b", "y"))
 		}},
 		{"a break: missed notices come first, then what still runs is sent again", func(s *fakeEngine) {
 			s.accept(0)
@@ -234,65 +234,65 @@
 			s.run("a", "x")
 			s.run("b", "x")
 			s.run("c", "x")
-			s.reads(s.runs("a", "x"))
-			s.reads(s.runs("b", "x"))
-			s.reads(s.runs("c", "x"))
-			s.says(done(1, "c", "success", ""))
-			s.ended("c ok 1.5 ")
+			s.expectLine(s.runLine("a", "x"))
+			s.expectLine(s.runLine("b", "x"))
+			s.expectLine(s.runLine("c", "x"))
+			s.write(done(1, "c", "success", ""))
+			s.expectCompletion("c ok 1.5 ")
 			s.noError(s.conn.Close())
 			s.accept(1)
 			s.hello("2", done(1, "b", "failure", ""), done(2, "a", "success", "r"))
-			s.ended("a ok 1.5 r")
-			s.reads(s.runs("b", "x"))
-			s.says(done(2, "b", "success", ""), done(3, "b", "success", "s"))
-			s.ended("b ok 1.5 s")
+			s.expectCompletion("a ok 1.5 r")
+			s.expectLine(s.runLine("b", "x"))
+			s.write(done(2, "b", "success", ""), done(3, "b", "success", "s"))
+			s.expectCompletion("b ok 1.5 s")
 		}},
 		{"not known after a break: it may have run before", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
+			s.expectLine(s.runLine("a", "x"))
 			s.noError(s.conn.Close())
 			s.accept(0)
 			s.hello("2")
-			s.reads(s.runs("a", "x"))
-			s.says(`{"t":"NO","status":"RUN","rid":"a"}`)
-			s.ended("a error 2")
+			s.expectLine(s.runLine("a", "x"))
+			s.write(`{"t":"NO","status":"RUN","rid":"a"}`)
+			s.expectCompletion("a error 2")
 		}},
 		{"nothing was started anew after a break: it may have run before, and its end be lost", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
+			s.expectLine(s.runLine("a", "x"))
 			s.noError(s.conn.Close())
 			s.accept(0)
 			s.hello("2", done(4200, "z", "success", "")) // more have passed than are kept
-			s.reads(s.runs("a", "x"))
-			s.says(done(4201, "a", "nothing", ""))
-			s.ended("a error 2")
+			s.expectLine(s.runLine("a", "x"))
+			s.write(done(4201, "a", "nothing", ""))
+			s.expectCompletion("a error 2")
 		}},
 		{"the same try sent to us twice runs once", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
-			s.says(done(1, "a", "interrupted", ""))
-			s.ended("a error 2")
-			s.ended("a error 2")
+			s.expectLine(s.runLine("a", "x"))
+			s.write(done(1, "a", "interrupted", ""))
+			s.expectCompletion("a error 2")
+			s.expectCompletion("a error 2")
 		}},
 		{"commands not carried out, and lines that make no sense", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
-			s.says("", "{", `[1]`, `{"t":7}`, `{"t":"SING"}`, `{"t":"NO","status":"STAT"}`,
+			s.expectLine(s.runLine("a", "x"))
+			s.write("", "{", `[1]`, `{"t":7}`, `{"t":"SING"}`, `{"t":"NO","status":"STAT"}`,
 				`{"t":"DONE","no":1,"rid":"never","status":"success"}`, `{"t":"NO","status":"RUN","rid":"a"}`)
-			s.ended("a error 1")
+			s.expectCompletion("a error 1")
 			s.run("b", "x")
-			s.reads(s.runs("b", "x"))
-			s.says(`{"t":"DONE","no":2,"rid":"b","status":"success","b64":"?"}`)
-			s.ended("b error 2")
+			s.expectLine(s.runLine("b", "x"))
+			s.write(`{"t":"DONE","no":2,"rid":"b","status":"success","b64":"?"}`)
+			s.expectCompletion("b error 2")
 		}},
 		{"a line without end", func(s *fakeEngine) {
 			s.accept(0)
@@ -305,27 +305,27 @@
 			s.accept(0)
 			s.hello("1")
 			s.run("a", "x")
-			s.reads(s.runs("a", "x"))
-			s.says(done(1, "a", "nothing", ""))
-			s.ended("a error 1")
+			s.expectLine(s.runLine("a", "x"))
+			s.write(done(1, "a", "nothing", ""))
+			s.expectCompletion("a error 1")
 			for i := range maxRuns {
 				s.link.runs[fmt.Sprint(i)] = &run{}
 			}
 			s.run("b", "x")
-			s.ended("b error 0")
+			s.expectCompletion("b error 0")
 		}},
 		{"an engine that reads nothing holds up neither runs nor the clock", func(s *fakeEngine) {
 			s.accept(0)
 			s.hello("1")
 			s.run("first", "x") // once it is read the link is in step
-			s.reads(s.runs("first", "x"))
+			s.expectLine(s.runLine("first", "x"))
 			body := strings.Repeat("x", 2<<10)
 			for i := range maxRuns - 1 { // some 20 MB, more than the sockets' buffers hold
 				s.run(fmt.Sprint(i), body)
 			}
 			s.link.Gauges(time.Millisecond) // returns
 			for i := range maxRuns - 1 {
-				s.reads(s.runs(fmt.Sprint(i), body))
+				s.expectLine(s.runLine(fmt.Sprint(i), body))
 			}
 		}},
 		{"gauges, and none in time", func(s *fakeEngine) {
@@ -335,16 +335,16 @@
 			}
 			s.hello("1")
 			s.run("a", "x") // told apart from the STAT by its place: sent once the link is in step
-			s.reads(s.runs("a", "x"))
+			s.expectLine(s.runLine("a", "x"))
 			if v := s.link.Gauges(time.Millisecond); len(v) != 4 || v[1] != 2 {
 				s.Errorf("gauges %v", v)
 			}
-			s.reads(`{"t":"STAT","mark":"2"}`)
-			s.says(`{"t":"STATS","mark":"2","v":[0.5,3]}`)
+			s.expectLine(`{"t":"STAT","mark":"2"}`)
+			s.write(`{"t":"STATS","mark":"2","v":[0.5,3]}`)
 			got := make(chan []float64)
 			go func() { got <- s.link.Gauges(soon) }()
-			s.reads(`{"t":"STAT","mark":"3"}`)
-			s.says(`{"t":"STATS","mark":"3","v":[1,4]}`)
+			s.expectLine(`{"t":"STAT","mark":"3"}`)
+			s.write(`{"t":"STATS","mark":"3","v":[1,4]}`)
 			if v := <-got; len(v) != 2 || v[1] != 4 {
 				s.Errorf("gauges %v", v)
 			}
@@ -360,7 +360,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := start(t, 2*soon)
 			c.do(s)
-			if len(s.cold) > 0 && !<-s.cold {
+			if len(s.coldStarts) > 0 && !<-s.coldStarts {
 				t.Error("booting was not told as cold")
 			}
 		})
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// lines is a front that answers each line by itself.
+// lines is a connection that answers each line by the same line.
 type lines struct {
 	ConnState
 	table *ConnTable
@@ -60,7 +60,7 @@
 	return log.WithField("node", "n0")
 }
 
-// serve returns a table that serves lines, and where.
+// serve returns a table that serves lines, and its address.
 func serve(t *testing.T, sockets int) (*ConnTable, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,7 +99,7 @@
 	return conn
 }
 
-// pair is the two ends of a connection, the second one accepted.
+// pair returns the two ends of a connection, the second one accepted.
 func pair(t *testing.T) (peer net.Conn, own *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -116,7 +116,7 @@
 	return peer, nc.(*net.TCPConn)
 }
 
-// arrived waits until bytes lie unread at one end, without reading them.
+// arrived waits until there are unread bytes at one end, without reading them.
 func arrived(t *testing.T, c *net.TCPConn) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -181,7 +181,7 @@
 }
 
 // Neither a reader's own deadline nor a second request to close changes how long a closing connection is read on.
-func TestEndOnce(t *testing.T) {
+func TestCloseRequestedOnce(t *testing.T) {
 	_, nc := pair(t)
 	s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}
 	s.RequestClose()
@@ -207,7 +207,7 @@
 }
 
 // A connection that the kernel accepts between the last accept and the close of the listening socket is served.
-func TestLastLook(t *testing.T) {
+func TestAcceptPending(t *testing.T) {
 	table, addr := serve(t, 1024)
 	got := make(chan string, 1)
 	table.beforeLastAccept = func() {
@@ -232,7 +232,7 @@
 }
 
 // The connection of an idle peer is closed early enough to read what crosses that, and a shutdown waits no longer.
-func TestRestingPeer(t *testing.T) {
+func TestIdlePeerAtShutdown(t *testing.T) {
 	table, addr := serve(t, 1024)
 	conn := dial(t, addr)
 	if _, err := fmt.Fprintln(conn, "a"); err != nil {
@@ -256,7 +256,7 @@
 }
 
 // A peer that reads nothing holds up a shutdown no longer than that may last.
-func TestDeafPeer(t *testing.T) {
+func TestPeerThatNeverReads(t *testing.T) {
 	table, addr := serve(t, 1024)
 	conn := dial(t, addr)
 	line := append(make([]byte, 1<<16), '\n')
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -20,7 +20,7 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// One RPC after another on one kept connection over loopback, run at once: what each front costs beside the same gate.
+// One RPC after another on one kept connection over loopback, run at once: the cost of each front with the same gate.
 // With -cpu 1 it is RPCs a second on one core, the peer's part included.
 func BenchmarkRPC(b *testing.B) {
 	o, err := startup.Parse("classes.count=1\nclasses.0.name=view\nclasses.0.aim=9000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
@@ -122,7 +122,7 @@
 	}
 }
 
-// What the block's parser and the route cost by themselves.
+// The cost of the block's parser and of the routes by themselves.
 func BenchmarkParseRequest(b *testing.B) {
 	f := file()
 	s := &Server{}
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -204,7 +204,7 @@
 type changeRig struct {
 	*testing.T
 	reporter *Reporter
-	up       atomic.Bool
+	serving  atomic.Bool
 	changed  chan struct{}
 	ln       net.Listener
 }
@@ -217,8 +217,8 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := &changeRig{T: t, ln: ln, changed: make(chan struct{})}
-	o.up.Store(true)
-	o.reporter = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.up.Load, always, o.changed)
+	o.serving.Store(true)
+	o.reporter = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.serving.Load, always, o.changed)
 	o.reporter.interval = time.Hour
 	return o
 }
@@ -234,7 +234,7 @@
 	})
 }
 
-// next is the next report, on a connection of its own, and its answer.
+// next returns the next report, on a connection of its own, and a function that answers it.
 func (o *changeRig) next() (phase string, answer func()) {
 	o.Helper()
 	noError(o.T, o.ln.(*net.TCPListener).SetDeadline(time.Now().Add(soon)))
@@ -276,7 +276,7 @@
 	}
 	o.serve()
 	<-dialling
-	o.up.Store(false)
+	o.serving.Store(false)
 	close(dialled)
 	o.expect("OUT")()
 }
@@ -286,7 +286,7 @@
 	o := startChangeRig(t)
 	o.serve()
 	late := o.expect("UP")
-	o.up.Store(false)
+	o.serving.Store(false)
 	o.changed <- struct{}{}
 	o.expect("OUT")() // taken before the UP
 	late()
@@ -300,7 +300,7 @@
 	o.expect("UP")
 	for i := range 2 * maxInFlight {
 		up := i%2 == 1
-		o.up.Store(up)
+		o.serving.Store(up)
 		o.changed <- struct{}{}
 		o.expect(map[bool]string{true: "UP", false: "OUT"}[up])
 	}
