--- a/internal/fleetsim/check_growth.go
+++ b/internal/fleetsim/check_growth.go
@@ -32,7 +32,8 @@
 	updates := &s.detector.updates
 	suspicions := len(s.detector.suspicions)
 	if updates.pending > 2*n || updates.stored > 4*n+staleEntries || suspicions > n {
-		sim.AddFinding("growth", "%s holds %d news, %d with those replaced, and %d suspicions", s.name, updates.pending, updates.stored, suspicions)
+		sim.AddFinding("growth", "%s holds %d news, %d with those replaced, and %d suspicions",
+			s.name, updates.pending, updates.stored, suspicions)
 	}
 	if names := s.health.MemberCount(); names > n-1 {
 		sim.AddFinding("growth", "%s remembers %d names of %d", s.name, names, n-1)
--- a/internal/fleetsim/check_views.go
+++ b/internal/fleetsim/check_views.go
@@ -41,7 +41,8 @@
 		complete = false
 		if sim.now >= sim.lastStepAt+sim.options.SettleTimeoutMs {
 			v := s.health.View(sim.localClock(s))
-			sim.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault", s.name, v.State, v.Reachable, v.Members, (sim.now-sim.lastStepAt)/1000)
+			sim.AddFinding("views", "%s hears %s, %d of %d, %.1f s after the last fault",
+				s.name, v.State, v.Reachable, v.Members, (sim.now-sim.lastStepAt)/1000)
 			break
 		}
 	}
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -80,7 +80,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := run(t, Options{Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000, Script: parseScript(t, text, 8)})
+			r := run(t, Options{
+				Servers: 8, Zones: 2, Seed: 3, DurationMs: 46e3, RatePerServer: 10, Cores: 2, MeanWorkMs: 20, SlowStartMs: 2000,
+				Script: parseScript(t, text, 8),
+			})
 			for i, s := range r.FinalStates {
 				if s != health.Complete {
 					t.Errorf("server %d hears %s at the end", i, s)
@@ -92,7 +95,10 @@
 
 // A seed determines the run, whatever GOMAXPROCS is; another seed gives another run.
 func TestDeterministic(t *testing.T) {
-	o := Options{Servers: 12, Zones: 3, Seed: 5, DurationMs: 40e3, RatePerServer: 20, Cores: 2, MeanWorkMs: 30, SlowStartMs: 1000, Script: script.Random(5, ServerNames(12), 20*time.Second, 4)}
+	o := Options{
+		Servers: 12, Zones: 3, Seed: 5, DurationMs: 40e3, RatePerServer: 20, Cores: 2, MeanWorkMs: 30, SlowStartMs: 1000,
+		Script: script.Random(5, ServerNames(12), 20*time.Second, 4),
+	}
 	digests := map[uint64]bool{}
 	for _, procs := range []int{1, runtime.NumCPU(), 2} {
 		was := runtime.GOMAXPROCS(procs)
@@ -109,10 +115,13 @@
 }
 
 // randomRun configures 20 servers with random faults over half a minute.
-func randomRun(seed int64, p injectedFault) (Options, script.Script) {
+func randomRun(seed int64, injected injectedFault) (Options, script.Script) {
 	n := 20
 	s := script.Random(seed, ServerNames(n), 30*time.Second, 4)
-	return Options{Servers: n, Zones: 3, Seed: uint64(seed), DurationMs: 55e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 1000, Script: s, injected: p}, s
+	return Options{
+		Servers: n, Zones: 3, Seed: uint64(seed), DurationMs: 55e3, RatePerServer: 5, Cores: 2, MeanWorkMs: 20, SlowStartMs: 1000,
+		Script: s, injected: injected,
+	}, s
 }
 
 func TestRandomSchedules(t *testing.T) {
@@ -131,9 +140,9 @@
 // Random schedules find the faults injected into the servers within some seeds, and shrink to a few steps.
 func TestInjectedFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		plant   injectedFault
-		checker string
-		from    int64 // the seeds from 100 on do not find it before
+		injected injectedFault
+		checker  string
+		from     int64 // the seeds from 100 on do not find it before
 	}{
 		"a server that wakes goes by its old knowledge": {staleAfterStall, "judgement", 118},
 		"silence is taken for departure":                {silenceIsDeparture, "bounds", 100},
@@ -146,7 +155,7 @@
 			t.Parallel()
 			const within = 60 // seeds
 			for seed := c.from; seed < 100+within; seed++ {
-				o, s := randomRun(seed, c.plant)
+				o, s := randomRun(seed, c.injected)
 				fails := func(s script.Script) bool {
 					o.Script = s.WithRecovery(30 * time.Second)
 					for _, f := range New(o).Run().Findings {
--- a/internal/fleetsim/network.go
+++ b/internal/fleetsim/network.go
@@ -54,7 +54,8 @@
 
 // transmit draws the delay in ms after which a packet arrives, and the one of its duplicate; negative for never.
 func (n *network) transmit(from, to int32) (first, duplicate float64) {
-	first, duplicate = networkDelayMs+networkDelayMs*n.rand.Float64(), -1
+	first = networkDelayMs + networkDelayMs*n.rand.Float64()
+	duplicate = -1
 	for i := range n.rules {
 		r := &n.rules[i]
 		if !r.from.has(from) || !r.to.has(to) {
--- a/internal/fleetsim/quota_load.go
+++ b/internal/fleetsim/quota_load.go
@@ -73,7 +73,7 @@
 	}
 	n := len(sim.servers)
 	total, uniform := o.rates(n)
-	customer, to := int32(0), int32(0)
+	var customer, to int32
 	if sim.rand.Float64()*total < uniform {
 		to = sim.randomServer()
 	} else {
--- a/internal/fleetsim/quota_test.go
+++ b/internal/fleetsim/quota_test.go
@@ -7,10 +7,15 @@
 	"sorrelvalve/internal/standin/script"
 )
 
+// quotaFor configures a quota of 50 RPCs per second and server, under a higher load.
 func quotaFor(servers int) *QuotaOptions {
+	n := float64(servers)
 	return &QuotaOptions{
-		Rules:         quota.Limit{Kind: quota.Rate, Capacity: 50 * float64(servers), Burst: 12.5 * float64(servers), Servers: servers, Floor: 2, MaxLeaseDuration: 4000, ClockDrift: defaultClockDrift},
-		StickyServers: max(1, servers/8), RatePerCustomer: 60 * float64(servers), MoveIntervalMs: 10e3, UniformRate: 1,
+		Rules: quota.Limit{
+			Kind: quota.Rate, Capacity: 50 * n, Burst: 12.5 * n, Servers: servers, Floor: 2,
+			MaxLeaseDuration: 4000, ClockDrift: defaultClockDrift,
+		},
+		StickyServers: max(1, servers/8), RatePerCustomer: 60 * n, MoveIntervalMs: 10e3, UniformRate: 1,
 	}
 }
 
@@ -52,11 +57,14 @@
 // Under random faults the quota holds. A fault injected into the servers breaks it, is found, and shrinks to a few steps.
 func TestQuotaAtRandom(t *testing.T) {
 	type fault struct {
-		plant injectedFault
-		drift float64 // clocks that are worse than was stated
+		injected injectedFault
+		drift    float64 // clocks that are worse than the limit states
 	}
 	options := func(seed int64, f fault, s script.Script) Options {
-		return Options{Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 50e3, Quota: quotaFor(12), Script: s, injected: f.plant, MaxClockDrift: f.drift}
+		return Options{
+			Servers: 12, Zones: 3, Seed: uint64(seed), DurationMs: 50e3, Quota: quotaFor(12), Script: s,
+			injected: f.injected, MaxClockDrift: f.drift,
+		}
 	}
 	fails := func(o Options) bool {
 		for _, f := range New(o).Run().Findings {
--- a/internal/fleetsim/rollout.go
+++ b/internal/fleetsim/rollout.go
@@ -246,7 +246,8 @@
 	if now >= r.fault.from && now < r.fault.to && s.zone == r.fault.zone {
 		usual += zoneFaultErrorRate
 	}
-	ordinary, critical = usual, usual
+	ordinary = usual
+	critical = usual
 	if s.version != r.newVersion {
 		return ordinary, critical, usual
 	}
@@ -267,7 +268,8 @@
 	case DefectStarvation:
 		critical += starvationErrorRate
 	case DefectCrashLoop:
-		ordinary, critical = 1, 1
+		ordinary = 1
+		critical = 1
 	}
 	return ordinary, critical, usual
 }
--- a/internal/fleetsim/rollout_test.go
+++ b/internal/fleetsim/rollout_test.go
@@ -13,7 +13,10 @@
 	rules.CanaryServers, rules.BakeMS, rules.MinRPCs = 3, 30e3, 300
 	seen := map[VersionDefect]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
-		x := RolloutRun{Servers: 300, Zones: 3, RatePerServer: 4, Seed: seed, Defect: VersionDefect(seed) % defectCount, Faults: seed%2 == 0, Rules: rules, CanaryAnalysis: true}
+		x := RolloutRun{
+			Servers: 300, Zones: 3, RatePerServer: 4, Seed: seed, Defect: VersionDefect(seed) % defectCount,
+			Faults: seed%2 == 0, Rules: rules, CanaryAnalysis: true,
+		}
 		e := x.Run()
 		seen[x.Defect]++
 		if len(e.Errors) > 0 || e.Diverged > 0 {
@@ -23,7 +26,8 @@
 			t.Errorf("seed %d: a good version is %s: %s", seed, e.Phase, e.Reason)
 		}
 		if x.Defect != NoDefect && e.ExposureMs >= 20e3 && (e.ServersReached > e.FirstTwoWaves || !e.Restored) {
-			t.Errorf("seed %d, %s: reached %d, the first two waves are %d; %s: %s", seed, x.Defect, e.ServersReached, e.FirstTwoWaves, e.Phase, e.Reason)
+			t.Errorf("seed %d, %s: reached %d, the first two waves are %d; %s: %s",
+				seed, x.Defect, e.ServersReached, e.FirstTwoWaves, e.Phase, e.Reason)
 		}
 	}
 	if len(seen) != int(defectCount) {
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -301,7 +301,8 @@
 		respond(c, fmt.Sprintf("HTTP/1.0 200 OK\r\nContent-Type: text/plain\r\n\r\n%s", result))
 		return
 	}
-	respond(c, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-App: %s\r\nContent-Length: %d\r\n\r\n%s", a.addr, len(result), result))
+	const format = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-App: %s\r\nContent-Length: %d\r\n\r\n%s"
+	respond(c, fmt.Sprintf(format, a.addr, len(result), result))
 	if fault == ExtraResponse {
 		respond(c, "HTTP/1.1 500 No\r\nContent-Length: 6\r\n\r\nsecond")
 	}
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -46,6 +46,15 @@
 	unsynced []byte
 }
 
+// sync counts all that was written as synced.
+func (d *diskData) sync() {
+	d.synced = append(d.synced, d.unsynced...)
+	d.unsynced = nil
+}
+
+// size is the number of bytes written.
+func (d *diskData) size() int { return len(d.synced) + len(d.unsynced) }
+
 // NewDisk returns an empty disk without faults.
 func NewDisk(seed int64) *Disk {
 	return &Disk{rand: rand.New(rand.NewSource(seed)), data: map[string]*diskData{}, syncedNames: map[string]bool{}, FreeBytes: -1}
@@ -79,7 +88,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.data[name]
-	f.synced, f.unsynced = append(f.synced, f.unsynced...), nil
+	f.sync()
 	if at < 0 {
 		at += len(f.synced)
 	}
@@ -90,7 +99,7 @@
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.data[name].synced) + len(d.data[name].unsynced)
+	return d.data[name].size()
 }
 
 // Files returns the names of all files, sorted.
@@ -111,6 +120,7 @@
 	return &diskFolder{d, d.incarnation}
 }
 
+// diskFolder is the directory as one process has opened it.
 type diskFolder struct {
 	disk        *Disk
 	incarnation int
@@ -150,7 +160,7 @@
 		return errPowerOff
 	}
 	if x := f.disk.data[name]; x != nil && f.disk.FreeBytes >= 0 {
-		f.disk.FreeBytes += len(x.synced) + len(x.unsynced)
+		f.disk.FreeBytes += x.size()
 	}
 	delete(f.disk.data, name)
 	return nil
@@ -170,18 +180,20 @@
 
 func (f *diskFolder) Close() error { return nil }
 
+// diskFile is an open file.
 type diskFile struct {
 	disk        *Disk
 	data        *diskData
 	incarnation int
 }
 
+// wait sleeps for the disk's Delay.
 func (f *diskFile) wait() {
 	f.disk.mu.Lock()
-	stall := f.disk.Delay
+	delay := f.disk.Delay
 	f.disk.mu.Unlock()
-	if stall > 0 {
-		time.Sleep(stall)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 }
 
@@ -193,12 +205,15 @@
 		return 0, errPowerOff
 	}
 	f.disk.Writes++
-	n, err := len(b), error(nil)
+	n := len(b)
+	var err error
 	if f.disk.ShortWrites {
-		n, err = n/2, ErrIO
+		n /= 2
+		err = ErrIO
 	}
 	if f.disk.FreeBytes >= 0 && n > f.disk.FreeBytes {
-		n, err = f.disk.FreeBytes, ErrNoSpace
+		n = f.disk.FreeBytes
+		err = ErrNoSpace
 	}
 	if f.disk.FreeBytes >= 0 {
 		f.disk.FreeBytes -= n
@@ -221,7 +236,7 @@
 		f.data.unsynced = nil
 		return ErrIO
 	}
-	f.data.synced, f.data.unsynced = append(f.data.synced, f.data.unsynced...), nil
+	f.data.sync()
 	return nil
 }
 
@@ -245,7 +260,7 @@
 func (f *diskFile) Size() (int64, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
-	return int64(len(f.data.synced) + len(f.data.unsynced)), nil
+	return int64(f.data.size()), nil
 }
 
 func (f *diskFile) Close() error { return nil }
--- a/internal/standin/script/script.go
+++ b/internal/standin/script/script.go
@@ -225,7 +225,8 @@
 	at := time.Duration(g.rng.Int63n(int64(over * 7 / 10)))
 	end := at + over/20 + time.Duration(g.rng.Int63n(int64(over-at-over/20)))
 	chosen, rest := g.split()
-	all, first := strings.Join(chosen, ","), chosen[0]
+	first := chosen[0]
+	all := strings.Join(chosen, ",")
 	switch g.rng.Intn(8) {
 	case 0:
 		g.add(at, "split", all+"|"+strings.Join(rest, ","))
--- a/internal/testbed/bed.go
+++ b/internal/testbed/bed.go
@@ -48,7 +48,8 @@
 
 const (
 	// minimalSettings are enough for servers that receive no RPCs.
-	minimalSettings = `{"classes":[{"name":"view","aim":1000000000,"give_up":5000000000}],"family_info":{"cores":2,"ram_kb":100000},"rules":{"drain_grace":200000000,"tip_multiple":8}}`
+	minimalSettings = `{"classes":[{"name":"view","aim":1000000000,"give_up":5000000000}],` +
+		`"family_info":{"cores":2,"ram_kb":100000},"rules":{"drain_grace":200000000,"tip_multiple":8}}`
 
 	defaultSeeds    = 3
 	overloadPerCore = 8   // jobs per core above which an engine loses throughput
@@ -108,7 +109,9 @@
 		return err
 	}
 	b.listenAddrs[name] = net.JoinHostPort(endpoint.ListenIP, strconv.Itoa(endpoint.Port+1))
-	config := fmt.Sprintf(`{"name":%q,"listen":%q,"engine":%q,"members":%q,"seed":"%x","stop_ms":2000,"limits":{"memory_mb":192,"sockets":512},"settings":%s}`,
+	const format = `{"name":%q,"listen":%q,"engine":%q,"members":%q,"seed":"%x","stop_ms":2000,` +
+		`"limits":{"memory_mb":192,"sockets":512},"settings":%s}`
+	config := fmt.Sprintf(format,
 		name, b.listenAddrs[name], engine, members, i+1, o.SettingsJSON)
 	if err := os.WriteFile(b.path(name, "json"), []byte(config), fileMode); err != nil {
 		return err
--- a/internal/testbed/watch.go
+++ b/internal/testbed/watch.go
@@ -162,7 +162,8 @@
 			continue
 		}
 		if o := observe(0, name, status); !wanted(&o) {
-			fmt.Fprintf(&text, "%s hears %s %v, listening %v, stalls %d; ", name, status.Connectivity, o.AliveNames, status.InGracePeriod, status.StallCount)
+			fmt.Fprintf(&text, "%s hears %s %v, listening %v, stalls %d; ",
+				name, status.Connectivity, o.AliveNames, status.InGracePeriod, status.StallCount)
 		}
 	}
 	return text.String()
