--- a/decision/configure/configure_test.go
+++ b/decision/configure/configure_test.go
@@ -18,19 +18,25 @@
 	return t
 }
 
-func text(v any) string { b, _ := json.Marshal(v); return string(b) }
+func text(v any) string {
+	b, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	return string(b)
+}
 
 // checked is sound unless a leaf is "bad".
-func checked(t Tree) (faults []Violation) {
+func checked(t Tree) (violations []Violation) {
 	for _, c := range Diff(Tree{}, t) {
 		if c.After == "bad" {
-			faults = append(faults, Violation{c.Path, "bad"})
+			violations = append(violations, Violation{c.Path, "bad"})
 		}
 	}
-	return faults
+	return violations
 }
 
-func core(t interface{ Fatal(...any) }, first string) *Store {
+func newStore(t interface{ Fatal(...any) }, first string) *Store {
 	c, err := New(Version{Number: 1, Origin: "file", Tree: tree(first)}, checked, func(_, is Tree) (reasons []string) {
 		if is["quota"] == 0.0 {
 			reasons = append(reasons, "topup-buy: nothing left")
@@ -74,7 +80,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			x := core(t, first)
+			x := newStore(t, first)
 			before := text(x.Running().Tree)
 			candidate, base, err := x.Candidate(c.ops)
 			if err == nil {
@@ -99,9 +105,15 @@
 
 // Of two candidates made of one version the second is told of the first.
 func TestTwoManagers(t *testing.T) {
-	x := core(t, first)
-	a, base, _ := x.Candidate([]Operation{{Update, Path{"quota"}, 6.0}})
-	b, other, _ := x.Candidate([]Operation{{Update, Path{"quota"}, 7.0}})
+	x := newStore(t, first)
+	a, base, err := x.Candidate([]Operation{{Update, Path{"quota"}, 6.0}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, other, err := x.Candidate([]Operation{{Update, Path{"quota"}, 7.0}})
+	if err != nil {
+		t.Fatal(err)
+	}
 	if _, err := x.Commit(a, base, 1, "a", false); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +126,7 @@
 // and are kept as far as told, and a difference carried out makes one tree of the other.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x := core(t, first)
+		x := newStore(t, first)
 		last := 1
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			before := x.Running()
@@ -140,8 +152,9 @@
 						if c.After == nil {
 							o = Operation{Delete, c.Path, nil}
 						}
-						if again, _ = apply(again, o); again == nil {
-							t.Fatalf("%s can't be carried out", c.Path)
+						var applyErr error
+						if again, applyErr = o.apply(again); applyErr != nil || again == nil {
+							t.Fatalf("%s can't be carried out: %v", c.Path, applyErr)
 						}
 					}
 					if left := Diff(again, candidate); len(left) > 0 {
