--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -60,7 +60,8 @@
 			walk(path+"/"+key, e.Dir[key], typ.Field(i).Type)
 		}
 		for key := range e.Dir {
-			if !slices.Contains(keys, key) && !(e.IsList() && key == e.Key) {
+			listKey := e.IsList() && key == e.Key
+			if !slices.Contains(keys, key) && !listKey {
 				t.Errorf("%s/%s: not in the file", path, key)
 			}
 		}
@@ -146,9 +147,14 @@
 			if !found {
 				t.Errorf("faults %v, want %s: %s", faults, path, c.text)
 			}
-			b, _ := json.Marshal(tree) // JSON is CUE
+			b, err := json.Marshal(tree) // JSON is CUE
+			if err != nil {
+				t.Fatal(err)
+			}
 			file := filepath.Join(t.TempDir(), "f.cue")
-			os.WriteFile(file, b, 0o600)
+			if err := os.WriteFile(file, b, 0o600); err != nil {
+				t.Fatal(err)
+			}
 			if _, errs := cuefile.Compile([]string{file}, route.Catalog{}); (len(errs) > 0) != (c.text != "") {
 				t.Errorf("the file's own checks say %v", errs)
 			}
