--- a/decision/recovery/recovery_test.go
+++ b/decision/recovery/recovery_test.go
@@ -12,10 +12,10 @@
 	}{
 		{"past its window, within that of today", Entry{Succeeded, 7, 1000, 900}, 1090, 7, ReplayResult},
 		{"past both windows", Entry{Succeeded, 7, 1000, 900}, 1150, 7, Unknown},
-		{"begun without an end", Entry{Started, 7, 1000, 0}, 500, 7, MayHaveRun},
+		{"started without an end", Entry{Started, 7, 1000, 0}, 500, 7, MayHaveRun},
 		{"done", Entry{Succeeded, 7, 1000, 0}, 500, 7, ReplayResult},
 		{"failed", Entry{Failed, 7, 1000, 0}, 500, 7, MayHaveRun},
-		{"not kept", Entry{SucceededUncached, 7, 1000, 0}, 500, 7, HasRun},
+		{"result not recorded", Entry{SucceededUncached, 7, 1000, 0}, 500, 7, HasRun},
 		{"never ran", Entry{NeverRan, 7, 1000, 0}, 500, 7, Unknown},
 		{"another body", Entry{Succeeded, 7, 1000, 0}, 500, 8, BodyMismatch},
 		{"another body of what may have run", Entry{Started, 7, 1000, 0}, 500, 8, BodyMismatch},
@@ -37,7 +37,7 @@
 		need   float64
 		after  float64 // 0: it may
 	}{
-		{"room", func(*Disk) {}, 400, 0},
+		{"space", func(*Disk) {}, 400, 0},
 		{"none with what ends may write", func(*Disk) {}, 401, 4000},
 		{"none, and nothing frees up", func(d *Disk) { d.FreesAtMs = 0 }, 401, brokenRetryAfter},
 		{"soon", func(d *Disk) { d.FreesAtMs = 1001 }, 401, minRetryAfter},
@@ -66,6 +66,6 @@
 		}
 	}
 	if SuspectUntil(1000, 500, 50) != 1550 || Damaged(false) || !Damaged(true) {
-		t.Error("what is suspect")
+		t.Error("SuspectUntil or Damaged")
 	}
 }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -23,9 +23,9 @@
 type testGate struct {
 	*testing.T
 	*Gate
-	at    time.Time
-	lines []string
-	mu    sync.Mutex
+	clock    time.Time
+	logLines []string
+	mu       sync.Mutex
 }
 
 func open(t *testing.T, started bool) *testGate {
@@ -33,13 +33,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &testGate{T: t, at: time.UnixMilli(1_700_000_000_000)}
+	w := &testGate{T: t, clock: time.UnixMilli(1_700_000_000_000)}
 	w.Gate = New(o, 64, func(s, _ string) {
 		w.mu.Lock()
-		w.lines = append(w.lines, s)
+		w.logLines = append(w.logLines, s)
 		w.mu.Unlock()
 	})
-	w.now = func() time.Time { return w.at }
+	w.now = func() time.Time { return w.clock }
 	if started {
 		w.Start(false, 0)
 	}
@@ -48,15 +48,15 @@
 
 // advance moves the clock, with a tick every 10 ms.
 func (w *testGate) advance(d time.Duration) {
-	for end := w.at.Add(d); w.at.Before(end); {
-		w.at = w.at.Add(10 * time.Millisecond)
+	for end := w.clock.Add(d); w.clock.Before(end); {
+		w.clock = w.clock.Add(10 * time.Millisecond)
 		w.Tick(nil)
 	}
 }
 
 // submit submits an RPC that arrives now.
 func (w *testGate) submit(method, token string) *Ticket {
-	return w.submitAt(method, token, w.at)
+	return w.submitAt(method, token, w.clock)
 }
 
 func (w *testGate) submitAt(method, token string, arrived time.Time) *Ticket {
@@ -77,12 +77,12 @@
 	case <-t.verdicts:
 		v := t.take()
 		if v.Kind != want {
-			w.Fatalf("verdict %+v, want answer %d", v, want)
+			w.Fatalf("verdict %+v, want kind %d", v, want)
 		}
 		return v
 	default:
 		if want >= 0 {
-			w.Fatalf("no verdict, want answer %d", want)
+			w.Fatalf("no verdict, want kind %d", want)
 		}
 	}
 	return Verdict{}
@@ -109,34 +109,34 @@
 func TestStart(t *testing.T) {
 	cases := []struct {
 		name      string
-		cold      bool
+		warmingUp bool
 		ago       time.Duration
-		low, high int // taken of 100 callers
+		low, high int // admitted of 100 callers
 	}{
 		{"warm", false, 0, 100, 100},
-		{"cold", true, 0, 0, 15},
-		{"cold, the engine half way up the ramp", true, 2 * time.Second, 40, 80},
-		{"cold, long ago", true, time.Hour, 100, 100},
+		{"warming up", true, 0, 0, 15},
+		{"warming up, the engine half way", true, 2 * time.Second, 40, 80},
+		{"warming up, long ago", true, time.Hour, 100, 100},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, false)
 			w.expect(w.submit("view", ""), Rejected) // before the start
-			w.Start(c.cold, c.ago)
-			w.Start(!c.cold, 0) // as for a new link to the engine
-			taken := 0
+			w.Start(c.warmingUp, c.ago)
+			w.Start(!c.warmingUp, 0) // as for a new link to the engine
+			admitted := 0
 			for i := range 100 {
-				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMillis(w.at)})
+				a, v, err := w.SubmitAndWait(context.Background(), RPC{Method: "view", Customer: "acme", Caller: uint16(i), Subject: uint64(i), ArrivedMs: unixMillis(w.clock)})
 				if err != nil {
 					t.Fatal(err)
 				}
 				if v.Kind == Run {
-					taken++
+					admitted++
 					a.Report(Succeeded, 10, nil)
 				}
 			}
-			if taken < c.low || taken > c.high {
-				t.Errorf("%d of 100 taken, want %d to %d", taken, c.low, c.high)
+			if admitted < c.low || admitted > c.high {
+				t.Errorf("%d of 100 admitted, want %d to %d", admitted, c.low, c.high)
 			}
 		})
 	}
@@ -154,8 +154,8 @@
 	w.controller = good
 	a.Report(Succeeded, 10, nil)
 	w.expect(a, OK)
-	if len(w.lines) == 0 || !strings.Contains(w.lines[0], "panic") {
-		t.Errorf("log lines %q", w.lines)
+	if len(w.logLines) == 0 || !strings.Contains(w.logLines[0], "panic") {
+		t.Errorf("log lines %q", w.logLines)
 	}
 }
 
@@ -204,7 +204,7 @@
 		w.Tick(nil)
 	}
 	if n := w.InFlight(); n > 0 {
-		t.Errorf("%d in hand at the end", n)
+		t.Errorf("%d in flight at the end", n)
 	}
 	for key, n := range runs {
 		if n > 1 && strings.HasSuffix(key, "1") {
@@ -219,22 +219,22 @@
 	for _, cold := range []bool{false, true} {
 		w := open(t, false)
 		w.Drain(3 * time.Second)
-		w.at = w.at.Add(500 * time.Millisecond)
+		w.clock = w.clock.Add(500 * time.Millisecond)
 		w.Start(cold, 0)
 		if w.Healthy() {
-			t.Error("good in a drain")
+			t.Error("healthy in a drain")
 		}
 		if a := w.submit("view", ""); !cold {
 			w.expect(a, Run)
 			a.Report(Succeeded, 10, nil)
 			w.expect(a, OK)
 		}
-		w.at = w.at.Add(600 * time.Millisecond)
+		w.clock = w.clock.Add(600 * time.Millisecond)
 		w.expect(w.submit("view", ""), Rejected)
 
 		late := open(t, false)
 		late.Drain(3 * time.Second)
-		late.at = late.at.Add(1100 * time.Millisecond)
+		late.clock = late.clock.Add(1100 * time.Millisecond)
 		late.Start(cold, 0)
 		late.expect(late.submit("buy", "u"), Rejected)
 	}
--- a/internal/gate/token_test.go
+++ b/internal/gate/token_test.go
@@ -11,11 +11,11 @@
 // tokenCase is what may happen to a duplicate after the first attempt was admitted.
 type tokenCase struct {
 	name string
-	do   func(w *testGate, first *Ticket)
+	run  func(w *testGate, first *Ticket)
 }
 
 var tokenCases = []tokenCase{
-	{"a repeat waits for the run", func(w *testGate, first *Ticket) {
+	{"a duplicate waits for the run", func(w *testGate, first *Ticket) {
 		a := w.submit("buy", "k")
 		w.expect(a, -1)
 		first.Report(Succeeded, 10, []byte("r"))
@@ -23,7 +23,7 @@
 			w.Errorf("result %q", v.Result)
 		}
 	}},
-	{"a repeat gets the result kept", func(w *testGate, first *Ticket) {
+	{"a duplicate gets the cached result", func(w *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
 		w.advance(7 * time.Second)
 		if v := w.expect(w.submit("buy", "k"), OK); string(v.Result) != "r" {
@@ -40,7 +40,7 @@
 	}},
 	{"written within the window, read after it", func(w *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
-		door := w.at.Add(7990 * time.Millisecond)
+		door := w.clock.Add(7990 * time.Millisecond)
 		w.advance(8500 * time.Millisecond)
 		w.expect(w.submitAt("buy", "k", door), OK)
 	}},
@@ -48,13 +48,13 @@
 		first.Report(Failed, 10, nil)
 		w.expect(w.submit("buy", "k"), Aborted)
 	}},
-	{"a run that never began leaves nothing", func(w *testGate, first *Ticket) {
+	{"a run that never started leaves nothing", func(w *testGate, first *Ticket) {
 		a := w.submit("buy", "k")
 		first.Report(NotStarted, 0, nil)
 		w.expect(a, Aborted)
 		w.expect(w.submit("buy", "k"), Run)
 	}},
-	{"a run given up serves a later repeat", func(w *testGate, first *Ticket) {
+	{"an aborted run serves a later duplicate", func(w *testGate, first *Ticket) {
 		w.advance(2 * time.Second)
 		w.expect(first, Aborted)
 		a := w.submit("buy", "k")
@@ -62,19 +62,19 @@
 		first.Report(Succeeded, 2100, []byte("r"))
 		w.expect(a, OK)
 	}},
-	{"a repeat given up while it waits", func(w *testGate, first *Ticket) {
+	{"a duplicate is cancelled while it waits", func(w *testGate, first *Ticket) {
 		a := w.submit("buy", "k")
 		a.Cancel()
 		w.expect(a, CallerGone)
 		first.Report(Succeeded, 10, nil)
 		w.expect(a, -1)
 	}},
-	{"a repeat in a drain is not pushed back", func(w *testGate, _ *Ticket) {
+	{"a duplicate in a drain is not rejected", func(w *testGate, _ *Ticket) {
 		w.Drain(3 * time.Second)
 		w.advance(1100 * time.Millisecond)
 		w.expect(w.submit("buy", "k"), Aborted)
 	}},
-	{"a try that left the hold is forgotten", func(w *testGate, first *Ticket) {
+	{"an attempt that left the queue is forgotten", func(w *testGate, first *Ticket) {
 		b, c := w.submit("view", ""), w.submit("buy", "held")
 		w.expect(b, Run)
 		w.expect(c, -1)
@@ -82,19 +82,19 @@
 		first.Report(Succeeded, 10, nil)
 		w.expect(w.submit("buy", "held"), Run)
 	}},
-	{"a try far older than its deadline", func(w *testGate, first *Ticket) {
+	{"an attempt far older than its deadline", func(w *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
-		door := w.at
+		door := w.clock
 		w.advance(9 * time.Second)
 		w.expect(w.submitAt("buy", "k", door), OK)
 	}},
-	{"the table is full", func(w *testGate, first *Ticket) {
+	{"the cache is full", func(w *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, nil)
 		w.cacheFreeKB = tokenKB - 1
 		w.expect(w.submit("buy", "other"), Rejected)
 		w.expect(w.submit("buy", "k"), OK)
 	}},
-	{"a result too large to keep: its own caller gets it, a repeat hears that it ran", func(w *testGate, first *Ticket) {
+	{"a result too large to cache: its own caller gets it, a duplicate is aborted", func(w *testGate, first *Ticket) {
 		late := w.submit("buy", "k")
 		first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
 		if v := w.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
@@ -102,7 +102,7 @@
 		}
 		for _, t := range []*Ticket{late, w.submit("buy", "k")} {
 			if v := w.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
-				w.Errorf("why %q", v.Reason)
+				w.Errorf("reason %q", v.Reason)
 			}
 		}
 	}},
@@ -114,30 +114,30 @@
 			w.Errorf("took %g KB", took)
 		}
 		if v := w.expect(w.submit("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
-			w.Errorf("repeat got %d bytes, head %q", len(v.Result), v.Head)
+			w.Errorf("duplicate got %d bytes, head %q", len(v.Result), v.Head)
 		}
 		w.advance(12 * time.Second)
 		if w.cacheFreeKB != before+tokenKB || len(w.tokens) != 0 {
 			w.Errorf("%g KB left of %g, %d tokens", w.cacheFreeKB, before+tokenKB, len(w.tokens))
 		}
 	}},
-	{"no room below: pushed back, its token is free", func(w *testGate, first *Ticket) {
+	{"no capacity: rejected, its token is free", func(w *testGate, first *Ticket) {
 		late := w.submit("buy", "k")
 		first.Report(NoCapacity, 0, nil)
 		if v := w.expect(first, Rejected); v.RetryAfterMs <= 0 {
-			w.Errorf("away %g", v.RetryAfterMs)
+			w.Errorf("retry after %g", v.RetryAfterMs)
 		}
 		w.expect(late, Aborted)
 		w.expect(w.submit("buy", "k"), Run)
 	}},
-	{"the module asks for a second run", func(w *testGate, first *Ticket) {
+	{"the controller asks for a second run", func(w *testGate, first *Ticket) {
 		a := w.submit("buy", "other")
 		w.expect(a, Run)
 		a.running, a.tokenKey, a.arrivedMs = false, first.tokenKey, first.arrivedMs
 		w.execute(control.Action{Kind: control.Run, RPC: a.id})
 		w.expect(a, Aborted)
 	}},
-	{"the module pushes back what has run", func(w *testGate, first *Ticket) {
+	{"the controller rejects what has run", func(w *testGate, first *Ticket) {
 		w.execute(control.Action{Kind: control.Reject, RPC: first.id})
 		w.expect(first, Aborted)
 	}},
@@ -149,12 +149,12 @@
 			w := open(t, true)
 			first := w.submit("buy", "k")
 			w.expect(first, Run)
-			c.do(w, first)
+			c.run(w, first)
 			first.Report(Failed, 10, nil)
 			w.advance(30 * time.Second)
 			for key, k := range w.tokens {
 				if k.completed {
-					t.Errorf("token %q is still kept", key)
+					t.Errorf("token %q is still cached", key)
 				}
 			}
 		})
--- a/internal/gate/verdict_test.go
+++ b/internal/gate/verdict_test.go
@@ -10,7 +10,7 @@
 // verdictCase is one way of an RPC to its final verdict.
 type verdictCase struct {
 	name string
-	do   func(w *testGate)
+	run  func(w *testGate)
 }
 
 var verdictCases = []verdictCase{
@@ -28,7 +28,7 @@
 		a.Report(Failed, 100, nil)
 		w.expect(a, Aborted)
 	}},
-	{"an end that is told twice", func(w *testGate) {
+	{"an end that is reported twice", func(w *testGate) {
 		a := w.submit("view", "")
 		w.expect(a, Run)
 		a.Report(Failed, 100, nil)
@@ -36,7 +36,7 @@
 		w.expect(a, Aborted)
 		w.expect(a, -1)
 	}},
-	{"given up when due, the run's end comes later", func(w *testGate) {
+	{"aborted when due, the run's end comes later", func(w *testGate) {
 		a := w.submit("view", "")
 		w.expect(a, Run)
 		w.advance(1900 * time.Millisecond)
@@ -46,7 +46,7 @@
 		a.Report(Succeeded, 2000, nil)
 		w.expect(a, -1)
 	}},
-	{"cancelled while held: what waits behind it runs", func(w *testGate) {
+	{"cancelled while queued: the RPC behind it runs", func(w *testGate) {
 		a, b, c, d := w.submit("view", ""), w.submit("view", ""), w.submit("view", ""), w.submit("view", "")
 		w.expect(a, Run)
 		w.expect(b, Run)
@@ -72,17 +72,17 @@
 		w.expect(a, OK)
 		w.expect(a, -1)
 	}},
-	{"overdue, as the module never looked", func(w *testGate) {
+	{"overdue, as the controller has lost it", func(w *testGate) {
 		a := w.submit("view", "")
 		w.expect(a, Run)
-		w.controller.Handle(w.elapsedMs(w.at), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
+		w.controller.Handle(w.elapsedMs(w.clock), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
 		w.advance(2100 * time.Millisecond)
 		w.expect(a, Aborted)
 	}},
-	{"drained: within the grace and after", func(w *testGate) {
+	{"draining: within the grace period and after", func(w *testGate) {
 		w.Drain(3 * time.Second)
 		if w.Healthy() {
-			w.Error("health is good in a drain")
+			w.Error("healthy in a drain")
 		}
 		a := w.submit("view", "")
 		w.expect(a, Run)
@@ -93,15 +93,15 @@
 	{"a stall is made up for by one tick", func(w *testGate) {
 		a := w.submit("view", "")
 		w.expect(a, Run)
-		w.at = w.at.Add(5 * time.Second)
+		w.clock = w.clock.Add(5 * time.Second)
 		if next := w.Tick(nil); next > 50*time.Millisecond {
 			w.Errorf("next tick in %v", next)
 		}
 		w.expect(a, Aborted)
 	}},
-	{"a clock of the callers that is wrong", func(w *testGate) {
-		w.expect(w.submitAt("view", "", w.at.Add(time.Hour)), Run)
-		w.expect(w.submitAt("view", "", w.at.Add(-time.Hour)), Rejected)
+	{"a caller's clock that is wrong", func(w *testGate) {
+		w.expect(w.submitAt("view", "", w.clock.Add(time.Hour)), Run)
+		w.expect(w.submitAt("view", "", w.clock.Add(-time.Hour)), Rejected)
 	}},
 }
 
@@ -109,11 +109,11 @@
 	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
 			w := open(t, true)
-			c.do(w)
+			c.run(w)
 			w.advance(20 * time.Second)
 			for _, left := range w.tickets {
 				if !left.final {
-					t.Error("one in hand at the end, without an answer")
+					t.Error("one in flight at the end, without an answer")
 				}
 			}
 		})
--- a/internal/gate/wheel_test.go
+++ b/internal/gate/wheel_test.go
@@ -38,17 +38,17 @@
 				now = math.Max(0, now+rapid.Float64Range(0, 1).Draw(t, "part")*step)
 				w.advance(now, func(e *expiry) {
 					if e.atMs >= now {
-						t.Fatalf("over %g ms before its time", e.atMs-now)
+						t.Fatalf("expired %g ms before its time", e.atMs-now)
 					}
 					if _, in := plain[e]; !in {
-						t.Fatal("handed out twice, or after it was taken out")
+						t.Fatal("handed out twice, or after it was removed")
 					}
 					delete(plain, e)
 				})
 				latest = math.Max(latest, now)
 				for _, at := range plain {
 					if at < now-2*slotMs && now == latest {
-						t.Fatalf("kept %g ms past its time", now-at)
+						t.Fatalf("still there %g ms past its time", now-at)
 					}
 				}
 			}
@@ -71,10 +71,10 @@
 		before := got
 		w.advance(now, func(*expiry) { got++ })
 		if got-before > max(minMoves, all/moveShare) {
-			t.Fatalf("%d in one look", got-before)
+			t.Fatalf("%d in one advance", got-before)
 		}
 		if looks++; looks > 200 {
-			t.Fatalf("%d of %d after %d looks", got, all, looks)
+			t.Fatalf("%d of %d after %d advances", got, all, looks)
 		}
 	}
 }
--- a/internal/store/faults_test.go
+++ b/internal/store/faults_test.go
@@ -38,7 +38,7 @@
 		r.expect("unknown", "e")
 		r.expect("unknown", "f")
 		if got := r.resolution("a", 8); got != "other body" {
-			r.t.Fatalf("says %q", got)
+			r.t.Fatalf("resolution %q", got)
 		}
 	}},
 	{"entries age out, and their segments go", func(r *rig) {
@@ -54,7 +54,7 @@
 			r.t.Fatalf("before %+v, after %+v", before, after)
 		}
 	}},
-	{"a run that goes on keeps its segment", func(r *rig) {
+	{"a run that goes on retains its segment", func(r *rig) {
 		r.mustBegin("long", 7)
 		for i := range 200 {
 			r.mustBegin(fmt.Sprint(i), 7)
@@ -76,7 +76,7 @@
 		r.mustBegin("a", 7)
 		r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = true })
 		if r.begin("b", 7) == nil {
-			r.t.Fatalf("begun on a disk that takes half")
+			r.t.Fatalf("started on a disk that writes half")
 		}
 		r.disk.Configure(func(d *standin.Disk) { d.ShortWrites = false })
 		r.crash()
@@ -107,14 +107,14 @@
 		r.crash()
 		r.expect("may have run", "a")
 	}},
-	{"a sync that fails once: what it was to keep has not begun, and a new segment takes over", func(r *rig) {
+	{"a sync that fails once: its records have not started a run, and a new segment takes over", func(r *rig) {
 		r.mustBegin("a", 7)
 		r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 		if err := r.begin("b", 7); !errors.Is(err, store.ErrNotDurable) {
 			r.t.Fatalf("%v", err)
 		}
 		if x := r.s.Reserve(); x == nil {
-			r.t.Fatalf("it may begin on a broken disk")
+			r.t.Fatalf("it may start on a broken disk")
 		}
 		r.mustEnd("a", recovery.Succeeded, 7, "x") // which begins the new segment
 		if err := r.begin("c", 7); err != nil {
@@ -125,7 +125,7 @@
 		r.expect("unknown", "b")
 		r.expect("may have run", "c")
 	}},
-	{"no space: what can't be remembered isn't begun, and ends have their room", func(r *rig) {
+	{"no space: what can't be recorded isn't started, and ends have their space", func(r *rig) {
 		n := 0
 		for ; n < 1000; n++ {
 			if r.begin(fmt.Sprint(n), 7) != nil {
@@ -158,7 +158,7 @@
 		r.mustBegin("a", 7)
 		r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = 10 })
 		if r.begin("b", 7) == nil {
-			r.t.Fatalf("begun without space")
+			r.t.Fatalf("started without space")
 		}
 		r.disk.Configure(func(d *standin.Disk) { d.FreeBytes = -1 })
 		for end := time.Now().Add(10 * time.Second); r.begin("c", 7) != nil; time.Sleep(time.Millisecond) {
@@ -207,7 +207,7 @@
 		r.mustEnd("a", recovery.Succeeded, 7, "x")
 		r.advance(-3 * window)
 		r.crash()
-		r.expect("answer x", "a") // kept longer, never shorter
+		r.expect("answer x", "a") // retained longer, never shorter
 		r.advance(3*window + window + 400)
 		r.crash()
 		r.expect("answer x", "a") // within the tolerance
@@ -249,7 +249,7 @@
 		}
 		r.s.RecordStart(store.FingerprintOf("b"), 7, r.now()+window, func(err error) { done <- err })
 		if err := <-done; err == nil {
-			r.t.Fatalf("begun after the end")
+			r.t.Fatalf("started after the end")
 		}
 		r.mustOpen()
 		r.expect("may have run", "a")
--- a/internal/store/gate_test.go
+++ b/internal/store/gate_test.go
@@ -65,7 +65,7 @@
 	case gate.OK:
 		return "ok " + string(v.Result)
 	case gate.Rejected:
-		return "pushed back"
+		return "rejected"
 	case gate.Aborted:
 		return "aborted"
 	}
@@ -75,7 +75,7 @@
 func (s *server) attempt(key, body string) (*gate.Ticket, string) {
 	t, err := s.submit(key, body)
 	if err != nil {
-		return nil, "no sense"
+		return nil, "invalid"
 	}
 	return t, s.verdict(t)
 }
@@ -88,7 +88,7 @@
 }
 
 var gateCases = []gateCase{
-	{"a repeat after a crash gets the first answer", func(s *server) string {
+	{"a duplicate after a crash gets the first result", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		a.Report(gate.Succeeded, 1, []byte("done"))
 		first := s.verdict(a)
@@ -96,14 +96,14 @@
 		_, again := s.attempt("k", "x")
 		return first + ", " + again
 	}, "ok done, ok done"},
-	{"with another body it makes no sense", func(s *server) string {
+	{"with another body it is invalid", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		a.Report(gate.Succeeded, 1, []byte("done"))
 		s.verdict(a)
 		s.crash()
 		_, again := s.attempt("k", "y")
 		return again
-	}, "no sense"},
+	}, "invalid"},
 	{"a crash while it runs: it may have run", func(s *server) string {
 		s.attempt("k", "x")
 		s.crash()
@@ -127,7 +127,7 @@
 		_, again := s.attempt("k", "x")
 		return first + ", " + again
 	}, "aborted, aborted"},
-	{"a sync that fails at its end: its caller hears what a repeat will", func(s *server) string {
+	{"a sync that fails at its end: its caller gets what a duplicate will", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 		a.Report(gate.Succeeded, 1, []byte("done"))
@@ -136,14 +136,14 @@
 		_, again := s.attempt("k", "x")
 		return first + ", " + again
 	}, "aborted, aborted"},
-	{"a sync that fails at its beginning: pushed back, and it may run later", func(s *server) string {
+	{"a sync that fails at its start: rejected, and it may run later", func(s *server) string {
 		s.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 1 })
 		_, first := s.attempt("k", "x")
 		s.crash()
 		_, again := s.attempt("k", "x")
 		return first + ", " + again
-	}, "pushed back, run"},
-	{"a full store pushes back what is tokened, and nothing else", func(s *server) string {
+	}, "rejected, run"},
+	{"a full store rejects RPCs with a token, and no others", func(s *server) string {
 		s.b.MaxBytes = 3000
 		s.crash()
 		var last string
@@ -155,8 +155,8 @@
 			return err.Error()
 		}
 		return last + ", " + s.verdict(v)
-	}, "pushed back, run"},
-	{"a stalled disk: what is tokened waits, and nothing else", func(s *server) string {
+	}, "rejected, run"},
+	{"a stalled disk: RPCs with a token wait, and no others", func(s *server) string {
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 200 * time.Millisecond })
 		a, err := s.submit("k", "x")
 		if err != nil {
@@ -173,7 +173,7 @@
 		}
 		return first + ", " + s.verdict(a)
 	}, "run, run"},
-	{"a stalled disk past the due time: answered then, and never run", func(s *server) string {
+	{"a stalled disk past the deadline: answered then, and never run", func(s *server) string {
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 300 * time.Millisecond })
 		a, err := s.submit("k", "x")
 		if err != nil {
@@ -185,7 +185,7 @@
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
 		for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				return "still in hand"
+				return "still in flight"
 			}
 		}
 		if _, there := a.TryWait(); there {
@@ -193,7 +193,7 @@
 		}
 		return first
 	}, "aborted"},
-	{"its caller leaves while it is being begun: it never runs, and a repeat may", func(s *server) string {
+	{"its caller leaves while its start is recorded: it never runs, and a duplicate may", func(s *server) string {
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
 		a, err := s.submit("k", "x")
 		if err != nil {
@@ -204,7 +204,7 @@
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 0 })
 		for end := time.Now().Add(10 * time.Second); s.g.InFlight() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				return "still in hand"
+				return "still in flight"
 			}
 		}
 		s.close()
@@ -212,12 +212,12 @@
 		_, again := s.attempt("k", "x")
 		return first + ", " + again
 	}, "gone, run"},
-	{"a repeat that arrives during recovery: pushed back, then told what the first was", func(s *server) string {
+	{"a duplicate that arrives during recovery: rejected, then answered as the first", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		a.Report(gate.Succeeded, 1, []byte("done"))
 		s.verdict(a)
 		s.crash()
-		kept := s.g
+		started := s.g
 		o, err := startup.Parse(serverSettings)
 		if err != nil {
 			return err.Error()
@@ -225,18 +225,18 @@
 		s.g = gate.New(o, 64, func(string, string) {}) // not started, as the store is being read
 		s.g.UseClock(func() time.Time { return time.UnixMilli(int64(s.now())) })
 		_, early := s.attempt("k", "x")
-		s.g = kept
+		s.g = started
 		_, again := s.attempt("k", "x")
 		return early + ", " + again
-	}, "pushed back, ok done"},
-	{"the gate is closed while an end is on its way to the disk: never pushed back", func(s *server) string {
+	}, "rejected, ok done"},
+	{"the gate is closed while an end is on its way to the disk: never rejected", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		s.disk.Configure(func(d *standin.Disk) { d.Delay = 50 * time.Millisecond })
 		a.Report(gate.Succeeded, 1, []byte("done"))
 		s.g.Close()
 		return s.verdict(a)
 	}, "aborted"},
-	{"a result too large to keep", func(s *server) string {
+	{"a result too large to record", func(s *server) string {
 		a, _ := s.attempt("k", "x")
 		a.Report(gate.Succeeded, 1, make([]byte, 5000))
 		s.verdict(a)
@@ -291,7 +291,7 @@
 				case got == "run":
 					k.ran, k.answer, k.open = s.now(), "", ticket
 				case within && k.answer != "" && got != k.answer:
-					t.Fatalf("%s: told %q, then %q", key, k.answer, got)
+					t.Fatalf("%s: answered %q, then %q", key, k.answer, got)
 				}
 			case 2:
 				if k.open == nil {
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	if runs != 1 || v.InFlight() != 0 {
-		t.Errorf("%d runs, %d in hand", runs, v.InFlight())
+		t.Errorf("%d runs, %d in flight", runs, v.InFlight())
 	}
 }
 
--- a/valve/httpvalve/handlers_test.go
+++ b/valve/httpvalve/handlers_test.go
@@ -16,7 +16,7 @@
 type handlerCase struct {
 	name    string
 	handler func(t testing.TB, w http.ResponseWriter, q *http.Request) // nil for one that calls itself
-	do      func(r *rig)
+	do      func(r *testServer)
 }
 
 var handlerCases = []handlerCase{
@@ -24,21 +24,21 @@
 		w.Header().Set("A", "b")
 		w.WriteHeader(201)
 		writeString(t, w, "x")
-	}, func(r *rig) {
+	}, func(r *testServer) {
 		if h := r.expect("201 x", "GET", "/view/1", ""); h.Get("A") != "b" {
 			r.Errorf("head %v", h)
 		}
 	}},
-	{"writes nothing", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) {}, func(r *rig) { r.expect("200", "GET", "/view/1", "") }},
-	{"says an error", func(_ testing.TB, w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }, func(r *rig) { r.expect("500 no", "GET", "/view/1", "") }},
+	{"writes nothing", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) {}, func(r *testServer) { r.expect("200", "GET", "/view/1", "") }},
+	{"answers with an error", func(_ testing.TB, w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }, func(r *testServer) { r.expect("500 no", "GET", "/view/1", "") }},
 	{"writes its head twice", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(404)
 		w.WriteHeader(200)
 		writeString(t, w, "x")
-	}, func(r *rig) {
+	}, func(r *testServer) {
 		r.expect("404 x", "GET", "/view/1", "")
 	}},
-	{"panics before its first byte", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic("x") }, func(r *rig) {
+	{"panics before its first byte", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic("x") }, func(r *testServer) {
 		if h := r.expect("500", "GET", "/view/1", ""); h.Get("Valve-Why") != "the handler panicked" {
 			r.Errorf("head %v", h)
 		}
@@ -48,20 +48,20 @@
 		writeString(t, w, "half")
 		w.(http.Flusher).Flush()
 		panic("x")
-	}, func(r *rig) { r.expect("200 cut", "GET", "/view/1", "") }},
-	{"aborts", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, func(r *rig) { r.expect("error", "GET", "/view/1", "") }},
+	}, func(r *testServer) { r.expect("200 cut", "GET", "/view/1", "") }},
+	{"aborts", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, func(r *testServer) { r.expect("error", "GET", "/view/1", "") }},
 	{"streams", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		for i := range 3 {
 			writeString(t, w, fmt.Sprint(i))
 			w.(http.Flusher).Flush()
 		}
-	}, func(r *rig) { r.expect("200 012", "GET", "/view/1", "") }},
+	}, func(r *testServer) { r.expect("200 012", "GET", "/view/1", "") }},
 	{"trailers", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Trailer", "Sum")
 		writeString(t, w, "x")
 		w.Header().Set("Sum", "7")
 		w.Header().Set(http.TrailerPrefix+"Late", "8")
-	}, func(r *rig) {
+	}, func(r *testServer) {
 		h := r.expect("200 x", "GET", "/view/1", "")
 		if fmt.Sprint(h["Trailer:Sum"], h["Trailer:Late"]) != "[7] [8]" {
 			r.Errorf("head %v", h)
@@ -71,7 +71,7 @@
 		w.Header().Set("Link", "a")
 		w.WriteHeader(103)
 		writeString(t, w, "x")
-	}, func(r *rig) {
+	}, func(r *testServer) {
 		hints := 0
 		trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, h textproto.MIMEHeader) error {
 			if code == 103 && h.Get("Link") == "a" {
@@ -79,7 +79,7 @@
 			}
 			return nil
 		}}
-		q, _ := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), "GET", r.s.URL+"/view/1", nil)
+		q, _ := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), "GET", r.server.URL+"/view/1", nil)
 		a, err := http.DefaultClient.Do(q)
 		if err != nil {
 			r.Fatal(err)
@@ -92,12 +92,12 @@
 	{"HEAD", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "5")
 		writeString(t, w, "12345")
-	}, func(r *rig) {
+	}, func(r *testServer) {
 		if h := r.expect("200", "HEAD", "/view/1", ""); h.Get("Content-Length") != "5" {
 			r.Errorf("head %v", h)
 		}
 	}},
-	{"takes the connection", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
+	{"hijacks the connection", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			panic(err)
@@ -107,9 +107,9 @@
 			return
 		}
 		writeString(t, c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown")
-	}, func(r *rig) { r.expect("200 own", "GET", "/view/1", "") }},
-	{"calls itself", nil, func(r *rig) { r.expect("200 inner", "GET", "/view/outer", "") }},
-	{"an unknown path and verb", nil, func(r *rig) {
+	}, func(r *testServer) { r.expect("200 own", "GET", "/view/1", "") }},
+	{"calls itself", nil, func(r *testServer) { r.expect("200 inner", "GET", "/view/outer", "") }},
+	{"an unknown path and verb", nil, func(r *testServer) {
 		r.expect("404", "GET", "/none", "")
 		r.expect("405", "GET", "/buy", "")
 		r.expect("400", "POST", "/buy", "")
@@ -125,22 +125,22 @@
 func TestHandlers(t *testing.T) {
 	for _, c := range handlerCases {
 		t.Run(c.name, func(t *testing.T) {
-			var r *rig
+			var r *testServer
 			handler := func(w http.ResponseWriter, q *http.Request) { c.handler(t, w, q) }
 			if c.handler == nil {
 				handler = func(w http.ResponseWriter, q *http.Request) { // calls itself through the whole chain, on the one core
 					if strings.HasSuffix(q.URL.Path, "outer") {
 						q = q.Clone(q.Context())
 						q.URL.Path = "/view/inner"
-						r.s.Config.Handler.ServeHTTP(w, q)
+						r.server.Config.Handler.ServeHTTP(w, q)
 						return
 					}
 					writeString(t, w, "inner")
 				}
 			}
-			r = start(t, handler)
+			r = startServer(t, handler)
 			c.do(r)
-			r.quiet()
+			r.waitIdle()
 		})
 	}
 }
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -26,33 +26,33 @@
 	goleak.VerifyTestMain(m)
 }
 
-const soon = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 var routes = []route.Rule{
 	{Name: "view", Path: "/view/*", Method: "view"},
 	{Name: "buy", Path: "/buy", Verb: "POST", Method: "buy", Token: route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Hint: route.Source{Variable: "HTTP_WORK_MS"}},
 }
 
-// rig is a server behind a valve, with a handler that the test gives.
-type rig struct {
+// testServer is a server behind a valve, with a handler that the test gives.
+type testServer struct {
 	*testing.T
-	v    *valve.Valve
-	s    *httptest.Server
-	runs atomic.Int32
+	valve  *valve.Valve
+	server *httptest.Server
+	runs   atomic.Int32
 }
 
-func start(t *testing.T, handler http.HandlerFunc, change ...func(*valve.Options, *Options, *httptest.Server)) *rig {
+func startServer(t *testing.T, handler http.HandlerFunc, change ...func(*valve.Options, *Options, *httptest.Server)) *testServer {
 	vo := valve.Options{
 		Methods: []valve.Method{{Name: "view", LatencyObjective: 200 * time.Millisecond, Deadline: 400 * time.Millisecond},
 			{Name: "buy", LatencyObjective: 2 * time.Second, Idempotency: valve.IdempotencyKeyed, DedupWindow: time.Minute, Criticality: 3}},
 		Cores: 1, MaxRunsPerCore: 1, MaxRetryAfter: 1500 * time.Millisecond, Gauges: func() (valve.Gauges, bool) { return valve.Gauges{}, false },
 	}
 	o := Options{Routes: routes, CacheBytes: 1000, MaxBodyBytes: 100}
-	r := &rig{T: t}
-	r.s = httptest.NewUnstartedServer(nil)
-	r.s.Config.ErrorLog = log.New(io.Discard, "", 0)
+	r := &testServer{T: t}
+	r.server = httptest.NewUnstartedServer(nil)
+	r.server.Config.ErrorLog = log.New(io.Discard, "", 0)
 	for _, c := range change {
-		c(&vo, &o, r.s)
+		c(&vo, &o, r.server)
 	}
 	v, err := valve.New(vo)
 	if err != nil {
@@ -62,14 +62,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.v = v
-	r.s.Config.Handler = m.Handler(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	r.valve = v
+	r.server.Config.Handler = m.Handler(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.runs.Add(1)
 		handler(w, q)
 	}))
-	r.s.Start()
+	r.server.Start()
 	t.Cleanup(func() {
-		r.s.Close()
+		r.server.Close()
 		v.Close()
 		http.DefaultClient.CloseIdleConnections()
 	})
@@ -90,9 +90,9 @@
 	}
 }
 
-// got is a response in short: status and body, or the error.
-func (r *rig) got(verb, path, body string, header ...string) (string, http.Header) {
-	q, err := http.NewRequest(verb, r.s.URL+path, strings.NewReader(body))
+// get returns a response in short: status and body, or the error.
+func (r *testServer) get(verb, path, body string, header ...string) (string, http.Header) {
+	q, err := http.NewRequest(verb, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -114,20 +114,20 @@
 	return strings.TrimSpace(fmt.Sprintf("%d %s", a.StatusCode, b)), a.Header
 }
 
-func (r *rig) expect(want, verb, path, body string, header ...string) http.Header {
+func (r *testServer) expect(want, verb, path, body string, header ...string) http.Header {
 	r.Helper()
-	got, h := r.got(verb, path, body, header...)
+	got, h := r.get(verb, path, body, header...)
 	if got != want {
 		r.Errorf("%s %s: %q, want %q; head %v", verb, path, got, want, h)
 	}
 	return h
 }
 
-func (r *rig) quiet() {
+func (r *testServer) waitIdle() {
 	r.Helper()
-	for end := time.Now().Add(soon); r.v.InFlight() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.valve.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("%d in hand", r.v.InFlight())
+			r.Fatalf("%d in flight", r.valve.InFlight())
 		}
 	}
 }
@@ -136,7 +136,7 @@
 // dropped, and its run counts until it ends.
 func TestOverdue(t *testing.T) {
 	release, wrote := make(chan struct{}), make(chan error, 1)
-	r := start(t, func(w http.ResponseWriter, _ *http.Request) {
+	r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, err := io.WriteString(w, "late")
 		wrote <- err
@@ -146,20 +146,20 @@
 	if gone := time.Since(began); gone > 2*time.Second {
 		t.Errorf("after %v", gone)
 	}
-	if r.v.InFlight() != 1 {
-		t.Errorf("%d in hand", r.v.InFlight())
+	if r.valve.InFlight() != 1 {
+		t.Errorf("%d in flight", r.valve.InFlight())
 	}
 	close(release)
 	if err := <-wrote; !errors.Is(err, http.ErrHandlerTimeout) {
 		t.Error(err)
 	}
-	r.quiet()
+	r.waitIdle()
 }
 
 // TestQueued is about queued RPCs: they are rejected in time with a retry-after; one whose caller has left is not run.
 func TestQueued(t *testing.T) {
 	release := make(chan struct{})
-	r := start(t, func(_ http.ResponseWriter, q *http.Request) {
+	r := startServer(t, func(_ http.ResponseWriter, q *http.Request) {
 		if strings.HasSuffix(q.URL.Path, "slow") {
 			<-release
 		}
@@ -168,7 +168,7 @@
 	})
 	var wg sync.WaitGroup
 	wg.Add(1)
-	go func() { defer wg.Done(); r.got("GET", "/view/slow", "") }()
+	go func() { defer wg.Done(); r.get("GET", "/view/slow", "") }()
 	for r.runs.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -176,16 +176,16 @@
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		q, _ := http.NewRequestWithContext(ctx, "GET", r.s.URL+"/view/left", nil)
+		q, _ := http.NewRequestWithContext(ctx, "GET", r.server.URL+"/view/left", nil)
 		if a, err := http.DefaultClient.Do(q); err == nil {
 			mustClose(t, a.Body)
 		}
 	}()
-	for r.v.InFlight() < 2 {
+	for r.valve.InFlight() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	leave()
-	for r.v.InFlight() > 1 {
+	for r.valve.InFlight() > 1 {
 		time.Sleep(time.Millisecond)
 	}
 	h := r.expect("503", "GET", "/view/held", "")
@@ -194,7 +194,7 @@
 	}
 	close(release)
 	wg.Wait()
-	r.quiet()
+	r.waitIdle()
 	if r.runs.Load() != 1 {
 		t.Errorf("%d ran", r.runs.Load())
 	}
@@ -212,45 +212,45 @@
 	}
 	patient := func(v *valve.Options, _ *Options, _ *httptest.Server) { v.Methods[0].Deadline = time.Minute }
 	t.Run("a TimeoutHandler outside", func(t *testing.T) {
-		r := start(t, slow, patient, func(*valve.Options, *Options, *httptest.Server) {})
-		inner := r.s.Config.Handler
-		r.s.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
+		r := startServer(t, slow, patient, func(*valve.Options, *Options, *httptest.Server) {})
+		inner := r.server.Config.Handler
+		r.server.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
 		r.expect("503 outer", "GET", "/view/1", "")
-		if r.v.InFlight() != 1 {
-			t.Errorf("%d in hand", r.v.InFlight())
+		if r.valve.InFlight() != 1 {
+			t.Errorf("%d in flight", r.valve.InFlight())
 		}
 		once.Do(func() { close(release) })
-		r.quiet()
+		r.waitIdle()
 	})
 	t.Run("the server's write time-out", func(t *testing.T) {
 		hold := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) {
+		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			<-hold
 			_, _ = io.WriteString(w, "late") // nobody waits for it any more
 		}, patient,
 			func(_ *valve.Options, _ *Options, s *httptest.Server) { s.Config.WriteTimeout = 30 * time.Millisecond })
 		time.AfterFunc(100*time.Millisecond, func() { close(hold) })
 		r.expect("error", "GET", "/view/1", "")
-		r.quiet()
+		r.waitIdle()
 	})
 	t.Run("Shutdown while one runs and one is held", func(t *testing.T) {
 		hold := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; writeString(t, w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
+		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; writeString(t, w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
 			v.Methods[0].Deadline, v.Methods[0].LatencyObjective = time.Minute, time.Minute
 		})
 		answers := make(chan string, 2)
 		for range 2 {
-			go func() { s, _ := r.got("GET", "/view/1", ""); answers <- s }()
+			go func() { s, _ := r.get("GET", "/view/1", ""); answers <- s }()
 		}
-		for r.v.InFlight() < 2 {
+		for r.valve.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		r.v.Drain(time.Minute)
+		r.valve.Drain(time.Minute)
 		over := make(chan error, 1)
 		go func() {
-			ctx, end := context.WithTimeout(context.Background(), soon)
+			ctx, end := context.WithTimeout(context.Background(), testTimeout)
 			defer end()
-			over <- r.s.Config.Shutdown(ctx)
+			over <- r.server.Config.Shutdown(ctx)
 		}()
 		time.AfterFunc(20*time.Millisecond, func() { close(hold) })
 		for range 2 {
@@ -278,12 +278,12 @@
 			w.WriteHeader(201)
 			writeString(t, w, fmt.Sprintf("bought %s", b))
 		}, []string{"201 bought x", "201 bought x"}},
-		{"an answer that outgrows the bound", func(w http.ResponseWriter, _ *http.Request) {
+		{"a response that outgrows the bound", func(w http.ResponseWriter, _ *http.Request) {
 			writeString(t, w, strings.Repeat("y", 1001))
 		}, []string{"200 " + strings.Repeat("y", 1001), "500"}},
 		{"a panic after its effect", func(http.ResponseWriter, *http.Request) { panic("x") }, []string{"500", "500"}},
 		{"an error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) }, []string{"502 no", "500"}},
-		{"trailers can't be kept", func(w http.ResponseWriter, _ *http.Request) {
+		{"trailers can't be cached", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", "Sum")
 			writeString(t, w, "x")
 			w.Header().Set("Sum", "7")
@@ -292,11 +292,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := start(t, c.handler)
+			r := startServer(t, c.handler)
 			for i, want := range c.want {
 				h := r.expect(want, "POST", "/buy", "x", key...)
 				if strings.HasPrefix(want, "201") && h.Get("Receipt") != "r1" {
-					t.Errorf("try %d: head %v", i, h)
+					t.Errorf("attempt %d: head %v", i, h)
 				}
 			}
 			r.expect("400", "POST", "/buy", "other", key...)
@@ -307,12 +307,12 @@
 	}
 	t.Run("two at once", func(t *testing.T) {
 		release := make(chan struct{})
-		r := start(t, func(w http.ResponseWriter, _ *http.Request) { <-release; writeString(t, w, "done") })
+		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) { <-release; writeString(t, w, "done") })
 		answers := make(chan string, 2)
 		for range 2 {
-			go func() { s, _ := r.got("POST", "/buy", "x", key...); answers <- s }()
+			go func() { s, _ := r.get("POST", "/buy", "x", key...); answers <- s }()
 		}
-		for r.v.InFlight() < 2 {
+		for r.valve.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		close(release)
@@ -347,14 +347,14 @@
 
 // TestHalfBody has a client send half a body with a token and stay: it is answered, and nothing runs.
 func TestHalfBody(t *testing.T) {
-	r := start(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyTimeout = 30 * time.Millisecond })
-	c, err := net.Dial("tcp", r.s.Listener.Addr().String())
+	r := startServer(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyTimeout = 30 * time.Millisecond })
+	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer mustClose(t, c)
 	writeString(t, c, "POST /buy HTTP/1.1\r\nHost: x\r\nIdempotency-Key: k\r\nContent-Length: 10\r\n\r\nabc")
-	if err := c.SetReadDeadline(time.Now().Add(soon)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	a, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -84,21 +84,21 @@
 // admitCase is one way of an RPC through a Valve.
 type admitCase struct {
 	name string
-	do   func(t *testing.T, v *Valve, c *clock)
+	run  func(t *testing.T, v *Valve, c *clock)
 }
 
 var admitCases = []admitCase{
-	{"a run, ended once", func(t *testing.T, v *Valve, _ *clock) {
+	{"a run, completed once", func(t *testing.T, v *Valve, _ *clock) {
 		r := mustAdmit(t, v, RPC{Method: "view"})
 		if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in hand", v.InFlight())
+			t.Errorf("%d in flight", v.InFlight())
 		}
 	}},
-	{"held until the first ends", func(t *testing.T, v *Valve, _ *clock) {
+	{"queued until the first ends", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		b := admitLater(context.Background(), v, RPC{Method: "view"})
 		if len(b) > 0 {
-			t.Fatal("not held")
+			t.Fatal("not queued")
 		}
 		a.Complete(Succeeded, Result{})
 		if got := <-b; got.error != nil {
@@ -107,7 +107,7 @@
 			got.Complete(Succeeded, Result{})
 		}
 	}},
-	{"its context ends while it is held", func(t *testing.T, v *Valve, _ *clock) {
+	{"its context ends while it is queued", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		ctx, end := context.WithCancel(context.Background())
 		b := admitLater(ctx, v, RPC{Method: "view"})
@@ -117,7 +117,7 @@
 		}
 		a.Complete(Succeeded, Result{})
 	}},
-	{"pushed back when it is late for its target", func(t *testing.T, v *Valve, c *clock) {
+	{"rejected when it is late for its objective", func(t *testing.T, v *Valve, c *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		b := admitLater(context.Background(), v, RPC{Method: "view"})
 		c.advance(v, 1500*time.Millisecond)
@@ -128,7 +128,7 @@
 		}
 		a.Complete(Succeeded, Result{})
 	}},
-	{"given up when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
+	{"aborted when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
 		r := mustAdmit(t, v, RPC{Method: "view"})
 		var got error
 		r.NotifyFinal(finalHandlerFunc(func(err error) { got = err }))
@@ -139,45 +139,45 @@
 		c.advance(v, 100*time.Millisecond)
 		var a *AbortedError
 		if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
-			t.Errorf("error %v, %d in hand", got, v.InFlight())
+			t.Errorf("error %v, %d in flight", got, v.InFlight())
 		}
 		if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in hand", v.InFlight())
+			t.Errorf("%d in flight", v.InFlight())
 		}
 	}},
-	{"repeats get the answer that was kept", func(t *testing.T, v *Valve, _ *clock) {
+	{"duplicates get the cached result", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
 		b := admitLater(context.Background(), v, RPC{Method: "buy", Token: "k", Body: []byte("x")})
 		a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
 		for _, r := range []*Run{(<-b).Run, mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
-			if kept, is := r.Cached(); !is || string(kept.Body) != "done" || string(kept.Head) != "h" || r.Complete(Failed, Result{}) {
-				t.Errorf("kept %+v", kept)
+			if cached, ok := r.Cached(); !ok || string(cached.Body) != "done" || string(cached.Head) != "h" || r.Complete(Failed, Result{}) {
+				t.Errorf("cached %+v", cached)
 			}
 		}
 		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
 			t.Error(err)
 		}
 	}},
-	{"an answer that can't be kept: repeats hear that it ran", func(t *testing.T, v *Valve, _ *clock) {
+	{"a result that can't be cached: duplicates are aborted", func(t *testing.T, v *Valve, _ *clock) {
 		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).CompleteUncached()
 		var a *AbortedError
 		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Reason, "has run") {
 			t.Error(err)
 		}
 	}},
-	{"no room below", func(t *testing.T, v *Valve, _ *clock) {
+	{"no capacity", func(t *testing.T, v *Valve, _ *clock) {
 		r := mustAdmit(t, v, RPC{Method: "buy", Token: "k"})
 		r.Complete(NoCapacity, Result{})
 		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).Complete(Succeeded, Result{})
 	}},
-	{"what makes no sense", func(t *testing.T, v *Valve, _ *clock) {
+	{"invalid RPCs", func(t *testing.T, v *Valve, _ *clock) {
 		for _, r := range []RPC{{Method: "sell"}, {Method: "buy"}} {
 			if _, err := v.Admit(context.Background(), r); !errors.Is(err, ErrInvalidRPC) {
 				t.Error(err)
 			}
 		}
 	}},
-	{"past the drain's grace", func(t *testing.T, v *Valve, c *clock) {
+	{"past the grace period of a drain", func(t *testing.T, v *Valve, c *clock) {
 		v.Drain(5 * time.Second)
 		mustAdmit(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
 		c.advance(v, 2100*time.Millisecond)
@@ -185,23 +185,23 @@
 			t.Error(err)
 		}
 	}},
-	{"closed while one runs and one is held", func(t *testing.T, v *Valve, _ *clock) {
+	{"closed while one runs and one is queued", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
-		told := make(chan error, 1)
-		a.NotifyFinal(finalHandlerFunc(func(err error) { told <- err }))
+		final := make(chan error, 1)
+		a.NotifyFinal(finalHandlerFunc(func(err error) { final <- err }))
 		b := admitLater(context.Background(), v, RPC{Method: "view"})
 		v.Close()
 		if got := <-b; !errors.Is(got.error, ErrRejected) {
 			t.Error(got.error)
 		}
-		if err := <-told; !errors.Is(err, ErrAborted) {
+		if err := <-final; !errors.Is(err, ErrAborted) {
 			t.Error(err)
 		}
 		if _, err := v.Admit(context.Background(), RPC{Method: "view"}); !errors.Is(err, ErrClosed) {
 			t.Error(err)
 		}
 		if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in hand", v.InFlight())
+			t.Errorf("%d in flight", v.InFlight())
 		}
 	}},
 }
@@ -220,7 +220,7 @@
 	for _, c := range admitCases {
 		t.Run(c.name, func(t *testing.T) {
 			v, clock := open(t)
-			c.do(t, v, clock)
+			c.run(t, v, clock)
 		})
 	}
 }
@@ -273,7 +273,7 @@
 	wg.Wait()
 	for _, v := range all {
 		if v.InFlight() != 0 {
-			t.Errorf("%d in hand", v.InFlight())
+			t.Errorf("%d in flight", v.InFlight())
 		}
 		v.Close()
 		v.Close()
@@ -284,10 +284,10 @@
 // an error.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
-	kept := func(server string) func(*Options) {
+	withStore := func(server string) func(*Options) {
 		return func(o *Options) { o.Store, o.Clock = &StoreOptions{Dir: dir, Server: server}, time.Now }
 	}
-	v, _ := open(t, kept("a"))
+	v, _ := open(t, withStore("a"))
 	r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")})
 	if err != nil {
 		t.Fatal(err)
@@ -300,11 +300,11 @@
 		t.Errorf("state %+v", s)
 	}
 	v.Close()
-	v, _ = open(t, kept("a"))
+	v, _ = open(t, withStore("a"))
 	if r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")}); err != nil {
 		t.Error(err)
 	} else if a, is := r.Cached(); !is || string(a.Body) != "done" || string(a.Head) != "h" {
-		t.Errorf("kept %+v", a)
+		t.Errorf("cached %+v", a)
 	}
 	v.Close()
 	o := Options{Methods: []Method{{Name: "view"}}, Store: &StoreOptions{Dir: dir, Server: "b"}}
