--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -67,6 +67,9 @@
 	callerNumbers       = 3
 )
 
+// overdueEvent is the gate's log event for an RPC whose run did not end by its due time.
+const overdueEvent = "gate.rpc_overdue"
+
 // servedWeight is the priority weight earned by an answer after some ms.
 func servedWeight(method uint8, latencyMs float64) float64 {
 	switch {
@@ -135,8 +138,8 @@
 	}
 	own := *sim.settings
 	own.Node.Seed = s.rand.Uint64()
-	s.gate = gate.New(&own, tokenCapacity, func(text, _ string) {
-		if text == "gate.rpc_overdue" {
+	s.gate = gate.New(&own, tokenCapacity, func(event, _ string) {
+		if event == overdueEvent {
 			s.overdue++
 		}
 	})
