--- a/internal/fleetsim/engine.go
+++ b/internal/fleetsim/engine.go
@@ -61,7 +61,7 @@
 	drainMs             = 3000.0 // from SIGTERM to the end
 	coreUseTimeMs       = 250.0  // time constant of the gauge
 	gateTickMs          = 40.0   // bound on the first tick of a gate
-	tokenCapacity       = 64
+	gateMemoryMB        = 64
 	queuedKB            = 16
 	subjects            = 5000
 	callerNumbers       = 3
@@ -138,7 +138,7 @@
 	}
 	own := *sim.settings
 	own.Node.Seed = s.rand.Uint64()
-	s.gate = gate.New(&own, tokenCapacity, func(event, _ string) {
+	s.gate = gate.New(&own, gateMemoryMB, func(event, _ string) {
 		if event == overdueEvent {
 			s.overdue++
 		}
