--- a/decision/count/count_test.go
+++ b/decision/count/count_test.go
@@ -63,19 +63,19 @@
 // The same reports in any order, with duplicates, give the same sums; the interval holds the truth and widens for stale reports.
 func TestSums(t *testing.T) {
 	origins := []string{"a", "b", "c"}
-	type rec struct {
-		origin     string
-		start, seq uint64
-		v          float64
+	type sample struct {
+		origin               string
+		generation, sequence uint64
+		value                float64
 	}
-	all := []rec{{"a", 1, 1, 10}, {"a", 1, 2, 20}, {"b", 1, 5, 7}, {"b", 2, 1, 3}, {"b", 1, 6, 9}}
+	all := []sample{{"a", 1, 1, 10}, {"a", 1, 2, 20}, {"b", 1, 5, 7}, {"b", 2, 1, 3}, {"b", 1, 6, 9}}
 	for seed := range int64(30) {
 		aggregate := NewAggregate(DefaultConfig)
 		rng := rand.New(rand.NewSource(seed))
 		for range 3 {
 			for _, i := range rng.Perm(len(all)) {
 				r := all[i]
-				aggregate.Merge(1000, r.origin, r.start, r.seq, []Counter{{Key: "k", Value: r.v}}, 0)
+				aggregate.Merge(1000, r.origin, r.generation, r.sequence, []Counter{{Key: "k", Value: r.value}}, 0)
 			}
 		}
 		if got := aggregate.Sum(1000, "k", origins[:2]); got != (Interval{23, 23}) {
--- a/decision/evidence/evidence.go
+++ b/decision/evidence/evidence.go
@@ -27,6 +27,8 @@
 	failureHalfLife = 2000.0        // ms, of the failure fraction: shorter, so that a member that turned bad soon shows it
 	maxBusy         = 10e3          // ms for which a member's request to be left alone is heeded at most
 	retention       = 20 * HalfLife // after which nothing is left of a member without traffic
+	minLatency      = 0.1           // ms, so that a ratio has a logarithm
+	histogramStep   = HalfLife / 8  // ms between two decays of the latency histogram, which saves time
 )
 
 // Recorder records what this server observes of the members of one pool. The zero value is ready for use.
@@ -93,12 +95,12 @@
 func (r *Recorder) RecordSuccess(now float64, member string, latency float64) {
 	s := r.stats(now, member)
 	s.attempts++
-	if dt := now - r.decayed; dt > HalfLife/8 { // in steps, which is as good and costs less
+	if dt := now - r.decayed; dt > histogramStep {
 		r.latency.scale(math.Exp2(-dt / HalfLife))
 		r.decayed = now
 	}
 	if median := r.latency.median(); median > 0 {
-		s.logLatencyRatio += math.Log(math.Max(latency, 0.1) / median)
+		s.logLatencyRatio += math.Log(math.Max(latency, minLatency) / median)
 		s.latencySamples++
 	}
 	r.latency.add(latency)
--- a/decision/outlier/outlier_test.go
+++ b/decision/outlier/outlier_test.go
@@ -51,7 +51,7 @@
 
 // What is ejected by what is observed and reported.
 func TestEjections(t *testing.T) {
-	all := func(k, to int) map[int]int {
+	failingRuns := func(k, to int) map[int]int {
 		runs := map[int]int{}
 		for i := range k {
 			runs[i] = to
@@ -86,8 +86,8 @@
 		{"one is bad, seen by several a little", 10, summaries(10, map[int]int{3: -1}), []Report{report("b", "z1", summaries(10, map[int]int{3: -1})), report("c", "z0", summaries(10, map[int]int{3: -1})), report("d", "z1", summaries(10, map[int]int{3: -1}))}, true, []string{"m03"}},
 		{"the same, partitioned", 10, summaries(10, map[int]int{3: -1}), []Report{report("b", "z1", bad(3)), report("c", "z0", bad(3))}, false, nil},
 		{"partitioned, and met by itself", 10, summaries(10, map[int]int{3: -5}), nil, false, []string{"m03"}},
-		{"one confused observer accuses all", 10, healthy, []Report{report("b", "z1", summaries(10, all(10, -9))), report("c", "z0", healthy), report("d", "z1", healthy)}, true, nil},
-		{"and this server is it", 10, summaries(10, all(10, -9)), []Report{report("b", "z1", healthy), report("c", "z0", healthy)}, true, nil},
+		{"one confused observer accuses all", 10, healthy, []Report{report("b", "z1", summaries(10, failingRuns(10, -9))), report("c", "z0", healthy), report("d", "z1", healthy)}, true, nil},
+		{"and this server is it", 10, summaries(10, failingRuns(10, -9)), []Report{report("b", "z1", healthy), report("c", "z0", healthy)}, true, nil},
 		{"this server alone meets it so: the path there", 10, summaries(10, map[int]int{2: -6}), []Report{report("b", "z1", healthy), report("c", "z0", healthy)}, true, []string{"m02"}},
 		{"another alone does", 10, healthy, []Report{report("b", "z1", summaries(10, map[int]int{2: -9})), report("c", "z0", healthy)}, true, nil},
 		{"the own zone does", 10, summaries(10, map[int]int{2: -2}), []Report{report("b", "z0", bad(2)), report("c", "z1", healthy), report("d", "z1", healthy)}, true, []string{"m02"}},
@@ -95,8 +95,8 @@
 		{"two with opposite views", 10, healthy, []Report{report("b", "z0", bad(1))}, true, nil},
 		{"a stale report counts for nothing", 10, healthy, []Report{{Origin: "b", Zone: "z1", Age: staleAge, Summaries: bad(4)}, {Origin: "c", Zone: "z0", Age: staleAge + 1, Summaries: bad(4)}}, true, nil},
 		{"six of ten are bad: five may go, the worst", 10, bad(0, 1, 2, 3, 4, 5), []Report{report("b", "z1", summaries(10, map[int]int{0: -5, 1: -5, 2: -5, 3: -5, 4: -5, 5: -1})), report("c", "z0", bad(0, 1, 2, 3, 4, 5))}, true, []string{"m00", "m01", "m02", "m03", "m04"}},
-		{"all are bad: all are used", 10, summaries(10, all(10, -9)), []Report{report("b", "z1", summaries(10, all(10, -9))), report("c", "z0", summaries(10, all(10, -9)))}, true, nil},
-		{"three of which two are bad: one goes", 3, summaries(3, all(2, -5)), []Report{report("b", "z1", summaries(3, all(2, -5))), report("c", "z0", summaries(3, all(2, -5)))}, true, []string{"m00"}},
+		{"all are bad: all are used", 10, summaries(10, failingRuns(10, -9)), []Report{report("b", "z1", summaries(10, failingRuns(10, -9))), report("c", "z0", summaries(10, failingRuns(10, -9)))}, true, nil},
+		{"three of which two are bad: one goes", 3, summaries(3, failingRuns(2, -5)), []Report{report("b", "z1", summaries(3, failingRuns(2, -5))), report("c", "z0", summaries(3, failingRuns(2, -5)))}, true, []string{"m00"}},
 		{"one is slow", 10, slow(7, 9), []Report{report("b", "z1", slow(7, 9)), report("c", "z0", slow(7, 9))}, true, []string{"m07"}},
 		{"slow for one only", 10, slow(7, 9), []Report{report("b", "z1", slow(7, 1)), report("c", "z0", slow(7, 1))}, true, nil},
 		{"good of late and bad before", 10, healthy, []Report{report("b", "z1", healthy), {Origin: "c", Zone: "z0", Age: 8000, Summaries: bad(3)}, {Origin: "d", Zone: "z0", Age: 9000, Summaries: bad(3)}}, true, nil},
@@ -146,7 +146,7 @@
 func TestRecovery(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	checkers := 0
-	var mine *Detector
+	var checker *Detector
 	for _, self := range names {
 		d := New(testConfig, self, "", memberNames(4), -60e3)
 		var peers []Report
@@ -164,29 +164,29 @@
 			if d.TryHealthCheck(1600, "m01") {
 				t.Error("twice within a second")
 			}
-			mine = d
+			checker = d
 		}
 	}
 	if checkers != healthCheckers {
 		t.Fatalf("%d of 8 send it health checks", checkers)
 	}
-	quiet := summaries(4, map[int]int{1: 0})
-	mine.Evaluate(1000, summaries(4, map[int]int{1: 5}), []Report{report("x", "", quiet)}, names, true)
-	if !mine.Members()[1].Ejected {
+	noOutcome := summaries(4, map[int]int{1: 0})
+	checker.Evaluate(1000, summaries(4, map[int]int{1: 5}), []Report{report("x", "", noOutcome)}, names, true)
+	if !checker.Members()[1].Ejected {
 		t.Error("before its time")
 	}
-	mine.Evaluate(3000, summaries(4, map[int]int{1: 2}), []Report{report("x", "", summaries(4, map[int]int{1: -4}))}, names, true)
-	if !mine.Members()[1].Ejected {
+	checker.Evaluate(3000, summaries(4, map[int]int{1: 2}), []Report{report("x", "", summaries(4, map[int]int{1: -4}))}, names, true)
+	if !checker.Members()[1].Ejected {
 		t.Error("another still gets no answer from it")
 	}
-	other := report("x", "", quiet)
+	other := report("x", "", noOutcome)
 	other.Recoveries = []Recovery{{"m01", 700}}
-	mine.Evaluate(4000, summaries(4, map[int]int{1: 3}), []Report{other}, names, true)
-	m := mine.Members()[1]
+	checker.Evaluate(4000, summaries(4, map[int]int{1: 3}), []Report{other}, names, true)
+	m := checker.Members()[1]
 	if m.Ejected || m.Since != 4000-1200 {
 		t.Errorf("%+v", *m)
 	}
-	if p := mine.TrafficFraction(4000, m); p < 0.23 || p > 0.25 {
+	if p := checker.TrafficFraction(4000, m); p < 0.23 || p > 0.25 {
 		t.Errorf("its traffic fraction: %g", p)
 	}
 	n := 0
@@ -209,24 +209,24 @@
 	first.Evaluate(0, bad, peers(bad), []string{"b", "x", "y"}, true)
 	later.Evaluate(1500, bad, peers(bad), []string{"a", "x", "y"}, true)
 	first.Evaluate(2100, good, peers(summaries(4, map[int]int{1: 0})), []string{"b", "x", "y"}, true)
-	out, back := first.Announcement(2100)
-	if len(out) != 1 || len(back) != 1 || back[0].Elapsed != -returnNotice {
-		t.Fatalf("%v %v", out, back)
+	ejectedNames, recoveries := first.Announcement(2100)
+	if len(ejectedNames) != 1 || len(recoveries) != 1 || recoveries[0].Elapsed != -returnNotice {
+		t.Fatalf("%v %v", ejectedNames, recoveries)
 	}
-	word := Report{Origin: "a", Age: 300, Summaries: good, Ejected: out, Recoveries: back}
+	announcement := Report{Origin: "a", Age: 300, Summaries: good, Ejected: ejectedNames, Recoveries: recoveries}
 	for _, c := range []struct {
-		at   float64
-		own  []evidence.Summary
-		out  bool
-		what string
+		at           float64
+		own          []evidence.Summary
+		ejectedNames bool
+		what         string
 	}{
 		{2400, summaries(4, map[int]int{1: 0}), true, "it is announced, and not yet begun"},
 		{2400 + 1700, summaries(4, map[int]int{1: -3}), true, "it fails at the time itself"},
 		{2400 + 1950, good, false, "healthy again: begun when it was announced"},
 	} {
-		word.Age = 300 + c.at - 2400
-		later.Evaluate(c.at, c.own, append(peers(summaries(4, map[int]int{1: 0})), word), []string{"a", "x", "y"}, true)
-		if m := later.Members()[1]; m.Ejected != c.out {
+		announcement.Age = 300 + c.at - 2400
+		later.Evaluate(c.at, c.own, append(peers(summaries(4, map[int]int{1: 0})), announcement), []string{"a", "x", "y"}, true)
+		if m := later.Members()[1]; m.Ejected != c.ejectedNames {
 			t.Errorf("%s: %+v", c.what, *m)
 		}
 	}
--- a/decision/outlier/report.go
+++ b/decision/outlier/report.go
@@ -31,10 +31,16 @@
 // weigh against a few accusers, and few beside all.
 const refuters = 8.0
 
+// Latency is urgent from four times the pool's median on, with so many samples behind it.
+const (
+	urgentLogLatencyRatio = 2 * math.Ln2
+	urgentLatencySamples  = 0.5
+)
+
 // Urgent tells whether what this server observed must be reported soon: a member fails, or is slow.
 func Urgent(own []evidence.Summary) bool {
 	return slices.ContainsFunc(own, func(s evidence.Summary) bool {
-		return s.Run < 0 && s.Age < freshAge || s.LatencySamples > 0.5 && s.LogLatencyRatio > 2*math.Ln2
+		return s.Run < 0 && s.Age < freshAge || s.LatencySamples > urgentLatencySamples && s.LogLatencyRatio > urgentLogLatencyRatio
 	})
 }
 
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -64,6 +64,7 @@
 	averagingTime  = 500.0 // ms, time constant of the averages of usage and unmet demand
 	ceasedArrivals = 15.0  // expected arrivals missed, from which on demand has ceased. By chance once in 3 million
 	headroom       = 1.25  // times the own usage that is kept before anything is granted to others
+	minRefillRate  = 1e-3  // a second, by which RetryAfter reckons with less capacity
 )
 
 // Allocation is one server's part of one limit: what it owns, less what it granted to peers, plus what it leased.
@@ -259,7 +260,7 @@
 	if a.limit.Kind == Concurrency || a.tokens >= 1 {
 		return 0
 	}
-	return (1 - a.tokens) * 1000 * (1 + a.limit.ClockDrift) / math.Max(a.capacity(), 1e-3)
+	return (1 - a.tokens) * 1000 * (1 + a.limit.ClockDrift) / math.Max(a.capacity(), minRefillRate)
 }
 
 // demand is what this server uses, a second or in flight, and what it rejects beyond.
--- a/decision/quota/request.go
+++ b/decision/quota/request.go
@@ -26,6 +26,10 @@
 	minLeaseAge      = 1.0  // times averagingTime, before a lease may be given back
 	minUnmetFraction = 0.02 // of the usage: less that is rejected is chance
 	minLeaseFraction = 0.05 // of the own capacity: less is not worth a message
+
+	jitterMin         = 0.75 // the least factor of a jittered duration
+	jitterRange       = 0.5  // so that the mean factor is 1
+	roundingTolerance = 1e-9 // by which a grant may exceed what was requested
 )
 
 // pendingRequest is a request without an answer so far.
@@ -236,7 +240,7 @@
 		}
 	}
 	// The more peers were asked, the later the next round; a grant or an offer resets that.
-	a.nextRound = now + a.roundInterval*(0.75+0.5*a.rng.Float64())
+	a.nextRound = now + a.jitter(a.roundInterval)
 	slowest := math.Max(minRoundInterval, maxRoundInterval*math.Min(1, float64(sent)/smallRoundSize))
 	a.roundInterval = math.Min(2*a.roundInterval, slowest)
 	a.roundSize = smallRoundSize
@@ -289,10 +293,15 @@
 		return
 	}
 	b.duration = math.Min(maxPeerBackoff, math.Max(minPeerBackoff, 2*b.duration))
-	b.until = now + b.duration*(0.75+0.5*a.rng.Float64())
+	b.until = now + a.jitter(b.duration)
 	a.backoffs[peer] = b
 }
 
+// jitter spreads a duration, so that servers do not request in step.
+func (a *Allocation) jitter(duration float64) float64 {
+	return duration * (jitterMin + jitterRange*a.rng.Float64())
+}
+
 // expedite makes the next round come soon and large.
 func (a *Allocation) expedite(now float64) {
 	a.roundInterval = minRoundInterval
@@ -311,7 +320,7 @@
 	r := a.pending[i]
 	a.pending = slices.Delete(a.pending, i, i+1)
 	expires := a.leaseExpiry(r.sentAt, m.Duration)
-	if expires <= now || len(a.leased) >= maxLeases || !(m.Amount > 0 && m.Amount <= r.amount*(1+1e-9)) {
+	if expires <= now || len(a.leased) >= maxLeases || !(m.Amount > 0 && m.Amount <= r.amount*(1+roundingTolerance)) {
 		a.Counts.LateGrants++
 		if k := a.renewedLease(r); k >= 0 {
 			a.leased[k].renewing = false
