--- a/internal/back/pools/response.go
+++ b/internal/back/pools/response.go
@@ -17,8 +17,6 @@
 const (
 	// maxHeadBytes bounds the head of a response: what web tiers take by default is 4 to 8 KB.
 	maxHeadBytes = 16 << 10
-	// initialBodySize of memory is allocated at once for a body of known length, the rest as it comes, as lengths may lie.
-	initialBodySize = 16 << 10
 	// maxInterimResponses of the 100s may precede the final one; an application server sends one at most.
 	maxInterimResponses = 4
 )
@@ -118,18 +116,9 @@
 		}
 		return body, err
 	}
-	body := make([]byte, min(length, initialBodySize))
-	for read := int64(0); ; {
-		n, err := io.ReadFull(in, body[read:])
-		read += int64(n)
-		switch {
-		case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF):
-			return nil, errTruncated
-		case err != nil:
-			return nil, err
-		case read == length:
-			return body, nil
-		}
-		body = append(body, make([]byte, min(length-read, read))...)
+	body, err := wire.ReadBody(in, length)
+	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
+		return nil, errTruncated
 	}
+	return body, err
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -48,4 +48,13 @@
 	// LingerTimeout is how long a connection stays open after its closing notice and its last response, for its peer to
 	// close it; far above the 50 ms in which an RPC may cross the notice.
 	LingerTimeout = 1500 * time.Millisecond
+
+	// MaxUndelayedFaults messages in a row without a valid RPC are taken at full speed from one connection: more than
+	// the cancels that cross responses.
+	MaxUndelayedFaults = 40
+	// FaultDelay is waited before each message after those: fifty a second cost little.
+	FaultDelay = 20 * time.Millisecond
 )
+
+// CallerNumber folds a number or a hash that tells callers apart into 16 bits.
+func CallerNumber(n uint64) uint16 { return uint16(n ^ n>>16 ^ n>>32 ^ n>>48) }
--- a/internal/front/mprpc/read.go
+++ b/internal/front/mprpc/read.go
@@ -11,6 +11,7 @@
 	"runtime/debug"
 	"time"
 
+	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/msgpack"
 )
 
@@ -19,11 +20,6 @@
 	maxFrame = 8 << 10
 	// tooManyRetryAfter in ms is the advice to an RPC beyond maxInFlight: the others are answered by then.
 	tooManyRetryAfter = 500
-	// maxFaultsUndelayed messages in a row without a valid RPC are taken at full speed: more than the cancels that cross
-	// responses.
-	maxFaultsUndelayed = 40
-	// faultDelay is waited before each message after those: fifty a second cost little.
-	faultDelay = 20 * time.Millisecond
 )
 
 // readMessages dispatches messages until an error; io.EOF is a clean end. Frames are parsed in the reader's buffer.
@@ -58,8 +54,8 @@
 			}
 			_, _ = in.Discard(size) // size bytes are buffered
 			need = 1
-			if c.faults > maxFaultsUndelayed { // only this peer waits, and what it has in flight does not
-				time.Sleep(faultDelay)
+			if c.faults > front.MaxUndelayedFaults { // only this peer waits, and what it has in flight does not
+				time.Sleep(front.FaultDelay)
 			}
 		case errors.Is(err, msgpack.ErrTruncated):
 			need = size
--- a/internal/front/mprpc/rpc.go
+++ b/internal/front/mprpc/rpc.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"time"
 
+	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/msgpack"
 )
@@ -71,7 +72,7 @@
 	case "door":
 		rpc.ArrivedMs = f.number("door", value, 1, float64(time.Now().UnixMilli())+maxClockSkew)
 	case "lb": // of any size: routers come with always new numbers
-		rpc.Caller = fold16(f.unsigned("lb", value, 10))
+		rpc.Caller = front.CallerNumber(f.unsigned("lb", value, 10))
 	case "team":
 		rpc.Customer = string(value)
 	case "second":
@@ -97,9 +98,6 @@
 	}
 }
 
-// fold16 folds a number of 64 bits into 16.
-func fold16(n uint64) uint16 { return uint16(n ^ n>>16 ^ n>>32 ^ n>>48) }
-
 func (f *fieldParser) fail(key, want string, value []byte) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s expected, %.40q there", key, want, value)
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sorrelvalve/control"
+	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/msgpack"
 	"sorrelvalve/internal/startup"
@@ -73,7 +74,7 @@
 			for id := uint64(1); id <= maxInFlight; id++ {
 				s += rpc(id, "view", "a")
 			}
-			for id := uint64(1); id <= maxInFlight+maxFaultsUndelayed/2; id++ { // some cross their answers
+			for id := uint64(1); id <= maxInFlight+front.MaxUndelayedFaults/2; id++ { // some cross their answers
 				s += cancel(id)
 			}
 			r.write(s)
@@ -177,12 +178,12 @@
 		}},
 		{"a peer that never makes sense is slowed down, and still answered", func(r *rig) {
 			began := time.Now()
-			for id := uint64(1); id <= maxFaultsUndelayed+5; id++ {
+			for id := uint64(1); id <= front.MaxUndelayedFaults+5; id++ {
 				r.write(rpc(id, "sell", ""))
 				r.expect(fmt.Sprint(id, " Invalid"))
 			}
-			if gone := time.Since(began); gone < 4*faultDelay {
-				r.Errorf("%d answers in %v", maxFaultsUndelayed+5, gone)
+			if gone := time.Since(began); gone < 4*front.FaultDelay {
+				r.Errorf("%d answers in %v", front.MaxUndelayedFaults+5, gone)
 			}
 		}},
 		{"a half-closed connection gets its answers", func(r *rig) {
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -167,6 +167,9 @@
 	}
 }
 
+// WakeReader ends a read of the owner's that is in progress. Once the connection is to be closed it changes nothing.
+func (s *ConnState) WakeReader() { s.BoundReads(wakeReader) }
+
 // Send writes one message in parts, complete or not at all as far as the peer reads it, and reports whether that went
 // well. After an error nothing more is written and the connection ends: nobody is left to answer.
 func (s *ConnState) Send(parts ...[]byte) bool {
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -14,17 +14,8 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-const (
-	// bufferSize holds most blocks of a web tier, which have one to three KB; longer ones are read past the buffer.
-	bufferSize = 4 << 10
-	// maxFaultsUndelayed messages in a row without a valid RPC are taken at full speed.
-	maxFaultsUndelayed = 40
-	// faultDelay is waited before each message after those.
-	faultDelay = 20 * time.Millisecond
-)
-
-// wakeReader is a deadline in the past: it ends a read that is in progress at once.
-var wakeReader = time.Unix(1, 0)
+// bufferSize holds most blocks of a web tier, which have one to three KB; longer ones are read past the buffer.
+const bufferSize = 4 << 10
 
 // conn is one connection of a web tier. It carries one RPC at a time.
 type conn struct {
--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"sorrelvalve/decision/route"
+	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 )
 
@@ -78,7 +79,7 @@
 		Method:     r.Method,
 		Customer:   r.Customer,
 		Body:       x.body,
-		Caller:     fold16(r.Caller),
+		Caller:     front.CallerNumber(r.Caller),
 		Subject:    r.Subject,
 		ArrivedMs:  arrived,
 		CostHintMs: r.Hint,
@@ -88,9 +89,6 @@
 	}
 }
 
-// fold16 folds a hash of 64 bits into 16.
-func fold16(h uint64) uint16 { return uint16(h ^ h>>16 ^ h>>32 ^ h>>48) }
-
 // begin marks the connection as busy. It reports false if the connection is to be closed.
 func (x *exchange) begin() bool {
 	c := x.conn
@@ -140,7 +138,7 @@
 		t.ConnectionLost()
 		c.Send(failureHead(&gate.Verdict{Kind: gate.Aborted, Reason: "a fault of the server"}, false))
 	}
-	c.BoundReads(wakeReader)
+	c.WakeReader()
 	c.handled <- struct{}{}
 }
 
--- a/internal/front/uwsgi/message.go
+++ b/internal/front/uwsgi/message.go
@@ -11,14 +11,13 @@
 	"time"
 
 	"sorrelvalve/decision/route"
+	"sorrelvalve/internal/front"
 	"sorrelvalve/internal/gate"
 	"sorrelvalve/internal/operator"
 	wire "sorrelvalve/internal/uwsgi"
 )
 
 const (
-	// initialBodySize of memory is allocated at once for a body, the rest as it comes, as lengths may lie.
-	initialBodySize = 16 << 10
 	// bodyMemoryRetryAfter in ms is the advice while all bodies together take more memory than they may: by then some
 	// RPCs are answered.
 	bodyMemoryRetryAfter = 250.0
@@ -132,29 +131,13 @@
 // readBodyWithin reads a body whose length has been checked, and leaves later reads unbounded if it came in time.
 func (c *conn) readBodyWithin(size int, timeout time.Duration) ([]byte, error) {
 	c.BoundReads(time.Now().Add(timeout))
-	body, err := c.readBody(size)
+	body, err := wire.ReadBody(c.in, int64(size))
 	if err == nil {
 		c.BoundReads(time.Time{})
 	}
 	return body, err
 }
 
-// readBody reads a body, for which memory is allocated as it comes.
-func (c *conn) readBody(size int) ([]byte, error) {
-	body := make([]byte, min(size, initialBodySize))
-	for read := 0; ; {
-		n, err := io.ReadFull(c.in, body[read:])
-		read += n
-		if err != nil {
-			return nil, err
-		}
-		if read == size {
-			return body, nil
-		}
-		body = append(body, make([]byte, min(size-read, read))...)
-	}
-}
-
 // markReceived records a message that brought no RPC.
 func (c *conn) markReceived() {
 	c.Mu.Lock()
@@ -169,8 +152,8 @@
 	c.markReceived()
 	c.server.log.WithField("peer", c.RemoteAddr()).WithError(e).Warn("server.invalid_rpc")
 	c.faults++
-	if c.faults > maxFaultsUndelayed {
-		time.Sleep(faultDelay)
+	if c.faults > front.MaxUndelayedFaults {
+		time.Sleep(front.FaultDelay)
 	}
 	sent := c.Send(requestErrorHead(e, e.keepAlive))
 	return c.complete(sent && e.keepAlive && !c.server.table.ShuttingDown())
--- a/internal/uwsgi/packet.go
+++ b/internal/uwsgi/packet.go
@@ -3,7 +3,7 @@
 // (https://uwsgi-docs.readthedocs.io/en/latest/Protocol.html). Parsers never copy the bytes that they walk over, check
 // each length against what is there, and allocate nothing once their slices have grown.
 //
-// The package must never touch a socket, trust a length that it has not seen the bytes of, or know what a variable is for.
+// The package must never know a socket, trust a length that it has not seen the bytes of, or know what a variable is for.
 package uwsgi
 
 import (
