--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -277,9 +277,14 @@
 			r.expect("99 health true")
 			for _, c := range r.table.Conns() {
 				c := c.(*conn)
-				c.Mu.Lock()
-				c.LastActivity = c.LastActivity.Add(-time.Hour)
-				c.Mu.Unlock()
+				for recorded := false; !recorded; runtime.Gosched() { // a response is read before its server has recorded it
+					c.Mu.Lock()
+					recorded = c.InFlight == 0
+					if recorded {
+						c.LastActivity = c.LastActivity.Add(-time.Hour)
+					}
+					c.Mu.Unlock()
+				}
 			}
 			r.expect("closing", "")
 		}},
