--- a/cmd/valvefleet/drain.go
+++ b/cmd/valvefleet/drain.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/url"
 
 	"sorrelvalve/internal/fleet"
 )
@@ -17,8 +16,7 @@
 func (c removeCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
-	query := url.Values{"name": {c.Name}, "who": {currentUser()}, "why": {c.Why}}
-	return fleet.RequestRemoval(ctx, c.Socket, query.Encode())
+	return fleet.RequestRemoval(ctx, c.Socket, fleet.Removal{Name: c.Name, Operator: currentUser(), Reason: c.Why})
 }
 
 // operation is common to all commands that go by way of a server's socket to the permit servers.
@@ -27,12 +25,12 @@
 	Why    string `required:"" help:"It is recorded with who asked."`
 }
 
-// run sends an operation of a kind, as the socket names it.
-func (o operation) run(kind, subject string) error {
+// run sends the command.
+func (o operation) run(kind fleet.DrainOperation, subject string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	query := url.Values{"what": {kind}, "subject": {subject}, "who": {currentUser()}, "why": {o.Why}}
-	return fleet.RequestDrain(ctx, o.Socket, query.Encode())
+	command := fleet.DrainCommand{Operation: kind, Subject: subject, Operator: currentUser(), Reason: o.Why}
+	return fleet.RequestDrain(ctx, o.Socket, command)
 }
 
 type drainCommand struct {
@@ -50,13 +48,13 @@
 type resumeCommand struct{ operation }
 
 // Run drains a server, or a member of a pool.
-func (c drainCommand) Run() error { return c.run("drain", c.Subject) }
+func (c drainCommand) Run() error { return c.run(fleet.OperationDrain, c.Subject) }
 
 // Run cancels a drain.
-func (c cancelCommand) Run() error { return c.run("back", c.Subject) }
+func (c cancelCommand) Run() error { return c.run(fleet.OperationCancel, c.Subject) }
 
 // Run halts all new disruption.
-func (c haltCommand) Run() error { return c.run("halt", "") }
+func (c haltCommand) Run() error { return c.run(fleet.OperationHalt, "") }
 
 // Run ends a halt.
-func (c resumeCommand) Run() error { return c.run("resume", "") }
+func (c resumeCommand) Run() error { return c.run(fleet.OperationResume, "") }
--- a/internal/experiment/drain.go
+++ b/internal/experiment/drain.go
@@ -257,7 +257,7 @@
 // drainServer asks until the server may drain. The roll began at a time.
 func (x *drainExperiment) drainServer(name string, rollBegan time.Time) error {
 	for {
-		err := fleet.RequestDrain(x.ctx, x.drained.Socket(name), "who=lab&why=roll")
+		err := fleet.RequestDrain(x.ctx, x.drained.Socket(name), fleet.DrainCommand{Operator: "lab", Reason: "roll"})
 		if err == nil {
 			return nil
 		}
--- a/internal/experiment/drain_faults.go
+++ b/internal/experiment/drain_faults.go
@@ -141,7 +141,7 @@
 		if !f.Processes.Running(name) {
 			continue
 		}
-		if fleet.RequestDrain(ctx, f.Socket(name), "what=halt&who=lab&why=look") != nil {
+		if fleet.RequestDrain(ctx, f.Socket(name), fleet.DrainCommand{Operation: fleet.OperationHalt, Operator: "lab", Reason: "look"}) != nil {
 			continue // its permit servers or itself were lost meanwhile: asked again in a while
 		}
 		began := time.Now()
@@ -151,7 +151,7 @@
 		x.halts.knownAfter = append(x.halts.knownAfter, time.Since(began).Seconds())
 		time.Sleep(time.Second)
 		resumed := time.Now()
-		for ctx.Err() == nil && fleet.RequestDrain(ctx, f.Socket(f.Names[i%drainServers]), "what=resume&who=lab&why=seen") != nil {
+		for ctx.Err() == nil && fleet.RequestDrain(ctx, f.Socket(f.Names[i%drainServers]), fleet.DrainCommand{Operation: fleet.OperationResume, Operator: "lab", Reason: "seen"}) != nil {
 			time.Sleep(100 * time.Millisecond)
 		}
 		x.halts.periods = append(x.halts.periods, period{began, resumed})
@@ -170,9 +170,9 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		member := i % len(x.drained.apps)
 		subject := "apps/" + x.drained.members[member]
-		if x.orderForMember(ctx, "drain", subject) == nil {
+		if x.orderForMember(ctx, fleet.OperationDrain, subject) == nil {
 			x.measureMemberDrain(ctx, x.drained.apps[member], subject)
-			for ctx.Err() == nil && x.orderForMember(ctx, "back", subject) != nil {
+			for ctx.Err() == nil && x.orderForMember(ctx, fleet.OperationCancel, subject) != nil {
 				time.Sleep(200 * time.Millisecond)
 			}
 		}
@@ -181,10 +181,10 @@
 }
 
 // orderForMember gives an order about a member by way of the first server that runs.
-func (x *drainExperiment) orderForMember(ctx context.Context, order, subject string) error {
+func (x *drainExperiment) orderForMember(ctx context.Context, order fleet.DrainOperation, subject string) error {
 	for _, name := range x.drained.Names {
 		if x.drained.Processes.Running(name) {
-			return fleet.RequestDrain(ctx, x.drained.Socket(name), "who=lab&why=disk&what="+order+"&subject="+subject)
+			return fleet.RequestDrain(ctx, x.drained.Socket(name), fleet.DrainCommand{Operation: order, Subject: subject, Operator: "lab", Reason: "disk"})
 		}
 	}
 	return errors.New("no server runs")
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -65,7 +65,7 @@
 	drain := func(name string) error {
 		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
 		defer end()
-		return fleet.RequestDrain(ctx, bed.Socket(name), "who=me&why=test")
+		return fleet.RequestDrain(ctx, bed.Socket(name), fleet.DrainCommand{Operator: "me", Reason: "test"})
 	}
 	// until waits for a drain to begin: servers that have not reported to the permit server since it leads count as out of service.
 	until := func(name string) {
@@ -280,20 +280,20 @@
 	if a := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Members: members, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}, Pools: map[string]permit.Limit{"apps": {MaxCount: 1}}}}); !a.OK {
 		t.Fatalf("%+v", a)
 	}
-	operate := func(name, query string) error {
+	operate := func(name string, operation fleet.DrainOperation, subject string) error {
 		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
 		defer end()
-		return fleet.RequestDrain(ctx, bed.Socket(name), query+"&who=me&why=test")
+		return fleet.RequestDrain(ctx, bed.Socket(name), fleet.DrainCommand{Operation: operation, Subject: subject, Operator: "me", Reason: "test"})
 	}
-	until := func(name, query string) {
+	until := func(name string, operation fleet.DrainOperation, subject string) {
 		t.Helper()
 		var err error
 		for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-			if err = operate(name, query); err == nil {
+			if err = operate(name, operation, subject); err == nil {
 				return
 			}
 		}
-		t.Fatalf("%s %s: %v", name, query, err)
+		t.Fatalf("%s %s %s: %v", name, operation, subject, err)
 	}
 	free := func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 }
 	pids := map[string]int{}
@@ -309,16 +309,16 @@
 		}
 	}
 	cluster.waitFor("heard", func(st permitclient.Status) bool { return len(st.Observations) == 0 && st.State.AutoHaltReason == "" })
-	until("n0", "what=drain")
-	if err := operate("n0", "what=back"); err != nil {
+	until("n0", fleet.OperationDrain, "")
+	if err := operate("n0", fleet.OperationCancel, ""); err != nil {
 		t.Errorf("back while it drains: %v", err)
 	}
 	stays("n0")
-	if err := operate("n0", "what=back"); err == nil {
+	if err := operate("n0", fleet.OperationCancel, ""); err == nil {
 		t.Error("nothing was there to take back")
 	}
-	until("n1", "what=drain")
-	if err := operate("n4", "what=back&subject=n1"); err != nil { // directed with n1's next report
+	until("n1", fleet.OperationDrain, "")
+	if err := operate("n4", fleet.OperationCancel, "n1"); err != nil { // directed with n1's next report
 		t.Errorf("back by another: %v", err)
 	}
 	stays("n1")
@@ -327,11 +327,11 @@
 	do(t, bed, "0s stop n5")
 	cluster.waitFor("n5 missed", func(st permitclient.Status) bool { return len(st.Observations) == 1 && st.Observations[0].Name == "n5" })
 	subject := "apps/" + addrs[1]
-	until("n2", "what=drain&subject="+subject)
+	until("n2", fleet.OperationDrain, subject)
 	cluster.waitFor("drained", func(st permitclient.Status) bool {
 		return len(st.Drains) == 1 && st.Drains[0].Done && slices.Equal(st.Drains[0].Unreachable, []string{"n5"})
 	})
-	if err := operate("n3", "what=drain&subject=apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
+	if err := operate("n3", fleet.OperationDrain, "apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
 		t.Errorf("a second member: %v", err)
 	}
 	was := apps[1].Received()
@@ -343,7 +343,7 @@
 	cluster.waitFor("drained by n5 too", func(st permitclient.Status) bool {
 		return len(st.Drains) == 1 && st.Drains[0].Done && len(st.Drains[0].Unreachable) == 0
 	})
-	if err := operate("n4", "what=back&subject="+subject); err != nil {
+	if err := operate("n4", fleet.OperationCancel, subject); err != nil {
 		t.Error(err)
 	}
 	cluster.waitFor("no permit", free)
@@ -366,7 +366,7 @@
 		}
 	}
 	cluster.waitFor("halted by itself", func(st permitclient.Status) bool { return st.State.AutoHaltReason != "" })
-	if err := operate("n4", "what=drain"); err == nil {
+	if err := operate("n4", fleet.OperationDrain, ""); err == nil {
 		t.Error("begun though a loss has used the allowance up")
 	}
 	if err := bed.Processes.Start("n3"); err != nil {
@@ -375,17 +375,17 @@
 	cluster.waitFor("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.AutoHaltReason == "" })
 
 	// A manual halt, and a drain requested at another server's socket: it begins after the halt.
-	if err := operate("n0", "what=halt"); err != nil {
+	if err := operate("n0", fleet.OperationHalt, ""); err != nil {
 		t.Error(err)
 	}
-	if err := operate("n0", "what=drain&subject=n4"); err != nil {
+	if err := operate("n0", fleet.OperationDrain, "n4"); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(2500 * time.Millisecond)
 	if !bed.Processes.Running("n4") {
 		t.Error("n4 has ended while halted")
 	}
-	if err := operate("n2", "what=resume"); err != nil {
+	if err := operate("n2", fleet.OperationResume, ""); err != nil {
 		t.Error(err)
 	}
 	for end := time.Now().Add(waitTimeout); bed.Processes.Running("n4"); time.Sleep(20 * time.Millisecond) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -211,7 +211,7 @@
 	}
 	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
 	ctx := context.Background()
-	if err := RequestRemoval(ctx, path, "name=b&who=me"); err == nil || !strings.Contains(err.Error(), "is heard") {
+	if err := RequestRemoval(ctx, path, Removal{Name: "b", Operator: "me"}); err == nil || !strings.Contains(err.Error(), "is heard") {
 		t.Errorf("who is heard is declared gone: %v", err)
 	}
 	b.Crash()
@@ -219,7 +219,7 @@
 		st, err := FetchStatus(ctx, path)
 		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Members == 2 && !st.Peers[0].Reachable
 	})
-	if err := RequestRemoval(ctx, path, "name=b&who=me&why=scrapped"); err != nil {
+	if err := RequestRemoval(ctx, path, Removal{Name: "b", Operator: "me", Reason: "scrapped"}); err != nil {
 		t.Fatal(err)
 	}
 	if st, _ := FetchStatus(ctx, path); st.Members != 1 || st.Peers[0].Departed != "declared gone" {
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -186,7 +186,8 @@
 // DeclareRemoved removes a server that will not come back from the roster of the whole fleet, on an operator's word. A later incarnation
 // of it, or a sign that it is running, brings it back. It fails with UnknownServerError or ReachableServerError, or if the declaration
 // can't be published.
-func (f *Fleet) DeclareRemoved(name, operator, reason string) error {
+func (f *Fleet) DeclareRemoved(r Removal) error {
+	name := r.Name
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	generation, _, has := f.records.LatestIncarnation(name)
@@ -199,11 +200,11 @@
 		}
 	}
 	now := time.Now()
-	declaration := removal{name: name, generation: generation, operator: operator, reason: reason}
+	declaration := removal{name: name, generation: generation, operator: r.Operator, reason: r.Reason}
 	if err := f.publish(now, keyRemoval, declaration.appendTo(nil)); err != nil {
 		return err
 	}
 	f.detector.MarkDeparted(f.elapsedMs(now), name, generation, health.DeclaredDead)
-	f.options.Log.WithFields(logrus.Fields{"peer": name, "operator": operator, "reason": reason}).Warn("fleet.member_removed")
+	f.options.Log.WithFields(logrus.Fields{"peer": name, "operator": r.Operator, "reason": r.Reason}).Warn("fleet.member_removed")
 	return nil
 }
--- a/internal/fleet/socket.go
+++ b/internal/fleet/socket.go
@@ -2,18 +2,13 @@
 
 import (
 	"bytes"
-	"cmp"
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
 	"net/http"
 	"os"
-	"strings"
 	"time"
-
-	"sorrelvalve/decision/permit"
 )
 
 // Bounds of the status socket: it serves operators and a monitor or two. A client that does not read its answer in time is cut off.
@@ -137,14 +132,12 @@
 }
 
 func (h *socketHandler) removal(w http.ResponseWriter, r *http.Request) {
-	query := r.URL.Query()
-	name := query.Get("name")
-	operator := query.Get("who")
-	if operator == "" || name == "" {
+	removal := parseRemovalQuery(r.URL.Query())
+	if removal.Operator == "" || removal.Name == "" {
 		http.Error(w, errNameMissing.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := h.fleet.DeclareRemoved(name, operator, query.Get("why")); err != nil {
+	if err := h.fleet.DeclareRemoved(removal); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
@@ -170,18 +163,12 @@
 		http.Error(w, errNoPermitServers.Error(), http.StatusConflict)
 		return
 	}
-	query := r.URL.Query()
-	op := drainOperation{
-		kind:     cmp.Or(query.Get("what"), "drain"),
-		subject:  cmp.Or(query.Get("subject"), h.fleet.options.Name),
-		operator: query.Get("who"),
-		reason:   query.Get("why"),
-	}
-	if op.operator == "" || op.reason == "" {
+	command := parseDrainCommand(r.URL.Query(), h.fleet.options.Name)
+	if command.Operator == "" || command.Reason == "" {
 		http.Error(w, errOperatorMissing.Error(), http.StatusBadRequest)
 		return
 	}
-	err := op.run(r.Context(), drains, h.fleet.options.Name)
+	err := command.run(r.Context(), drains, h.fleet.options.Name)
 	switch {
 	case errors.Is(err, errUnknownOperation):
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -189,38 +176,3 @@
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
-
-// drainOperation is an operator's command about drains: of this server, of another one, of a member of a pool, or a halt of all.
-type drainOperation struct {
-	kind     string // drain, back, halt or resume
-	subject  string // a server's name, or pool/member
-	operator string
-	reason   string
-}
-
-// run carries the command out: about the own server here, else by way of the permit servers.
-func (o *drainOperation) run(ctx context.Context, drains *DrainCoordinator, ownName string) error {
-	command := permit.Command{Subject: o.subject, Actor: o.operator, Reason: o.reason}
-	own := o.subject == ownName
-	switch {
-	case o.kind == "drain" && strings.Contains(o.subject, "/"):
-		return drains.DrainMember(ctx, o.subject, o.operator, o.reason)
-	case o.kind == "drain" && own:
-		return drains.Drain(ctx, o.operator, o.reason)
-	case o.kind == "drain":
-		command.Kind = permit.RequestDrain
-	case o.kind == "back" && own && drains.isDraining():
-		return drains.Cancel(ctx, o.operator)
-	case o.kind == "back":
-		command.Kind = permit.Recall
-	case o.kind == "halt":
-		command.Kind = permit.Halt
-		command.Subject = ""
-	case o.kind == "resume":
-		command.Kind = permit.Resume
-		command.Subject = ""
-	default:
-		return fmt.Errorf("what: %w, %.20q there", errUnknownOperation, o.kind)
-	}
-	return drains.Command(ctx, command)
-}
--- a/internal/fleet/socket_client.go
+++ b/internal/fleet/socket_client.go
@@ -80,10 +80,9 @@
 	return statuses, failed
 }
 
-// RequestDrain asks the server at path to carry out a drain operation. query has what (drain, back, halt or resume; drain if missing),
-// subject (a server's name or pool/member; that server if missing), who and why.
-func RequestDrain(ctx context.Context, path, query string) error {
-	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/drain?"+query)
+// RequestDrain asks the server at path to carry out a command about drains.
+func RequestDrain(ctx context.Context, path string, command DrainCommand) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/drain?"+command.query())
 	return err
 }
 
@@ -96,8 +95,8 @@
 	return status, err
 }
 
-// RequestRemoval declares at the server at path that a server will not come back. query has name, who and why.
-func RequestRemoval(ctx context.Context, path, query string) error {
-	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/gone?"+query)
+// RequestRemoval declares at the server at path that another one will not come back.
+func RequestRemoval(ctx context.Context, path string, removal Removal) error {
+	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/gone?"+removal.query())
 	return err
 }
