--- a/decision/configure/configure_test.go
+++ b/decision/configure/configure_test.go
@@ -26,7 +26,7 @@
 	return string(b)
 }
 
-// checked is sound unless a leaf is "bad".
+// checked finds a violation at each leaf that is "bad".
 func checked(t Tree) (violations []Violation) {
 	for _, c := range Diff(Tree{}, t) {
 		if c.After == "bad" {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Of two candidates made of one version the second is told of the first.
+// Of two candidates built from one version the second conflicts with the first.
 func TestTwoManagers(t *testing.T) {
 	x := newStore(t, first)
 	a, base, err := x.Candidate([]Operation{{Update, Path{"quota"}, 6.0}})
@@ -122,8 +122,8 @@
 	}
 }
 
-// Whatever is committed, refused and rolled back: what runs is sound, refused changes have no effect, versions count up
-// and are kept as far as told, and a difference carried out makes one tree of the other.
+// Any commits, rejected commits and rollbacks: what runs passes the checks, rejected changes have no effect, versions count
+// up and as many as configured are retained, and applying a difference turns one tree into the other.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := newStore(t, first)
--- a/decision/permit/halt_test.go
+++ b/decision/permit/halt_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// Halts that come by themselves end with their cause and not before; one by hand ends by hand.
+// An automatic halt ends with its cause and not before; a manual one ends manually.
 func TestHaltByItself(t *testing.T) {
-	s := fresh(t, 6, Limits{Fleet: Limit{MaxCount: 2}, MaxRejectedShare: 0.2})
+	s := newState(t, 6, Limits{Fleet: Limit{MaxCount: 2}, MaxRejectedShare: 0.2})
 	n := 0
-	ask := func(name string, pushed float64, seen ...Observation) Result {
+	ask := func(name string, rejectedShare float64, observations ...Observation) Result {
 		n++
-		return s.Apply(Command{ID: fmt.Sprint(n), Kind: Acquire, Subject: name, Actor: "w", Incarnation: 1, Observations: seen, RejectedShare: pushed})
+		return s.Apply(Command{ID: fmt.Sprint(n), Kind: Acquire, Subject: name, Actor: "w", Incarnation: 1, Observations: observations, RejectedShare: rejectedShare})
 	}
 	for _, c := range []struct {
-		name   string
-		pushed float64
-		seen   []Observation
-		auto   string
+		name          string
+		rejectedShare float64
+		observations  []Observation
+		auto          string
 	}{
 		{"all well", 0.1, nil, ""},
 		{"one lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}}, ""},
@@ -29,7 +29,7 @@
 		{"half of the bound", 0.1, nil, ""},
 		{"not a number", nan(), nil, causeRejections},
 	} {
-		a := ask("n5", c.pushed, c.seen...)
+		a := ask("n5", c.rejectedShare, c.observations...)
 		if s.AutoHaltReason != c.auto || a.Halted != (c.auto != "") {
 			t.Errorf("%s: %q, %+v", c.name, s.AutoHaltReason, a)
 		}
@@ -45,7 +45,7 @@
 	if a := ask("n5", 0); !a.OK {
 		t.Errorf("%+v", a)
 	}
-	// Who holds a permit is out by intent, and no loss.
+	// The holder of a permit is out by intent, and no loss.
 	if a := ask("n0", 0, Observation{Name: "n5", OutOfService: 1}); !a.OK || s.AutoHaltReason != "" {
 		t.Errorf("%+v %q", a, s.AutoHaltReason)
 	}
@@ -56,9 +56,9 @@
 
 func nan() float64 { z := 0.0; return z / z }
 
-// What servers are told, and when a member's drain is done.
+// The directives of servers, and when a member's drain is done.
 func TestOrdersAndProgress(t *testing.T) {
-	s := fresh(t, 3, Limits{Fleet: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 2}}})
+	s := newState(t, 3, Limits{Fleet: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 2}}})
 	n := 0
 	do := func(c Command) Result {
 		n++
@@ -73,30 +73,30 @@
 	if o := s.DirectivesFor("n0"); !reflect.DeepEqual(o.DrainingMembers, map[string]uint64{"p/m1": a.PermitID}) {
 		t.Errorf("%+v", o)
 	}
-	word := func(id uint64, hand int) map[string]MemberDrain {
+	report := func(id uint64, hand int) map[string]MemberDrain {
 		return map[string]MemberDrain{"p/m1": {PermitID: id, InFlight: hand}}
 	}
 	for _, c := range []struct {
-		name  string
-		words map[string]map[string]MemberDrain
-		want  DrainStatus
+		name    string
+		reports map[string]map[string]MemberDrain
+		want    DrainStatus
 	}{
 		{"nobody is heard", nil, DrainStatus{Unreachable: []string{"n0", "n1", "n2"}}},
-		{"one has not said", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": {}}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
-		{"one speaks of a former drain", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": word(a.PermitID-1, 0)}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
-		{"calls in hand", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 2), "n1": word(a.PermitID, 1)}, DrainStatus{InFlight: 3, Unreachable: []string{"n2"}}},
-		{"one can't", map[string]map[string]MemberDrain{"n0": {"p/m1": {PermitID: a.PermitID, BlockedReason: "all"}}, "n1": word(a.PermitID, 0)}, DrainStatus{Blocked: []string{"n0: all"}, Unreachable: []string{"n2"}}},
-		{"all heard have", map[string]map[string]MemberDrain{"n0": word(a.PermitID, 0), "n1": word(a.PermitID, 0)}, DrainStatus{Done: true, Unreachable: []string{"n2"}}},
+		{"one has not said", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": {}}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"one speaks of a former drain", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": report(a.PermitID-1, 0)}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"calls in hand", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 2), "n1": report(a.PermitID, 1)}, DrainStatus{InFlight: 3, Unreachable: []string{"n2"}}},
+		{"one can't", map[string]map[string]MemberDrain{"n0": {"p/m1": {PermitID: a.PermitID, BlockedReason: "all"}}, "n1": report(a.PermitID, 0)}, DrainStatus{Blocked: []string{"n0: all"}, Unreachable: []string{"n2"}}},
+		{"all heard have", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": report(a.PermitID, 0)}, DrainStatus{Done: true, Unreachable: []string{"n2"}}},
 	} {
 		c.want.Subject, c.want.PermitID = "p/m1", a.PermitID
-		if got := s.DrainProgress(c.words); len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
+		if got := s.DrainProgress(c.reports); len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
 	if b := do(Command{Kind: Recall, Subject: "p/m1", Actor: "me"}); !b.OK || len(s.DirectivesFor("n0").DrainingMembers) != 0 {
 		t.Errorf("%+v", b)
 	}
-	// An operator wants a server gone from elsewhere: it is told until it has begun or the word is taken back.
+	// A drain request stands until the drain has begun or the request is recalled.
 	for _, c := range []struct {
 		c  Command
 		ok bool
--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -17,7 +17,7 @@
 	return all
 }
 
-func fresh(t interface{ Fatalf(string, ...any) }, n int, l Limits) *State {
+func newState(t interface{ Fatalf(string, ...any) }, n int, l Limits) *State {
 	s := New()
 	members := []Member{{"p", "m0"}, {"p", "m1"}, {"p", "m2"}, {"p", "m3"}}
 	if a := s.Apply(Command{ID: "set", Kind: Configure, Servers: roster(n), Members: members, Limits: &l}); !a.OK {
@@ -27,7 +27,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	s := fresh(t, 8, Limits{Fleet: Limit{MaxShare: 0.25}, Zone: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 1}}})
+	s := newState(t, 8, Limits{Fleet: Limit{MaxShare: 0.25}, Zone: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 1}}})
 	id := 0
 	do := func(c Command) Result {
 		id++
@@ -89,7 +89,7 @@
 	if a := do(Command{Kind: Begin, Subject: "n1", PermitID: s.Permits["n1"].ID, Incarnation: 1}); a.OK {
 		t.Error("begun though it is wanted back")
 	}
-	// A smaller limit, and a roster without a holder: nobody is freed, nothing is granted.
+	// A smaller limit, and a roster without a holder: no permit is freed, none is granted.
 	do(Command{Kind: Configure, Servers: roster(8)[2:], Limits: &Limits{Fleet: Limit{MaxCount: 1}}})
 	if a := ask("n5"); a.OK || !slices.Contains(a.OutOfService, "n1") {
 		t.Errorf("%+v", a)
@@ -110,7 +110,7 @@
 	}
 }
 
-// invariant is what must hold after each command, whatever came before.
+// invariant checks what must hold after each command, whatever came before.
 func invariant(t interface{ Fatalf(string, ...any) }, before map[string]Permit, s *State, c Command, a Result, limit int) {
 	if len(s.Permits) > limit {
 		t.Fatalf("%d permits, %d may be out", len(s.Permits), limit)
@@ -158,11 +158,11 @@
 	return m
 }
 
-// Whatever comes in whatever order, again and again: no place is granted twice, none is freed but as it may be.
+// Any commands in any order, with retries: no place is granted twice, and none is freed but by a command that may.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 3).Draw(t, "limit")
-		s := fresh(t, 5, Limits{Fleet: Limit{MaxCount: float64(limit)}})
+		s := newState(t, 5, Limits{Fleet: Limit{MaxCount: float64(limit)}})
 		var sent []Command
 		for i := range rapid.IntRange(1, 80).Draw(t, "commands") {
 			c := Command{ID: fmt.Sprint("c", i), Subject: fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "subject")), Actor: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "who"),
@@ -189,7 +189,7 @@
 	})
 }
 
-// Every state that three servers, one place and one loss can come to.
+// Every state that three servers, two places and one loss can reach.
 func TestEveryState(t *testing.T) {
 	if testing.Short() {
 		t.Skip()
@@ -212,7 +212,7 @@
 		}
 		return &x
 	}
-	first := fresh(t, 3, Limits{Fleet: Limit{MaxCount: 2}})
+	first := newState(t, 3, Limits{Fleet: Limit{MaxCount: 2}})
 	seen, edge, steps := map[string]bool{key(first): true}, []*State{first}, 0
 	const maxPermits = 3
 	for len(edge) > 0 {
--- a/decision/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -9,8 +9,8 @@
 )
 
 // A customer whose quota is a hundredth of what it sends, with RPCs over it counting for nothing, and cores that are
-// bounded to fewer runs than there are: the search finds settings that serve more, also on parts it never saw, and says
-// the same each time.
+// bounded to fewer runs than there are: the search finds settings that serve more, also on held-out parts, and finds the
+// same each time.
 func TestSearch(t *testing.T) {
 	s := replay.Settings{
 		Node:      control.Node{Seed: 3, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, Tick: 4, WarmUpTime: 4000},
--- a/decision/release/release_test.go
+++ b/decision/release/release_test.go
@@ -19,7 +19,7 @@
 	return all
 }
 
-// Every server is in one wave, waves grow as they may, and each is spread over the zones by their sizes.
+// Every server is in one wave, no wave is larger than the rules allow, and each is spread over the zones by their sizes.
 func TestWaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := DefaultRules()
@@ -58,7 +58,7 @@
 	}
 }
 
-// The false alarms of the test itself: no difference, looked at after each of many steps.
+// The false alarms of the sequential test itself: no difference, evaluated after each of many steps.
 func TestAlarmsAreRare(t *testing.T) {
 	random := rand.New(rand.NewSource(3))
 	rules := DefaultRules()
@@ -137,7 +137,7 @@
 	return p.do(Command{Kind: PlanRelease, Version: version, Rules: &r, Servers: fleet(6, 2)}, true).Release.Number
 }
 
-// pass has servers carry RPCs and take what they are told, and looks each second; away ones are not heard.
+// pass has servers serve RPCs and follow their targets, with an observation each second; those away are unreachable.
 func (p *play) pass(seconds int, bad func(*Report) float64, away ...string) {
 	for range seconds {
 		c := Command{Kind: Observe, ElapsedMS: 1000}
@@ -159,7 +159,7 @@
 	}
 }
 
-// How releases end, by what is seen.
+// How releases end, by what is observed.
 func TestReleaseEnds(t *testing.T) {
 	worse := func(s *Report) float64 {
 		if s.Version == 1 {
@@ -287,7 +287,7 @@
 	}
 }
 
-// Versions are numbered whole, a repeated one is the same, and none that is in use goes.
+// Versions are numbered, a repeated body is the same version, and none that is in use is evicted.
 func TestVersions(t *testing.T) {
 	b, p := newPlay(t)
 	if a := p.do(Command{Kind: PutVersion, Body: []byte("one")}, true); a.Version != 1 {
@@ -310,7 +310,7 @@
 	}
 }
 
-// Whatever comes in whatever order: nobody is assigned a version before its wave, and what is back is what was before.
+// Any commands in any order: no server is assigned a version before its wave, and a rollback restores what was before.
 func TestAnyRelease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New()
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// arrivals are some seconds of load at a share of what the machine can do, with the ends that a recorder saw left out.
+// arrivals returns some seconds of load as a share of the machine's capacity, without the completions that a recorder sees.
 func arrivals(load float64, seconds int, seed int64) (steps []Step) {
 	random := rand.New(rand.NewSource(seed))
 	steps = append(steps, Step{Event: control.Event{Kind: control.Started}})
@@ -59,7 +59,7 @@
 	}
 }
 
-// Each arrival ends exactly once, a token runs once, the same steps give the same ends, and more load is turned away.
+// Each arrival completes exactly once, the same steps give the same completions, and more load has more RPCs rejected.
 func TestSimulate(t *testing.T) {
 	away := map[float64]float64{}
 	for _, load := range []float64{0.5, 1.2, 2} {
@@ -101,7 +101,7 @@
 	}
 }
 
-// What an instance said is what another says to the same events; a changed event, setting or verdict is found.
+// Two controllers give the same verdicts on the same events; a changed setting or verdict is found.
 func TestVerify(t *testing.T) {
 	s := settings()
 	c := s.newController()
@@ -139,7 +139,7 @@
 		parts  bool
 	}{
 		{"as it was", func([]Step, *Settings) {}, false},
-		{"another seed", func(_ []Step, s *Settings) { s.Node.Seed++ }, false}, // no chance was drawn: nothing was late
+		{"another seed", func(_ []Step, s *Settings) { s.Node.Seed++ }, false}, // nothing was drawn at random: nothing was late
 		{"a verdict changed", func(x []Step, _ *Settings) { x[20].Actions = []control.Action{{Kind: control.Abort, RPC: 1}} }, true},
 		{"another setting", func(_ []Step, s *Settings) { s.Methods[0].LatencyObjective = 30 }, true},
 	}
@@ -172,7 +172,7 @@
 
 var arrivalsFlag = flag.Int("arrivals", 200000, "of the test of bounded memory; 10 million take half a minute")
 
-// A trace of any length is replayed in the memory of what is in hand.
+// A trace of any length is replayed in the memory of what is in flight.
 func TestBounded(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	n, at := 0, 0.0
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -25,7 +25,7 @@
 	return m
 }
 
-// Model and file have the same keys, both ways, and the model says of each whether it is a table, a list or a leaf.
+// Model and operator's file have the same keys, both ways, and agree which are tables, lists and leaves.
 func TestKeysAgree(t *testing.T) {
 	m := load(t)
 	var walk func(path string, e *yang.Entry, typ reflect.Type)
@@ -84,8 +84,8 @@
 	return tree
 }
 
-// The example that ships is sound by the model; each change that the model does not allow is named by its path, and CUE's
-// schema or the checks of the file refuse it as well.
+// The example that ships passes the model's check; each change that the model does not allow is reported by its path, and CUE's
+// schema or the checks of the file reject it as well.
 func TestCheck(t *testing.T) {
 	m := load(t)
 	f, errs := cuefile.Compile([]string{"../../deploy/operator.cue"}, route.Catalog{})
--- a/internal/permitserver/compat_test.go
+++ b/internal/permitserver/compat_test.go
@@ -29,17 +29,17 @@
 	}
 }
 
-// A folder written by version b631b89 of this code (testdata/b631b89: raft's log in raft.db, with entries packed and
-// plain, and a snapshot) is read by this one: the state is that of the snapshot with the later entries carried out.
+// A data directory written by version b631b89 of this code (testdata/b631b89: raft's log in raft.db, with entries compressed
+// and plain, and a snapshot) is read by this one: the state is that of the snapshot with the later entries applied.
 func TestReadsDiskOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	copyTree(t, filepath.Join("testdata", "b631b89"), dir)
-	k, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", free(t), free(t)}}, DataDir: dir, Log: quiet()})
+	k, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", freeAddress(t), freeAddress(t)}}, DataDir: dir, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	for end := time.Now().Add(soon); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); ; time.Sleep(10 * time.Millisecond) {
 		st, _, err := k.State()
 		if err == nil {
 			if st.HaltReason != "in the log after the snapshot" || st.HaltedBy != "op" || len(st.Servers) != 100 || st.Servers[7].Name != "n7" || st.Servers[7].Zone != "z1" {
--- a/internal/permitserver/server_test.go
+++ b/internal/permitserver/server_test.go
@@ -25,7 +25,7 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// TestMain is a keeper if it was started as one: the processes of these tests are their own program.
+// TestMain runs a replica if it was started as one: the processes of these tests are their own executable.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 3 && os.Args[1] == "keep" {
 		o := Options{Name: os.Args[2], DataDir: os.Args[3], Bootstrap: os.Args[4] == "new", Log: logrus.NewEntry(logrus.New()), snapshotThreshold: 40}
@@ -50,14 +50,15 @@
 	os.Exit(m.Run())
 }
 
-func quiet() *logrus.Entry {
+func discardLog() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l.WithField("keeper", "test")
 }
 
-// free is an address that nobody listens on, of an IP address of its own: what calls from 127.0.0.1 takes ports there at any time.
-func free(t *testing.T) string {
+// freeAddress returns an address that nobody listens on, of an IP address of its own: clients on 127.0.0.1 take ports there at any
+// time.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.Intn(200), rand.Intn(256), 1+rand.Intn(250)))
 	if err != nil {
@@ -69,22 +70,22 @@
 	return ln.Addr().String()
 }
 
-// set is three keepers as processes.
-type set struct {
+// processCluster is three replicas as processes.
+type processCluster struct {
 	*testing.T
-	peers []Peer
-	dir   string
-	procs map[string]*exec.Cmd
+	replicas []Peer
+	dir      string
+	procs    map[string]*exec.Cmd
 	*permitclient.Client
 }
 
-func start(t *testing.T) *set {
+func startProcesses(t *testing.T) *processCluster {
 	t.Helper()
-	s := &set{T: t, dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
+	s := &processCluster{T: t, dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
 	var addrs []string
 	for i := range 3 {
-		p := Peer{fmt.Sprint("k", i), free(t), free(t)}
-		s.peers, addrs = append(s.peers, p), append(addrs, p.HTTPAddr)
+		p := Peer{fmt.Sprint("k", i), freeAddress(t), freeAddress(t)}
+		s.replicas, addrs = append(s.replicas, p), append(addrs, p.HTTPAddr)
 	}
 	s.Client = permitclient.New(addrs)
 	t.Cleanup(func() {
@@ -93,15 +94,15 @@
 			s.kill(name)
 		}
 	})
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		s.run(p.Name, "new")
 	}
 	return s
 }
 
-func (s *set) run(name, how string) {
+func (s *processCluster) run(name, how string) {
 	args := []string{"keep", name, filepath.Join(s.dir, name), how}
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		args = append(args, p.Name+","+p.RaftAddr+","+p.HTTPAddr)
 	}
 	c := exec.Command(os.Args[0], args...)
@@ -111,16 +112,16 @@
 	s.procs[name] = c
 }
 
-func (s *set) kill(name string) {
+func (s *processCluster) kill(name string) {
 	if c := s.procs[name]; c != nil {
 		_ = c.Process.Signal(syscall.SIGCONT) // it may have ended
 		_ = c.Process.Kill()                  // likewise
-		_ = c.Wait()                          // it tells that it was killed
+		_ = c.Wait()                          // it returns that it was killed
 		delete(s.procs, name)
 	}
 }
 
-func (s *set) signal(name string, x syscall.Signal) {
+func (s *processCluster) signal(name string, x syscall.Signal) {
 	if c := s.procs[name]; c != nil {
 		if err := c.Process.Signal(x); err != nil {
 			s.Errorf("signal %v to %s: %v", x, name, err)
@@ -128,11 +129,11 @@
 	}
 }
 
-const soon = 30 * time.Second
+const waitLimit = 30 * time.Second
 
-func (s *set) do(c permit.Command) permit.Result {
+func (s *processCluster) do(c permit.Command) permit.Result {
 	s.Helper()
-	ctx, end := context.WithTimeout(context.Background(), soon)
+	ctx, end := context.WithTimeout(context.Background(), waitLimit)
 	defer end()
 	a, err := s.Do(ctx, c)
 	if err != nil {
@@ -141,9 +142,9 @@
 	return a
 }
 
-func (s *set) state() permitclient.Status {
+func (s *processCluster) state() permitclient.Status {
 	s.Helper()
-	ctx, end := context.WithTimeout(context.Background(), soon)
+	ctx, end := context.WithTimeout(context.Background(), waitLimit)
 	defer end()
 	st, err := s.State(ctx)
 	if err != nil {
@@ -152,7 +153,7 @@
 	return st
 }
 
-func (s *set) roster(n, limit int) {
+func (s *processCluster) roster(n, limit int) {
 	var all []permit.Server
 	for i := range n {
 		all = append(all, permit.Server{Name: fmt.Sprint("n", i)})
@@ -162,8 +163,8 @@
 	}
 }
 
-// heard has servers say again and again that they are in use, until it is ended.
-func (s *set) heard(n int) (end func()) {
+// sendHeartbeats has servers report again and again that they are in service, until end is called.
+func (s *processCluster) sendHeartbeats(n int) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range n {
@@ -184,10 +185,10 @@
 	return func() { cancel(); wg.Wait() }
 }
 
-// until asks until a permit is granted: servers that are not heard yet count as out.
-func (s *set) until(name, id string) permit.Result {
+// acquire requests until a permit is granted: servers without a heartbeat yet count as out.
+func (s *processCluster) acquire(name, id string) permit.Result {
 	s.Helper()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if a := s.do(permit.Command{ID: id + time.Now().String(), Kind: permit.Acquire, Subject: name, Actor: id, Incarnation: 1}); a.OK {
 			return a
 		}
@@ -196,16 +197,17 @@
 	return permit.Result{}
 }
 
-// Not heard is out; a permit outlives the leader, and all keepers killed; the same command again is answered the same.
+// A server without a heartbeat is out; a permit outlives the leader, and the death of all replicas; a retried command has the same
+// result.
 func TestPermitsOutliveKeepers(t *testing.T) {
-	s := start(t)
+	s := startProcesses(t)
 	s.roster(4, 1)
 	if a := s.do(permit.Command{ID: "early", Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1}); a.OK {
 		t.Errorf("nobody is heard, and n0 may go: %+v", a)
 	}
-	end := s.heard(4)
+	end := s.sendHeartbeats(4)
 	defer end()
-	a := s.until("n0", "x")
+	a := s.acquire("n0", "x")
 	s.kill(s.state().Leader)
 	if b := s.do(permit.Command{ID: "second", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
 		t.Errorf("two of one: %+v", b)
@@ -213,33 +215,33 @@
 	if b := s.do(permit.Command{ID: "second", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
 		t.Errorf("the same again: %+v", b)
 	}
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		s.kill(p.Name)
 	}
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		s.run(p.Name, "old")
 	}
-	if held := s.state().State.Granted(); len(held) != 1 || held[0].ID != a.PermitID || held[0].Subject != "n0" {
-		t.Errorf("%+v", held)
+	if permits := s.state().State.Granted(); len(permits) != 1 || permits[0].ID != a.PermitID || permits[0].Subject != "n0" {
+		t.Errorf("%+v", permits)
 	}
 	if b := s.do(permit.Command{ID: "unused", Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); !b.OK {
 		t.Errorf("%+v", b)
 	}
-	s.until("n2", "z")
+	s.acquire("n2", "z")
 }
 
-// A leader that has lost the others grants nothing; after the heal there is one order for all.
+// A leader without a majority grants nothing; once the others are back there is one order of commands for all.
 func TestMinorityGrantsNothing(t *testing.T) {
-	s := start(t)
+	s := startProcesses(t)
 	s.roster(3, 1)
-	end := s.heard(3)
+	end := s.sendHeartbeats(3)
 	defer end()
 	leader := s.state().Leader
-	a := s.until("n0", "x")
+	a := s.acquire("n0", "x")
 	if b := s.do(permit.Command{ID: "back", Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); !b.OK {
 		t.Fatalf("%+v", b)
 	}
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		if p.Name != leader {
 			s.signal(p.Name, syscall.SIGSTOP)
 		}
@@ -249,45 +251,45 @@
 	if b, err := s.Do(ctx, permit.Command{ID: "minority", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); err == nil && b.OK {
 		t.Errorf("granted without the others: %+v", b)
 	}
-	for _, p := range s.peers {
+	for _, p := range s.replicas {
 		s.signal(p.Name, syscall.SIGCONT)
 	}
-	// What was asked then may stand in the log that counts now, or not; the same command tells, and is carried out once.
+	// That command may be in the log that was elected, or not; sent again, it tells, and is applied once.
 	if b := s.do(permit.Command{ID: "minority", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1}); b.OK {
 		if b := s.do(permit.Command{ID: "back too", Kind: permit.Return, Subject: "n1", PermitID: b.PermitID, Incarnation: 1}); !b.OK {
 			t.Errorf("%+v", b)
 		}
 	}
-	s.until("n2", "z")
-	if held := s.state().State.Granted(); len(held) != 1 {
-		t.Errorf("%+v", held)
+	s.acquire("n2", "z")
+	if permits := s.state().State.Granted(); len(permits) != 1 {
+		t.Errorf("%+v", permits)
 	}
 }
 
-// A keeper whose disk was lost does not come back under its name, and a folder of a keeper can't be used twice at a time.
+// A replica whose disk was lost does not come back under its name, and the log of a replica outlives it.
 func TestLostDisk(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	peers := []Peer{{"k0", free(t), free(t)}}
+	peers := []Peer{{"k0", freeAddress(t), freeAddress(t)}}
 	dir := t.TempDir()
-	if _, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: quiet()}); !errors.Is(err, errNoLog) {
+	if _, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: discardLog()}); !errors.Is(err, errNoLog) {
 		t.Errorf("error %v", err)
 	}
-	k, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Bootstrap: true, Log: quiet()})
+	k, err := Start(Options{Name: "k0", Peers: peers, DataDir: dir, Bootstrap: true, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(soon); !k.IsLeader() && time.Now().Before(end); {
+	for end := time.Now().Add(waitLimit); !k.IsLeader() && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	if a, err := k.Do(permit.Command{ID: "1", Kind: permit.Halt, Actor: "me", Reason: "test"}); err != nil || !a.OK {
 		t.Errorf("%+v %v", a, err)
 	}
 	k.Close()
-	if k, err = Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: quiet()}); err != nil {
+	if k, err = Start(Options{Name: "k0", Peers: peers, DataDir: dir, Log: discardLog()}); err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	for end := time.Now().Add(soon); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if st, _, err := k.State(); err == nil {
 			if st.HaltReason != "test" {
 				t.Errorf("%+v", st)
@@ -302,31 +304,31 @@
 	}
 }
 
-// op is one call of a history, and its answer.
-type op struct {
-	c permit.Command
-	a permit.Result
+// exchange is one request of a history, and its result.
+type exchange struct {
+	command permit.Command
+	result  permit.Result
 }
 
-// Histories of several clients, with keepers killed, stopped and started meanwhile, are those of one state machine: a
-// permit is granted only while there is a place, and one subject's only once.
+// Histories of several clients, with replicas killed, stopped and started meanwhile, are linearizable: a permit is granted only
+// while there is a place, and one subject's only once.
 func TestLinearizable(t *testing.T) {
 	const limit, servers = 2, 4
-	s := start(t)
+	s := startProcesses(t)
 	s.roster(servers, limit)
-	end := s.heard(servers)
+	end := s.sendHeartbeats(servers)
 	defer end()
-	s.until("n0", "first")
+	s.acquire("n0", "first")
 	s.do(permit.Command{ID: "free0", Kind: permit.Free, Subject: "n0", Actor: "x", Reason: "test"})
 	stop := make(chan struct{})
 	var faults, clients sync.WaitGroup
 	faults.Add(1)
 	go func() {
 		defer faults.Done()
-		chance := rand.New(rand.NewSource(1))
+		random := rand.New(rand.NewSource(1))
 		for {
-			name := s.peers[chance.Intn(3)].Name
-			if chance.Intn(2) == 0 {
+			name := s.replicas[random.Intn(3)].Name
+			if random.Intn(2) == 0 {
 				s.kill(name)
 				s.run(name, "old")
 			} else {
@@ -349,15 +351,15 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			chance := rand.New(rand.NewSource(int64(client)))
-			held := map[string]uint64{}
+			random := rand.New(rand.NewSource(int64(client)))
+			permits := map[string]uint64{}
 			for i := 0; time.Since(began) < 8*time.Second; i++ {
-				c := permit.Command{ID: fmt.Sprint(client, "-", i), Actor: fmt.Sprint("c", client), Incarnation: 1, Subject: fmt.Sprint("n", chance.Intn(servers)), Kind: permit.Acquire}
-				if p := held[c.Subject]; p != 0 {
+				c := permit.Command{ID: fmt.Sprint(client, "-", i), Actor: fmt.Sprint("c", client), Incarnation: 1, Subject: fmt.Sprint("n", random.Intn(servers)), Kind: permit.Acquire}
+				if p := permits[c.Subject]; p != 0 {
 					c.Kind, c.PermitID = permit.Return, p
 				}
 				call := time.Since(began)
-				ctx, done := context.WithTimeout(context.Background(), soon)
+				ctx, done := context.WithTimeout(context.Background(), waitLimit)
 				a, err := s.Do(ctx, c)
 				done()
 				if err != nil {
@@ -365,48 +367,48 @@
 					return
 				}
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: client, Input: op{c: c}, Output: op{a: a}, Call: int64(call), Return: int64(time.Since(began))})
+				history = append(history, porcupine.Operation{ClientId: client, Input: exchange{command: c}, Output: exchange{result: a}, Call: int64(call), Return: int64(time.Since(began))})
 				if c.Kind == permit.Acquire && a.OK {
 					granted++
-					held[c.Subject] = a.PermitID
+					permits[c.Subject] = a.PermitID
 				} else if c.Kind == permit.Return && a.OK {
-					delete(held, c.Subject)
+					delete(permits, c.Subject)
 				}
 				mu.Unlock()
-				time.Sleep(time.Duration(chance.Intn(30)) * time.Millisecond)
+				time.Sleep(time.Duration(random.Intn(30)) * time.Millisecond)
 			}
 		}()
 	}
 	clients.Wait()
 	close(stop)
 	faults.Wait()
-	// The state is who holds which permit, as sorted text. A refusal changes nothing, and may always be: who is heard is not in it.
+	// The state is who holds which permit, as sorted text. A denial changes nothing, and is always allowed: reachability is not in it.
 	model := porcupine.Model{
 		Init: func() any { return "" },
 		Step: func(state, in, out any) (bool, any) {
-			held := map[string]string{}
+			permits := map[string]string{}
 			for _, x := range strings.Fields(state.(string)) {
 				name, id, _ := strings.Cut(x, "=")
-				held[name] = id
+				permits[name] = id
 			}
-			c, a := in.(op).c, out.(op).a
+			c, a := in.(exchange).command, out.(exchange).result
 			id := fmt.Sprint(a.PermitID, ":", c.Actor)
 			switch {
 			case !a.OK:
 				return true, state
 			case c.Kind == permit.Acquire:
-				if was, is := held[c.Subject]; is && was != id || !is && len(held) >= limit {
+				if was, is := permits[c.Subject]; is && was != id || !is && len(permits) >= limit {
 					return false, state
 				}
-				held[c.Subject] = id
+				permits[c.Subject] = id
 			case c.Kind == permit.Return:
-				if held[c.Subject] != fmt.Sprint(c.PermitID, ":", c.Actor) {
-					return a.Reason != "", state // it says that it was not held
+				if permits[c.Subject] != fmt.Sprint(c.PermitID, ":", c.Actor) {
+					return a.Reason != "", state // it reports that it was not held
 				}
-				delete(held, c.Subject)
+				delete(permits, c.Subject)
 			}
 			var all []string
-			for name, id := range held {
+			for name, id := range permits {
 				all = append(all, name+"="+id)
 			}
 			sort.Strings(all)
--- a/internal/trace/encoding.go
+++ b/internal/trace/encoding.go
@@ -31,7 +31,7 @@
 	fieldTime     = 9
 	fieldWaited   = 10
 	fieldHint     = 11
-	fieldHeldKB   = 12
+	fieldQueuedKB = 12
 	fieldRetry    = 13
 	fieldOutcome  = 14
 	fieldSpent    = 15
@@ -106,7 +106,7 @@
 	m = appendNumber(m, fieldTime, ev.Remaining)
 	m = appendNumber(m, fieldWaited, ev.Age)
 	m = appendNumber(m, fieldHint, ev.CostHint)
-	m = appendNumber(m, fieldHeldKB, ev.QueuedKB)
+	m = appendNumber(m, fieldQueuedKB, ev.QueuedKB)
 	m = appendBool(m, fieldRetry, ev.Retry)
 	m = appendUint(m, fieldOutcome, uint64(ev.Outcome))
 	m = appendNumber(m, fieldSpent, ev.Elapsed)
@@ -219,7 +219,7 @@
 		ev.Age = number
 	case fieldHint:
 		ev.CostHint = number
-	case fieldHeldKB:
+	case fieldQueuedKB:
 		ev.QueuedKB = number
 	case fieldRetry:
 		ev.Retry = v != 0
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Files are rotated, so many are kept, and read as one.
+// Files are rotated, as many as configured are retained, and they are read as one trace.
 func TestRotation(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	record(t, path, 20000, FileLimits{MaxFileBytes: 100 << 10, MaxFiles: 3})
@@ -117,11 +117,11 @@
 	}
 }
 
-// Whatever is wrong with a file: it is told, and what was whole before is read.
+// Any damage to a file is reported, and what was complete before it is read.
 func TestDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "t")
 	record(t, path, 5000, FileLimits{MaxFileBytes: 1 << 30, MaxFiles: 1})
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := &Reader{}
-			err := r.Begin(bytes.NewReader(c.change(bytes.Clone(whole))))
+			err := r.Begin(bytes.NewReader(c.change(bytes.Clone(complete))))
 			if !errors.Is(err, c.begin) {
 				t.Fatalf("error %v, want %v", err, c.begin)
 			}
@@ -160,7 +160,7 @@
 	}
 }
 
-// disk is a file that is full after some bytes, or that blocks.
+// disk is a file that is full after some bytes, or whose writes block.
 type disk struct {
 	room  int
 	block chan struct{}
@@ -185,7 +185,7 @@
 
 func (d *disk) Close() error { return nil }
 
-// A full disk costs blocks, which are counted; who tells of events never waits for it.
+// A full disk loses blocks, which are counted; Event never waits for it.
 func TestDiskFull(t *testing.T) {
 	var mu sync.Mutex
 	buf := &bytes.Buffer{}
@@ -219,7 +219,7 @@
 	}
 }
 
-// A disk that stalls holds nobody up: entries are dropped, and the next one that is taken says how many.
+// A disk that stalls does not block Event: entries are dropped, and the next one that is taken records how many.
 func TestDiskStalls(t *testing.T) {
 	var mu sync.Mutex
 	buf := &bytes.Buffer{}
@@ -242,19 +242,19 @@
 	for len(w.fullBlocks) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	w.Event(1, control.Event{}, nil, 0) // which says how many were dropped before it
+	w.Event(1, control.Event{}, nil, 0) // which records how many were dropped before it
 	w.Close()
 	r := &Reader{}
 	if err := r.Begin(buf); err != nil {
 		t.Fatal(err)
 	}
 	got, err := all(r)
-	told := 0
+	reportedDropped := 0
 	for _, e := range got {
-		told += e.Dropped
+		reportedDropped += e.Dropped
 	}
-	if !errors.Is(err, io.EOF) || told == 0 || uint64(len(got))+w.Dropped.Load() != n+1 {
-		t.Errorf("%d entries, %d dropped, %d told, error %v", len(got), w.Dropped.Load(), told, err)
+	if !errors.Is(err, io.EOF) || reportedDropped == 0 || uint64(len(got))+w.Dropped.Load() != n+1 {
+		t.Errorf("%d entries, %d dropped, %d told, error %v", len(got), w.Dropped.Load(), reportedDropped, err)
 	}
 }
 
