--- a/decision/health/contact.go
+++ b/decision/health/contact.go
@@ -15,7 +15,12 @@
 
 // String returns the text that status output shows.
 func (c Contact) String() string {
-	return [...]string{"none", "through others", "one way", "both ways"}[min(max(c, NoContact), Bidirectional)]
+	return [...]string{
+		NoContact:       "none",
+		IndirectContact: "through others",
+		InboundOnly:     "one way",
+		Bidirectional:   "both ways",
+	}[min(max(c, NoContact), Bidirectional)]
 }
 
 // contactWindowPerMember (ms) is added to Config.ContactWindow for each listed member: twice the time that a prober which
--- a/decision/health/state.go
+++ b/decision/health/state.go
@@ -19,7 +19,7 @@
 
 // String returns the text that status output shows.
 func (s ClusterState) String() string {
-	return [...]string{"alone", "part", "whole"}[min(max(s, Isolated), Complete)]
+	return [...]string{Isolated: "alone", Partitioned: "part", Complete: "whole"}[min(max(s, Isolated), Complete)]
 }
 
 // Flap damping, after BGP route flap damping (RFC 2439): each suspicion adds one to a penalty with a half-life of
--- a/decision/outlier/member.go
+++ b/decision/outlier/member.go
@@ -16,11 +16,21 @@
 	Drained                         // by an operator, whatever the evidence
 )
 
-// String returns the text that status output and log lines show.
-func (c Condition) String() string {
-	return [...]string{"not known", "sound", "bad", "bad from here", "slow", "busy", "taken over from others", "bad, as all are", "drained"}[min(max(c, 0), Drained)]
+var conditionTexts = [...]string{
+	Unknown:        "not known",
+	Healthy:        "sound",
+	Failing:        "bad",
+	FailingLocally: "bad from here",
+	Slow:           "slow",
+	Busy:           "busy",
+	Inherited:      "taken over from others",
+	AllFailing:     "bad, as all are",
+	Drained:        "drained",
 }
 
+// String returns the text that status output and log lines show.
+func (c Condition) String() string { return conditionTexts[min(max(c, 0), Drained)] }
+
 // ejectionRank orders conditions by how soon their members are ejected: 0 first.
 func (c Condition) ejectionRank() int {
 	switch c {
--- a/decision/quota/message.go
+++ b/decision/quota/message.go
@@ -26,11 +26,17 @@
 	NoAnswer                              // the request timed out
 )
 
-// String returns the text that status output shows.
-func (r DenialReason) String() string {
-	return [...]string{"", "nothing is free there", "too many ask there", "it has lent to as many as it may", "it has no such budget", "no answer came"}[min(max(r, 0), NoAnswer)]
+var denialTexts = [...]string{
+	Exhausted:     "nothing is free there",
+	Contended:     "too many ask there",
+	TooManyLeases: "it has lent to as many as it may",
+	UnknownLimit:  "it has no such budget",
+	NoAnswer:      "no answer came",
 }
 
+// String returns the text that status output shows.
+func (r DenialReason) String() string { return denialTexts[min(max(r, 0), NoAnswer)] }
+
 // Denial is a request that got nothing. Fleet status prints it as JSON under the names in the tags.
 type Denial struct {
 	By     string
