--- a/internal/operator/record.go
+++ b/internal/operator/record.go
@@ -28,6 +28,7 @@
 // FormatError says that a record has a format which this build does not read.
 type FormatError struct{ Got int }
 
+// Error names both formats and what to do.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("format: %d expected, %d there; compile the file with the valvectl of this build", Format, e.Got)
 }
@@ -35,6 +36,7 @@
 // TrailingDataError says that a record goes on after its end.
 type TrailingDataError struct{ Offset int64 } // in bytes
 
+// Error tells where the record should have ended.
 func (e *TrailingDataError) Error() string {
 	return fmt.Sprintf("one object expected, more there after byte %d", e.Offset)
 }
