--- a/decision/expect/expect.go
+++ b/decision/expect/expect.go
@@ -30,11 +30,11 @@
 
 // Settings are what expectations are checked against.
 type Settings struct {
-	Routes          []route.Rule
-	Pools           map[string]string  // by method; the engine serves methods that are not here
-	Methods         []string           // nil: not known
-	Criticality     map[string]float64 // by method; nil: not known
-	OverQuotaFactor float64            // by which the criticality of an RPC over its quota is multiplied
+	Routes            []route.Rule
+	Pools             map[string]string  // by method; the engine serves methods that are not here
+	Methods           []string           // nil: not known
+	Criticality       map[string]float64 // by method; nil: not known
+	OverQuotaFraction float64            // by which the criticality of an RPC over its quota is multiplied
 }
 
 // Failure is an expectation that does not hold, or can't be evaluated.
@@ -175,7 +175,7 @@
 	then := s.Criticality[x.Then]
 	suffix := ""
 	if x.OverQuota {
-		then *= s.OverQuotaFactor
+		then *= s.OverQuotaFraction
 		suffix = " beyond its quota"
 	}
 	if first < then {
--- a/decision/expect/expect_test.go
+++ b/decision/expect/expect_test.go
@@ -13,10 +13,10 @@
 			{Name: "buy", Path: "/buy/{key}", Verb: "POST", Method: "topup-buy", Customer: route.Source{Fixed: "kaipara"}, Token: route.Source{Segment: "key"}},
 			{Name: "view", Path: "/account/*", Method: "account-view", Customer: route.Source{Query: "c", Names: map[string]string{"k": "kaipara"}}},
 		},
-		Pools:           map[string]string{"account-view": "pages"},
-		Methods:         []string{"account-view", "settings-save", "topup-buy"},
-		Criticality:     map[string]float64{"account-view": 1, "settings-save": 1, "topup-buy": 3},
-		OverQuotaFactor: 0.1,
+		Pools:             map[string]string{"account-view": "pages"},
+		Methods:           []string{"account-view", "settings-save", "topup-buy"},
+		Criticality:       map[string]float64{"account-view": 1, "settings-save": 1, "topup-buy": 3},
+		OverQuotaFraction: 0.1,
 	}
 }
 
--- a/decision/route/check.go
+++ b/decision/route/check.go
@@ -23,8 +23,8 @@
 	RequireToken map[string]bool // methods whose RPCs must carry an idempotency token
 	Customers    []string
 
-	Criticality     map[string]float64 // by method
-	OverQuotaFactor float64            // of its priority weight that an RPC over its customer's quota keeps
+	Criticality       map[string]float64 // by method
+	OverQuotaFraction float64            // of its priority weight that an RPC over its customer's quota keeps
 }
 
 // Verbs are the HTTP methods that the fronts accept.
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -91,8 +91,8 @@
 
 func (c *checker) limits() {
 	limits := &c.file.Limits
-	if limits.OverShare != nil {
-		c.within("limits.over_share", *limits.OverShare, 0, 1)
+	if limits.OverQuotaFraction != nil {
+		c.within("limits.over_share", *limits.OverQuotaFraction, 0, 1)
 	}
 	if limits.RunsPerCore != 0 {
 		c.within("limits.runs_a_core", limits.RunsPerCore, 1, 1000)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,9 +31,9 @@
 
 // Limits override those of the platform's settings.
 type Limits struct {
-	OverShare   *float64           `json:"over_share,omitempty"`  // part of its criticality that an RPC over its quota keeps, 0 to 1
-	RunsPerCore float64            `json:"runs_a_core,omitempty"` // runs in flight for each core; 0 leaves the settings' limit
-	Quotas      map[string]float64 `json:"quotas,omitempty"`      // RPCs a second, by customer
+	OverQuotaFraction *float64           `json:"over_share,omitempty"`  // part of its criticality that an RPC over its quota keeps, 0 to 1
+	RunsPerCore       float64            `json:"runs_a_core,omitempty"` // runs in flight for each core; 0 leaves the settings' limit
+	Quotas            map[string]float64 `json:"quotas,omitempty"`      // RPCs a second, by customer
 }
 
 // Trace configures the recorder of the events that the decisions handle and the actions that they return.
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -48,14 +48,14 @@
 		}
 	}
 	settings := expect.Settings{
-		Routes:          f.Rules(),
-		Pools:           map[string]string{},
-		Methods:         known.Methods,
-		Criticality:     known.Criticality,
-		OverQuotaFactor: known.OverQuotaFactor,
+		Routes:            f.Rules(),
+		Pools:             map[string]string{},
+		Methods:           known.Methods,
+		Criticality:       known.Criticality,
+		OverQuotaFraction: known.OverQuotaFraction,
 	}
-	if f.Limits.OverShare != nil {
-		settings.OverQuotaFactor = *f.Limits.OverShare
+	if f.Limits.OverQuotaFraction != nil {
+		settings.OverQuotaFraction = *f.Limits.OverQuotaFraction
 	}
 	for name, method := range f.Methods {
 		settings.Pools[name] = method.Pool
@@ -66,8 +66,8 @@
 // Apply puts the file's limits and queue over those of the settings.
 func (f *File) Apply(settings *startup.Config) {
 	settings.Limits.DisplaceableFor = f.Queue.SettledMs
-	if f.Limits.OverShare != nil {
-		settings.Fleet.OverQuotaFraction = *f.Limits.OverShare
+	if f.Limits.OverQuotaFraction != nil {
+		settings.Fleet.OverQuotaFraction = *f.Limits.OverQuotaFraction
 	}
 	if f.Limits.RunsPerCore > 0 {
 		settings.Limits.MaxRunsPerCore = f.Limits.RunsPerCore
@@ -84,9 +84,9 @@
 // KnownNames returns the names that a file may use, from the settings.
 func KnownNames(settings *startup.Config) route.Catalog {
 	known := route.Catalog{
-		RequireToken:    map[string]bool{},
-		Criticality:     map[string]float64{},
-		OverQuotaFactor: settings.Fleet.OverQuotaFraction,
+		RequireToken:      map[string]bool{},
+		Criticality:       map[string]float64{},
+		OverQuotaFraction: settings.Fleet.OverQuotaFraction,
 	}
 	for _, method := range settings.Methods {
 		known.Criticality[method.Name] = method.Criticality
