--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -89,7 +89,7 @@
 	}
 	f.reachable.Store(1)
 	f.identity = health.Identity{Generation: 1, Incarnation: newIncarnation()}
-	f.detector = health.New(o.healthRules, o.Name, o.Zone, 0, f.wallMs())
+	f.detector = health.New(o.healthConfig, o.Name, o.Zone, 0, f.wallMs())
 	if err := f.startMemberlist(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -116,7 +116,7 @@
 		return false
 	}
 	sinceTick := time.Since(f.startedAt) - time.Duration(f.lastTick.Load())
-	if float64(sinceTick)/1e6 >= f.options.healthRules.StallThreshold {
+	if float64(sinceTick)/1e6 >= f.options.healthConfig.StallThreshold {
 		f.silenced.Store(true)
 		return false
 	}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -77,7 +77,7 @@
 	f.nameByAddr[n.Address()] = n.Name
 	node := *n // memberlist goes on to change its own
 	f.nodes[n.Name] = &node
-	if len(f.lastAddr) < f.options.healthRules.MaxPeers || f.lastAddr[n.Name] != "" {
+	if len(f.lastAddr) < f.options.healthConfig.MaxPeers || f.lastAddr[n.Name] != "" {
 		f.lastAddr[n.Name] = n.Address()
 	}
 	generation, incarnation := parseNodeMeta(n.Meta)
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -33,7 +33,7 @@
 	Phase func() (Phase, float64)
 	Log   *logrus.Entry
 
-	healthRules   health.Config                 // zero value for the usual ones
+	healthConfig  health.Config                 // zero value for the defaults
 	openTransport func() (baseTransport, error) // nil for sockets
 }
 
@@ -70,10 +70,10 @@
 
 // withDefaults fills in what the caller left out.
 func (o Options) withDefaults() Options {
-	if o.healthRules == (health.Config{}) {
-		o.healthRules = health.DefaultConfig
+	if o.healthConfig == (health.Config{}) {
+		o.healthConfig = health.DefaultConfig
 	}
-	o.healthRules.ExpectedServers = o.ExpectedServers
+	o.healthConfig.ExpectedServers = o.ExpectedServers
 	if o.Phase == nil {
 		o.Phase = func() (Phase, float64) { return Warm, 1 }
 	}
