--- a/internal/permitserver/server.go
+++ b/internal/permitserver/server.go
@@ -79,7 +79,7 @@
 	options   Options
 	raft      *raft.Raft
 	store     *raftboltdb.BoltStore
-	transport *raft.NetworkTransport
+	transport *gatedTransport
 	machine   *stateMachine
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -156,14 +156,14 @@
 	if err != nil {
 		return fmt.Errorf("keeper: listen on %s: %w", cmp.Or(o.Bind, own.RaftAddr), err)
 	}
-	s.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+	s.transport = &gatedTransport{NetworkTransport: raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:  stream,
 		MaxPool: 3,
 		// One call in flight to each: the library's pipeline may wait for ever, the shutdown included, for a stalled stream.
 		MaxRPCsInFlight: 1,
 		Timeout:         time.Second,
 		Logger:          discard,
-	})
+	})}
 	config := o.raftConfig(discard)
 	if err := s.bootstrap(config, snapshots); err != nil {
 		return err
@@ -232,6 +232,7 @@
 		}
 		if s.transport != nil {
 			errs = append(errs, s.transport.Close())
+			s.transport.stopHeartbeats() // before the log is closed
 		}
 		s.running.Wait()
 		if s.store != nil {
