--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/fleetsim/fleetsim_test.go
@@ -125,13 +125,13 @@
 }
 
 func TestRandomSchedules(t *testing.T) {
-	seeds := int64(8) // valvelab run fleet-sim plays a thousand
+	seeds := int64(8) // valveexperiment run fleet-sim plays a thousand
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			o, s := randomRun(seed, noInjectedFault)
 			if r := New(o).Run(); len(r.Findings) > 0 {
-				t.Errorf("%v\nvalvelab run fleet-sim --seeds %d..%d\n%s", r.Findings, seed, seed, s)
+				t.Errorf("%v\nvalveexperiment run fleet-sim --seeds %d..%d\n%s", r.Findings, seed, seed, s)
 			}
 		})
 	}
