--- a/decision/outlier/eject.go
+++ b/decision/outlier/eject.go
@@ -1,6 +1,6 @@
 package outlier
 
-// This file ejects members, the worst first, within what the pool may spare.
+// This file ejects members, the worst first, while enough members stay in use.
 
 import (
 	"cmp"
@@ -11,18 +11,18 @@
 )
 
 const (
-	othersFactor        = 2.0    // times the evidence against the better members, under which a member is no worse than they are
-	softMinInUse        = 0.75   // of the members stay in use whatever their latency or advice suggests
-	maxEjectionFactor   = 2.0    // times BaseEjectionTime
-	calmFactor          = 4.0    // times the last ejection without another, after which the next is a first again
-	inheritPeriod       = 6000.0 // ms after its start for which a server takes over what most others have ejected
-	healthCheckInterval = 1000.0 // ms, at first; twice as long after each one that failed
+	othersFactor        = 2.0    // a member below this multiple of the others' failure fraction is not an outlier
+	softMinInUse        = 0.75   // minimum fraction of members in use when ejecting for latency or Retry-After
+	maxEjectionFactor   = 2.0    // maximum ejection time as a multiple of BaseEjectionTime
+	resetFactor         = 4.0    // multiple of the last ejection time after which the ejection time is reset to its base
+	inheritPeriod       = 6000.0 // ms after start during which a server adopts the ejections of most of its peers
+	healthCheckInterval = 1000.0 // ms, initial interval; doubles after each health check
 
-	maxHealthCheckInterval     = 4000.0
-	successHealthCheckInterval = 300.0 // after a success
+	maxHealthCheckInterval     = 4000.0 // ms
+	successHealthCheckInterval = 300.0  // ms, after a success
 )
 
-// updateEjections restores members whose ejection is over, and ejects the worst.
+// updateEjections restores members whose ejection has ended, and ejects the worst ones.
 func (d *Detector) updateEjections(now float64, observers []Report, reachable []string) {
 	allFailing := true
 	for _, m := range d.members {
@@ -41,7 +41,7 @@
 			d.updateRecovery(now, m, observers)
 		}
 	}
-	if allFailing && len(d.members) > 0 { // if all fail at once, all are used
+	if allFailing && len(d.members) > 0 { // if all members fail, all stay in use
 		for _, m := range d.members {
 			if !m.drained {
 				m.Condition = AllFailing
@@ -54,7 +54,7 @@
 	}
 }
 
-// updateHealthChecks sets whether this server sends health checks to a member, and how soon the next one after a success.
+// updateHealthChecks sets whether this server sends health checks to a member, and shortens their interval after a success.
 func (d *Detector) updateHealthChecks(m *Member, own []evidence.Summary, reachable []string) {
 	m.HealthChecker = m.Ejected && d.isHealthChecker(m.Name, reachable)
 	if !m.Ejected {
@@ -70,7 +70,7 @@
 func (d *Detector) candidates(now float64, observers []Report) []*Member {
 	var worst []*Member
 	for _, m := range d.members {
-		if m.Condition == Failing && m.FailureFraction < othersFactor*d.othersFailureFraction(m) { // as the others, under a load that all bear
+		if m.Condition == Failing && m.FailureFraction < othersFactor*d.othersFailureFraction(m) { // no worse than the others, as under a common overload
 			m.Condition = AllFailing
 		}
 		switch {
@@ -93,7 +93,7 @@
 	return worst
 }
 
-// inherits tells whether a server that has just started takes over the ejection of a member from the others.
+// inherits reports whether this server, having just started, adopts the ejection of a member from its peers.
 func (d *Detector) inherits(now float64, m *Member, observers []Report) bool {
 	return d.complete &&
 		now-d.startedAt < inheritPeriod &&
@@ -102,25 +102,25 @@
 		ejectedByMost(m.Name, observers)
 }
 
-// ejectedByMost tells whether most of the peers with a fresh report have ejected a member.
+// ejectedByMost reports whether most of the peers with a fresh report have ejected a member.
 func ejectedByMost(name string, observers []Report) bool {
 	ejected := 0
-	all := 0
+	total := 0
 	for i := range observers[1:] {
 		o := &observers[1+i]
 		if o.Age > freshAge {
 			continue
 		}
-		all++
+		total++
 		if slices.Contains(o.Ejected, name) {
 			ejected++
 		}
 	}
-	return ejected >= minObservers && 2*ejected > all
+	return ejected >= minObservers && 2*ejected > total
 }
 
-// othersFailureFraction is what the evidence holds against the better ones of the other members in use: the lower
-// quartile.
+// othersFailureFraction returns the lower quartile of the failure fractions of the other members in use, as the baseline
+// that a member is compared with.
 func (d *Detector) othersFailureFraction(except *Member) float64 {
 	fractions := d.fractions[:0]
 	for _, m := range d.members {
@@ -136,7 +136,7 @@
 	return fractions[len(fractions)/4]
 }
 
-// eject ejects a member if the pool can spare one more.
+// eject ejects a member if enough members stay in use without it.
 func (d *Detector) eject(now float64, m *Member, reachable []string) {
 	ejected := 0
 	for _, o := range d.members {
@@ -153,7 +153,7 @@
 	if total-float64(ejected)-1 < minInUse*total {
 		return
 	}
-	if now-m.Since > calmFactor*m.ejectionTime {
+	if now-m.Since > resetFactor*m.ejectionTime {
 		m.ejectionTime = 0
 	}
 	base := d.config.BaseEjectionTime
--- a/decision/outlier/member.go
+++ b/decision/outlier/member.go
@@ -1,19 +1,19 @@
 package outlier
 
-// Condition is what the evidence says of a member.
+// Condition is the classification of a member by the evidence.
 type Condition int
 
 // The values of Condition.
 const (
 	Unknown        Condition = iota // too little evidence
-	Healthy                         // most evidence is good
-	Failing                         // fails wherever it is seen from
-	FailingLocally                  // fails from this server or its zone only
+	Healthy                         // most evidence shows successes
+	Failing                         // fails as seen from the whole fleet
+	FailingLocally                  // fails as seen from this server or its zone only
 	Slow                            // its latency is an outlier
-	Busy                            // it asked to be left alone (Retry-After)
-	Inherited                       // ejected by the others when this server started
-	AllFailing                      // fails as all members do, which ejects nobody
-	Drained                         // by an operator, whatever the evidence
+	Busy                            // asked for no requests for a while (Retry-After)
+	Inherited                       // already ejected by most peers when this server started
+	AllFailing                      // fails no more than the other members do; not ejected
+	Drained                         // drained by an operator, regardless of the evidence
 )
 
 var conditionTexts = [...]string{
@@ -28,10 +28,10 @@
 	Drained:        "drained",
 }
 
-// String returns the text that status output and log lines show.
+// String returns the text for status output and log lines.
 func (c Condition) String() string { return conditionTexts[min(max(c, 0), Drained)] }
 
-// ejectionRank orders conditions by how soon their members are ejected: 0 first.
+// ejectionRank returns the order in which members are ejected by condition: rank 0 first.
 func (c Condition) ejectionRank() int {
 	switch c {
 	case Failing:
@@ -48,23 +48,23 @@
 	return 5
 }
 
-// Member is how one member of the pool stands. Times are ms of the server's own clock.
+// Member is the state of one member of the pool. Times are in ms of the server's own clock.
 type Member struct {
 	Name            string
 	Condition       Condition
 	Ejected         bool
-	Since           float64  // when it was last ejected or restored; -Inf for neither
-	EjectedUntil    float64  // if Ejected: not restored before then
-	EvidenceWeight  float64  // of the evidence behind Condition
-	FailureFraction float64  // of that weight, what speaks against it
-	Accusers        []string // some of the observers that report failures
-	HealthChecker   bool     // this server sends it health checks
+	Since           float64  // when it was last ejected or restored; -Inf if never
+	EjectedUntil    float64  // if Ejected: earliest time at which it may be restored
+	EvidenceWeight  float64  // total weight of the evidence for Condition
+	FailureFraction float64  // fraction of that weight that consists of failures
+	Accusers        []string // observers that report failures; not all of them
+	HealthChecker   bool     // whether this server sends it health checks
 
-	ejectionTime        float64 // of the last ejection
+	ejectionTime        float64 // duration of the last ejection
 	lastHealthCheck     float64
 	healthCheckInterval float64
-	performanceOnly     bool    // ejected for being slow or busy
-	observed            bool    // there is recent evidence
-	returnsAt           float64 // if Ejected: when it is to be restored, 0 if that is not known
+	performanceOnly     bool    // ejected as slow or busy, without failures
+	observed            bool    // whether there is recent evidence
+	returnsAt           float64 // if Ejected: when it will be restored; 0 if not decided yet
 	drained             bool
 }
--- a/decision/outlier/outlier.go
+++ b/decision/outlier/outlier.go
@@ -1,17 +1,17 @@
 // Package outlier implements outlier detection and ejection for the members of a pool.
 //
 // From this server's own statistics and those that its peers gossip (package evidence), it decides per member whether
-// to eject it fleet-wide (it fails wherever it is seen from), only for this server or its zone (only the path to it
-// fails), or not at all (all members are equally bad). Servers that received the same statistics eject the same
-// members, the worst first, and never more than the configured fraction of the pool. It also assigns which server sends
-// health checks to an ejected member, and which fraction of traffic a member gets while it returns from ejection. An
-// ejection is never kept on the word of a peer that is no longer heard.
+// to eject it fleet-wide (it fails as seen from the whole fleet), only for this server or its zone (only the path to it
+// fails), or not at all (all members fail alike). Servers that received the same statistics eject the same members, the
+// worst first, and never more than the configured fraction of the pool. The package also assigns which servers send
+// health checks to an ejected member, and which fraction of traffic a member gets while it returns from ejection. Reports
+// of a peer that is no longer in contact never keep a member ejected.
 //
 // All times are milliseconds as float64. The package is pure: it does no I/O, reads no clock (callers pass times) and
 // starts no goroutine. A Detector is not safe for concurrent use; its owner must serialise calls.
 //
-// Ejection with a base time, a maximum ejected fraction and a return by a ramp is that of Envoy's outlier detection;
-// judging by what a whole fleet reports is this package's own.
+// The base ejection time, the maximum ejected fraction and the ramp after an ejection follow Envoy's outlier detection;
+// the evaluation of reports from a whole fleet does not.
 package outlier
 
 import (
@@ -22,17 +22,18 @@
 	"sorrelvalve/decision/evidence"
 )
 
-// Config holds the settings of one pool. Times are ms.
+// Config holds the settings of one pool. Times are in ms.
 type Config struct {
-	MinInUseFraction    float64 // of the members that stay in use, whatever is reported of them
-	LatencyFactor       float64 // times the others' latency, from which a member is slow; 0 for never
-	ConsecutiveFailures int     // that this server must observe to act on its own evidence alone; 0 for never
-	BaseEjectionTime    float64 // of a first ejection; doubles each time that a member is soon ejected again
-	RecoveryRamp        float64 // over which a returning member's traffic grows to all of it
+	MinInUseFraction    float64 // minimum fraction of members in use, regardless of the reports
+	LatencyFactor       float64 // multiple of the pool's latency above which a member is slow; 0 disables
+	ConsecutiveFailures int     // number seen by this server on which it ejects without other evidence; 0 disables
+	BaseEjectionTime    float64 // duration of a first ejection; doubled if the member is soon ejected again
+	RecoveryRamp        float64 // time over which a returning member's traffic grows to its full amount
 }
 
-// CompletePeriod is for how many ms the cluster must have been complete before a server acts on what peers report: right
-// after a partition heals those that accuse have reported, and those that can refute have not yet.
+// CompletePeriod is the time in ms for which the cluster must have been complete before a server acts on the reports of
+// its peers. Failures are reported sooner than successes, so that right after a partition heals, reports of failures have
+// arrived and those that refute them have not.
 const CompletePeriod = 3000.0
 
 // Detector is one server's view of one pool.
@@ -40,22 +41,22 @@
 	config     Config
 	self, zone string
 	startedAt  float64
-	members    []*Member // by name
-	events     []Member
-	complete   bool // at the last evaluation
+	members    []*Member // sorted by name
+	events     []Member  // not returned by Events yet
+	complete   bool      // whether the cluster was complete at the last evaluation
 
-	opinions  []opinion // scratch space, kept between evaluations
+	opinions  []opinion // buffer reused between evaluations
 	fractions []float64 // likewise
 }
 
-// New returns a Detector that has ejected nobody, for the server called self.
+// New returns a Detector for the server named self, with no member ejected.
 func New(config Config, self, zone string, members []string, now float64) *Detector {
 	d := &Detector{self: self, zone: zone, startedAt: now}
 	d.Update(config, members)
 	return d
 }
 
-// Update applies another configuration and list of members. Those that stay keep their condition; a new one is in use.
+// Update replaces the configuration and the list of members. Remaining members keep their state; new members are in use.
 func (d *Detector) Update(config Config, members []string) {
 	d.config = config
 	d.members = slices.DeleteFunc(d.members, func(m *Member) bool { return !slices.Contains(members, m.Name) })
@@ -67,9 +68,9 @@
 	slices.SortFunc(d.members, func(a, b *Member) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// SetDrained keeps the members out of use that an operator drains, and no others for that. They use up what the pool may
-// spare before any is ejected; one that is no longer drained returns by its ramp, over the whole fleet, as others do.
-// Where all would be drained, none is.
+// SetDrained sets the members that an operator has drained, which are kept out of use. They count as ejected against
+// Config.MinInUseFraction. A member that is no longer drained returns with a ramp like one that was ejected. If members
+// contains the whole pool, none is drained.
 func (d *Detector) SetDrained(now float64, members []string) {
 	if !slices.ContainsFunc(d.members, func(m *Member) bool { return !slices.Contains(members, m.Name) }) {
 		members = nil
@@ -95,13 +96,13 @@
 	}
 }
 
-// Evaluate classifies all members and ejects or restores them: by the server's own summaries, and by the peers' reports
-// if the cluster is complete. reachable are the names of the reachable peers.
+// Evaluate classifies all members and ejects or restores them. It uses the server's own summaries and, if the cluster is
+// complete, the reports of its peers. reachable holds the names of the reachable peers.
 func (d *Detector) Evaluate(now float64, own []evidence.Summary, peers []Report, reachable []string, complete bool) {
 	if !complete {
-		peers = nil // in a partition, a server acts on what it observed itself
+		peers = nil // in a partition, a server uses only its own observations
 	} else if !d.complete {
-		d.forgetEjections() // and what it did so is decided anew by what all observed
+		d.clearEjections() // ejections made on local evidence are decided again on the evidence of the whole fleet
 	}
 	d.complete = complete
 	peers = slices.Clone(peers)
@@ -125,8 +126,8 @@
 	d.updateEjections(now, observers, reachable)
 }
 
-// forgetEjections puts all members back in use at once but those that are drained.
-func (d *Detector) forgetEjections() {
+// clearEjections puts all ejected members back in use at once, except drained ones.
+func (d *Detector) clearEjections() {
 	for _, m := range d.members {
 		if m.Ejected && !m.drained {
 			m.Ejected = false
@@ -138,10 +139,10 @@
 	}
 }
 
-// Members returns all members by name. They are the detector's own and must not be changed.
+// Members returns all members sorted by name. The slice and its elements belong to the Detector and must not be changed.
 func (d *Detector) Members() []*Member { return d.members }
 
-// Events returns the members that were ejected or restored since the last call, as they were then.
+// Events returns the members that were ejected or restored since the last call, each as it was right after the change.
 func (d *Detector) Events() []Member {
 	events := d.events
 	d.events = nil
--- a/decision/outlier/recovery.go
+++ b/decision/outlier/recovery.go
@@ -1,6 +1,6 @@
 package outlier
 
-// This file returns ejected members to use: when the return begins, over the whole fleet at one time, and the ramp.
+// This file restores ejected members: it coordinates the start of a return over the fleet, and computes the traffic ramp.
 
 import (
 	"encoding/binary"
@@ -10,17 +10,19 @@
 
 const (
 	healthCheckers  = 2 // servers that send health checks to an ejected member
-	returnSuccesses = 3 // successes in a row of one of them, and the member may return
+	returnSuccesses = 3 // consecutive successes of one observer after which the member may return
 
-	// returnNotice (ms) is how long a return is announced before it begins, so that all begin it together: most of 300
-	// servers receive a report within it.
+	// returnNotice is the time in ms between the announcement of a return and its start, so that all servers start it
+	// together. Most servers of a fleet of 300 receive a report within this time.
 	returnNotice    = 2000.0
-	initialFraction = 0.05 // of the callers, for a member that has just returned
+	initialFraction = 0.05 // fraction of the callers at the start of the ramp
 )
 
-// mayReturn tells whether a member that was ejected for long enough may return: some observer got successes in a row, and
-// none met failures as fresh; or nobody knows anything of it any more, since stale evidence must not keep it ejected.
-// rejected tells whether the evidence keeps it ejected whatever else is known.
+// mayReturn reports in may whether the evidence allows an ejected member to return, leaving aside how long it has been
+// ejected. The member may return if an observer saw returnSuccesses successes in a row and no observer reports recent
+// failures. Without recent failures it may also return if it was ejected only as slow or busy and is neither any more, or if
+// there is no recent evidence at all, since stale evidence must not keep a member ejected. rejected is true if the evidence
+// keeps the member ejected even if a peer has announced its return.
 func (d *Detector) mayReturn(m *Member, observers []Report) (may, rejected bool) {
 	succeeded := false
 	failed := false
@@ -46,9 +48,10 @@
 	return !failed && (!m.observed || m.performanceOnly), failed
 }
 
-// updateRecovery decides when an ejected member begins to return, and restores it once it does. The first server that may
-// restore it announces that, and begins only when the others have received it; those begin with it, whatever their own
-// ejection times, so that the ramp is one over the fleet. If the member fails meanwhile, it stays ejected.
+// updateRecovery decides when an ejected member returns, and restores it at that time. The first server that may restore it
+// announces the return and waits until its peers have received the announcement. They start at the same time regardless of
+// their own ejection times, so that the ramp is the same over the fleet. If the member fails in the meantime, it stays
+// ejected.
 func (d *Detector) updateRecovery(now float64, m *Member, observers []Report) {
 	may, rejected := d.mayReturn(m, observers)
 	if rejected {
@@ -56,8 +59,8 @@
 		return
 	}
 	announcedAt, announced := d.announcedReturn(now, m.Name, observers[1:])
-	// A return that has begun goes on unless the member fails: the successes that it was begun by fade, and those that
-	// received the announcement may not have received them.
+	// An announced return proceeds unless the member fails, without checking may again: the successes that allowed it
+	// decay, and a peer that received the announcement may not have received them.
 	if !announced && m.returnsAt == 0 && (!may || now < m.EjectedUntil) {
 		return
 	}
@@ -75,7 +78,7 @@
 	}
 }
 
-// announcedReturn is the earliest return of a member that peers announced in fresh reports.
+// announcedReturn returns the earliest start of a member's return that peers announced in fresh reports.
 func (d *Detector) announcedReturn(now float64, name string, peers []Report) (at float64, announced bool) {
 	at = math.Inf(1)
 	for i := range peers {
@@ -93,7 +96,7 @@
 	return at, announced
 }
 
-// restore puts a member back in use, its ramp as of a given time.
+// restore puts a member back in use, with a ramp that starts at the given time.
 func (d *Detector) restore(m *Member, at float64) {
 	m.Ejected = false
 	m.Since = at
@@ -102,8 +105,8 @@
 	d.events = append(d.events, *m)
 }
 
-// TryHealthCheck tells whether an RPC may be sent to an ejected member as a health check, and counts it as sent. Only a
-// few servers send them, first every second, then more rarely.
+// TryHealthCheck reports whether an RPC may be sent to an ejected member as a health check. If so, it records the health
+// check as sent. Only a few servers send health checks, at first one per second, then fewer.
 func (d *Detector) TryHealthCheck(now float64, member string) bool {
 	for _, m := range d.members {
 		if m.Name == member && m.Ejected && m.HealthChecker && now-m.lastHealthCheck >= m.healthCheckInterval {
@@ -115,8 +118,8 @@
 	return false
 }
 
-// isHealthChecker tells whether this server is one of the few that send health checks to a member, by rendezvous hashing
-// over the reachable servers.
+// isHealthChecker reports whether this server sends health checks to a member. The servers that do so are selected by
+// rendezvous hashing over the reachable servers.
 func (d *Detector) isHealthChecker(member string, reachable []string) bool {
 	own := rendezvousWeight(member, d.self)
 	before := 0
@@ -128,8 +131,8 @@
 	return before < healthCheckers
 }
 
-// TrafficFraction is the fraction of the callers whose RPCs a member in use gets: all, but for one that returns. AcceptsCaller
-// tells which callers these are.
+// TrafficFraction returns the fraction of callers whose RPCs a member in use receives. It is below 1 only during the ramp
+// after an ejection. AcceptsCaller selects the callers.
 func (d *Detector) TrafficFraction(now float64, m *Member) float64 {
 	if d.config.RecoveryRamp <= 0 {
 		return 1
@@ -137,24 +140,25 @@
 	return math.Min(1, math.Max(initialFraction, (now-m.Since)/d.config.RecoveryRamp))
 }
 
-// AcceptsCaller tells whether a member with a traffic fraction gets the RPCs of a caller, given as a hash: the same callers
-// at every server.
+// AcceptsCaller reports whether a member with the given traffic fraction receives the RPCs of a caller, identified by a
+// hash. The result is the same at every server.
 func AcceptsCaller(member string, caller uint64, fraction float64) bool {
 	if fraction >= 1 {
 		return true
 	}
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], caller)
-	return float64(rendezvousWeight(member, string(key[:]))>>11)/(1<<53) < fraction // 53 bits: a uniform float64 in [0, 1)
+	return float64(rendezvousWeight(member, string(key[:]))>>11)/(1<<53) < fraction // the upper 53 bits as a uniform float64 in [0, 1)
 }
 
-// rendezvousWeight is that of highest random weight hashing (D. Thaler, C. Ravishankar, 1998).
+// rendezvousWeight returns the weight of a server for a member in rendezvous hashing, also known as highest random weight
+// hashing (D. Thaler, C. Ravishankar, 1998).
 func rendezvousWeight(member, server string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(member))
 	h.Write([]byte{0})
 	h.Write([]byte(server))
-	// Mixed as by MurmurHash3's finalizer, since FNV's high bits tell little of the last bytes.
+	// Mix the bits as MurmurHash3's finalizer does, because the last input bytes hardly affect the high bits of FNV.
 	x := h.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/decision/outlier/report.go
+++ b/decision/outlier/report.go
@@ -1,6 +1,6 @@
 package outlier
 
-// This file defines what servers tell one another about a pool, and when that is urgent.
+// This file defines the report on a pool that servers send to one another, and when a report is urgent.
 
 import (
 	"math"
@@ -9,43 +9,43 @@
 	"sorrelvalve/decision/evidence"
 )
 
-// Report is what one server tells about a pool.
+// Report is one server's report on a pool.
 type Report struct {
 	Origin, Zone string
-	Age          float64 // ms since it was received
+	Age          float64 // ms since the report was received
 	Summaries    []evidence.Summary
-	Ejected      []string // members that it has ejected
+	Ejected      []string // members ejected by the server
 	Recoveries   []Recovery
 }
 
-// Recovery is a member that returns from ejection.
+// Recovery describes a member's return from ejection.
 type Recovery struct {
 	Member  string
-	Elapsed float64 // ms since its return began; below 0: until it begins
+	Elapsed float64 // ms since the return started; negative: ms until it starts, negated
 }
 
-// MinElapsed is the least that a Recovery may report.
+// MinElapsed is the lowest valid value of Recovery.Elapsed.
 const MinElapsed = -returnNotice
 
-// refuters is how many servers of a fleet answer an accusation with their own good evidence, at each evaluation: enough to
-// weigh against a few accusers, and few beside all.
+// refuters is the expected number of servers that report successes at each evaluation while others report failures of a
+// member: enough to outweigh a few accusers, and few compared with the whole fleet.
 const refuters = 8.0
 
-// Latency is urgent from four times the pool's median on, with so many samples behind it.
+// A report on latency is urgent above four times the pool's median, with more than urgentLatencySamples samples.
 const (
 	urgentLogLatencyRatio = 2 * math.Ln2
 	urgentLatencySamples  = 0.5
 )
 
-// Urgent tells whether what this server observed must be reported soon: a member fails, or is slow.
+// Urgent reports whether this server's observations must be reported soon because a member fails or is slow.
 func Urgent(own []evidence.Summary) bool {
 	return slices.ContainsFunc(own, func(s evidence.Summary) bool {
 		return s.Run < 0 && s.Age < freshAge || s.LatencySamples > urgentLatencySamples && s.LogLatencyRatio > urgentLogLatencyRatio
 	})
 }
 
-// ShouldRefute tells whether this server must report its own good evidence on a member that others accuse. random, drawn
-// from [0, 1) by the caller, selects a few of the servers.
+// ShouldRefute reports whether this server must report its own successes with a member for which others report failures.
+// random, which the caller draws uniformly from [0, 1), selects a few of the servers.
 func (d *Detector) ShouldRefute(own []evidence.Summary, random float64, servers int) bool {
 	if random >= refuters/float64(max(1, servers)) {
 		return false
@@ -58,7 +58,8 @@
 	return false
 }
 
-// Announcement is what this server reports beside its summaries: the members that it has ejected, and those that return.
+// Announcement returns the part of this server's report beside its summaries: the members that it has ejected, and those
+// that are returning from ejection.
 func (d *Detector) Announcement(now float64) (ejected []string, recoveries []Recovery) {
 	for _, m := range d.members {
 		if m.Ejected {
