--- a/decision/evidence/evidence.go
+++ b/decision/evidence/evidence.go
@@ -1,10 +1,10 @@
-// Package evidence keeps the per-member statistics on which outlier detection works: the outcome of recent attempts and
-// the length of the current run of successes or failures, latency relative to the other members, and the traffic behind
-// both.
+// Package evidence keeps the per-member statistics that outlier detection uses: the outcomes of recent attempts, the length
+// of the current run of successes or failures, the latency relative to the other members, and the number of samples of
+// each.
 //
-// Statistics decay exponentially (half-life HalfLife ms, shorter for the failure fraction) so that old observations count
-// for less and then for nothing. A compact summary of them is what servers gossip to one another. A statistic never
-// claims more than was observed.
+// Statistics decay exponentially (half-life HalfLife ms, shorter for the failure fraction), so that old observations lose
+// their weight. Servers gossip a compact summary of the statistics to one another. A summary never claims more than this
+// server observed.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. A Recorder is
 // not safe for concurrent use; its owner must serialise calls.
@@ -16,55 +16,55 @@
 	"strings"
 )
 
-// HalfLife (ms) is that of all statistics but the failure fraction: a member that has changed is seen as it is now within
-// some seconds, and one that gets an RPC a second still has some evidence behind it.
+// HalfLife is the half-life in ms of all statistics except the failure fraction. It is short enough that a change of a
+// member shows within seconds, and long enough that a member with one RPC per second still has some evidence.
 const HalfLife = 4000.0
 
-// MaxRun is the length at which a run of equal outcomes is no longer counted.
+// MaxRun is the length up to which a run of equal outcomes is counted.
 const MaxRun = 20
 
 const (
-	failureHalfLife = 2000.0        // ms, of the failure fraction: shorter, so that a member that turned bad soon shows it
-	maxBusy         = 10e3          // ms for which a member's request to be left alone is heeded at most
-	retention       = 20 * HalfLife // after which nothing is left of a member without traffic
-	minLatency      = 0.1           // ms, so that a ratio has a logarithm
-	histogramStep   = HalfLife / 8  // ms between two decays of the latency histogram, which saves time
+	failureHalfLife = 2000.0        // ms, half-life of the failure fraction; shorter, so that failures show sooner
+	maxBusy         = 10e3          // ms, longest Retry-After of a member that is respected
+	retention       = 20 * HalfLife // ms after the last outcome, when its weight has decayed to nothing
+	minLatency      = 0.1           // ms, lower limit that keeps the logarithm of a ratio finite
+	histogramStep   = HalfLife / 8  // minimum ms between two decays of the latency histogram, to save processor time
 )
 
 // Recorder records what this server observes of the members of one pool. The zero value is ready for use.
 type Recorder struct {
-	members []*memberStats // by name
-	latency histogram      // of all members, decayed
-	decayed float64        // when latency was decayed last
+	members []*memberStats // sorted by name
+	latency histogram      // latencies of all members, decayed
+	decayed float64        // time of the last decay of latency
 }
 
 type memberStats struct {
 	name               string
-	updatedAt          float64 // of the decayed figures
+	updatedAt          float64 // time up to which the statistics are decayed
 	attempts, failures float64 // decayed by failureHalfLife
-	logLatencyRatio    float64 // decayed sum of the logarithms of latency over the pool's median
-	latencySamples     float64 // decayed number of these
-	run                int     // length of the run of equal outcomes: above 0 successes, below 0 failures
-	lastOutcome        float64
-	busyUntil          float64 // until then it asked to be left alone
+	logLatencyRatio    float64 // decayed sum of the logarithms of the ratio of latency to the pool's median
+	latencySamples     float64 // decayed number of terms in that sum
+	run                int     // length of the current run: positive for successes, negative for failures
+	lastOutcome        float64 // time of the last success, failure or Retry-After; -Inf if none
+	busyUntil          float64 // end of the last Retry-After; -Inf if none
 }
 
-// Summary is what servers tell one another of one member.
+// Summary is the summary of one member's statistics that servers exchange.
 type Summary struct {
 	Member          string
-	Run             int     // length of the run of equal outcomes: above 0 successes, below 0 failures; -MaxRun to MaxRun
+	Run             int     // length of the current run, -MaxRun to MaxRun: positive for successes, negative for failures
 	Age             float64 // ms since the last outcome
-	Attempts        float64 // recent attempts, decayed
-	FailureFraction float64 // of these
-	LogLatencyRatio float64 // mean logarithm of its latency over the pool's median
-	LatencySamples  float64 // successes behind that, decayed
-	BusyRemaining   float64 // ms for which it asked to be left alone
+	Attempts        float64 // decayed number of recent attempts
+	FailureFraction float64 // fraction of these attempts that failed
+	LogLatencyRatio float64 // mean logarithm of the ratio of its latency to the pool's median
+	LatencySamples  float64 // decayed number of successes in that mean
+	BusyRemaining   float64 // remaining ms of its Retry-After
 }
 
-// stats returns a member's statistics, decayed to now. It adds members that are not known.
+// stats returns a member's statistics, decayed to now. It adds the member if it is unknown.
 func (r *Recorder) stats(now float64, member string) *memberStats {
-	i, has := slices.BinarySearchFunc(r.members, member, func(s *memberStats, name string) int { return strings.Compare(s.name, name) })
-	if !has {
+	i, ok := slices.BinarySearchFunc(r.members, member, func(s *memberStats, name string) int { return strings.Compare(s.name, name) })
+	if !ok {
 		r.members = slices.Insert(r.members, i, &memberStats{
 			name:        member,
 			updatedAt:   now,
@@ -91,7 +91,7 @@
 	s.updatedAt = now
 }
 
-// RecordSuccess notes an answer after latency ms.
+// RecordSuccess records a response that arrived after latency ms.
 func (r *Recorder) RecordSuccess(now float64, member string, latency float64) {
 	s := r.stats(now, member)
 	s.attempts++
@@ -108,7 +108,7 @@
 	s.lastOutcome = now
 }
 
-// RecordFailure notes an attempt without an answer.
+// RecordFailure records a failed attempt.
 func (r *Recorder) RecordFailure(now float64, member string) {
 	s := r.stats(now, member)
 	s.attempts++
@@ -117,20 +117,20 @@
 	s.lastOutcome = now
 }
 
-// RecordBusy notes that a member asked to be left alone for some ms (Retry-After). That is no failure.
+// RecordBusy records that a member asked for no requests for retryAfter ms (Retry-After). It does not count as a failure.
 func (r *Recorder) RecordBusy(now float64, member string, retryAfter float64) {
 	s := r.stats(now, member)
 	s.busyUntil = now + math.Min(math.Max(retryAfter, 0), maxBusy)
 	s.lastOutcome = now
 }
 
-// Retain forgets all but the given members.
+// Retain drops the statistics of all members except the given ones.
 func (r *Recorder) Retain(members []string) {
 	r.members = slices.DeleteFunc(r.members, func(s *memberStats) bool { return !slices.Contains(members, s.name) })
 }
 
-// Summaries returns what this server observed, by member, without those of which nothing is left.
-func (r *Recorder) Summaries(now float64) (all []Summary) {
+// Summaries returns a summary per member, sorted by name. Members without an outcome within retention are left out.
+func (r *Recorder) Summaries(now float64) (summaries []Summary) {
 	for _, s := range r.members {
 		s.decay(now)
 		if now-s.lastOutcome > retention {
@@ -150,20 +150,20 @@
 			summary.LogLatencyRatio = s.logLatencyRatio / s.latencySamples
 			summary.LatencySamples = s.latencySamples
 		}
-		all = append(all, summary)
+		summaries = append(summaries, summary)
 	}
-	return all
+	return summaries
 }
 
 const (
-	lateFactor   = 10.0  // times the typical latency: one in 20,000 of answers with exponential times
-	lateMinimum  = 200.0 // ms: a server that is short of processor time is late by as much itself
-	minLatencies = 5.0   // decayed samples that a median needs
+	lateFactor   = 10.0  // multiple of the typical latency, exceeded by 1 in 20,000 responses if latencies are exponential
+	lateMinimum  = 200.0 // ms, a delay that this server itself may add when short of processor time
+	minLatencies = 5.0   // minimum decayed number of samples for a median
 )
 
-// LateThreshold is for how many ms an attempt may go without an answer before that counts against its member, by the
-// pool's typical latency (ms): no answer yet from a member in use says as much as none at a distant deadline. It is 0,
-// and nothing counts as late, while the typical latency is not known.
+// LateThreshold returns the time in ms after which an attempt without a response counts against its member, given the
+// pool's typical latency in ms. A late response from a member in use is as much evidence as a missed deadline, and is
+// available sooner. LateThreshold returns 0, for no threshold, if the typical latency is not known (not above 0).
 func LateThreshold(typicalLatency float64) float64 {
 	if typicalLatency <= 0 {
 		return 0
@@ -171,7 +171,8 @@
 	return math.Max(lateFactor*typicalLatency, lateMinimum)
 }
 
-// The histogram of latencies: from 1 ms on, each bucket is half as wide again as the one before; 28 reach over a minute.
+// Bucket 0 of the latency histogram ends at 1 ms, and the upper bound of each further bucket is growth times that of the one
+// before. The last of the 28 buckets starts at 38 s and has no upper bound.
 const (
 	buckets = 28
 	growth  = 1.5
@@ -194,7 +195,7 @@
 	}
 }
 
-// median in ms, within a quarter; 0 with less than minLatencies samples.
+// median returns the median in ms with an error of at most a quarter, or 0 with fewer than minLatencies samples.
 func (h *histogram) median() float64 {
 	sum := 0.0
 	for _, n := range h {
@@ -203,9 +204,9 @@
 	if sum < minLatencies {
 		return 0
 	}
-	left := sum / 2
+	remaining := sum / 2
 	for k, n := range h {
-		if left -= n; left <= 0 {
+		if remaining -= n; remaining <= 0 {
 			return math.Pow(growth, float64(k)-0.5)
 		}
 	}
--- a/decision/recovery/recovery.go
+++ b/decision/recovery/recovery.go
@@ -1,10 +1,10 @@
-// Package recovery decides what the records of a durable store of idempotency tokens mean: how a duplicate of an RPC from
-// before a restart is answered, whether a token may start a run while the disk is full or failing, and when a segment of the
-// store may be dropped. It never lets a token run again whose first run can't be ruled out, nor drops a record within its
-// deduplication window.
+// Package recovery implements the decisions of a durable store of idempotency tokens: how to answer a duplicate of an RPC
+// from before a restart, whether a token may start a run while the disk is full or failing, and when a segment of the store
+// may be dropped. It never lets a token run again unless its first run can be ruled out, and never drops a record within
+// its deduplication window.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass Unix ms) and starts no goroutine. Its functions may be
-// called by many goroutines at once; values are not to be changed meanwhile.
+// called by several goroutines concurrently, provided that their arguments are not changed meanwhile.
 package recovery
 
 import "math"
@@ -14,39 +14,40 @@
 
 // The states of tokens.
 const (
-	Started           State = iota + 1 // its run was asked for, or was about to be
+	Started           State = iota + 1 // its run was requested, or was about to be
 	Succeeded                          // it ran, and its result is recorded
-	Failed                             // it ran, or may have, without a result
+	Failed                             // it ran, or may have run, without a result
 	SucceededUncached                  // it ran, and its result was too large to record
-	NeverRan                           // its run was asked for and never started
+	NeverRan                           // its run was requested and never started
 )
 
-// Known tells whether a state is one that a store may hold.
+// Known reports whether the state is one of the constants above.
 func (s State) Known() bool { return s >= Started && s <= NeverRan }
 
-// Resolution says how a duplicate is answered.
+// Resolution is how a possible duplicate is answered.
 type Resolution int
 
 // The ways of answering a duplicate.
 const (
-	Unknown      Resolution = iota // nothing is known of its token: it may run
+	Unknown      Resolution = iota // no valid entry for its token: it may run
 	ReplayResult                   // with the recorded result
-	MayHaveRun                     // with an error, as its token may have run; it must not run
-	HasRun                         // with an error, as its token has run and the result was not recorded; it must not run
-	BodyMismatch                   // it is no duplicate: the first attempt had another body
+	MayHaveRun                     // with an error, because its token may have run; it must not run
+	HasRun                         // with an error, because its token has run and the result was not recorded; it must not run
+	BodyMismatch                   // it is not a duplicate: the first attempt had another body
 )
 
-// Entry is what a store holds of a token.
+// Entry is the store's entry for a token.
 type Entry struct {
 	State     State
 	BodyHash  uint64
-	UntilMs   float64 // end of its window in Unix ms: no attempt that reached the machine before may run
-	WrittenMs float64 // when it was written, in Unix ms
+	UntilMs   float64 // end of its deduplication window in Unix ms: no attempt that arrived before may run
+	WrittenMs float64 // time of writing, in Unix ms
 }
 
-// Resolve returns how an attempt that reached the machine at arrivedMs with a body is answered, where windows are of so
-// many ms now. They may have been shorter when the entry was written: the longer one counts. The tolerance is the ms by
-// which the wall clock may have stepped while the process was down: an entry counts for that much longer.
+// Resolve returns how to answer an attempt that arrived at arrivedMs (Unix ms) with the given body hash. window is the
+// deduplication window in ms as configured now; it may have been shorter when the entry was written, and the longer of the
+// two applies. tolerance is the number of ms by which the wall clock may have stepped while the process was down; the entry
+// remains valid for that much longer.
 func Resolve(e Entry, arrivedMs float64, bodyHash uint64, window, tolerance float64) Resolution {
 	switch {
 	case e.State == NeverRan, arrivedMs >= math.Max(e.UntilMs, e.WrittenMs+window)+tolerance:
@@ -58,7 +59,7 @@
 	case e.State == SucceededUncached:
 		return HasRun
 	}
-	return MayHaveRun // started without an end, failed, or a state of a later build
+	return MayHaveRun // started without a recorded end, failed, or a state of a later version
 }
 
 // Health is the health of the disk.
@@ -67,42 +68,42 @@
 // The states of a disk.
 const (
 	Healthy    Health = iota // the last write succeeded
-	Recovering               // entries are being read: nothing is known yet
+	Recovering               // entries are still being read after a start
 	Broken                   // a write or a sync failed, and none has succeeded since
 )
 
-// String returns the health as log lines have it.
+// String returns the text for log lines.
 func (h Health) String() string {
 	return [...]string{"sound", "recovers", "broken"}[min(max(h, 0), Broken)]
 }
 
-// Disk is the state of a store that decides whether a token may start a run. Bytes are those of the whole store.
+// Disk is the state of a store that determines whether a token may start a run. Byte counts are for the whole store.
 type Disk struct {
 	Health         Health
 	UsedBytes      float64
 	CapacityBytes  float64
-	ReservedBytes  float64 // that the ends of runs under way may still take
-	FreesAtMs      float64 // when the oldest segment can be dropped, in Unix ms; 0 if that is not known
-	SuspectUntilMs float64 // until when entries may be missing as the store was damaged, in Unix ms
+	ReservedBytes  float64 // bytes that the end records of runs in progress may still take
+	FreesAtMs      float64 // when the oldest segment can be dropped, in Unix ms; 0 if not known
+	SuspectUntilMs float64 // time in Unix ms until which entries may be missing because the store was damaged
 }
 
-// Rejection says why a token may not start a run.
+// Rejection is the reason why a token may not start a run.
 type Rejection struct {
 	Reason       string
-	RetryAfterMs float64 // ms after which another attempt is worth while
+	RetryAfterMs float64 // ms after which another attempt may succeed
 }
 
 const (
-	// brokenRetryAfter is the ms to stay away from a broken disk: a few times what a stall takes.
+	// brokenRetryAfter is the Retry-After in ms for a broken disk, a few times the duration of a stall.
 	brokenRetryAfter = 1000.0
-	// recoveringRetryAfter is that during recovery, for which a second is long.
+	// recoveringRetryAfter is the Retry-After in ms during recovery, which rarely takes as long as a second.
 	recoveringRetryAfter = 200.0
-	// minRetryAfter is the least that is advised.
+	// minRetryAfter is the shortest Retry-After in ms.
 	minRetryAfter = 50.0
 )
 
-// Admit returns nil if a token may start a run whose records take so many bytes, that of its end included, and else why it
-// may not: what can't be recorded is not run. now is in Unix ms.
+// Admit returns nil if a token may start a run, and otherwise the reason why it may not: a run that cannot be recorded is
+// not started. bytes is the size of the run's records, its end record included. now is in Unix ms.
 func (d *Disk) Admit(now, bytes float64) *Rejection {
 	switch {
 	case d.Health == Recovering:
@@ -123,23 +124,23 @@
 
 // Segment is the state of one file of a store.
 type Segment struct {
-	LastExpiryMs float64 // the latest end of a window in it, in Unix ms
-	OpenRuns     int     // tokens that started a run in it, the end of which is not recorded yet
+	LastExpiryMs float64 // latest end of a deduplication window in it, in Unix ms
+	OpenRuns     int     // number of runs that were started in it and whose end is not recorded yet
 	Bytes        float64
 }
 
-// Droppable tells whether a segment may be dropped: all windows in it are over by more than the tolerance in ms, and all
-// runs that started in it have ended.
+// Droppable reports whether a segment may be dropped: all windows in it ended more than tolerance ms ago, and all runs that
+// were started in it have a recorded end.
 func (s *Segment) Droppable(now, tolerance float64) bool {
 	return s.OpenRuns == 0 && now > s.LastExpiryMs+tolerance
 }
 
-// SuspectUntil returns until when a damaged store may miss entries, in Unix ms. An entry that was written at writtenMs at
-// the latest has at most the longest window that was ever configured.
+// SuspectUntil returns the time in Unix ms until which entries may be missing from a damaged store. The missing entries were
+// written at writtenMs or before, and none has a window longer than longestWindow, the longest ever configured.
 func SuspectUntil(writtenMs, longestWindow, tolerance float64) float64 {
 	return writtenMs + longestWindow + tolerance
 }
 
-// Damaged tells whether an unreadable record means that the store is damaged. Behind the last sync any record may be torn,
-// and no run depends on one there; but if a valid record follows, the unreadable one was before that sync.
+// Damaged reports whether an unreadable record means that the store is damaged. After the last sync a record may be torn by
+// a crash, and no run depends on it. If a valid record follows, the unreadable one was written before the last sync.
 func Damaged(validRecordFollows bool) bool { return validRecordFollows }
