--- a/decision/health/health.go
+++ b/decision/health/health.go
@@ -2,11 +2,11 @@
 //
 // A Detector keeps the membership list as this server sees it (alive, suspect, left or declared dead per member and
 // incarnation) and derives the view of the cluster: complete, partitioned or isolated, the fraction of each zone in
-// contact, and lower and upper bounds on the cluster size. It works on the events of a SWIM prober (internal/fleet runs
+// contact, and lower and upper bounds on the cluster size. Its input is the events of a SWIM prober (internal/fleet runs
 // memberlist), which sends the health checks and reports members as alive or suspect. Like Lifeguard's local health
-// multiplier, a Detector first checks its own server: one whose process stalled or whose wall clock jumped has seen
-// nothing reliable, and reports nothing about its peers until Config.GracePeriod has passed. A member that merely falls
-// silent is suspected, never removed: it stays in the membership list until it leaves or is declared dead.
+// multiplier, a Detector first checks its own server: if the process stalled or its wall clock jumped, its observations are
+// unreliable, and it reports nothing about its peers until Config.GracePeriod has passed. A member that stops sending
+// messages is suspected but never removed: it stays in the membership list until it leaves or is declared dead.
 //
 // All times are milliseconds as float64. The package is pure: it does no I/O, reads no clock (callers pass monotonic and
 // wall times) and starts no goroutine. A Detector is not safe for concurrent use; its owner must serialise calls.
@@ -18,20 +18,20 @@
 
 import "math"
 
-// Config holds the detector's settings. Times are ms of the server's own monotonic clock.
+// Config holds the detector's settings. Times are in ms of the server's own monotonic clock.
 type Config struct {
-	StallThreshold      float64 // gap between two ticks from which on the server itself counts as having stalled
-	ClockJumpThreshold  float64 // by which the wall clock may part from the monotonic one between two ticks
-	GracePeriod         float64 // after a start or a stall, before anything is reported about peers
-	SilenceTimeout      float64 // without a message from any peer, after which the server counts as isolated
-	StabilizationPeriod float64 // for which a better cluster state must hold before it is reported
-	ContactWindow       float64 // within which a peer counts as in direct contact; grows with the membership list
-	MaxPeers            int     // entries in the membership list, departed ones included
-	ExpectedServers     int     // size of the fleet as configured by an operator; a smaller one is not complete. 0: not configured
+	StallThreshold      float64 // time between two ticks from which on this server counts as having stalled
+	ClockJumpThreshold  float64 // difference between the wall clock's and the monotonic clock's advance that counts as a jump
+	GracePeriod         float64 // time after a start or stall during which nothing is reported about peers
+	SilenceTimeout      float64 // time without a message from any peer after which this server counts as isolated
+	StabilizationPeriod float64 // time for which a better cluster state must hold before it is reported
+	ContactWindow       float64 // age of a message up to which a peer is in contact; extended per listed member
+	MaxPeers            int     // maximum number of entries in the membership list, including departed members
+	ExpectedServers     int     // configured size of the fleet, below which it is never complete; 0: not configured
 }
 
-// DefaultConfig suits a prober that checks one peer every 500 ms and needs at least two seconds to suspect it: a stall of
-// half of that can't have caused a suspicion.
+// DefaultConfig suits a prober that checks one peer every 500 ms and takes at least two seconds to suspect it. A stall below
+// StallThreshold, half of that, cannot have caused a suspicion.
 var DefaultConfig = Config{
 	StallThreshold:      1000,
 	ClockJumpThreshold:  1000,
@@ -48,28 +48,28 @@
 	self, zone string
 
 	byName map[string]*member
-	sorted []*member // by name, so that all reports come in one order
+	sorted []*member // sorted by name, so that reports have a fixed order
 
 	lastTick      float64
 	lastWall      float64 // wall clock at the last tick
 	graceUntil    float64
-	lastMessage   float64 // from any peer
+	lastMessage   float64 // time of the last message from any peer
 	stallCount    int
-	everContacted bool // some peer was alive at some time in this incarnation
+	everContacted bool // whether any peer has been alive since the start
 
 	state        ClusterState
 	stateSince   float64
-	pending      ClusterState // better state that has not held for StabilizationPeriod yet
+	pending      ClusterState // better state that has not yet held for StabilizationPeriod
 	pendingSince float64
 	stateChanges int
 
-	// Counted as events arrive rather than at each tick, since fleets are large and ticks are frequent.
-	present      int       // members on the list that have not departed
-	presentAlive int       // of those, the ones that the prober finds alive
-	flapping     []*member // suspected so often that they may not count as reachable although alive
+	// Updated on events rather than recomputed at each tick, because fleets are large and ticks are frequent.
+	present      int       // number of listed members that have not departed
+	presentAlive int       // number of these that are alive according to the prober
+	flapping     []*member // members suspected so often that they may not count as reachable while alive
 }
 
-// New returns a Detector in its grace period. now is the monotonic and wall the wall clock, in ms.
+// New returns a Detector in its grace period. now is the time of the monotonic clock and wall that of the wall clock, in ms.
 func New(config Config, self, zone string, now, wall float64) *Detector {
 	return &Detector{
 		config:       config,
@@ -85,8 +85,8 @@
 	}
 }
 
-// Tick must be called many times within StallThreshold. It reports whether the server itself had stalled or its clock
-// jumped: then all observations are discarded, and the owner must restart its prober.
+// Tick must be called several times per StallThreshold. It returns true if this server stalled or its wall clock jumped. All
+// observations have then been discarded, and the owner must restart its prober.
 func (d *Detector) Tick(now, wall float64) (stalled bool) {
 	gap := now - d.lastTick
 	jump := math.Abs(wall - d.lastWall - gap)
@@ -101,7 +101,7 @@
 	return false
 }
 
-// Reset discards all observations and starts a new grace period. The membership list stays.
+// Reset discards all observations and starts a new grace period. It keeps the membership list.
 func (d *Detector) Reset(now float64) {
 	for _, m := range d.sorted {
 		d.setStatus(m, false, m.departure)
@@ -116,10 +116,10 @@
 	d.setState(now, Isolated)
 }
 
-// InGracePeriod tells whether nothing may be reported about peers yet.
+// InGracePeriod reports whether a grace period is in progress, during which nothing is reported about peers.
 func (d *Detector) InGracePeriod(now float64) bool { return now < d.graceUntil }
 
-// InboundTimedOut tells whether no message came from any peer for SilenceTimeout, outside the grace period.
+// InboundTimedOut reports whether no peer has sent a message for SilenceTimeout. It is false in a grace period.
 func (d *Detector) InboundTimedOut(now float64) bool {
 	return !d.InGracePeriod(now) && now-d.lastMessage >= d.config.SilenceTimeout
 }
--- a/decision/health/members.go
+++ b/decision/health/members.go
@@ -1,6 +1,6 @@
 package health
 
-// This file holds the membership list: who is on it, and what the prober reports about each member.
+// This file implements the membership list and the state that the prober reports for each member.
 
 import (
 	"cmp"
@@ -8,43 +8,43 @@
 	"slices"
 )
 
-// duplicateWindow is how long (ms) a superseded incarnation is remembered: if it speaks again within this time, two
-// processes use one name.
+// duplicateWindow is the time in ms for which a superseded incarnation is remembered. If it appears again within this time,
+// two processes use the same name.
 const duplicateWindow = 60e3
 
-// Departure is whether and how a member left the membership list.
+// Departure is whether and how a member has departed.
 type Departure int
 
 // The values of Departure.
 const (
-	Present      Departure = iota // has not departed
-	Left                          // announced that it leaves
+	Present      Departure = iota // not departed
+	Left                          // announced its departure
 	DeclaredDead                  // declared dead by an operator
 )
 
-// member is one entry of the membership list. A departed member stays until its place is needed, so that older records
-// do not bring it back.
+// member is one entry of the membership list. The entry of a departed member is kept until its space is needed, so that
+// older records do not add the member again. Times are in ms.
 type member struct {
 	name, zone         string
-	generation         uint64 // counts restarts of this name
-	incarnation        uint64 // random, tells apart two processes of one generation; 0: not known yet
-	formerIncarnation  uint64
+	generation         uint64  // number of starts under this name
+	incarnation        uint64  // random, distinguishes two processes with the same generation; 0: unknown
+	formerIncarnation  uint64  // the incarnation before this one
 	supersededAt       float64 // when formerIncarnation was superseded
-	duplicateName      bool
+	duplicateName      bool    // whether two processes use the name
 	alive              bool    // according to the prober
-	statusSince        float64 // last change of alive
-	lastMessage        float64 // received directly
-	lastAck            float64 // direct answer to a message of ours
-	lastIndirect       float64 // last update about it that another member relayed
-	indirectVia        string  // who relayed that
-	flapPenalty        float64 // as of penaltyAt, decays
+	statusSince        float64 // time of the last change of alive
+	lastMessage        float64 // time of the last message received directly
+	lastAck            float64 // time of the last direct answer to a message of this server
+	lastIndirect       float64 // time of the last update relayed by another member
+	indirectVia        string  // name of that member
+	flapPenalty        float64 // at penaltyAt; decays
 	penaltyAt          float64
 	suspicionCount     int
 	departure          Departure
 	departureChangedAt float64
 }
 
-// setStatus sets what the prober found and whether the member has departed, and keeps the counts.
+// setStatus sets whether the member is alive and whether it has departed, and updates the counts.
 func (d *Detector) setStatus(m *member, alive bool, departure Departure) {
 	d.countMember(m, -1)
 	m.alive = alive
@@ -52,6 +52,7 @@
 	d.countMember(m, 1)
 }
 
+// countMember adds delta to the counts that include the member.
 func (d *Detector) countMember(m *member, delta int) {
 	if m.departure != Present {
 		return
@@ -62,14 +63,14 @@
 	}
 }
 
-// AddMember puts a name on the membership list, with its zone if known, and reports whether it is listed; the server's
-// own name never is. An incarnation that departed is not put back, a later one is.
+// AddMember adds a name to the membership list, with its zone if known, and returns whether the name is listed. The server's
+// own name is never listed. A departed incarnation remains departed; a later incarnation of the same name is present again.
 func (d *Detector) AddMember(now float64, name, zone string, generation, incarnation uint64) bool {
 	if name == d.self || name == "" {
 		return false
 	}
-	m, has := d.byName[name]
-	if !has {
+	m, ok := d.byName[name]
+	if !ok {
 		if len(d.sorted) >= d.config.MaxPeers && !d.evict() {
 			return false
 		}
@@ -88,6 +89,7 @@
 	return true
 }
 
+// insert adds a present member to the list.
 func (d *Detector) insert(now float64, name string, generation, incarnation uint64) *member {
 	m := &member{
 		name:         name,
@@ -106,9 +108,9 @@
 	return m
 }
 
-// supersede replaces a member's incarnation by a later one, which is present whatever was said of the former.
+// supersede replaces a member's incarnation by a later one, which is present even if the former one has departed.
 func (d *Detector) supersede(now float64, m *member, generation, incarnation uint64) {
-	if incarnation == m.formerIncarnation && now-m.supersededAt < duplicateWindow { // the superseded process still runs
+	if incarnation == m.formerIncarnation && now-m.supersededAt < duplicateWindow { // the superseded process is still running
 		m.duplicateName = true
 	}
 	m.formerIncarnation = m.incarnation
@@ -121,7 +123,7 @@
 	}
 }
 
-// evict drops the member that departed longest ago; false if none has departed.
+// evict removes the member that departed longest ago. It returns false if none has departed.
 func (d *Detector) evict() bool {
 	oldest := -1
 	for i, m := range d.sorted {
@@ -137,16 +139,16 @@
 	return true
 }
 
-// MarkAlive takes the prober's report that a member is alive.
+// MarkAlive records the prober's report that a member is alive.
 func (d *Detector) MarkAlive(now float64, name string) {
-	m, has := d.byName[name]
-	if !has {
+	m, ok := d.byName[name]
+	if !ok {
 		if !d.AddMember(now, name, "", 0, 0) {
 			return
 		}
 		m = d.byName[name]
 	}
-	if m.departure != Present { // it is there, whatever was said
+	if m.departure != Present { // alive, so it is present despite the reported departure
 		m.departureChangedAt = now
 	}
 	if !m.alive {
@@ -157,11 +159,11 @@
 	d.updateState(now)
 }
 
-// MarkSuspect takes the prober's report that a member no longer answers. It counts against the member only while this
-// server receives messages from others itself.
+// MarkSuspect records the prober's report that a member no longer answers. The suspicion adds to the member's flap penalty
+// only while this server itself receives messages from peers.
 func (d *Detector) MarkSuspect(now float64, name string) {
-	m, has := d.byName[name]
-	if !has || !m.alive {
+	m, ok := d.byName[name]
+	if !ok || !m.alive {
 		return
 	}
 	d.setStatus(m, false, m.departure)
@@ -172,11 +174,12 @@
 	d.updateState(now)
 }
 
-// MarkDeparted takes a member off the list: it announced that it leaves, or an operator declared it dead. A later
-// generation, or a sign of life of this one, brings it back. generation 0 stands for any.
+// MarkDeparted marks a member as departed because it announced its departure or an operator declared it dead. It is present
+// again once a later incarnation appears or the prober finds this one alive. A report for an earlier generation than the
+// listed one is ignored; generation 0 stands for any generation.
 func (d *Detector) MarkDeparted(now float64, name string, generation uint64, departure Departure) {
-	m, has := d.byName[name]
-	if !has { // the departure arrived before anything else: listed, so that older records do not add the member
+	m, ok := d.byName[name]
+	if !ok { // nothing about it arrived before; listed, so that older records do not add it as present
 		if !d.AddMember(now, name, "", generation, 0) {
 			return
 		}
@@ -191,22 +194,22 @@
 	d.updateState(now)
 }
 
-// MemberCount is the number of entries in the membership list, departed ones included.
+// MemberCount returns the number of entries in the membership list, including departed members.
 func (d *Detector) MemberCount() int { return len(d.sorted) }
 
-// NeedsRejoin tells whether the prober must join a name again: it is present, and the prober does not find it alive. An
-// isolated server rejoins everybody: its prober may still take all for alive, since it checks the more rarely the less
-// it is answered, while all others suspect this server and no longer check it.
+// NeedsRejoin reports whether the prober must join a member again: the member is present, but not alive according to the
+// prober. An isolated server must rejoin all present members. Its prober may still consider them alive, because it checks
+// less often the fewer answers it gets, while all of them suspect this server and no longer check it.
 func (d *Detector) NeedsRejoin(name string) bool {
-	m, has := d.byName[name]
-	return has && d.needsRejoin(m)
+	m, ok := d.byName[name]
+	return ok && d.needsRejoin(m)
 }
 
 func (d *Detector) needsRejoin(m *member) bool {
 	return m.departure == Present && (!m.alive || d.state == Isolated)
 }
 
-// RejoinCandidates returns the names for which NeedsRejoin is true, sorted.
+// RejoinCandidates returns the sorted names of the members for which NeedsRejoin returns true.
 func (d *Detector) RejoinCandidates() (names []string) {
 	for _, m := range d.sorted {
 		if d.needsRejoin(m) {
--- a/decision/health/state.go
+++ b/decision/health/state.go
@@ -1,31 +1,32 @@
 package health
 
-// This file derives the cluster state from the membership list, and damps members that flap.
+// This file derives the cluster state from the membership list, with damping for flapping members.
 
 import (
 	"math"
 	"slices"
 )
 
-// ClusterState is how much of its fleet a server reaches. Larger is better.
+// ClusterState is how much of the fleet this server reaches. Higher values are better.
 type ClusterState int
 
 // The values of ClusterState.
 const (
-	Isolated    ClusterState = iota // no peer
-	Partitioned                     // some of the membership list
-	Complete                        // all of it
+	Isolated    ClusterState = iota // no peer is reachable
+	Partitioned                     // some of the membership list is reachable
+	Complete                        // all of the membership list is reachable
 )
 
-// String returns the text that status output shows.
+// String returns the text for status output.
 func (s ClusterState) String() string {
 	return [...]string{Isolated: "alone", Partitioned: "part", Complete: "whole"}[min(max(s, Isolated), Complete)]
 }
 
-// Flap damping, after BGP route flap damping (RFC 2439): each suspicion adds one to a penalty with a half-life of
-// penaltyHalfLife. From penaltyThreshold on, a peer must stay alive for a hold-down that doubles with every half point
-// of penalty, maxHoldDown at most, before it counts as reachable. Suspicions ten seconds apart, each a fault of its own,
-// never sum to two; at five seconds the fifth is over the threshold, at three the third. Times are ms.
+// Flap damping, after BGP route flap damping (RFC 2439): each suspicion adds 1 to a penalty with a half-life of
+// penaltyHalfLife. From penaltyThreshold on, a peer counts as reachable only after it has been alive for a hold-down time,
+// which doubles with every 0.5 of penalty up to maxHoldDown. With suspicions ten seconds apart, as from independent faults,
+// the penalty never reaches 2. With suspicions five seconds apart, the fifth exceeds the threshold; at three seconds, the
+// third does. Times are in ms.
 const (
 	penaltyHalfLife  = 10e3
 	penaltyThreshold = 2.3
@@ -42,11 +43,12 @@
 	}
 }
 
+// decayedPenalty returns the flap penalty decayed to now.
 func (m *member) decayedPenalty(now float64) float64 {
 	return m.flapPenalty * math.Exp2(-(now-m.penaltyAt)/penaltyHalfLife)
 }
 
-// reachable tells whether a peer is alive, and has been for long enough if it flaps.
+// reachable reports whether a peer is present and alive and, if it flaps, has been alive for its hold-down time.
 func (d *Detector) reachable(m *member, now float64) bool {
 	if !m.alive || m.departure != Present {
 		return false
@@ -58,31 +60,31 @@
 	return now-m.statusSince >= holdDown
 }
 
-// census counts the membership list and who of it is reachable, the server itself included.
-func (d *Detector) census(now float64) (members, reachable int) {
+// countMembers returns the number of present members and how many of them are reachable, both including this server.
+func (d *Detector) countMembers(now float64) (members, reachable int) {
 	members = 1 + d.present
 	reachable = 1 + d.presentAlive
-	still := d.flapping[:0]
+	flapping := d.flapping[:0]
 	for _, m := range d.flapping {
 		if m.decayedPenalty(now) < penaltyThreshold || d.byName[m.name] != m {
 			continue
 		}
-		still = append(still, m)
+		flapping = append(flapping, m)
 		if m.alive && m.departure == Present && !d.reachable(m, now) {
 			reachable--
 		}
 	}
-	clear(d.flapping[len(still):])
-	d.flapping = still
+	clear(d.flapping[len(flapping):])
+	d.flapping = flapping
 	return members, reachable
 }
 
-// observedState is the state by what is known now, before stabilization.
+// observedState returns the cluster state as observed now, before stabilization.
 func (d *Detector) observedState(now float64) ClusterState {
-	members, reachable := d.census(now)
+	members, reachable := d.countMembers(now)
 	switch {
 	case d.InGracePeriod(now):
-	case members == 1 && len(d.sorted) > 0 && d.config.ExpectedServers <= 1: // all others have departed: a fleet of one
+	case members == 1 && len(d.sorted) > 0 && d.config.ExpectedServers <= 1: // all other members have departed: a fleet of one
 		return Complete
 	case members > 1 && now-d.lastMessage >= d.config.SilenceTimeout:
 	case reachable == members && members > 1 && members >= d.config.ExpectedServers:
@@ -93,7 +95,7 @@
 	return Isolated
 }
 
-// updateState moves the state: down at once, up after StabilizationPeriod.
+// updateState updates the cluster state. A worse state takes effect at once, a better one after StabilizationPeriod.
 func (d *Detector) updateState(now float64) {
 	observed := d.observedState(now)
 	if observed <= d.state {
@@ -125,13 +127,13 @@
 	d.pendingSince = now
 }
 
-// State is that of View, at no cost beyond a tick's.
+// State returns the cluster state as in View. It costs no more than a tick.
 func (d *Detector) State(now float64) ClusterState {
 	d.updateState(now)
 	return d.state
 }
 
-// CompleteFor tells whether the cluster has been complete for at least duration ms, outside the grace period.
+// CompleteFor reports whether the cluster has been complete for at least duration ms. It is false in a grace period.
 func (d *Detector) CompleteFor(now, duration float64) bool {
 	return d.State(now) == Complete && !d.InGracePeriod(now) && now-d.stateSince >= duration
 }
--- a/decision/health/view.go
+++ b/decision/health/view.go
@@ -1,6 +1,6 @@
 package health
 
-// This file reports the detector's view: the whole cluster, each zone and each peer.
+// This file implements the reports on the cluster, its zones and the peers.
 
 import (
 	"cmp"
@@ -8,45 +8,45 @@
 	"slices"
 )
 
-// Zone is one zone as this server sees it. Fleet status prints it as JSON under the names in the tags.
+// Zone is this server's view of one zone. Fleet status prints it as JSON with the names in the tags.
 type Zone struct {
 	Name      string
-	Members   int `json:"Roster"` // on the membership list, the server itself included
-	Reachable int `json:"Heard"`
+	Members   int `json:"Roster"` // number of present members, including this server
+	Reachable int `json:"Heard"`  // number of these that are reachable
 }
 
-// Peer is one member as this server sees it. Times are ms.
+// Peer is this server's view of one peer. Times are in ms.
 type Peer struct {
 	Name, Zone     string
-	Generation     uint64  // counts restarts of this name
-	Incarnation    uint64  // random, tells apart two processes of one generation
-	Reachable      bool    // counts as reachable
-	Alive          bool    // according to the prober
-	FlapDamped     bool    // alive, and suspected too often to count as reachable
-	Contact        Contact // how it is reached
-	Via            string  // who relayed the last update about it, for IndirectContact
-	LastContactAge float64 // since the last message or update; 0 if Unconfirmed
-	StatusDuration float64 // since Alive last changed
-	SuspicionCount int     // times that it was suspected while this server was healthy
-	DuplicateName  bool    // two processes use its name
+	Generation     uint64 // number of starts under this name
+	Incarnation    uint64 // random, distinguishes two processes with the same generation
+	Reachable      bool   // present, alive and not damped, and this server is not isolated
+	Alive          bool   // according to the prober
+	FlapDamped     bool   // alive, but suspected too often to count as reachable
+	Contact        Contact
+	Via            string  // with IndirectContact: the member that relayed the last update about the peer
+	LastContactAge float64 // time since the last message or update; 0 if Unconfirmed
+	StatusDuration float64 // time since Alive last changed
+	SuspicionCount int     // number of suspicions while this server's own observations were reliable
+	DuplicateName  bool    // two processes use the name
 	Departure      Departure
-	Unconfirmed    bool // listed, and no message or update about it ever came
+	Unconfirmed    bool // no message from it or update about it was received
 }
 
-// View is one server's view of the cluster. Times are ms.
+// View is this server's view of the cluster. Times are in ms.
 type View struct {
 	State                  ClusterState
-	InGracePeriod          bool    // just started, or stalled: nothing is reported about peers
-	StateDuration          float64 // in this state
-	Members, Reachable     int     // the server itself included
-	MinServers, MaxServers int     // bounds on the number of servers that run, whatever is not known
-	MaxUnknown             bool    // never in contact in this incarnation, and no ExpectedServers: more than MaxServers may run
-	Zones                  []Zone  // by name, the server's own included
+	InGracePeriod          bool    // after a start or stall: nothing is reported about peers
+	StateDuration          float64 // time in this state
+	Members, Reachable     int     // present and reachable members, both including this server
+	MinServers, MaxServers int     // lower and upper bound on the number of running servers
+	MaxUnknown             bool    // no peer was ever alive and ExpectedServers is not set: more than MaxServers may be running
+	Zones                  []Zone  // sorted by name, including the server's own
 	StallCount             int
 	StateChanges           int
 }
 
-// Summary is View without its zones, at the cost of a tick.
+// Summary returns the view without its zones. It costs no more than a tick.
 func (d *Detector) Summary(now float64) View {
 	d.updateState(now)
 	v := View{
@@ -56,7 +56,7 @@
 		StallCount:    d.stallCount,
 		StateChanges:  d.stateChanges,
 	}
-	v.Members, v.Reachable = d.census(now)
+	v.Members, v.Reachable = d.countMembers(now)
 	if d.state == Isolated {
 		v.Reachable = 1
 	}
@@ -66,7 +66,7 @@
 	return v
 }
 
-// View returns the view as of now.
+// View returns the current view, including its zones.
 func (d *Detector) View(now float64) View {
 	v := d.Summary(now)
 	zones := map[string]*Zone{d.zone: {Name: d.zone, Members: 1, Reachable: 1}}
@@ -91,16 +91,17 @@
 	return v
 }
 
-// Peers reports every listed member by name, departed ones included while they are remembered.
+// Peers returns all listed members sorted by name, including departed members.
 func (d *Detector) Peers(now float64) []Peer {
 	window := d.contactWindow()
-	all := make([]Peer, 0, len(d.sorted))
+	peers := make([]Peer, 0, len(d.sorted))
 	for _, m := range d.sorted {
-		all = append(all, d.peer(m, now, window))
+		peers = append(peers, d.peer(m, now, window))
 	}
-	return all
+	return peers
 }
 
+// peer returns the view of one member; window is the result of contactWindow.
 func (d *Detector) peer(m *member, now, window float64) Peer {
 	reachable := d.reachable(m, now)
 	lastContact := max(m.lastMessage, m.lastAck, m.lastIndirect)
@@ -128,7 +129,7 @@
 	return p
 }
 
-// AppendReachable appends the names of the reachable peers to names, sorted; none while this server is isolated.
+// AppendReachable appends the sorted names of the reachable peers to names, and none while this server is isolated.
 func (d *Detector) AppendReachable(now float64, names []string) []string {
 	if d.State(now) == Isolated {
 		return names
