--- a/decision/count/count.go
+++ b/decision/count/count.go
@@ -1,9 +1,9 @@
-// Package count aggregates fleet-wide counters: request rates by customer and method, requests in flight and failures by
-// upstream service, as each server reports its own.
+// Package count aggregates fleet-wide counters: request rates by customer and method, and requests in flight and failures by
+// upstream service. Each server reports its own counters.
 //
 // Each origin's report is a last-writer-wins record versioned by (generation, sequence), so the aggregate does not depend
 // on the order in which reports arrive. An aggregate is an interval that widens for origins whose reports are stale; a
-// reader must use the conservative bound. Silence is never read as zero.
+// reader must use the conservative bound. A missing report is never taken as zero.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. An instance is
 // not safe for concurrent use; its owner must serialise calls.
@@ -15,43 +15,44 @@
 	"strings"
 )
 
-// Config holds the settings of local and aggregated counters. Times are ms.
+// Config holds the settings of local and aggregated counters. Times are in ms.
 type Config struct {
-	TimeConstant float64 // of a rate's exponential average
-	FreshPeriod  float64 // for which a reported counter stands as it is
-	StalePeriod  float64 // after which nothing is known of it any more
-	MaxPerServer float64 // of any counter: a second, or in flight
-	MaxKeys      int     // of one server
+	TimeConstant float64 // time constant of the exponential average of a rate
+	FreshPeriod  float64 // age of a report up to which its counters are used unchanged
+	StalePeriod  float64 // age of a report from which on its counters may have any value
+	MaxPerServer float64 // highest value of any counter of one server: per second, or in flight
+	MaxKeys      int     // maximum number of keys per server
 }
 
-// DefaultConfig averages rates over five seconds, which follow a change of load within a few reports. Reports come every
-// second or two: one missed is chance, and after fifteen seconds anything may have happened.
+// DefaultConfig averages rates over five seconds, so that they follow a change of load within a few reports. Servers report
+// every second or two: FreshPeriod tolerates one missed report, and after StalePeriod a counter may have any value.
 var DefaultConfig = Config{TimeConstant: 5000, FreshPeriod: 3000, StalePeriod: 15000, MaxPerServer: 1e4, MaxKeys: 64}
 
-// Counter is one counter of one server.
+// Counter is a counter of one server.
 type Counter struct {
 	Key      string
-	Value    float64 // a second, or in flight
-	MaxError float64 // by which Value may be too high: it may include other keys that had no place
+	Value    float64 // per second, or in flight
+	MaxError float64 // maximum excess of Value, which may include counts of keys that were evicted
 }
 
-// Local counts rates on one server. Instead of decaying what is old, it gives what is new more weight (forward decay), so
-// that an addition touches one key.
+// Local counts rates on one server. It uses forward decay: instead of decaying old counts, it gives new counts an
+// exponentially growing weight, so that an addition updates one key only.
 type Local struct {
 	config    Config
 	sketch    *SpaceSaving
-	reference float64 // ms at which the weight is 1
+	reference float64 // time in ms at which the weight is 1
 }
 
-// maxExponent is the number of time constants after which the weights begin anew: far inside what a float64 holds beside
-// any count.
+// maxExponent is the number of time constants after which the weights are rescaled. The weight then, e to the power of 250,
+// leaves ample range in a float64 for any count.
 const maxExponent = 250.0
 
-// NewLocal returns a Local that has counted nothing.
+// NewLocal returns a Local without counts.
 func NewLocal(config Config) *Local {
 	return &Local{config: config, sketch: NewSpaceSaving(config.MaxKeys)}
 }
 
+// weight returns the weight of a count at time now. It first rescales the counts if the weight has grown too large.
 func (l *Local) weight(now float64) float64 {
 	exponent := (now - l.reference) / l.config.TimeConstant
 	if exponent > maxExponent {
@@ -62,12 +63,12 @@
 	return math.Exp(exponent)
 }
 
-// Add counts n under a key. It allocates nothing for a key that is known.
+// Add adds n to the count of a key. It does not allocate for a key that has a counter.
 func (l *Local) Add(now float64, key string, n float64) {
 	l.sketch.Add(key, n*1000/l.config.TimeConstant*l.weight(now))
 }
 
-// Largest returns the largest counters, at most maxCounters, the largest first.
+// Largest returns up to maxCounters counters, the largest first.
 func (l *Local) Largest(now float64, maxCounters int) []Counter {
 	weight := l.weight(now)
 	counters := l.sketch.Largest(maxCounters)
@@ -78,24 +79,24 @@
 	return counters
 }
 
-// MaxUnlisted is the most that a key without a counter may have.
+// MaxUnlisted returns the highest possible value of a key without a counter.
 func (l *Local) MaxUnlisted(now float64) float64 { return l.sketch.MaxUnlisted() / l.weight(now) }
 
-// Interval holds a sum that is known as far as its parts are: the true one lies within.
+// Interval is the range in which the true value of a sum lies.
 type Interval struct{ Min, Max float64 }
 
-// report is the latest one of an origin.
+// report is the latest report of an origin.
 type report struct {
 	generation, sequence uint64
 	receivedAt           float64
 	counters             []Counter
-	maxUnlisted          float64 // of any key without a counter
+	maxUnlisted          float64 // highest possible value of a key without a counter
 }
 
 // Aggregate sums the counters that servers report.
 type Aggregate struct {
 	config  Config
-	reports map[string]*report // by origin
+	reports map[string]*report // keyed by origin
 }
 
 // NewAggregate returns an Aggregate without reports.
@@ -103,8 +104,8 @@
 	return &Aggregate{config: config, reports: map[string]*report{}}
 }
 
-// Merge takes an origin's report of its own counters; keys without one have at most maxUnlisted. It reports whether that
-// was newer than what was known.
+// Merge stores an origin's report of its own counters and returns true if it is newer than the stored report. maxUnlisted is
+// the highest possible value of a key without a counter. Counters beyond Config.MaxKeys are dropped.
 func (a *Aggregate) Merge(now float64, origin string, generation, sequence uint64, counters []Counter, maxUnlisted float64) bool {
 	if r := a.reports[origin]; r != nil && (generation < r.generation || generation == r.generation && sequence <= r.sequence) {
 		return false
@@ -122,10 +123,11 @@
 	return true
 }
 
-// Forget drops an origin that has departed.
+// Forget drops the report of an origin, such as one that has departed.
 func (a *Aggregate) Forget(origin string) { delete(a.reports, origin) }
 
-// Sum adds up a key over the given origins, whether they reported or not: those of the membership list.
+// Sum returns the sum of a key over the given origins, normally the membership list. An origin without a report may have any
+// value up to Config.MaxPerServer.
 func (a *Aggregate) Sum(now float64, key string, origins []string) (sum Interval) {
 	for _, origin := range origins {
 		r := a.reports[origin]
@@ -140,7 +142,7 @@
 	return sum
 }
 
-// interval is what a report says of a key.
+// interval returns the range in which the value of a key lay at the time of the report.
 func (r *report) interval(key string) Interval {
 	for i := range r.counters {
 		if c := &r.counters[i]; c.Key == key {
@@ -150,7 +152,8 @@
 	return Interval{Max: r.maxUnlisted}
 }
 
-// widen turns what was reported age ms ago into what may be true now.
+// widen returns the range of possible values now, given the range reported age ms ago. It widens linearly between
+// FreshPeriod and StalePeriod.
 func (a *Aggregate) widen(value Interval, age float64) Interval {
 	staleness := min(max((age-a.config.FreshPeriod)/max(1, a.config.StalePeriod-a.config.FreshPeriod), 0), 1)
 	if staleness > 0 {
@@ -160,7 +163,7 @@
 	return value
 }
 
-// Keys returns all keys that any origin reported, sorted.
+// Keys returns the keys that any origin reported, sorted and without duplicates.
 func (a *Aggregate) Keys() (keys []string) {
 	for _, r := range a.reports {
 		for i := range r.counters {
--- a/decision/count/count_test.go
+++ b/decision/count/count_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is added, each key's true value lies within its counter's error, and the sketch holds no more than its capacity.
+// For any sequence of additions, the true value of each key lies within the error of its counter, and the sketch does not
+// exceed its capacity.
 func TestSpaceSaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		capacity := rapid.IntRange(1, 8).Draw(t, "room")
+		capacity := rapid.IntRange(1, 8).Draw(t, "capacity")
 		sketch, truth := NewSpaceSaving(capacity), map[string]float64{}
 		for range rapid.IntRange(1, 200).Draw(t, "adds") {
-			if rapid.IntRange(0, 20).Draw(t, "fades") == 0 {
+			if rapid.IntRange(0, 20).Draw(t, "scale") == 0 {
 				sketch.Scale(0.5)
 				for k := range truth {
 					truth[k] *= 0.5
@@ -27,40 +28,41 @@
 		}
 		listed := map[string]bool{}
 		items := sketch.Largest(100)
-		for _, x := range items {
-			listed[x.Key] = true
-			if v := truth[x.Key]; v > x.Value+1e-9 || v < x.Value-x.MaxError-1e-9 {
-				t.Fatalf("%s has %g, counted %g less at most %g", x.Key, v, x.Value, x.MaxError)
+		for _, c := range items {
+			listed[c.Key] = true
+			if v := truth[c.Key]; v > c.Value+1e-9 || v < c.Value-c.MaxError-1e-9 {
+				t.Fatalf("key %s: true value %g, counter %g with a maximum error of %g", c.Key, v, c.Value, c.MaxError)
 			}
 		}
 		for k, v := range truth {
 			if !listed[k] && v > sketch.MaxUnlisted()+1e-9 {
-				t.Fatalf("%s has %g and is not listed, which may have at most %g", k, v, sketch.MaxUnlisted())
+				t.Fatalf("key %s: true value %g without a counter, want at most %g", k, v, sketch.MaxUnlisted())
 			}
 		}
 		if len(items) > capacity || len(sketch.index) != len(items) {
-			t.Fatalf("%d listed, %d in the index, capacity %d", len(items), len(sketch.index), capacity)
+			t.Fatalf("%d counters, %d index entries, capacity %d", len(items), len(sketch.index), capacity)
 		}
 	})
 }
 
-// A hundred thousand customers, a few of which make most of the load: those are found.
+// With a hundred thousand customers, the few that cause most of the load have the largest counters.
 func TestManyCustomers(t *testing.T) {
 	local := NewLocal(DefaultConfig)
-	z := rand.NewZipf(rand.New(rand.NewSource(1)), 1.3, 1, 100000)
+	zipf := rand.NewZipf(rand.New(rand.NewSource(1)), 1.3, 1, 100000)
 	truth := map[string]int{}
 	for i := range 200000 {
-		k := fmt.Sprint("c", z.Uint64())
+		k := fmt.Sprint("c", zipf.Uint64())
 		truth[k]++
 		local.Add(float64(i)/100, k, 1)
 	}
 	items := local.Largest(2000, 10)
 	if len(items) != 10 || items[0].Key != "c0" || items[1].Key != "c1" || items[2].Key != "c2" {
-		t.Errorf("%v", items)
+		t.Errorf("largest counters: got %v, want ten with c0, c1 and c2 first", items)
 	}
 }
 
-// The same reports in any order, with duplicates, give the same sums; the interval holds the truth and widens for stale reports.
+// The same reports in any order, with duplicates, give the same sums. The interval contains the true sum and widens as reports
+// become stale.
 func TestSums(t *testing.T) {
 	origins := []string{"a", "b", "c"}
 	type sample struct {
@@ -68,32 +70,32 @@
 		generation, sequence uint64
 		value                float64
 	}
-	all := []sample{{"a", 1, 1, 10}, {"a", 1, 2, 20}, {"b", 1, 5, 7}, {"b", 2, 1, 3}, {"b", 1, 6, 9}}
+	samples := []sample{{"a", 1, 1, 10}, {"a", 1, 2, 20}, {"b", 1, 5, 7}, {"b", 2, 1, 3}, {"b", 1, 6, 9}}
 	for seed := range int64(30) {
 		aggregate := NewAggregate(DefaultConfig)
 		rng := rand.New(rand.NewSource(seed))
 		for range 3 {
-			for _, i := range rng.Perm(len(all)) {
-				r := all[i]
+			for _, i := range rng.Perm(len(samples)) {
+				r := samples[i]
 				aggregate.Merge(1000, r.origin, r.generation, r.sequence, []Counter{{Key: "k", Value: r.value}}, 0)
 			}
 		}
 		if got := aggregate.Sum(1000, "k", origins[:2]); got != (Interval{23, 23}) {
-			t.Fatalf("%+v", got)
+			t.Fatalf("sum over a and b: got %+v", got)
 		}
 		if got := aggregate.Sum(1000, "k", origins); got != (Interval{23, 23 + DefaultConfig.MaxPerServer}) { // c never reported
-			t.Fatalf("%+v", got)
+			t.Fatalf("sum with an origin that never reported: got %+v", got)
 		}
 		last := Interval{23, 23}
 		for now := 2000.0; now < 20e3; now += 500 {
 			got := aggregate.Sum(now, "k", origins[:2])
 			if got.Min > last.Min || got.Max < last.Max {
-				t.Fatalf("at %g ms: %+v after %+v", now, got, last)
+				t.Fatalf("at %g ms: interval %+v is narrower than %+v before", now, got, last)
 			}
 			last = got
 		}
 		if last != (Interval{0, 2 * DefaultConfig.MaxPerServer}) {
-			t.Fatalf("long stale: %+v", last)
+			t.Fatalf("sum of stale reports: got %+v", last)
 		}
 	}
 }
@@ -106,20 +108,20 @@
 		}
 	}
 	if v := local.Largest(30000, 1)[0].Value; math.Abs(v-100) > 2 {
-		t.Errorf("100 a second are counted as %g", v)
+		t.Errorf("rate after 30 s of 100 per second: got %g", v)
 	}
 	if v := local.Largest(60000, 1)[0].Value; v > 1 {
-		t.Errorf("half a minute later still %g", v)
+		t.Errorf("rate 30 s after the last count: got %g, want at most 1", v)
 	}
-	local.Add(1e8, "k", 1) // a day later the weights have begun anew
+	local.Add(1e8, "k", 1) // a day later, so that the weights are rescaled
 	if v := local.Largest(1e8, 1)[0].Value; math.Abs(v-0.2) > 1e-9 {
-		t.Errorf("one count is %g", v)
+		t.Errorf("rate after one count: got %g, want 0.2", v)
 	}
 }
 
 func BenchmarkAdd(b *testing.B) {
 	local := NewLocal(DefaultConfig)
-	keys := make([]string, 50) // with capacity for 64: the usual case
+	keys := make([]string, 50) // below the capacity of 64, the usual case
 	for i := range keys {
 		keys[i] = fmt.Sprint("customer-", i)
 	}
--- a/decision/count/spacesaving.go
+++ b/decision/count/spacesaving.go
@@ -1,24 +1,24 @@
 package count
 
-// This file implements the sketch of the keys with the largest counts: Space-Saving (A. Metwally, D. Agrawal, A. El Abbadi,
-// "Efficient Computation of Frequent and Top-k Elements in Data Streams", ICDT 2005) over a heap. There may be more keys
-// than places; a key that comes when there is none takes the place of the smallest, whose count it may have had itself:
-// that is its error. The sketch must never hold more keys than it was made for.
+// This file implements a sketch of the keys with the largest counts: Space-Saving (A. Metwally, D. Agrawal, A. El Abbadi,
+// "Efficient Computation of Frequent and Top-k Elements in Data Streams", ICDT 2005), with the counters in a heap. A new key
+// in a full sketch replaces the key with the smallest count and takes over that count as its possible error, because
+// occurrences of the new key may have been evicted before. The sketch must never hold more keys than its capacity.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// SpaceSaving is one sketch. Any key's true value lies between Value-MaxError and Value of its counter; a key without a
-// counter has at most MaxUnlisted.
+// SpaceSaving is a Space-Saving sketch. The true value of a key lies between Value-MaxError and Value of its counter. A key
+// without a counter has at most the value MaxUnlisted.
 type SpaceSaving struct {
-	heap     []Counter      // the smallest first
-	index    map[string]int // of each key in heap
+	heap     []Counter      // min-heap by Value
+	index    map[string]int // position in heap by key
 	capacity int
 }
 
-// NewSpaceSaving returns a sketch with places for capacity keys, at least one.
+// NewSpaceSaving returns an empty sketch for up to capacity keys; a capacity below 1 is taken as 1.
 func NewSpaceSaving(capacity int) *SpaceSaving {
 	capacity = max(1, capacity)
 	return &SpaceSaving{
@@ -28,9 +28,9 @@
 	}
 }
 
-// Add counts n, which must not be negative, under a key.
+// Add adds n, which must not be negative, to the count of a key.
 func (s *SpaceSaving) Add(key string, n float64) {
-	if i, has := s.index[key]; has {
+	if i, ok := s.index[key]; ok {
 		s.heap[i].Value += n
 		s.siftDown(i)
 		return
@@ -49,7 +49,7 @@
 	s.siftDown(0)
 }
 
-// Scale multiplies all counts, as when they decay.
+// Scale multiplies all counts and errors by a factor.
 func (s *SpaceSaving) Scale(factor float64) {
 	for i := range s.heap {
 		s.heap[i].Value *= factor
@@ -57,7 +57,7 @@
 	}
 }
 
-// MaxUnlisted is the most that a key without a counter may have.
+// MaxUnlisted returns the highest possible value of a key without a counter.
 func (s *SpaceSaving) MaxUnlisted() float64 {
 	if len(s.heap) < s.capacity {
 		return 0
@@ -65,12 +65,12 @@
 	return s.heap[0].Value
 }
 
-// Largest returns the largest counters, at most maxCounters, the largest first.
+// Largest returns up to maxCounters counters, the largest first.
 func (s *SpaceSaving) Largest(maxCounters int) []Counter {
-	all := make([]Counter, len(s.heap))
-	copy(all, s.heap)
-	slices.SortFunc(all, func(a, b Counter) int { return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Key, b.Key)) })
-	return all[:min(maxCounters, len(all))]
+	counters := make([]Counter, len(s.heap))
+	copy(counters, s.heap)
+	slices.SortFunc(counters, func(a, b Counter) int { return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Key, b.Key)) })
+	return counters[:min(maxCounters, len(counters))]
 }
 
 func (s *SpaceSaving) swap(i, k int) {
--- a/decision/gossip/record.go
+++ b/decision/gossip/record.go
@@ -1,6 +1,6 @@
 package gossip
 
-// This file defines a record, its version and its form on the wire.
+// This file defines the record, its version and its wire format.
 
 import (
 	"cmp"
@@ -14,13 +14,14 @@
 type Record struct {
 	Origin      string
 	Key         string
-	Generation  uint64 // counts starts of the origin
-	Incarnation uint64 // random, tells apart two processes of one generation
-	Sequence    uint64 // within the incarnation
+	Generation  uint64 // number of starts of the origin
+	Incarnation uint64 // random, distinguishes two processes with the same generation
+	Sequence    uint64 // increases within an incarnation
 	Body        []byte
 }
 
-// newer tells whether r supersedes other. Of two incarnations of one generation the larger number wins, at every server.
+// newer reports whether r supersedes other. Of two incarnations of the same generation the larger number wins, so that all
+// servers agree.
 func (r *Record) newer(other *Record) bool {
 	return cmp.Or(
 		cmp.Compare(r.Generation, other.Generation),
@@ -29,45 +30,45 @@
 	) > 0
 }
 
-// ErrCorrupt is returned for bytes that are no record, or whose checksum does not match.
-var ErrCorrupt = errors.New("a record is damaged")
+// ErrCorrupt is returned for bytes that are not a valid record or whose checksum does not match.
+var ErrCorrupt = errors.New("record is corrupt")
 
-// The fields of a record on the wire, as in internal/fleet/fleet.proto. Fields of later versions are skipped when read,
-// and stay in the bytes that are passed on.
+// Field numbers of a record on the wire, as in internal/fleet/fleet.proto. Unknown fields of later versions are skipped when
+// a record is parsed, and kept in the bytes that are passed on.
 const (
 	fieldOrigin      = 1
 	fieldKey         = 2
-	fieldGeneration  = 3 // start in fleet.proto
-	fieldSequence    = 4 // seq
+	fieldGeneration  = 3 // named start in fleet.proto
+	fieldSequence    = 4 // named seq
 	fieldBody        = 5
-	fieldIncarnation = 6  // life
-	fieldChecksum    = 15 // sum
+	fieldIncarnation = 6  // named life
+	fieldChecksum    = 15 // named sum
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// checksumBytes is what the checksum at a record's end takes: the field's tag, and four bytes.
+// checksumBytes is the size of the checksum field at the end of a record: one byte for the tag and four for the value.
 const checksumBytes = 5
 
-// Append appends the record to b: its fields, and last the CRC-32C of all bytes before.
+// Append appends the encoded record to b: its fields, followed by the CRC-32C of their encoding.
 func (r *Record) Append(b []byte) []byte {
-	from := len(b)
+	start := len(b)
 	b = protowire.AppendString(protowire.AppendTag(b, fieldOrigin, protowire.BytesType), r.Origin)
 	b = protowire.AppendString(protowire.AppendTag(b, fieldKey, protowire.BytesType), r.Key)
 	b = protowire.AppendVarint(protowire.AppendTag(b, fieldGeneration, protowire.VarintType), r.Generation)
 	b = protowire.AppendVarint(protowire.AppendTag(b, fieldSequence, protowire.VarintType), r.Sequence)
 	b = protowire.AppendBytes(protowire.AppendTag(b, fieldBody, protowire.BytesType), r.Body)
 	b = protowire.AppendFixed64(protowire.AppendTag(b, fieldIncarnation, protowire.Fixed64Type), r.Incarnation)
-	return appendChecksum(b, from)
+	return appendChecksum(b, start)
 }
 
-// appendChecksum ends a record that begins at from.
-func appendChecksum(b []byte, from int) []byte {
-	sum := crc32.Checksum(b[from:], castagnoli)
+// appendChecksum appends the checksum of the record that starts at offset start of b.
+func appendChecksum(b []byte, start int) []byte {
+	sum := crc32.Checksum(b[start:], castagnoli)
 	return protowire.AppendFixed32(protowire.AppendTag(b, fieldChecksum, protowire.Fixed32Type), sum)
 }
 
-// checkedFields returns a record's bytes without the checksum, if that matches.
+// checkedFields verifies the checksum of an encoded record and returns the bytes before it.
 func checkedFields(b []byte) ([]byte, error) {
 	if len(b) <= checksumBytes || b[len(b)-checksumBytes] != fieldChecksum<<3|byte(protowire.Fixed32Type) {
 		return nil, ErrCorrupt
@@ -79,7 +80,7 @@
 	return fields, nil
 }
 
-// Parse reads a record; its Body is part of b. The error is ErrCorrupt.
+// Parse decodes a record, whose Body refers to the bytes of b. The only error it returns is ErrCorrupt.
 func Parse(b []byte) (r Record, err error) {
 	fields, err := checkedFields(b)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return r, nil
 }
 
-// setField reads the value of one field, and returns its length; negative if it can't be read.
+// setField decodes the value of one field and returns its encoded length, negative if the value is invalid.
 func (r *Record) setField(num protowire.Number, typ protowire.Type, value []byte) (n int) {
 	switch {
 	case num == fieldOrigin && typ == protowire.BytesType:
--- a/decision/gossip/table.go
+++ b/decision/gossip/table.go
@@ -1,10 +1,10 @@
 // Package gossip stores the last-writer-wins state that origins gossip to one another: for each origin and key the record
 // with the highest (generation, incarnation, sequence) version wins.
 //
-// Merging is commutative, associative and idempotent, so servers that received the same records hold the same state
-// whatever the order and however often records arrive; Put reports which records were newer than what was stored.
-// Storage is bounded in bytes and record count, per origin and in total. Records are treated as opaque payloads, and
-// their checksum is verified so that a corrupted record is never stored.
+// Merging is commutative, associative and idempotent, so servers that received the same records hold the same state in
+// whatever order and however often the records arrive. Put reports whether a record was newer than the stored one. Storage
+// is bounded in bytes and record count, per origin and in total. The body of a record is opaque to this package, and the
+// checksum is verified so that a corrupt record is never stored.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times in ms) and starts no goroutine. A Table is not
 // safe for concurrent use; its owner must serialise calls.
@@ -17,19 +17,18 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Limits bound a Table. Bytes are those of records on the wire.
+// Limits limit the size of a Table. Sizes in bytes refer to encoded records.
 type Limits struct {
 	MaxOrigins       int
 	MaxKeysPerOrigin int
 	MaxRecordBytes   int
-	MaxOriginBytes   int // of all records of an origin
+	MaxOriginBytes   int // total of all records of an origin
 }
 
-// DefaultLimits allow 4,096 servers and 64 MB in all, with a record small enough to travel in one packet beside others.
+// DefaultLimits allows 4,096 servers and 64 MB in total. A record is small enough to share a packet with others.
 var DefaultLimits = Limits{MaxOrigins: 4096, MaxKeysPerOrigin: 16, MaxRecordBytes: 1024, MaxOriginBytes: 16 << 10}
 
-// Counts are how many records were put since the table was made, by result. Fleet status prints them as JSON under the
-// names in the tags.
+// Counts holds the number of calls of Put by result. Fleet status prints them as JSON under the names in the tags.
 type Counts struct {
 	Updated   uint64 `json:"News"`
 	Duplicate uint64 `json:"Known"`
@@ -41,44 +40,43 @@
 // entry is a stored record.
 type entry struct {
 	Record
-	raw        []byte // as received, fields of later versions included
-	receivedAt float64
+	raw        []byte  // encoding as received, unknown fields included
+	receivedAt float64 // ms
 }
 
 // origin holds the records of one origin's latest incarnation.
 type origin struct {
 	name        string
-	records     []entry // by key
-	bytes       int     // of all raw records
+	records     []entry // sorted by key
+	bytes       int     // total size of the encoded records
 	generation  uint64
 	incarnation uint64
-	updatedAt   float64 // when the last newer record of any key was received
+	updatedAt   float64 // when a record was last stored, under any key
 }
 
 // Table holds the latest records of each origin.
 type Table struct {
 	limits  Limits
 	origins map[string]*origin
-	// Counts since the table was made.
-	Counts Counts
+	Counts  Counts // since the table was created
 }
 
 // NewTable returns an empty table.
 func NewTable(limits Limits) *Table { return &Table{limits: limits, origins: map[string]*origin{}} }
 
-// PutResult is what Put did with a record.
+// PutResult is the result of Put.
 type PutResult int
 
 // The values of PutResult.
 const (
-	Updated   PutResult = iota // newer than all that was known: stored, and to be passed on
-	Duplicate                  // the very record that is stored
-	Stale                      // a newer one is stored
-	Corrupt                    // not a record
-	OverLimit                  // over the limits; nothing was changed
+	Updated   PutResult = iota // newer than the stored record: it was stored, and must be passed on
+	Duplicate                  // same version as the stored record
+	Stale                      // older than the stored record, or of an earlier incarnation
+	Corrupt                    // not a valid record
+	OverLimit                  // over the limits; not stored
 )
 
-// Put merges a record as received on the wire. It copies the bytes that it stores.
+// Put merges an encoded record as received on the wire. It does not retain raw.
 func (t *Table) Put(now float64, raw []byte) (Record, PutResult) {
 	r, err := Parse(raw)
 	if err != nil {
@@ -110,10 +108,10 @@
 		}
 		o = &origin{name: r.Origin, generation: r.Generation, incarnation: r.Incarnation, updatedAt: now}
 	}
-	switch age := cmp.Or(cmp.Compare(r.Generation, o.generation), cmp.Compare(r.Incarnation, o.incarnation)); {
-	case age < 0:
+	switch order := cmp.Or(cmp.Compare(r.Generation, o.generation), cmp.Compare(r.Incarnation, o.incarnation)); {
+	case order < 0:
 		return Stale
-	case age > 0: // a later incarnation: what the former one published is void
+	case order > 0: // a later incarnation, which invalidates the records of the previous one
 		o.records = nil
 		o.bytes = 0
 		o.generation = r.Generation
@@ -126,11 +124,11 @@
 	return result
 }
 
-// merge stores a record of the origin's current incarnation if it is newer and within the limits.
+// merge stores a record of the origin's current incarnation if it is newer than the stored one and within the limits.
 func (o *origin) merge(now float64, r *Record, raw []byte, limits *Limits) PutResult {
-	i, has := slices.BinarySearchFunc(o.records, r.Key, func(e entry, key string) int { return cmp.Compare(e.Key, key) })
+	i, ok := slices.BinarySearchFunc(o.records, r.Key, func(e entry, key string) int { return cmp.Compare(e.Key, key) })
 	growth := len(raw)
-	if has {
+	if ok {
 		if e := &o.records[i]; !r.newer(&e.Record) {
 			if r.Sequence == e.Sequence {
 				return Duplicate
@@ -145,8 +143,8 @@
 		return OverLimit
 	}
 	e := entry{raw: slices.Clone(raw), receivedAt: now}
-	e.Record, _ = Parse(e.raw) // of the copy, so that Body is part of it; raw has been parsed before
-	if has {
+	e.Record, _ = Parse(e.raw) // parse the copy, so that Body refers to it; raw has been parsed without error
+	if ok {
 		o.records[i] = e
 	} else {
 		o.records = slices.Insert(o.records, i, e)
@@ -156,8 +154,8 @@
 	return Updated
 }
 
-// Get returns an origin's record under a key, and its age in ms since it was received.
-func (t *Table) Get(now float64, origin, key string) (r Record, age float64, has bool) {
+// Get returns an origin's record under a key and the time in ms since it was received. ok is false if there is none.
+func (t *Table) Get(now float64, origin, key string) (r Record, age float64, ok bool) {
 	o := t.origins[origin]
 	if o == nil {
 		return r, 0, false
@@ -170,8 +168,8 @@
 	return r, 0, false
 }
 
-// LatestIncarnation returns the latest generation and incarnation of an origin that is known.
-func (t *Table) LatestIncarnation(origin string) (generation, incarnation uint64, has bool) {
+// LatestIncarnation returns the latest known generation and incarnation of an origin. ok is false if the origin is unknown.
+func (t *Table) LatestIncarnation(origin string) (generation, incarnation uint64, ok bool) {
 	if o := t.origins[origin]; o != nil {
 		return o.generation, o.incarnation, true
 	}
@@ -181,7 +179,7 @@
 // Forget drops all records of an origin.
 func (t *Table) Forget(origin string) { delete(t.origins, origin) }
 
-// Origins returns the names of all known origins, sorted.
+// Origins returns the names of all known origins in sorted order.
 func (t *Table) Origins() []string {
 	names := make([]string, 0, len(t.origins))
 	for name := range t.origins {
@@ -191,7 +189,7 @@
 	return names
 }
 
-// Each calls visit for each record under a key, by origin, with its age in ms.
+// Each calls visit for each record under a key, sorted by origin, with the time in ms since the record was received.
 func (t *Table) Each(now float64, key string, visit func(r *Record, age float64)) {
 	for _, name := range t.Origins() {
 		for i := range t.origins[name].records {
@@ -202,8 +200,9 @@
 	}
 }
 
-// AppendState appends all records to b for a full state exchange, each behind its length, up to maxBytes in all. Those of
-// origins updated last come first, so that what does not fit is what others most likely know.
+// AppendState appends the records to b for a full state exchange, each prefixed with its length, up to maxBytes in total.
+// Records of the most recently updated origins come first, so that the records that do not fit are those that other servers
+// most likely have.
 func (t *Table) AppendState(b []byte, maxBytes int) []byte {
 	origins := make([]*origin, 0, len(t.origins))
 	for _, o := range t.origins {
@@ -212,11 +211,11 @@
 	slices.SortFunc(origins, func(x, y *origin) int {
 		return cmp.Or(cmp.Compare(y.updatedAt, x.updatedAt), cmp.Compare(x.name, y.name))
 	})
-	from := len(b)
+	start := len(b)
 	for _, o := range origins {
 		for i := range o.records {
 			raw := o.records[i].raw
-			if len(b)-from+len(raw)+protowire.SizeVarint(uint64(len(raw))) > maxBytes {
+			if len(b)-start+len(raw)+protowire.SizeVarint(uint64(len(raw))) > maxBytes {
 				return b
 			}
 			b = protowire.AppendBytes(b, raw)
@@ -225,7 +224,8 @@
 	return b
 }
 
-// SplitState calls visit for each record in what AppendState wrote, and tells whether all of it could be read.
+// SplitState calls visit for each encoded record in the output of AppendState. It returns false if b is malformed, after
+// visiting the records before the malformed part.
 func SplitState(b []byte, visit func(raw []byte)) bool {
 	for len(b) > 0 {
 		raw, n := protowire.ConsumeBytes(b)
@@ -238,7 +238,7 @@
 	return true
 }
 
-// Size returns how many origins and records the table holds, and the bytes of the records on the wire.
+// Size returns the number of origins and records in the table, and the total size of the encoded records in bytes.
 func (t *Table) Size() (origins, records, bytes int) {
 	for _, o := range t.origins {
 		records += len(o.records)
