--- a/internal/permitserver/command/operate.go
+++ b/internal/permitserver/command/operate.go
@@ -100,7 +100,7 @@
 
 type setCommand struct {
 	cluster
-	File string `arg:"" type:"existingfile" help:"JSON: servers, members, limits (docs/operate/keepers.md)."`
+	File string `arg:"" type:"existingfile" help:"JSON: servers, members, limits (docs/operate/permit-service.md)."`
 }
 
 // Run replaces the roster and the limits.
