--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -91,8 +91,8 @@
 	Replayed     control.Action // the zero Action for none
 }
 
-// ErrNoBeginning is returned where the steps do not begin where the decisions did.
-var ErrNoBeginning = errors.New("the trace does not hold its beginning: verdicts can't be compared exactly")
+// ErrMissingStart is returned where the steps do not begin where the decisions did.
+var ErrMissingStart = errors.New("the trace does not hold its beginning: verdicts can't be compared exactly")
 
 // rpcState is an RPC in flight.
 type rpcState struct {
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -154,7 +154,7 @@
 			}
 		})
 	}
-	if _, err := Verify(settings(), feed(steps[5:]), func(Divergence) {}, func(Completion) {}); !errors.Is(err, ErrNoBeginning) {
+	if _, err := Verify(settings(), feed(steps[5:]), func(Divergence) {}, func(Completion) {}); !errors.Is(err, ErrMissingStart) {
 		t.Errorf("error %v of a trace without its beginning", err)
 	}
 }
--- a/decision/replay/verify.go
+++ b/decision/replay/verify.go
@@ -22,7 +22,7 @@
 			return steps, err
 		}
 		if steps == 0 && x.Event.Kind != control.Started {
-			return 0, ErrNoBeginning
+			return 0, ErrMissingStart
 		}
 		compare(steps, &x, controller.Handle(x.Now, x.Event), onDivergence)
 		recorded.step(&x)
