--- a/decision/release/canary.go
+++ b/decision/release/canary.go
@@ -1,8 +1,9 @@
 package release
 
-// This file owns canary analysis: a wave is compared with the servers that do not have the version yet, over the same
-// minutes, by shares of bad outcomes with a sequential test that may be evaluated at any time, and by memory. It must never
-// blame a version for what strikes both sides, nor take the variance between servers for a difference.
+// This file has the canary analysis: the servers that run the version are compared with those that do not have it yet, over
+// the same minutes, by their memory and by their shares of bad outcomes. The shares are compared with a sequential test,
+// which may be evaluated at any time. The analysis must never blame a version for a fault that affects both sides, nor
+// mistake the variance between servers for an effect of the version.
 
 import (
 	"fmt"
@@ -18,11 +19,11 @@
 	counts Counts
 }
 
-// minServers is the fewest servers that show a variance between servers; with fewer, a difference between two servers can't
-// be told from the version's.
+// minServers is the smallest number of servers from which the variance between servers can be estimated. With fewer, a
+// difference between two servers cannot be distinguished from an effect of the version.
 const minServers = 2
 
-// sum returns a signal's bad outcomes and total over the servers of a side.
+// sum returns the number of bad outcomes and the total of a signal over the servers of one side.
 func sum(s signal, side []sample) (bad, total float64) {
 	for i := range side {
 		b, n := side[i].counts.signal(s)
@@ -32,22 +33,22 @@
 	return bad, total
 }
 
-// stratum is one comparison of a signal among some servers.
+// stratum is the comparison of one signal among a group of servers, such as a zone.
 type stratum struct {
-	maxShare   float64 // of bad outcomes that a version without fault may have
-	bad, total float64 // of the canary's side
+	maxShare   float64 // of bad outcomes that a version without a fault may have
+	bad, total float64 // on the canary side
 }
 
-// newStratum compares the two sides among some servers. A version without fault may have the control's share of bad outcomes,
-// plus the margin, plus three standard errors, in which the variance between servers counts: a server that is always a
-// little worse is no reason. It returns false where one side has no RPCs.
+// newStratum compares the two sides within a group of servers. A version without a fault may have the control's share of bad
+// outcomes, plus the margin, plus three standard errors. The standard error includes the variance between servers, so that
+// a server that is always a little worse does not count against the version. It returns false if one side has no RPCs.
 func newStratum(s signal, canary, control []sample, margin float64) (stratum, bool) {
 	bad, total := sum(s, canary)
 	controlBad, controlTotal := sum(s, control)
 	if total == 0 || controlTotal == 0 {
 		return stratum{}, false
 	}
-	share := (controlBad + 0.5) / (controlTotal + 1) // never taken for exactly nothing
+	share := (controlBad + 0.5) / (controlTotal + 1) // so that the estimate is never exactly 0
 	variance := share * (1 - share) / controlTotal
 	if between, servers := varianceBetween(s, control); servers >= minServers {
 		variance += between * (1/float64(len(canary)) + 1/float64(servers))
@@ -56,10 +57,10 @@
 	return stratum{maxShare: maxShare, bad: bad, total: total}, true
 }
 
-// likelihoodRatio returns how many times likelier the bad outcomes are with any larger share, all weighted alike, than with the
-// largest share that a version without fault may have: a test martingale (Ville 1939; Robbins 1970 for mixtures), which
-// exceeds 1/a with a probability of at most a over all times at which it is evaluated. It is exact for few outcomes, where a
-// normal approximation calls one in seven a proof.
+// likelihoodRatio returns how many times more likely the observed bad outcomes are under a larger share, mixed uniformly over
+// all larger shares, than under the largest share that a version without a fault may have. It is a test martingale (Ville
+// 1939; Robbins 1970 for mixtures): the probability that it ever exceeds 1/a is at most a, however often it is evaluated. It
+// is exact for few outcomes, for which a normal approximation would give a false alarm in one of seven cases.
 func (x *stratum) likelihoodRatio() float64 {
 	if !(x.bad > x.maxShare*x.total) || x.maxShare >= 1 {
 		return 0
@@ -79,11 +80,11 @@
 	return math.Exp(math.Min(maxLogRatio, logRatio))
 }
 
-// maxLogRatio bounds the exponent of a likelihood ratio, which must stay finite.
+// maxLogRatio bounds the logarithm of a likelihood ratio, so that the ratio stays finite.
 const maxLogRatio = 600
 
-// varianceBetween returns the variance of a share between servers beyond that of sampling (method of moments for the one-way
-// layout), and the number of servers with RPCs.
+// varianceBetween returns the variance of a share between servers in excess of the sampling variance (method of moments for
+// the one-way layout), and the number of servers with RPCs.
 func varianceBetween(s signal, side []sample) (variance float64, servers int) {
 	bad, total, squares := 0.0, 0.0, 0.0
 	for i := range side {
@@ -112,22 +113,22 @@
 	return math.Max(0, (between-sampling)/weight), servers
 }
 
-// Evidence is the strongest comparison against a version, for the operator.
+// Evidence is the comparison with the strongest evidence against a version, for the operator.
 type Evidence struct {
 	Signal          string  `json:"signal"`
 	Zone            string  `json:"zone,omitempty"` // "" for all zones together
-	Excess          float64 `json:"worse"`          // by how much the share of bad outcomes exceeds what it may be
-	LikelihoodRatio float64 `json:"ratio"`          // for a difference against none
-	Threshold       float64 `json:"wanted"`         // the ratio from which the version is worse
+	Excess          float64 `json:"worse"`          // by how much the share of bad outcomes exceeds the allowed share
+	LikelihoodRatio float64 `json:"ratio"`          // of a difference to no difference
+	Threshold       float64 `json:"wanted"`         // the ratio from which the version is considered worse
 }
 
-// compare returns the strongest evidence against the version, and whether it suffices: within each zone, and over all zones
-// with each held against its own control, since what lies below a zone strikes both sides there. The rate of false alarms is
-// divided among all comparisons of all waves.
+// compare returns the strongest evidence against the version, and whether it is sufficient. Each signal is compared within
+// each zone, and over all zones with each zone compared to its own control, since a fault of a zone's infrastructure affects
+// both sides within the zone. The rate of false alarms is divided among all comparisons of all waves.
 func compare(rules Rules, waves int, canary, control []sample) (worst Evidence, worse bool) {
 	zones := zonesOf(canary)
 	threshold := float64(int(signalCount)*(len(zones)+1)*max(1, waves)) / rules.FalseAlarmRate
-	note := func(s signal, zone string, x *stratum, excess float64) {
+	consider := func(s signal, zone string, x *stratum, excess float64) {
 		if ratio := x.likelihoodRatio(); ratio > worst.LikelihoodRatio {
 			worst = Evidence{Signal: signalNames[s], Zone: zone, Excess: excess, LikelihoodRatio: ratio, Threshold: threshold}
 		}
@@ -137,25 +138,25 @@
 		var all stratum
 		for _, zone := range zones {
 			x, ok := newStratum(s, inZone(canary, zone), inZone(control, zone), rules.Margin)
-			if !ok { // the zone has no control any more, and other zones' servers tell nothing of it
+			if !ok { // the zone has no control left, and servers of other zones are no control for it
 				continue
 			}
 			expectedBad += x.total * x.maxShare
 			all.bad += x.bad
 			all.total += x.total
 			if len(zones) > 1 {
-				note(s, zone, &x, x.bad/x.total-x.maxShare)
+				consider(s, zone, &x, x.bad/x.total-x.maxShare)
 			}
 		}
 		if all.total > 0 {
 			all.maxShare = expectedBad / all.total
-			note(s, "", &all, (all.bad-expectedBad)/all.total)
+			consider(s, "", &all, (all.bad-expectedBad)/all.total)
 		}
 	}
 	return worst, worst.LikelihoodRatio >= threshold
 }
 
-// zonesOf returns the zones of some servers, sorted.
+// zonesOf returns the sorted zones of the servers of one side.
 func zonesOf(side []sample) (zones []string) {
 	for i := range side {
 		if !slices.Contains(zones, side[i].zone) {
@@ -168,9 +169,9 @@
 
 // inZone returns the servers of a zone.
 func inZone(side []sample, zone string) (servers []sample) {
-	for _, x := range side {
-		if x.zone == zone {
-			servers = append(servers, x)
+	for _, server := range side {
+		if server.zone == zone {
+			servers = append(servers, server)
 		}
 	}
 	return servers
@@ -179,14 +180,14 @@
 const (
 	// baselineMargin is by how much the control group may become worse than the baseline before the environment is blamed.
 	baselineMargin = 0.05
-	// minBaselineRPCs of a signal are needed on either side of that comparison.
+	// minBaselineRPCs is the number of RPCs of a signal that each side of that comparison needs.
 	minBaselineRPCs = 50
-	// baselineDeviations is how many standard errors that difference must exceed.
+	// baselineDeviations is the number of standard errors that the difference must exceed.
 	baselineDeviations = 4
 )
 
-// controlDegraded describes by what the control group is worse than the baseline, a fault that lies elsewhere than in the
-// version; "" if it is not worse.
+// controlDegraded describes the signal in which the control group is worse than the baseline; "" if there is none. The cause
+// is then a fault elsewhere than in the version.
 func controlDegraded(baseline Counts, control []sample) string {
 	for s := range signalCount {
 		bad0, total0 := baseline.signal(s)
@@ -204,38 +205,39 @@
 }
 
 const (
-	// maxMemoryRatio times the memory of the control's largest server is too much, beyond memorySpareMB for what differs anyway.
+	// Memory above maxMemoryRatio times that of the control's largest server plus memorySpareMB is excessive; the spare
+	// allows for the usual differences between servers.
 	maxMemoryRatio = 1.5
 	memorySpareMB  = 32.0
-	// maxGrowthRatio times the largest growth in the control over the same minutes is a leak, beyond growthSpareMB for the
-	// heap that a new version has just filled.
+	// Growth above maxGrowthRatio times the largest growth in the control over the same minutes plus growthSpareMB is a leak;
+	// the spare allows for the heap that a newly started version fills.
 	maxGrowthRatio = 2.0
 	growthSpareMB  = 12.0
 )
 
-// memoryUse is a server's resident size, and how much of it came since the wave runs the version.
+// memoryUse is a server's resident size, and its growth since the wave has run the version.
 type memoryUse struct {
 	name                string
 	residentMB, grownMB float64
 }
 
-// excessMemory describes a server with the version that has far more memory than any without it, or grows far faster; "" if
-// there is none.
+// excessMemory describes a server with the version that uses far more memory than any server without it, or whose memory
+// grows far faster; "" if there is none.
 func excessMemory(canary, control []memoryUse) string {
 	if len(control) == 0 {
 		return ""
 	}
 	maxResident, maxGrown := 0.0, 0.0
-	for _, x := range control {
-		maxResident = math.Max(maxResident, x.residentMB)
-		maxGrown = math.Max(maxGrown, x.grownMB)
+	for _, use := range control {
+		maxResident = math.Max(maxResident, use.residentMB)
+		maxGrown = math.Max(maxGrown, use.grownMB)
 	}
-	for _, x := range canary {
-		if x.residentMB > maxMemoryRatio*maxResident+memorySpareMB {
-			return fmt.Sprintf("%s has %.0f MB, the others up to %.0f", x.name, x.residentMB, maxResident)
+	for _, use := range canary {
+		if use.residentMB > maxMemoryRatio*maxResident+memorySpareMB {
+			return fmt.Sprintf("%s has %.0f MB, the others up to %.0f", use.name, use.residentMB, maxResident)
 		}
-		if x.grownMB > maxGrowthRatio*maxGrown+growthSpareMB {
-			return fmt.Sprintf("%s has grown by %.0f MB, the others by up to %.0f", x.name, x.grownMB, maxGrown)
+		if use.grownMB > maxGrowthRatio*maxGrown+growthSpareMB {
+			return fmt.Sprintf("%s has grown by %.0f MB, the others by up to %.0f", use.name, use.grownMB, maxGrown)
 		}
 	}
 	return ""
--- a/decision/release/counts.go
+++ b/decision/release/counts.go
@@ -1,34 +1,34 @@
 package release
 
-// signal is a share of bad outcomes that is compared between servers with and without a version.
+// signal is a kind of bad outcome whose share is compared between the servers with and without a version.
 type signal int
 
 // The signals.
 const (
-	signalFailed         signal = iota // of all RPCs: aborted, or failed
+	signalFailed         signal = iota // of all RPCs: aborted or failed
 	signalRejected                     // of all RPCs: rejected
-	signalLate                         // of all RPCs: answered past their latency objective
-	signalCriticalFailed               // of the most critical method's RPCs: anything but ok
+	signalLate                         // of all RPCs: completed past their latency objective
+	signalCriticalFailed               // of the most critical method's RPCs: not completed ok
 	signalCount
 )
 
-// signalNames stand in reasons and evidence, which are part of the replicated state.
+// signalNames are used in reasons and evidence, which are part of the replicated state.
 var signalNames = [signalCount]string{"failed", "pushed back", "late", "the most critical method not served"}
 
-// Counts are one server's RPCs since it runs a version and is warm.
+// Counts are the RPCs of one server since it has run a version and been warm.
 type Counts struct {
 	Total          float64 `json:"all"`
 	Failed         float64 `json:"failed,omitempty"`
 	Rejected       float64 `json:"pushed,omitempty"`
 	Late           float64 `json:"late,omitempty"`
 	Critical       float64 `json:"top,omitempty"`     // of the most critical method
-	CriticalFailed float64 `json:"top_bad,omitempty"` // of these, not ok
+	CriticalFailed float64 `json:"top_bad,omitempty"` // of Critical, those not completed ok
 }
 
-// maxCount bounds the RPCs between two reports; more is an error of the sender.
+// maxCount bounds the RPCs between two reports; a larger number is an error of the sender.
 const maxCount = 1e12
 
-// signal returns the bad outcomes of a signal, and the RPCs that they are a share of.
+// signal returns the number of bad outcomes of a signal, and the number of RPCs that they are a share of.
 func (c *Counts) signal(s signal) (bad, total float64) {
 	switch s {
 	case signalFailed:
@@ -41,18 +41,18 @@
 	return c.CriticalFailed, c.Critical
 }
 
-func (c *Counts) add(d Counts) {
-	c.Total += d.Total
-	c.Failed += d.Failed
-	c.Rejected += d.Rejected
-	c.Late += d.Late
-	c.Critical += d.Critical
-	c.CriticalFailed += d.CriticalFailed
+func (c *Counts) add(other Counts) {
+	c.Total += other.Total
+	c.Failed += other.Failed
+	c.Rejected += other.Rejected
+	c.Late += other.Late
+	c.Critical += other.Critical
+	c.CriticalFailed += other.CriticalFailed
 }
 
-// minus returns what came since an earlier report; nothing if the counts began anew or are inconsistent.
+// minus returns the counts added since an earlier report; zero if the counts were reset or are inconsistent.
 func (c Counts) minus(before Counts) Counts {
-	d := Counts{
+	difference := Counts{
 		Total:          c.Total - before.Total,
 		Failed:         c.Failed - before.Failed,
 		Rejected:       c.Rejected - before.Rejected,
@@ -60,13 +60,13 @@
 		Critical:       c.Critical - before.Critical,
 		CriticalFailed: c.CriticalFailed - before.CriticalFailed,
 	}
-	if !d.consistent() {
+	if !difference.consistent() {
 		return Counts{}
 	}
-	return d
+	return difference
 }
 
-// consistent reports whether no count is negative, not a number, or larger than the total that it is a part of.
+// consistent reports whether the counts are numbers, not negative, and no larger than the total that they are a part of.
 func (c *Counts) consistent() bool {
 	if !(c.Total >= 0 && c.Total < maxCount && c.Critical >= 0) {
 		return false
--- a/decision/release/observe.go
+++ b/decision/release/observe.go
@@ -1,7 +1,7 @@
 package release
 
-// This file owns the steps that follow from what the leader observes: counting, and whether a wave goes on, waits, pauses or
-// rolls back.
+// This file applies the leader's observations: it accumulates the counts, and decides whether a wave advances, waits, pauses
+// or rolls back.
 
 import (
 	"fmt"
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxElapsedMS bounds the time that one observation counts for: what happened within a longer gap is unknown.
+	// maxElapsedMS bounds the time that one observation adds: nothing is known about the servers during a longer gap.
 	maxElapsedMS = 5e3
-	// highMemoryObservations in a row with excess memory roll back: a single one may be a late garbage collection.
+	// highMemoryObservations is the number of consecutive observations with excess memory that cause a rollback: a single one
+	// may be due to a late garbage collection.
 	highMemoryObservations = 3
-	// doubtfulRatio is the likelihood ratio from which evidence, without proving a difference, makes the wave wait for more.
+	// doubtfulRatio is the likelihood ratio from which evidence makes the wave wait for more, although it does not yet prove a
+	// difference.
 	doubtfulRatio = 20.0
-	// maxUncertainMS is for how long too many servers may be unreachable, or the fleet halted by itself, before the release
-	// pauses. After a change of leaders all servers are unreachable for a second or two, and nothing advances meanwhile.
+	// maxUncertainMS is how long too many servers may be unreachable, or an automatic halt may last, before the release
+	// pauses. After a change of leaders all servers are unreachable for one or two seconds, during which nothing advances.
 	maxUncertainMS = 8e3
-	// maxStarts bounds the starts of a server on the version within its wave: the one that took it, and one more.
+	// maxStarts bounds the starts of a server on the version within its wave: the one that applied the version, and one more.
 	maxStarts = 2
 )
 
-// observe takes in the leader's reports and takes the steps that follow from them.
+// observe applies an observation of the leader to the active release, if there is one.
 func (s *State) observe(c *Command) {
 	r := s.Release
 	if r == nil || !r.Phase.Active() {
@@ -50,8 +52,8 @@
 	}
 }
 
-// accumulate adds what came since the last reports to the counts of the wave. Only what a server carried while warm, on one
-// version and in one incarnation, counts.
+// accumulate adds the counts since the last reports to those of the wave. It includes only RPCs that a server handled while
+// warm, with the same version and in the same incarnation as in its last report.
 func (r *Release) accumulate(reports map[string]*Report) {
 	versionChanged := false
 	for name := range r.Zones {
@@ -69,7 +71,7 @@
 		r.trackMemory(name, report)
 		r.trackRestarts(name, report)
 	}
-	if versionChanged && r.Phase == Running { // both sides are compared over the same minutes: since the last server changed
+	if versionChanged && r.Phase == Running { // both sides are compared over the same minutes: those since the last server changed its version
 		clear(r.WaveCounts)
 		clear(r.MinMemoryMB)
 	}
@@ -103,7 +105,7 @@
 	}
 }
 
-// updatePending lists the servers that do not report their target, and returns how many are unreachable.
+// updatePending lists the servers that do not report their target version, and returns how many of them are unreachable.
 func (s *State) updatePending(reports map[string]*Report) (unreachable int) {
 	r := s.Release
 	r.Pending = r.Pending[:0]
@@ -119,7 +121,7 @@
 	return unreachable
 }
 
-// updateUncertainty returns why too little is known to advance, "" if enough is, and counts for how long that has lasted.
+// updateUncertainty returns why too little is known to advance, "" if enough is known, and measures how long that has lasted.
 func (r *Release) updateUncertainty(c *Command, unreachable int, elapsed float64) string {
 	uncertainty := c.AutoHaltReason
 	if unreachable > r.Rules.MaxUnreachable {
@@ -132,7 +134,7 @@
 	return uncertainty
 }
 
-// advanceBaseline begins the first wave once the baseline is measured.
+// advanceBaseline begins the first wave once the baseline has been measured, and pauses the release if it cannot be.
 func (s *State) advanceBaseline(c *Command, uncertainty string) {
 	r := s.Release
 	switch {
@@ -151,7 +153,7 @@
 	s.pause("too little is carried to judge by: %.0f RPCs in %.0f s", total, s.Release.PhaseMS/1000)
 }
 
-// advanceWave rolls back where the version is worse, pauses where too little is known, and begins the next wave once this
+// advanceWave rolls back if the version is worse, pauses if too little is known, and begins the next wave once the current
 // one has run long enough.
 func (s *State) advanceWave(c *Command, reports map[string]*Report, uncertainty string, elapsed float64) {
 	r := s.Release
@@ -168,7 +170,7 @@
 		s.pause("%s", degraded)
 		return
 	}
-	// What is not known or not allowed stops the release without blaming the version.
+	// A halt or too little information stops the release without blaming the version.
 	switch {
 	case c.HaltReason != "":
 		s.pause("halted: %s", c.HaltReason)
@@ -183,7 +185,7 @@
 	s.concludeWave(reports, &sides, uncertainty, elapsed)
 }
 
-// concludeWave begins the next wave, waits, or pauses where the wave takes too long.
+// concludeWave begins the next wave, waits, or pauses if the wave takes too long.
 func (s *State) concludeWave(reports map[string]*Report, sides *comparison, uncertainty string, elapsed float64) {
 	r := s.Release
 	warm := r.waveWarm(reports)
@@ -212,8 +214,8 @@
 	}
 }
 
-// failure describes how a server of the wave failed on the version: it rejected it, or restarts again and again; "" if none
-// did.
+// failure describes how a server of the wave failed on the version: the server rejected the version, or restarts repeatedly;
+// "" if none failed.
 func (r *Release) failure(reports map[string]*Report) string {
 	crashed := ""
 	for _, name := range r.currentWave() {
@@ -234,8 +236,8 @@
 	return fmt.Sprintf("%s has started %d times on it", crashed, r.Restarts[crashed].Starts)
 }
 
-// regression describes by what the version is worse than the control group, in memory or in its signals; "" if it is not. It
-// keeps the evidence and the streak of excess memory.
+// regression describes in what the version is worse than the control group, memory or a signal; "" if it is not worse. It
+// updates the evidence and the streak of excess memory.
 func (r *Release) regression(sides *comparison) string {
 	if excess := excessMemory(sides.canaryMemory, sides.controlMemory); excess != "" {
 		r.HighMemoryStreak++
@@ -277,13 +279,13 @@
 	return true
 }
 
-// comparison holds the reachable, warm servers on both sides of a release.
+// comparison has the reachable, warm servers on both sides of a release.
 type comparison struct {
-	canary, control             []sample // with the version, and without it
+	canary, control             []sample // the servers with the version, and those without it
 	canaryMemory, controlMemory []memoryUse
 }
 
-// split returns the two sides of the release. Servers of earlier waves are on the canary's side.
+// split returns the two sides of the release. Servers of earlier waves are on the canary side.
 func (s *State) split(reports map[string]*Report) (sides comparison) {
 	r := s.Release
 	for _, name := range r.servers() {
--- a/decision/release/rollout.go
+++ b/decision/release/rollout.go
@@ -1,6 +1,6 @@
 package release
 
-// This file owns one release: its phases, what is assigned to whom, and the way forward and back from wave to wave.
+// This file has the release: its phases, the assignment of versions to servers, and the steps from wave to wave, forward and back.
 
 import (
 	"fmt"
@@ -8,28 +8,28 @@
 	"slices"
 )
 
-// Phase is where a release stands. The values are part of the replicated state.
+// Phase is the phase of a release. The values are part of the replicated state.
 type Phase string
 
 // The phases of a release.
 const (
-	// Planned has assigned nothing yet.
+	// Planned: the release has not started and has assigned nothing yet.
 	Planned Phase = "planned"
-	// Baseline measures all servers before the first wave.
+	// Baseline: all servers are measured before the first wave.
 	Baseline Phase = "before"
-	// Running advances from wave to wave.
+	// Running: the release advances from wave to wave.
 	Running Phase = "running"
-	// Paused keeps what is assigned and assigns nothing more.
+	// Paused: servers keep their assigned versions, and no more are assigned.
 	Paused Phase = "held"
-	// RollingBack returns the waves to their previous versions, the last wave first.
+	// RollingBack: the waves return to their previous versions, the last wave first.
 	RollingBack Phase = "backing"
-	// RollbackPaused is a rollback that was paused.
+	// RollbackPaused: the rollback is paused.
 	RollbackPaused Phase = "back held"
-	// Completed runs on all waves.
+	// Completed: all waves run the version.
 	Completed Phase = "done"
-	// RolledBack has returned all waves to their previous versions.
+	// RolledBack: all waves are assigned their previous versions again.
 	RolledBack Phase = "returned"
-	// Abandoned was ended by an operator; all servers stay as they are.
+	// Abandoned: an operator ended the release; servers keep their assigned versions.
 	Abandoned Phase = "ended"
 )
 
@@ -43,36 +43,36 @@
 	Number           uint64                  `json:"number"`
 	Version          uint64                  `json:"version"`
 	Rules            Rules                   `json:"rules"`
-	Waves            [][]string              `json:"waves"` // servers by wave
-	Zones            map[string]string       `json:"zones"` // by server: all servers of the release
+	Waves            [][]string              `json:"waves"` // names of servers by wave
+	Zones            map[string]string       `json:"zones"` // by server, for all servers of the release
 	Phase            Phase                   `json:"phase"`
-	Wave             int                     `json:"wave"`   // the latest that has begun; -1 for none
-	PhaseMS          float64                 `json:"for"`    // time in the wave or phase
-	WarmMS           float64                 `json:"warm"`   // time for which all reachable servers of the wave have run the version, warm
+	Wave             int                     `json:"wave"`   // index of the latest wave that has begun; -1 for none
+	PhaseMS          float64                 `json:"for"`    // time since the wave or phase began
+	WarmMS           float64                 `json:"warm"`   // how long all servers of the wave have been reachable, warm and on the version
 	Reason           string                  `json:"why"`    // of the phase
-	Actor            string                  `json:"who"`    // who brought the release into the phase; "" for the state machine itself
+	Actor            string                  `json:"who"`    // who caused the phase; "" for the state machine itself
 	Previous         map[string]uint64       `json:"former"` // version by server before the release
 	Baseline         Counts                  `json:"base"`   // of all servers, before the first wave
 	LastReports      map[string]LastReport   `json:"last"`   // by server
-	WaveCounts       map[string]Counts       `json:"sums"`   // by server, since the wave runs the version
-	Restarts         map[string]RestartCount `json:"starts"` // by server of the wave, on the version
-	MinMemoryMB      map[string]float64      `json:"least"`  // by server: smallest resident size since the wave runs the version
-	UncertainMS      float64                 `json:"wary"`   // time for which too many servers were unreachable, or the fleet had halted by itself
-	HighMemoryStreak int                     `json:"heavy"`  // observations in a row with excess memory
+	WaveCounts       map[string]Counts       `json:"sums"`   // by server, since the wave has run the version
+	Restarts         map[string]RestartCount `json:"starts"` // by server of the wave, with the version
+	MinMemoryMB      map[string]float64      `json:"least"`  // by server: smallest resident size since the wave has run the version
+	UncertainMS      float64                 `json:"wary"`   // how long too many servers have been unreachable, or an automatic halt has lasted
+	HighMemoryStreak int                     `json:"heavy"`  // consecutive observations with excess memory
 	Evidence         Evidence                `json:"evidence"`
 	Pending          []string                `json:"missing"` // servers that are unreachable or do not run their assigned version yet
 }
 
-// LastReport is what a server reported last, so that the next report tells what was added.
+// LastReport is the last report of a server, to which the next report is compared to find what was added.
 type LastReport struct {
 	Incarnation uint64 `json:"start"`
 	Version     uint64 `json:"version"`
 	Counts      Counts `json:"counts"`
 }
 
-// RestartCount counts the starts of a server on the version.
+// RestartCount counts the starts of a server with the version.
 type RestartCount struct {
-	Incarnation uint64 `json:"start"` // the latest
+	Incarnation uint64 `json:"start"` // of the latest start
 	Starts      int    `json:"count"`
 }
 
@@ -100,23 +100,23 @@
 	return r
 }
 
-// summary returns a copy without what only the state machine needs.
+// summary returns a copy without the fields that only the state machine needs.
 func (r *Release) summary() *Release {
-	x := *r
-	x.Pending = slices.Clone(x.Pending)
-	x.LastReports = nil
-	x.WaveCounts = nil
-	x.Restarts = nil
-	x.Previous = nil
-	x.Zones = nil
-	x.MinMemoryMB = nil
-	return &x
+	copied := *r
+	copied.Pending = slices.Clone(copied.Pending)
+	copied.LastReports = nil
+	copied.WaveCounts = nil
+	copied.Restarts = nil
+	copied.Previous = nil
+	copied.Zones = nil
+	copied.MinMemoryMB = nil
+	return &copied
 }
 
 // servers returns the names of all servers of the release, sorted.
 func (r *Release) servers() []string { return slices.Sorted(maps.Keys(r.Zones)) }
 
-// currentWave returns the servers of the latest wave that has begun; nil before the first.
+// currentWave returns the servers of the latest wave that has begun; nil before the first wave.
 func (r *Release) currentWave() []string {
 	if r.Wave < 0 {
 		return nil
@@ -124,7 +124,7 @@
 	return r.Waves[r.Wave]
 }
 
-// nextPhase returns the phase into which a command of an operator brings the release; "" if the command does not apply.
+// nextPhase returns the phase that an operator's command leads to; "" if the command does not apply to the current phase.
 func (r *Release) nextPhase(kind Kind) Phase {
 	p := r.Phase
 	switch kind {
@@ -161,10 +161,10 @@
 	return ""
 }
 
-// enterPhase brings the release into another phase, and records why.
+// enterPhase moves the release to a phase, resets the measurements of the previous one and records the transition.
 func (s *State) enterPhase(phase Phase, actor, reason string) {
 	r := s.Release
-	if phase == RollingBack && r.Phase == Completed { // the last wave first, as from any other phase
+	if phase == RollingBack && r.Phase == Completed { // all waves have begun; the last one is rolled back first
 		r.Wave = len(r.Waves) - 1
 	}
 	r.Phase = phase
@@ -176,7 +176,7 @@
 	r.UncertainMS = 0
 	clear(r.WaveCounts)
 	clear(r.MinMemoryMB)
-	if phase == Baseline { // a rollback returns each server to what it has now
+	if phase == Baseline { // a rollback returns each server to the version that it has now
 		for name := range r.Zones {
 			r.Previous[name] = s.Target(name)
 		}
@@ -193,10 +193,10 @@
 	}
 }
 
-// pause pauses the release on the state machine's own account.
+// pause pauses the release on behalf of the state machine.
 func (s *State) pause(format string, a ...any) { s.enterPhase(Paused, "", fmt.Sprintf(format, a...)) }
 
-// rollBack begins a rollback on the state machine's own account.
+// rollBack begins a rollback on behalf of the state machine.
 func (s *State) rollBack(format string, a ...any) {
 	s.enterPhase(RollingBack, "", fmt.Sprintf(format, a...))
 }
@@ -218,7 +218,7 @@
 }
 
 // rollBackWaves returns one wave at a time to its previous versions, the last wave first. It does not wait for unreachable
-// servers: they learn their target when they return.
+// servers, which receive their target when they are reachable again, nor for longer than Rules.MaxWaveMS per wave.
 func (s *State) rollBackWaves(reports map[string]*Report) {
 	r := s.Release
 	if r.Wave < 0 {
@@ -246,7 +246,7 @@
 	s.enterPhase(RolledBack, r.Actor, r.Reason)
 }
 
-// mostCommonPrevious returns the version that most servers had before the release; of several, the lowest.
+// mostCommonPrevious returns the version that most servers had before the release; if several tie, the lowest.
 func (r *Release) mostCommonPrevious() (version uint64) {
 	servers := map[uint64]int{}
 	for _, v := range r.Previous {
--- a/decision/release/rules.go
+++ b/decision/release/rules.go
@@ -1,20 +1,20 @@
 package release
 
-// Rules are what an operator sets of a release. Durations are in ms.
+// Rules are the parameters of a release that an operator sets. Durations are in ms.
 type Rules struct {
-	CanaryServers  int     `json:"canary"`  // servers of the first wave
-	MaxGrowth      float64 `json:"growth"`  // servers of a wave over those of all waves before it
-	MaxWaveShare   float64 `json:"most"`    // of the fleet in one wave
-	BakeMS         float64 `json:"bake"`    // for which a wave runs the version, warm, before the next begins
-	MinRPCs        float64 `json:"least"`   // of the servers with the version before a wave may end, and of all servers before the first begins
-	MaxWaveMS      float64 `json:"longest"` // of a wave; then the release is paused
+	CanaryServers  int     `json:"canary"`  // size of the first wave
+	MaxGrowth      float64 `json:"growth"`  // maximum size of a wave, relative to all earlier waves together
+	MaxWaveShare   float64 `json:"most"`    // maximum share of the fleet in one wave
+	BakeMS         float64 `json:"bake"`    // how long all servers of a wave run the version, warm, before the next wave begins
+	MinRPCs        float64 `json:"least"`   // served by the servers with the version before a wave may end, and by all servers before the first wave
+	MaxWaveMS      float64 `json:"longest"` // maximum duration of a wave; then the release is paused
 	FalseAlarmRate float64 `json:"alarm"`   // probability that a version that is no worse is rolled back, over the whole release
-	Margin         float64 `json:"margin"`  // by which the share of bad outcomes may be worse
-	MaxUnreachable int     `json:"unheard"` // servers of the release; with more, it is paused after a while
+	Margin         float64 `json:"margin"`  // by how much the share of bad outcomes may exceed that of the control group
+	MaxUnreachable int     `json:"unheard"` // servers; if more are unreachable for maxUncertainMS, the release is paused
 }
 
-// DefaultRules returns rules for a fleet whose servers answer some RPCs a second each: waves of a minute, one false alarm in
-// two hundred releases, and a margin of a hundredth of all RPCs.
+// DefaultRules returns rules for a fleet whose servers each handle a few RPCs per second: waves of one minute, one false
+// alarm in 200 releases, and a margin of 1% of all RPCs.
 func DefaultRules() Rules {
 	return Rules{
 		CanaryServers:  1,
@@ -29,7 +29,7 @@
 	}
 }
 
-// The bounds of rules.
+// Bounds that Validate enforces.
 const (
 	maxCanaryServers  = 64
 	maxMaxGrowth      = 16
@@ -41,7 +41,8 @@
 	maxFalseAlarmRate = 0.5
 )
 
-// Validate describes what is wrong with the rules, by their JSON names; "" if nothing is.
+// Validate describes the first invalid rule by its JSON name; "" if all rules are valid. The text becomes part of the
+// replicated state.
 func (r *Rules) Validate() string {
 	within := func(v, low, high float64) bool { return v >= low && v <= high } // false for NaN
 	switch {
--- a/decision/release/state.go
+++ b/decision/release/state.go
@@ -1,7 +1,7 @@
 package release
 
-// This file owns the replicated state of one track: its versions, its release, and the dispatch of commands. It must never
-// take a step whose cause is not in the command that it applies.
+// This file has the replicated state of one track (its versions and its release) and dispatches commands. A state change
+// must depend only on the state and on the command that is applied.
 
 import (
 	"cmp"
@@ -15,12 +15,12 @@
 const (
 	maxVersions    = 32 // stored
 	maxBodyBytes   = 256 << 10
-	maxTransitions = 512 // of the history
+	maxTransitions = 512 // in the history
 	maxResults     = 256 // retained for retries
-	maxTextBytes   = 256 // of an ID, actor or reason
+	maxTextBytes   = 256 // in an ID, actor or reason
 )
 
-// Version is one stored version, complete.
+// Version is one stored version with its complete body.
 type Version struct {
 	Number uint64 `json:"number"`
 	Hash   string `json:"hash"` // SHA-256 of the body, hex
@@ -29,7 +29,7 @@
 	Reason string `json:"why"`
 }
 
-// Transition is one step of the history that operators can look up.
+// Transition is one entry of the history that operators can query.
 type Transition struct {
 	Release uint64 `json:"release"`
 	Phase   Phase  `json:"phase"`
@@ -38,23 +38,23 @@
 	Reason  string `json:"why,omitempty"`
 }
 
-// State is the replicated state of one track. Snapshots hold it as JSON. It is not safe for concurrent use.
+// State is the replicated state of one track. Snapshots store it as JSON. It is not safe for concurrent use.
 type State struct {
 	LastVersion    uint64            `json:"next"` // versions are numbered from 1 up
 	Versions       []Version         `json:"versions"`
 	LastRelease    uint64            `json:"number"` // releases are numbered from 1 up
 	Release        *Release          `json:"release,omitempty"`
-	Assigned       map[string]uint64 `json:"assigned"` // version by server; 0: its own file's
-	DefaultVersion uint64            `json:"settled"`  // for servers without an assignment: that of the last completed release
-	Transitions    []Transition      `json:"steps"`    // the oldest first
-	Results        map[string]Result `json:"answers"`  // of the latest commands, by ID
-	ResultOrder    []string          `json:"order"`    // the IDs in Results, the oldest first
+	Assigned       map[string]uint64 `json:"assigned"` // version by server; 0: that of the server's own file
+	DefaultVersion uint64            `json:"settled"`  // for servers without an assignment: the version of the last completed release
+	Transitions    []Transition      `json:"steps"`    // oldest first
+	Results        map[string]Result `json:"answers"`  // of the latest commands, by command ID
+	ResultOrder    []string          `json:"order"`    // the IDs in Results, oldest first
 }
 
 // New returns a state without versions.
 func New() *State { return &State{Assigned: map[string]uint64{}, Results: map[string]Result{}} }
 
-// Version returns a stored version; nil if it is not stored.
+// Version returns the stored version with a number; nil if there is none.
 func (s *State) Version(number uint64) *Version {
 	for i := range s.Versions {
 		if s.Versions[i].Number == number {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// ActiveSummary describes the active release; "" if none is.
+// ActiveSummary describes the active release; "" if there is none.
 func (s *State) ActiveSummary() string {
 	if r := s.Release; r != nil && r.Phase.Active() {
 		return fmt.Sprintf("release %d of version %d is %s", r.Number, r.Version, r.Phase)
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// Target returns the version that a server is to run: the one that its wave has reached, not the newest.
+// Target returns the version that a server has to run. Before its wave begins, that is not the version being released.
 func (s *State) Target(name string) uint64 {
 	if v, assigned := s.Assigned[name]; assigned {
 		return v
@@ -80,7 +80,8 @@
 	return s.DefaultVersion
 }
 
-// Apply carries out one command and returns its result. Observations are not retained for retries.
+// Apply executes one command and returns its result. A retried command returns the result that was retained for its ID;
+// results of observations are not retained.
 func (s *State) Apply(c Command) Result {
 	if c.ID == "" || len(c.ID) > maxTextBytes || len(c.Actor) > maxTextBytes || len(c.Reason) > maxTextBytes {
 		return Result{Reason: fmt.Sprintf("an id, and texts of at most %d bytes, expected", maxTextBytes)}
@@ -105,7 +106,7 @@
 	}
 }
 
-// apply dispatches a command that is new and well formed.
+// apply dispatches a new, well-formed command.
 func (s *State) apply(c *Command) Result {
 	switch c.Kind {
 	case PutVersion:
@@ -121,7 +122,7 @@
 	return Result{Reason: fmt.Sprintf("%.40q is no command", string(c.Kind))}
 }
 
-// steer carries out an operator's command on the release.
+// steer executes an operator's command on the release.
 func (s *State) steer(c *Command) Result {
 	r := s.Release
 	if r == nil || c.Release != 0 && c.Release != r.Number {
@@ -141,7 +142,7 @@
 	return Result{OK: true, Release: r.summary()}
 }
 
-// putVersion stores a version, unless its body is stored already.
+// putVersion stores a version unless a version with the same body is already stored.
 func (s *State) putVersion(c *Command) Result {
 	if len(c.Body) == 0 || len(c.Body) > maxBodyBytes {
 		return Result{Reason: fmt.Sprintf("a version of up to %d bytes expected, %d there", maxBodyBytes, len(c.Body))}
@@ -161,7 +162,7 @@
 	return Result{OK: true, Version: s.LastVersion}
 }
 
-// evictVersion removes the oldest version that no server runs and no rollback may need. It reports whether there was one.
+// evictVersion removes the oldest version that no server is assigned and no rollback may need. It reports whether it found one.
 func (s *State) evictVersion() bool {
 	needed := map[uint64]bool{s.DefaultVersion: true}
 	for _, v := range s.Assigned {
@@ -181,7 +182,7 @@
 	return true
 }
 
-// plan replaces the release, which must not be active, by a planned one.
+// plan replaces the release by a planned one. It is denied while a release of either track is active.
 func (s *State) plan(c *Command) Result {
 	if r := s.Release; r != nil && r.Phase.Active() {
 		return Result{Reason: s.ActiveSummary() + ": it comes to its end first", Release: r.summary()}
@@ -195,15 +196,15 @@
 	if c.Rules == nil {
 		return Result{Reason: "rules expected"}
 	}
-	if wrong := c.Rules.Validate(); wrong != "" {
-		return Result{Reason: wrong}
+	if problem := c.Rules.Validate(); problem != "" {
+		return Result{Reason: problem}
 	}
 	if len(c.Servers) == 0 {
 		return Result{Reason: "the roster is empty"}
 	}
 	roster := map[string]bool{}
-	for _, x := range c.Servers {
-		roster[x.Name] = true
+	for _, server := range c.Servers {
+		roster[server.Name] = true
 	}
 	maps.DeleteFunc(s.Assigned, func(name string, _ uint64) bool { return !roster[name] })
 	s.LastRelease++
--- a/decision/release/waves.go
+++ b/decision/release/waves.go
@@ -1,6 +1,6 @@
 package release
 
-// This file owns the division of a fleet into waves. It must never put more servers into a wave than the rules allow.
+// This file divides a fleet into waves. A wave must never have more servers than the rules allow.
 
 import (
 	"cmp"
@@ -10,28 +10,28 @@
 	"slices"
 )
 
-// Server is a server that a release is for.
+// Server is a server that a release covers.
 type Server struct {
 	Name string `json:"name"`
 	Zone string `json:"zone,omitempty"`
 }
 
-// orderedServer is a server with what decides its place in the order of the waves.
+// orderedServer is a server with the keys that determine its place in the order of the waves.
 type orderedServer struct {
 	Server
-	position float64 // within its zone, from 0 to 1
+	position float64 // within the zone, from 0 to 1
 	tieBreak uint64
 }
 
-// Waves divides the servers into waves: the canaries first, then larger waves, each spread over the zones by their sizes. A hash
-// of the release's number decides which servers go first, so that the same servers are not always the first to meet a bad
-// version.
+// Waves divides the servers into waves: the canaries first, then larger waves. Each wave is spread over the zones in
+// proportion to their sizes. The order depends on a hash of the release's number, so that a bad version does not always hit
+// the same servers first.
 func Waves(rules Rules, servers []Server, number uint64) (waves [][]string) {
-	all := orderServers(servers, number)
-	for assigned := 0; assigned < len(all); {
-		size := min(rules.waveSize(assigned, len(all)), len(all)-assigned)
+	ordered := orderServers(servers, number)
+	for assigned := 0; assigned < len(ordered); {
+		size := min(rules.waveSize(assigned, len(ordered)), len(ordered)-assigned)
 		wave := make([]string, 0, size)
-		for _, s := range all[assigned : assigned+size] {
+		for _, s := range ordered[assigned : assigned+size] {
 			wave = append(wave, s.Name)
 		}
 		waves = append(waves, wave)
@@ -40,7 +40,8 @@
 	return waves
 }
 
-// waveSize returns the size of the wave that follows so many servers of a fleet, which is at least 1.
+// waveSize returns the size of the next wave, at least 1. assigned is the number of servers in the earlier waves, fleet the
+// number of all servers.
 func (r *Rules) waveSize(assigned, fleet int) int {
 	if assigned == 0 {
 		return max(r.CanaryServers, 1)
@@ -50,31 +51,31 @@
 	return max(int(math.Min(byGrowth, byShare)), 1)
 }
 
-// orderServers returns the servers in the order in which they get the version.
+// orderServers returns the servers in the order in which they receive the version.
 func orderServers(servers []Server, number uint64) []orderedServer {
-	all := make([]orderedServer, 0, len(servers))
+	ordered := make([]orderedServer, 0, len(servers))
 	for _, s := range servers {
-		all = append(all, orderedServer{Server: s, tieBreak: hashOrder(number, s.Name)})
+		ordered = append(ordered, orderedServer{Server: s, tieBreak: hashOrder(number, s.Name)})
 	}
-	slices.SortFunc(all, func(a, b orderedServer) int {
+	slices.SortFunc(ordered, func(a, b orderedServer) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.tieBreak, b.tieBreak), cmp.Compare(a.Name, b.Name))
 	})
-	for from := 0; from < len(all); {
+	for from := 0; from < len(ordered); {
 		to := from
-		for to < len(all) && all[to].Zone == all[from].Zone {
+		for to < len(ordered) && ordered[to].Zone == ordered[from].Zone {
 			to++
 		}
-		placeInZone(all[from:to], number)
+		placeInZone(ordered[from:to], number)
 		from = to
 	}
-	slices.SortStableFunc(all, func(a, b orderedServer) int {
+	slices.SortStableFunc(ordered, func(a, b orderedServer) int {
 		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
-	return all
+	return ordered
 }
 
-// placeInZone spaces the servers of a zone evenly from 0 to 1. Zones begin at different offsets, so that the canaries are not
-// all of one zone.
+// placeInZone sets the positions of a zone's servers, evenly spaced from 0 to 1. Zones begin at different offsets, so that
+// the canaries do not all come from one zone.
 func placeInZone(zone []orderedServer, number uint64) {
 	offset := float64(hashOrder(number, zone[0].Zone)>>11) / (1 << 53)
 	for i := range zone {
@@ -82,8 +83,8 @@
 	}
 }
 
-// hashOrder hashes a name with a release's number: FNV-1a with the finalizer of MurmurHash3, shortened, since FNV alone mixes
-// its upper bits too little.
+// hashOrder hashes a name with a release's number: FNV-1a followed by a shortened MurmurHash3 finalizer, because FNV alone
+// mixes its upper bits too little.
 func hashOrder(number uint64, name string) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprint(h, number, "/", name) // a hash never returns an error
