--- a/decision/expect/expect_test.go
+++ b/decision/expect/expect_test.go
@@ -20,56 +20,56 @@
 	}
 }
 
-// Each expectation, what the settings were changed by, and what is said of it; "" if it holds.
+// Each case has an expectation, a change to the settings, and a part of the failure's text; "" if the expectation holds.
 func TestExpectations(t *testing.T) {
 	buy := Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Customer: "kaipara"}
-	for _, c := range []struct {
-		name       string
-		x          Expectation
-		change     func(*Settings)
-		want       string
-		untestable bool
+	for _, test := range []struct {
+		name        string
+		expectation Expectation
+		change      func(*Settings)
+		want        string
+		untestable  bool
 	}{
-		{"holds", buy, nil, "", false},
-		{"an order", Expectation{First: "account-view", Then: "topup-buy"}, nil, "", false},
-		{"an order of equals", Expectation{First: "account-view", Then: "settings-save"}, nil, "no less", false},
-		{"an order that quotas turn round", Expectation{First: "account-view", Then: "topup-buy", OverQuota: true}, nil, "beyond its quota", false},
-		{"an edit elsewhere: another route takes it", buy, func(settings *Settings) {
+		{"request routed as expected", buy, nil, "", false},
+		{"methods in the expected order", Expectation{First: "account-view", Then: "topup-buy"}, nil, "", false},
+		{"order of methods with equal criticality", Expectation{First: "account-view", Then: "settings-save"}, nil, "no less", false},
+		{"order reversed over quota", Expectation{First: "account-view", Then: "topup-buy", OverQuota: true}, nil, "beyond its quota", false},
+		{"settings changed: another route matches", buy, func(settings *Settings) {
 			settings.Routes = append(settings.Routes, route.Rule{Name: "new", Path: "/buy/7", Verb: "POST", Method: "account-view", Customer: route.Source{Fixed: "kaipara"}})
 		}, "by route new it becomes account-view", false},
-		{"an edit elsewhere: the route is gone", buy, func(settings *Settings) { settings.Routes = settings.Routes[1:] }, "no RPC comes of it", false},
-		{"an edit elsewhere: criticality", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Criticality["topup-buy"] = 1 }, "no less", false},
-		{"another customer", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Customer: "ruapehu"}, nil, `"kaipara"`, false},
-		{"another pool", Expectation{Path: "/account/1", Verb: "GET", Query: "c=k", Method: "account-view", Pool: "old"}, nil, "pool pages", false},
-		{"the engine's", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Pool: "pages"}, nil, "the engine", false},
-		{"a value that its route does not take", Expectation{Path: "/account/1", Verb: "GET", Query: "c=x", Method: "account-view"}, nil, "no RPC comes of it", false},
-		{"taken by none", Expectation{Path: "/admin", Verb: "GET", Unrouted: true}, nil, "", false},
-		{"taken by one, and none wanted", Expectation{Path: "/buy/7", Verb: "POST", Unrouted: true}, nil, "route buy takes it", false},
-		{"nothing in it", Expectation{}, nil, "neither", true},
-		{"both", Expectation{Path: "/x", Verb: "GET", Method: "topup-buy", First: "a", Then: "b"}, nil, "at once", true},
-		{"no such method", Expectation{Path: "/x", Verb: "GET", Method: "topup"}, nil, "no method", true},
-		{"an order with itself", Expectation{First: "topup-buy", Then: "topup-buy"}, nil, "itself", true},
-		{"half an order", Expectation{First: "topup-buy"}, nil, "expected", true},
-		{"an order with a stranger", Expectation{First: "x", Then: "topup-buy"}, nil, "no method", true},
-		{"a path that is none", Expectation{Path: "buy", Verb: "POST", Method: "topup-buy"}, nil, "slash", true},
-		{"a verb that is none", Expectation{Path: "/buy/7", Verb: "BREW", Method: "topup-buy"}, nil, "no verb", true},
-		{"a method and none", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Unrouted: true}, nil, "either", true},
-		{"none, and a pool", Expectation{Path: "/admin", Verb: "GET", Unrouted: true, Pool: "pages"}, nil, "no pool", true},
-		{"settings that are not known here", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Methods, settings.Criticality = nil, nil }, "", false},
+		{"settings changed: route removed", buy, func(settings *Settings) { settings.Routes = settings.Routes[1:] }, "no RPC comes of it", false},
+		{"settings changed: criticality", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Criticality["topup-buy"] = 1 }, "no less", false},
+		{"wrong customer", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Customer: "ruapehu"}, nil, `"kaipara"`, false},
+		{"wrong pool", Expectation{Path: "/account/1", Verb: "GET", Query: "c=k", Method: "account-view", Pool: "old"}, nil, "pool pages", false},
+		{"method served by the engine instead of a pool", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Pool: "pages"}, nil, "the engine", false},
+		{"value that the route does not accept", Expectation{Path: "/account/1", Verb: "GET", Query: "c=x", Method: "account-view"}, nil, "no RPC comes of it", false},
+		{"unrouted as expected", Expectation{Path: "/admin", Verb: "GET", Unrouted: true}, nil, "", false},
+		{"routed, but expected unrouted", Expectation{Path: "/buy/7", Verb: "POST", Unrouted: true}, nil, "route buy takes it", false},
+		{"empty expectation", Expectation{}, nil, "neither", true},
+		{"both a request and an order", Expectation{Path: "/x", Verb: "GET", Method: "topup-buy", First: "a", Then: "b"}, nil, "at once", true},
+		{"unknown method", Expectation{Path: "/x", Verb: "GET", Method: "topup"}, nil, "no method", true},
+		{"order of a method with itself", Expectation{First: "topup-buy", Then: "topup-buy"}, nil, "itself", true},
+		{"order with one method", Expectation{First: "topup-buy"}, nil, "expected", true},
+		{"order with an unknown method", Expectation{First: "x", Then: "topup-buy"}, nil, "no method", true},
+		{"invalid path", Expectation{Path: "buy", Verb: "POST", Method: "topup-buy"}, nil, "slash", true},
+		{"invalid verb", Expectation{Path: "/buy/7", Verb: "BREW", Method: "topup-buy"}, nil, "no verb", true},
+		{"method and unrouted", Expectation{Path: "/buy/7", Verb: "POST", Method: "topup-buy", Unrouted: true}, nil, "either", true},
+		{"unrouted and pool", Expectation{Path: "/admin", Verb: "GET", Unrouted: true, Pool: "pages"}, nil, "no pool", true},
+		{"methods and criticality unknown", Expectation{First: "account-view", Then: "topup-buy"}, func(settings *Settings) { settings.Methods, settings.Criticality = nil, nil }, "", false},
 	} {
 		settings := testSettings()
-		if c.change != nil {
-			c.change(&settings)
+		if test.change != nil {
+			test.change(&settings)
 		}
-		got := Check(map[string]Expectation{"x": c.x}, settings)
-		if c.want == "" {
+		got := Check(map[string]Expectation{"x": test.expectation}, settings)
+		if test.want == "" {
 			if len(got) > 0 {
-				t.Errorf("%s: %+v", c.name, got)
+				t.Errorf("%s: unexpected failures %+v", test.name, got)
 			}
 			continue
 		}
-		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, c.want) || got[0].Untestable != c.untestable {
-			t.Errorf("%s: %+v, %q wanted", c.name, got, c.want)
+		if len(got) != 1 || got[0].Name != "x" || !strings.Contains(got[0].Text, test.want) || got[0].Untestable != test.untestable {
+			t.Errorf("%s: failures: got %+v, want one with %q", test.name, got, test.want)
 		}
 	}
 }
--- a/decision/plan/plan.go
+++ b/decision/plan/plan.go
@@ -1,7 +1,7 @@
-// Package plan performs what-if tuning over a recorded trace: it searches a few typed parameters, one at a time in an order
-// drawn from a seed and within a bounded number of replays, for settings that would have served more weighted
-// criticality on a training part of the trace, and reports how the best candidate does on the held-out part. The
-// package is pure: no I/O, and it applies nothing.
+// Package plan tunes settings offline over a recorded trace. It varies a few parameters, one at a time in a random order and
+// within a bounded number of replays, in search of settings that would have served more criticality on the training parts
+// of the trace, and reports how the best candidate does on the held-out parts. The package is pure: no I/O, and it does not
+// apply the settings.
 package plan
 
 import (
@@ -12,20 +12,20 @@
 	"sorrelvalve/decision/replay"
 )
 
-// Parameters are what is searched. Unchanged returns those that change nothing.
+// Parameters are the searched parameters. Unchanged returns parameters that change nothing.
 type Parameters struct {
-	DisplaceableMS    float64   // hold.settled_ms of the operator's file; negative: unchanged
-	OverQuotaFraction float64   // limits.over_share: of its criticality that an RPC over its quota keeps; negative: unchanged
+	DisplaceableMS    float64   // hold.settled_ms in the operator's file; negative: unchanged
+	OverQuotaFraction float64   // limits.over_share: factor on the criticality of an RPC over its quota; negative: unchanged
 	MaxRunsPerCore    float64   // limits.runs_a_core; 0: unchanged
-	QuotaFactors      []float64 // by customer; missing ones are 1
+	QuotaFactors      []float64 // factor on the quota, by customer; missing ones are 1
 }
 
-// Unchanged returns the parameters that change nothing.
+// Unchanged returns parameters that change nothing.
 func Unchanged(customers int) Parameters {
 	return Parameters{DisplaceableMS: -1, OverQuotaFraction: -1, QuotaFactors: slices.Repeat([]float64{1}, customers)}
 }
 
-// Apply returns the settings with the parameters.
+// Apply returns a copy of the settings with the parameters applied.
 func (p Parameters) Apply(s replay.Settings) replay.Settings {
 	if p.DisplaceableMS >= 0 {
 		s.Limits.DisplaceableFor = p.DisplaceableMS
@@ -45,36 +45,36 @@
 	return s
 }
 
-// Score is how settings did on some parts of a trace.
+// Score is the result of settings on one or more parts of a trace.
 type Score struct {
-	Served   float64 // criticality served, as a share of what arrived
-	Critical float64 // the same of the most critical method alone
+	Served   float64 // criticality served, as a share of that of all arrived RPCs
+	Critical float64 // the same share for the most critical method alone
 }
 
-// HeldOutResult is what a plan does on one part that was not searched on.
+// HeldOutResult compares the scores on one held-out part before and after the change of settings.
 type HeldOutResult struct{ Before, After Score }
 
-// gain returns the change in the criticality served.
+// gain returns the change in the share of criticality served.
 func (r *HeldOutResult) gain() float64 { return r.After.Served - r.Before.Served }
 
 // Plan is the outcome of a search.
 type Plan struct {
 	Best                       Parameters
-	Replays                    int             // of all training parts
-	TrainBefore, TrainAfter    float64         // criticality served on the parts searched on
-	HeldOut                    []HeldOutResult // on the other parts
-	MeanGain, MinGain, MaxGain float64         // over HeldOut; 0 without
+	Replays                    int             // number of candidates, each replayed on all training parts
+	TrainBefore, TrainAfter    float64         // mean share of criticality served on the training parts
+	HeldOut                    []HeldOutResult // by held-out part
+	MeanGain, MinGain, MaxGain float64         // over HeldOut; 0 if there are no held-out parts
 }
 
 const (
-	// maxCriticalLoss is by how much the most critical method may do worse for parameters to be taken: noise of some RPCs in
-	// a thousand.
+	// maxCriticalLoss is the largest loss on the most critical method for which a candidate is accepted: noise amounts to a
+	// few RPCs in a thousand.
 	maxCriticalLoss = 0.005
-	// minGain is the least gain that is worth a change: below it lies what another seed of the same traffic does.
+	// minGain is the smallest gain that justifies a change: another seed of the same traffic causes smaller differences.
 	minGain = 0.002
 )
 
-// The values that are tried: steps that an operator would take, none beyond what the checks of the file allow.
+// The values that are tried: steps that an operator would take, within the bounds that the operator's file allows.
 var (
 	displaceableValues      = []float64{0, 10, 20, 50, 100, 300}
 	overQuotaFractionValues = []float64{0, 0.1, 0.3, 0.6, 1}
@@ -82,27 +82,27 @@
 	quotaFactors            = []float64{0.5, 0.75, 0.9, 1, 1.1, 1.3, 2}
 )
 
-// parameter is one parameter that is searched.
+// parameter is one searched parameter with the values that are tried.
 type parameter struct {
 	field  func(*Parameters) *float64
 	values []float64
 }
 
-// parameters returns what is searched for so many customers.
+// parameters returns the searched parameters, given the number of customers.
 func parameters(customers int) []parameter {
-	all := []parameter{
+	searched := []parameter{
 		{func(p *Parameters) *float64 { return &p.DisplaceableMS }, displaceableValues},
 		{func(p *Parameters) *float64 { return &p.OverQuotaFraction }, overQuotaFractionValues},
 		{func(p *Parameters) *float64 { return &p.MaxRunsPerCore }, runsPerCoreValues},
 	}
 	for i := range customers {
-		all = append(all, parameter{func(p *Parameters) *float64 { return &p.QuotaFactors[i] }, quotaFactors})
+		searched = append(searched, parameter{func(p *Parameters) *float64 { return &p.QuotaFactors[i] }, quotaFactors})
 	}
-	return all
+	return searched
 }
 
-// Search tries parameters on every other part of a trace and evaluates the best on the parts between. budget bounds the
-// number of parameters that are tried.
+// Search tries parameters on every other part of a trace, the training parts, and evaluates the best ones on the remaining,
+// held-out parts. budget bounds the number of candidates that are tried; seed determines their order.
 func Search(s replay.Settings, parts [][]replay.Step, budget int, seed int64) Plan {
 	var train, heldOut [][]replay.Step
 	for i, part := range parts {
@@ -118,8 +118,8 @@
 	return p
 }
 
-// train searches the best parameters: rounds over all parameters in random order, until a round finds none better or the
-// budget is used up.
+// train searches for the best parameters, in rounds over all parameters in random order, until a round brings no improvement
+// or the budget is used up.
 func (p *Plan) train(s replay.Settings, parts [][]replay.Step, budget int, random *rand.Rand) {
 	before := p.score(p.Best, s, parts)
 	best := before
@@ -147,15 +147,15 @@
 	p.TrainAfter = best.Served
 }
 
-// score returns the mean score over some parts, and counts the replay.
+// score returns the mean score of a candidate over the parts, and counts it in Replays.
 func (p *Plan) score(candidate Parameters, s replay.Settings, parts [][]replay.Step) Score {
 	p.Replays++
 	settings := candidate.Apply(s)
 	mean := Score{}
 	for _, part := range parts {
-		x := score(settings, part)
-		mean.Served += x.Served / float64(len(parts))
-		mean.Critical += x.Critical / float64(len(parts))
+		partScore := score(settings, part)
+		mean.Served += partScore.Served / float64(len(parts))
+		mean.Critical += partScore.Critical / float64(len(parts))
 	}
 	return mean
 }
--- a/decision/plan/plan_test.go
+++ b/decision/plan/plan_test.go
@@ -8,9 +8,9 @@
 	"sorrelvalve/decision/replay"
 )
 
-// A customer whose quota is a hundredth of what it sends, with RPCs over it counting for nothing, and cores that are
-// bounded to fewer runs than there are: the search finds settings that serve more, also on held-out parts, and finds the
-// same each time.
+// Customer a sends far more than its quota (a hundredth of that of customer b), RPCs over quota have no criticality, and the
+// cores are limited to one run each. The search must find settings that serve more, also on the held-out parts, and must
+// find the same settings each time.
 func TestSearch(t *testing.T) {
 	s := replay.Settings{
 		Node:      control.Node{Seed: 3, Cores: 4, MemoryKB: 1e6, RunMemoryFactor: 4, Tick: 4, WarmUpTime: 4000},
@@ -36,12 +36,12 @@
 	}
 	a, b := Search(s, parts, 60, 1), Search(s, parts, 60, 1)
 	if a.TrainAfter != b.TrainAfter || a.Replays != b.Replays || a.MeanGain != b.MeanGain {
-		t.Errorf("two searches: %+v and %+v", a, b)
+		t.Errorf("two searches with the same seed differ: %+v and %+v", a, b)
 	}
 	if a.Replays > 60 || a.TrainAfter < a.TrainBefore+minGain || a.MeanGain <= 0 || len(a.HeldOut) != 2 {
-		t.Errorf("plan %+v", a)
+		t.Errorf("plan: got %+v, want a gain on training and held-out parts within 60 replays", a)
 	}
 	if c := Search(s, parts, 1, 1); c.Replays != 1 || c.TrainAfter != c.TrainBefore || c.MeanGain != 0 {
-		t.Errorf("without a budget %+v", c)
+		t.Errorf("plan with a budget of one replay: got %+v, want unchanged settings", c)
 	}
 }
--- a/decision/plan/score.go
+++ b/decision/plan/score.go
@@ -8,12 +8,12 @@
 	"sorrelvalve/decision/replay"
 )
 
-// minArrived keeps a share of nothing from being a division by zero.
+// minArrived avoids a division by zero if no criticality arrived.
 const minArrived = 1e-9
 
 // score simulates one part of a trace with settings.
 func score(s replay.Settings, steps []replay.Step) Score {
-	s.Node.WarmingUp = false // a part begins in mid service
+	s.Node.WarmingUp = false // a part begins while the server is already warm
 	tallies := make([]replay.Tally, len(s.Methods))
 	next := func() (replay.Step, error) {
 		if len(steps) == 0 {
@@ -23,7 +23,7 @@
 		steps = steps[1:]
 		return step, nil
 	}
-	// Simulate returns no errors but those of next.
+	// The only errors that Simulate returns are those of next, which has none.
 	_ = replay.Simulate(&s, next, func(c replay.Completion) {
 		tallies[min(c.Method, len(tallies)-1)].Add(c.Verdict)
 	})
@@ -40,7 +40,7 @@
 	}
 }
 
-// mostCritical returns the index of the most critical method; of several, the first.
+// mostCritical returns the index of the most critical method; the first if several tie.
 func mostCritical(methods []control.Method) (index int) {
 	for i := range methods {
 		if methods[i].Criticality > methods[index].Criticality {
@@ -50,7 +50,7 @@
 	return index
 }
 
-// servedShare returns the share of a method's criticality that was served; 1 if no RPC arrived.
+// servedShare returns the share of a method's criticality that was served; 1 if none arrived.
 func servedShare(t *replay.Tally, m *control.Method) float64 {
 	served, arrived := t.WeightedCriticality(m)
 	if arrived == 0 {
