--- a/decision/replay/cpu.go
+++ b/decision/replay/cpu.go
@@ -1,31 +1,31 @@
 package replay
 
-// This file owns the simulated machine: processor sharing over a number of cores.
+// This file simulates the machine: processor sharing over a number of cores.
 
 import (
 	"container/heap"
 	"math"
 )
 
-// utilizationTimeConstant in ms is that of the utilization gauge, which stands for half a second.
+// utilizationTimeConstant in ms is the time constant of the simulated utilization gauge; the gauge covers half a second.
 const utilizationTimeConstant = 250.0
 
-// cpuModel shares its cores evenly among all runs. A run gets at most one core.
+// cpuModel shares its cores evenly among all runs, with at most one core per run.
 type cpuModel struct {
 	cores       float64
 	now         float64
-	servedMS    float64 // work that a run since the beginning would have had
+	servedMS    float64 // work done so far for a run that started at the beginning
 	runs        runHeap
-	utilization float64 // recent share of the cores that were busy
+	utilization float64 // share of the cores that were busy recently
 }
 
-// activeRun ends once servedMS reaches until.
+// activeRun is a run that ends when servedMS reaches until.
 type activeRun struct {
 	until float64
 	rpc   uint32
 }
 
-// runHeap implements heap.Interface, the run that ends first at the top.
+// runHeap implements heap.Interface with the run that ends first at the top.
 type runHeap []activeRun
 
 func (h runHeap) Len() int           { return len(h) }
@@ -38,12 +38,12 @@
 // Pop removes the last run.
 func (h *runHeap) Pop() any {
 	old := *h
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	return x
+	return last
 }
 
-// start begins a run that takes so much work.
+// start begins a run that takes work ms on one core.
 func (m *cpuModel) start(rpc uint32, work float64) {
 	heap.Push(&m.runs, activeRun{until: m.servedMS + work, rpc: rpc})
 }
@@ -56,7 +56,7 @@
 	return math.Min(1, m.cores/math.Max(1, float64(len(m.runs))))
 }
 
-// advance moves the clock on; no run may end before.
+// advance moves the clock forward to now. No run may end before now.
 func (m *cpuModel) advance(now float64) {
 	if now <= m.now {
 		return
@@ -67,7 +67,7 @@
 	m.now = now
 }
 
-// nextCompletion returns when the first run ends; +Inf without runs.
+// nextCompletion returns the time at which the first run ends; +Inf if there are no runs.
 func (m *cpuModel) nextCompletion() float64 {
 	if len(m.runs) == 0 {
 		return math.Inf(1)
--- a/decision/replay/lookahead.go
+++ b/decision/replay/lookahead.go
@@ -1,6 +1,6 @@
 package replay
 
-// This file owns reading steps ahead, since the trace tells a run's work only at its end.
+// This file reads steps ahead, because the trace records the work of a run only when the run ends.
 
 import (
 	"io"
@@ -10,16 +10,16 @@
 )
 
 const (
-	lookaheadMS  = 10e3   // by which steps are read ahead: longer runs count by their hint
+	lookaheadMS  = 10e3   // how far steps are read ahead; longer runs use their cost hint
 	maxLookahead = 200000 // steps
 )
 
-// lookahead reads steps so far before they are replayed that the end of nearly every run is known.
+// lookahead reads steps far enough ahead of their replay that the end of nearly every run is known.
 type lookahead struct {
 	next         func() (Step, error)
-	recordedWork map[uint32]float64 // by RPC: ms on one core, of the runs whose end was read
+	recordedWork map[uint32]float64 // by RPC: ms on one core, for the runs whose end has been read
 	cores        float64
-	runnable     float64 // as the last gauge said
+	runnable     float64 // runnable tasks by the last gauges
 	queue        []Step
 	err          error // of next
 }
@@ -28,15 +28,15 @@
 	return &lookahead{next: next, recordedWork: map[uint32]float64{}, cores: cores}
 }
 
-// step returns the next step that is replayed, without its actions. The error is that of next, once all steps are returned.
+// step returns the next step to replay, without its actions. After all steps it returns the error of next, such as io.EOF.
 func (l *lookahead) step() (Step, error) {
 	for l.err == nil && l.short() {
-		x, err := l.next()
+		step, err := l.next()
 		if err != nil {
 			l.err = err
 			break
 		}
-		l.read(x)
+		l.read(step)
 	}
 	if len(l.queue) == 0 {
 		if l.err == nil {
@@ -44,12 +44,12 @@
 		}
 		return Step{}, l.err
 	}
-	x := l.queue[0]
+	step := l.queue[0]
 	l.queue = l.queue[1:]
-	return x, nil
+	return step, nil
 }
 
-// short reports whether more steps are to be read.
+// short reports whether more steps have to be read.
 func (l *lookahead) short() bool {
 	n := len(l.queue)
 	if n < 2 {
@@ -58,10 +58,10 @@
 	return n < maxLookahead && l.queue[n-1].Now-l.queue[0].Now < lookaheadMS
 }
 
-// read takes in a step: gauges and the ends of runs are not replayed. Where runs shared the cores, their work is what they
-// took, divided by the number of runnable tasks per core.
-func (l *lookahead) read(x Step) {
-	ev := &x.Event
+// read queues a step. Timers and the ends of runs are not replayed; read takes only the gauges and the work from them. If
+// runs shared the cores, the work of a run is its duration divided by the number of runnable tasks per core.
+func (l *lookahead) read(step Step) {
+	ev := &step.Event
 	switch ev.Kind {
 	case control.TimerFired:
 		l.runnable = ev.Gauges.Runnable
@@ -70,12 +70,12 @@
 			l.recordedWork[ev.RPC] = ev.Elapsed / math.Max(1, l.runnable/l.cores)
 		}
 	default:
-		x.Actions = nil
-		l.queue = append(l.queue, x)
+		step.Actions = nil
+		l.queue = append(l.queue, step)
 	}
 }
 
-// takeWork returns the recorded work of an RPC, and forgets it.
+// takeWork returns the recorded work of an RPC and removes it from the lookahead.
 func (l *lookahead) takeWork(rpc uint32) (work float64, known bool) {
 	work, known = l.recordedWork[rpc]
 	delete(l.recordedWork, rpc)
--- a/decision/replay/simulate.go
+++ b/decision/replay/simulate.go
@@ -1,6 +1,6 @@
 package replay
 
-// This file owns the simulated service: what the decisions would have done with other settings.
+// This file simulates the service under other settings than the recorded ones.
 
 import (
 	"errors"
@@ -11,11 +11,11 @@
 )
 
 const (
-	// initialWorkDivisor is by how much a method's latency objective exceeds its expected work before any run is known, as in
-	// the decisions themselves.
+	// initialWorkDivisor is the ratio of a method's latency objective to its assumed work until the work of a run is known;
+	// the controller itself assumes the same.
 	initialWorkDivisor = 6
 	minWorkMS          = 0.001
-	// settleMS after the last deadline all RPCs have ended.
+	// settleMS is how long the simulation continues after the last deadline, so that all RPCs end.
 	settleMS = 1000
 )
 
@@ -32,7 +32,7 @@
 	timerAt    float64 // +Inf for none
 	timerLabel uint64
 
-	pendingEvents []control.Event // to be handled at this time, in their order
+	pendingEvents []control.Event // to be handled at the current time, in order
 	workByMethod  []workSum
 	tokens        map[uint64]*cachedToken
 	tokenExpiries []tokenExpiry // in the order in which the tokens were cached
@@ -41,13 +41,13 @@
 // workSum sums up the recorded work of a method's runs.
 type workSum struct{ ms, runs float64 }
 
-// cachedToken is a token that the decisions have cached.
+// cachedToken is an idempotency token that the controller has cached.
 type cachedToken struct {
 	rpc       uint32
 	until     float64
 	completed bool
 	ok        bool
-	joined    []uint32 // RPCs that wait for its result
+	joined    []uint32 // duplicates that wait for the result
 }
 
 type tokenExpiry struct {
@@ -55,9 +55,9 @@
 	token uint64
 }
 
-// Simulate replays the arrivals, leaving callers and drain notices of the steps, and reports the completion of each RPC under
-// the settings. A run takes the work that was recorded for it, else its cost hint, else the mean of its method so far. The
-// error is that of next unless that is io.EOF.
+// Simulate replays the recorded arrivals, callers that left and drain notices, and reports the completion of each RPC under
+// the settings. The work of a run is its recorded work if known, else its cost hint, else the mean of its method so far.
+// Simulate returns the error of next unless that is io.EOF.
 func Simulate(s *Settings, next func() (Step, error), onCompletion func(Completion)) error {
 	cores := math.Max(1, float64(s.Node.Cores))
 	sim := &simulation{
@@ -72,7 +72,7 @@
 		tokens:       map[uint64]*cachedToken{},
 	}
 	for first := true; ; first = false {
-		x, err := sim.steps.step()
+		step, err := sim.steps.step()
 		if errors.Is(err, io.EOF) {
 			sim.finish()
 			return nil
@@ -80,17 +80,17 @@
 			return err
 		}
 		if first {
-			sim.cpu.now = x.Now
-			sim.handle(x.Now, control.Event{Kind: control.Started})
-			if x.Event.Kind == control.Started {
+			sim.cpu.now = step.Now
+			sim.handle(step.Now, control.Event{Kind: control.Started})
+			if step.Event.Kind == control.Started {
 				continue
 			}
 		}
-		sim.step(&x)
+		sim.step(&step)
 	}
 }
 
-// finish completes the RPCs in flight.
+// finish runs the simulation until all RPCs in flight have completed.
 func (sim *simulation) finish() {
 	limit := sim.cpu.now
 	for _, rpc := range sim.inFlight {
@@ -100,46 +100,46 @@
 }
 
 // step replays a recorded step.
-func (sim *simulation) step(x *Step) {
-	switch x.Event.Kind {
+func (sim *simulation) step(step *Step) {
+	switch step.Event.Kind {
 	case control.Arrived:
-		sim.advanceTo(x.Now)
-		sim.arrive(x)
+		sim.advanceTo(step.Now)
+		sim.arrive(step)
 	case control.CallerGone:
-		sim.advanceTo(x.Now)
-		sim.callerGone(x)
+		sim.advanceTo(step.Now)
+		sim.callerGone(step)
 	case control.DrainNotice, control.DrainCancelled:
-		sim.advanceTo(x.Now)
-		sim.handle(x.Now, x.Event)
+		sim.advanceTo(step.Now)
+		sim.handle(step.Now, step.Event)
 	}
 }
 
-func (sim *simulation) arrive(x *Step) {
-	ev := x.Event
-	rpc := sim.settings.newRPC(sim.arrivals, x.Now, &ev, x.Token)
+func (sim *simulation) arrive(step *Step) {
+	ev := step.Event
+	rpc := sim.settings.newRPC(sim.arrivals, step.Now, &ev, step.Token)
 	sim.arrivals++
 	rpc.work = sim.workOf(&ev)
 	sim.inFlight[ev.RPC] = rpc
-	ev.DuplicateOf = 0 // the simulated cache decides
-	if cached := sim.tokens[x.Token]; x.Token != 0 && cached != nil && rpc.arrived < cached.until {
+	ev.DuplicateOf = 0 // the simulated token cache decides below
+	if cached := sim.tokens[step.Token]; step.Token != 0 && cached != nil && rpc.arrived < cached.until {
 		ev.DuplicateOf = cached.rpc
 	}
-	sim.handle(x.Now, ev)
+	sim.handle(step.Now, ev)
 }
 
-func (sim *simulation) callerGone(x *Step) {
-	rpc := sim.inFlight[x.Event.RPC]
+func (sim *simulation) callerGone(step *Step) {
+	rpc := sim.inFlight[step.Event.RPC]
 	if rpc == nil || rpc.completed {
 		return
 	}
-	rpc.complete(sim.onCompletion, x.Event.RPC, x.Now, CallerLeft)
-	sim.handle(x.Now, x.Event)
+	rpc.complete(sim.onCompletion, step.Event.RPC, step.Now, CallerLeft)
+	sim.handle(step.Now, step.Event)
 	if !rpc.started && !rpc.joined {
-		delete(sim.inFlight, x.Event.RPC)
+		delete(sim.inFlight, step.Event.RPC)
 	}
 }
 
-// workOf returns what a run of an RPC takes on one core.
+// workOf returns the work of an RPC's run in ms on one core.
 func (sim *simulation) workOf(ev *control.Event) float64 {
 	method := min(ev.Method, len(sim.workByMethod)-1)
 	known := &sim.workByMethod[method]
@@ -158,7 +158,7 @@
 	return math.Max(minWorkMS, work)
 }
 
-// advanceTo carries out the ends of runs and the timers up to now.
+// advanceTo processes the ends of runs and the timers up to now.
 func (sim *simulation) advanceTo(now float64) {
 	for {
 		completion := sim.cpu.nextCompletion()
@@ -188,7 +188,7 @@
 	sim.expireTokens(now)
 }
 
-// expireTokens forgets tokens whose time is over and whose RPC is not in flight.
+// expireTokens removes tokens that have expired and whose RPC is not in flight.
 func (sim *simulation) expireTokens(now float64) {
 	for len(sim.tokenExpiries) > 0 && sim.tokenExpiries[0].at < now {
 		expiry := sim.tokenExpiries[0]
@@ -200,7 +200,7 @@
 	}
 }
 
-// completeRun ends a run, and the RPCs that joined it.
+// completeRun completes an RPC whose run ended, and the RPCs that joined it.
 func (sim *simulation) completeRun(id uint32, now float64, outcome control.Outcome) {
 	rpc := sim.inFlight[id]
 	if rpc == nil {
@@ -222,14 +222,15 @@
 	}
 }
 
-// handle gives an event to the decisions and carries out their actions. Events that these cause are handled after it.
+// handle passes an event to the controller and carries out the resulting actions. Events that the actions cause are handled
+// after it.
 func (sim *simulation) handle(now float64, ev control.Event) {
 	sim.pendingEvents = append(sim.pendingEvents, ev)
-	if len(sim.pendingEvents) > 1 { // called by an action below
+	if len(sim.pendingEvents) > 1 { // called from an action below, whose loop handles the event
 		return
 	}
 	for i := 0; i < len(sim.pendingEvents); i++ {
-		actions := append([]control.Action(nil), sim.controller.Handle(now, sim.pendingEvents[i])...) // which the next event overwrites
+		actions := append([]control.Action(nil), sim.controller.Handle(now, sim.pendingEvents[i])...) // a copy, since the next event overwrites the actions
 		for k := range actions {
 			sim.carryOut(now, &actions[k])
 		}
@@ -279,7 +280,7 @@
 	sim.tokenExpiries = append(sim.tokenExpiries, tokenExpiry{at: until, token: rpc.token})
 }
 
-// join has an RPC wait for the one that it repeats, or completes it by that one's result.
+// join lets an RPC wait for the RPC that it duplicates, or completes it with the result of that RPC if there is one.
 func (sim *simulation) join(now float64, id uint32, rpc *rpcState) {
 	rpc.joined = true
 	cached := sim.tokens[rpc.token]
--- a/decision/replay/verify.go
+++ b/decision/replay/verify.go
@@ -1,6 +1,6 @@
 package replay
 
-// This file owns the exact replay: the recorded events, as they were.
+// This file has the exact replay of the recorded events.
 
 import (
 	"errors"
@@ -9,44 +9,45 @@
 	"sorrelvalve/control"
 )
 
-// Verify feeds the events as they were recorded. onDivergence is called for each verdict that differs, onCompletion for each
-// RPC as recorded. It returns the number of steps, and the error of next unless that is io.EOF.
+// Verify feeds the recorded events to a controller. It calls onDivergence for each verdict that differs from the recorded one,
+// and onCompletion for each RPC as recorded. It returns the number of steps, ErrMissingStart, or the error of next unless
+// that is io.EOF.
 func Verify(s *Settings, next func() (Step, error), onDivergence func(Divergence), onCompletion func(Completion)) (steps int, err error) {
 	controller := s.newController()
 	recorded := recording{settings: s, inFlight: map[uint32]*rpcState{}, onCompletion: onCompletion}
 	for ; ; steps++ {
-		x, err := next()
+		step, err := next()
 		if errors.Is(err, io.EOF) {
 			return steps, nil
 		} else if err != nil {
 			return steps, err
 		}
-		if steps == 0 && x.Event.Kind != control.Started {
+		if steps == 0 && step.Event.Kind != control.Started {
 			return 0, ErrMissingStart
 		}
-		compare(steps, &x, controller.Handle(x.Now, x.Event), onDivergence)
-		recorded.step(&x)
+		compare(steps, &step, controller.Handle(step.Now, step.Event), onDivergence)
+		recorded.step(&step)
 	}
 }
 
-// compare reports where the verdicts among actions differ from those of the step.
-func compare(step int, x *Step, actions []control.Action, onDivergence func(Divergence)) {
+// compare reports each verdict among the actions that differs from the step's recorded verdicts. index is that of the step.
+func compare(index int, step *Step, actions []control.Action, onDivergence func(Divergence)) {
 	i := 0
 	for _, replayed := range actions {
 		if !isVerdict(replayed.Kind) {
 			continue
 		}
 		var recorded control.Action
-		if i < len(x.Actions) {
-			recorded = x.Actions[i]
+		if i < len(step.Actions) {
+			recorded = step.Actions[i]
 		}
-		if i >= len(x.Actions) || !sameVerdict(&recorded, &replayed) {
-			onDivergence(Divergence{Step: step, VerdictIndex: i, Now: x.Now, Recorded: recorded, Replayed: replayed})
+		if i >= len(step.Actions) || !sameVerdict(&recorded, &replayed) {
+			onDivergence(Divergence{Step: index, VerdictIndex: i, Now: step.Now, Recorded: recorded, Replayed: replayed})
 		}
 		i++
 	}
-	for ; i < len(x.Actions); i++ {
-		onDivergence(Divergence{Step: step, VerdictIndex: i, Now: x.Now, Recorded: x.Actions[i]})
+	for ; i < len(step.Actions); i++ {
+		onDivergence(Divergence{Step: index, VerdictIndex: i, Now: step.Now, Recorded: step.Actions[i]})
 	}
 }
 
@@ -60,7 +61,7 @@
 	return a.Kind == b.Kind && a.RPC == b.RPC && a.Time == b.Time && a.NoRetry == b.NoRetry
 }
 
-// recording follows the RPCs as they were recorded.
+// recording tracks the RPCs as they were recorded.
 type recording struct {
 	settings     *Settings
 	inFlight     map[uint32]*rpcState
@@ -68,17 +69,17 @@
 	onCompletion func(Completion)
 }
 
-func (r *recording) step(x *Step) {
-	ev := &x.Event
+func (r *recording) step(step *Step) {
+	ev := &step.Event
 	if ev.Kind == control.Arrived {
-		r.inFlight[ev.RPC] = r.settings.newRPC(r.arrivals, x.Now, ev, x.Token)
+		r.inFlight[ev.RPC] = r.settings.newRPC(r.arrivals, step.Now, ev, step.Token)
 		r.arrivals++
 	}
-	for i := range x.Actions {
-		r.action(x.Now, &x.Actions[i])
+	for i := range step.Actions {
+		r.action(step.Now, &step.Actions[i])
 	}
 	if ev.Kind == control.CallerGone || ev.Kind == control.Completed {
-		r.end(x.Now, ev)
+		r.end(step.Now, ev)
 	}
 }
 
@@ -98,7 +99,7 @@
 	}
 }
 
-// end takes in that a run ended or a caller left.
+// end handles the end of a run, or a caller that left.
 func (r *recording) end(now float64, ev *control.Event) {
 	rpc := r.inFlight[ev.RPC]
 	if rpc == nil {
