--- a/decision/release/observe.go
+++ b/decision/release/observe.go
@@ -71,7 +71,8 @@
 		r.trackMemory(name, report)
 		r.trackRestarts(name, report)
 	}
-	if versionChanged && r.Phase == Running { // both sides are compared over the same minutes: those since the last server changed its version
+	// Both sides are compared over the same minutes: those since the last server changed its version.
+	if versionChanged && r.Phase == Running {
 		clear(r.WaveCounts)
 		clear(r.MinMemoryMB)
 	}
--- a/decision/release/rollout.go
+++ b/decision/release/rollout.go
@@ -1,6 +1,7 @@
 package release
 
-// This file has the release: its phases, the assignment of versions to servers, and the steps from wave to wave, forward and back.
+// This file has the release: its phases, the assignment of versions to servers, and the steps from wave to wave, forward
+// and back.
 
 import (
 	"fmt"
--- a/decision/replay/replay.go
+++ b/decision/replay/replay.go
@@ -91,7 +91,7 @@
 	Replayed     control.Action // the zero Action for none
 }
 
-// ErrMissingStart is returned where the steps do not begin where the decisions did.
+// ErrMissingStart is returned by Verify if the first step is not the Started event.
 var ErrMissingStart = errors.New("the trace does not begin with the start of the recording: verdicts can't be compared exactly")
 
 // rpcState is an RPC in flight.
