--- a/decision/quota/grant.go
+++ b/decision/quota/grant.go
@@ -1,7 +1,7 @@
 package quota
 
-// This file is the grantor's side of a lease: how free capacity is divided among those that request it, renewals, and
-// offers to those that got too little. It must never grant capacity that is not booked first.
+// This file implements the grantor's side of a lease: it divides free capacity among requesters, renews leases, and offers
+// capacity to requesters that received too little. A lease must be booked before its grant is sent.
 
 import (
 	"cmp"
@@ -10,26 +10,27 @@
 )
 
 const (
-	competitorWindow   = 1000.0 // ms for which a requester counts when free capacity is divided
-	requesterWindow    = 3000.0 // ms for which a requester is offered capacity that becomes free
+	competitorWindow   = 1000.0 // ms, age up to which a requester counts when free capacity is divided
+	requesterWindow    = 3000.0 // ms, age up to which a requester is offered capacity that becomes free
 	maxRequesters      = 32
-	maxOffers          = 4   // requesters that are told at a time
-	competitorFraction = 0.8 // of a holder's capacity: a requester with less competes with the holder's renewal
-	minOfferFraction   = 0.1 // of the own capacity: so much more must be free than requesters know of
+	maxOffers          = 4   // offers sent at a time
+	competitorFraction = 0.8 // of a holder's capacity: a requester with less capacity competes with the holder's renewal
+	minOfferFraction   = 0.1 // of the owned capacity, by which free capacity must exceed the announced amount before it is offered
 )
 
-// requester is a peer that requested capacity of late.
+// requester is a peer that has requested capacity recently.
 type requester struct {
 	name            string
-	at              float64
+	requestedAt     float64
 	priorityWeight  float64
 	amount          float64
 	currentCapacity float64
 }
 
-// sendOffers tells recent requesters, those with the highest priority weight first, that capacity has become free.
+// sendOffers appends to out offers of free capacity to the recent requesters with the highest priority weights. It sends none
+// unless enough capacity has become free since the last offers.
 func (a *Allocation) sendOffers(now float64, out []Message) []Message {
-	a.requesters = slices.DeleteFunc(a.requesters, func(r requester) bool { return now-r.at > requesterWindow })
+	a.requesters = slices.DeleteFunc(a.requesters, func(r requester) bool { return now-r.requestedAt > requesterWindow })
 	free := a.grantable()
 	a.announced = math.Min(a.announced, free)
 	if len(a.requesters) == 0 || free-a.announced < minOfferFraction*a.owned || now-a.offeredAt < minRoundInterval/2 {
@@ -46,7 +47,7 @@
 	return out
 }
 
-// grantLease answers a request. A duplicate gets the same answer, and no second lease.
+// grantLease answers a request. A duplicate request receives the same answer and creates no second lease.
 func (a *Allocation) grantLease(now float64, from string, m Message) Message {
 	renewed := -1
 	for i := range a.granted {
@@ -57,7 +58,8 @@
 		if l.id == m.RequestID {
 			return a.grantMessage(from, m, l.amount)
 		}
-		if m.Renews != 0 && (l.id == m.Renews || l.formerID == m.Renews) { // it may not have heard of the last renewal
+		// The holder refers to the lease by its former ID if the grant of the last renewal was lost.
+		if m.Renews != 0 && (l.id == m.Renews || l.formerID == m.Renews) {
 			renewed = i
 		}
 	}
@@ -65,14 +67,15 @@
 	switch {
 	case renewed >= 0:
 		return a.renewGrant(now, from, m, renewed, competitors, requested)
-	case m.Renews != 0: // it has expired here: what is requested now is another lease, and the holder must know
+	case m.Renews != 0:
+		// The lease has expired here. A grant would be a different lease, and the holder must learn of the expiry.
 		return denyMessage(from, m, Exhausted)
 	}
 	return a.newGrant(now, from, m, competitors, requested)
 }
 
-// renewGrant renews a lease. Its holder keeps it as far as there is capacity beside what is used here, and shares it with
-// competitors. What it gives up stays booked until it confirms that, or the lease that it has can have expired.
+// renewGrant renews a lease. The holder keeps what this server does not need itself, shared with competitors. Capacity that
+// the holder loses stays booked until the holder relinquishes it or its current lease must have expired.
 func (a *Allocation) renewGrant(now float64, from string, m Message, renewed, competitors int, requested float64) Message {
 	l := &a.granted[renewed]
 	usage, unmet := a.demand()
@@ -85,13 +88,13 @@
 	if !(amount >= minLeaseFraction*a.owned) || len(a.granted) >= maxLeases {
 		return denyMessage(from, m, Contended)
 	}
-	if rest := l.amount - amount; rest > 0 {
+	if remainder := l.amount - amount; remainder > 0 {
 		a.granted = append(a.granted, lease{
 			peer:        from,
 			id:          m.Renews,
 			incarnation: m.Incarnation,
-			amount:      rest,
-			began:       l.began,
+			amount:      remainder,
+			startedAt:   l.startedAt,
 			expires:     l.expires,
 			remainder:   true,
 		})
@@ -106,8 +109,8 @@
 	return a.grantMessage(from, m, amount)
 }
 
-// newGrant grants a new lease. What is free is divided evenly among the recent requesters, so that the first one does not
-// get all of it; one that wants less than its part leaves the rest to the others.
+// newGrant grants a new lease. Free capacity is divided evenly among the recent requesters, so that the first one does not
+// receive all of it; a requester that asks for less than its share leaves the rest to the others.
 func (a *Allocation) newGrant(now float64, from string, m Message, competitors int, requested float64) Message {
 	free := a.grantable()
 	amount := math.Min(m.Amount, math.Max(free/float64(competitors+1), free-requested))
@@ -123,13 +126,13 @@
 		}
 		return denyMessage(from, m, Exhausted)
 	}
-	// Booked before it is announced; its holder counts from when it sent the request.
+	// Book the lease before the grant is sent. The holder counts its duration from when it sent the request.
 	a.granted = append(a.granted, lease{
 		peer:        from,
 		id:          m.RequestID,
 		incarnation: m.Incarnation,
 		amount:      amount,
-		began:       now,
+		startedAt:   now,
 		expires:     a.grantExpiry(now),
 	})
 	a.sumLeases()
@@ -139,7 +142,7 @@
 	return a.grantMessage(from, m, amount)
 }
 
-// reduceRequester makes the latest requester compete only for what it still lacks after a grant.
+// reduceRequester deducts a grant from the latest requester's amount, so that it competes only for the remainder.
 func (a *Allocation) reduceRequester(name string, granted float64) {
 	last := len(a.requesters) - 1
 	if last < 0 || a.requesters[last].name != name {
@@ -150,16 +153,16 @@
 	}
 }
 
-// competitors counts the recent requesters other than from, and what they requested. With a renewal only those compete
-// that have much less than the holder: capacity that moves between two that have as much lies idle on its way. For a new
-// lease, from is noted as a requester itself.
+// competitors returns the number of recent requesters other than from and the sum of the amounts that they requested. For a
+// renewal, only requesters with much less capacity than the holder count, because capacity that moves between servers with
+// similar amounts is idle in transit. For a new lease, from is recorded as a requester itself.
 func (a *Allocation) competitors(now float64, from string, m *Message, newLease bool) (n int, requested float64) {
 	a.requesters = slices.DeleteFunc(a.requesters, func(r requester) bool {
-		return now-r.at > requesterWindow || newLease && r.name == from
+		return now-r.requestedAt > requesterWindow || newLease && r.name == from
 	})
 	for i := range a.requesters {
 		r := &a.requesters[i]
-		if r.name != from && now-r.at <= competitorWindow && (newLease || r.currentCapacity < competitorFraction*m.CurrentCapacity) {
+		if r.name != from && now-r.requestedAt <= competitorWindow && (newLease || r.currentCapacity < competitorFraction*m.CurrentCapacity) {
 			n++
 			requested += r.amount
 		}
@@ -167,7 +170,7 @@
 	if newLease && len(a.requesters) < maxRequesters {
 		a.requesters = append(a.requesters, requester{
 			name:            from,
-			at:              now,
+			requestedAt:     now,
 			priorityWeight:  m.PriorityWeight,
 			amount:          m.Amount,
 			currentCapacity: m.CurrentCapacity,
--- a/decision/quota/lease.go
+++ b/decision/quota/lease.go
@@ -1,39 +1,39 @@
 package quota
 
-// This file keeps the leases themselves: when they expire on either side, and their sums.
+// This file implements the bookkeeping of leases: their expiry on either side, and their sums.
 
 import "math"
 
-// lease is capacity that a grantor gave to a holder for a time. It stands in both servers' allocations.
+// lease is capacity that a grantor has given to a holder for a limited time. Both keep a copy in their allocations.
 type lease struct {
-	peer        string  // the other side; "" for what a former incarnation may have granted
-	id          uint64  // the RequestID by which it was granted or last renewed
+	peer        string  // the other side; "" for capacity that a former incarnation may have granted
+	id          uint64  // RequestID of the request that created or last renewed the lease
 	formerID    uint64  // grantor: id before the last renewal
 	incarnation uint64  // of the holder
-	amount      float64 // a second, or in flight
-	expires     float64 // by the own clock; until then it may be used, or counts as granted
-	began       float64
-	renewing    bool // holder: a renewal was requested
-	denied      bool // holder: the renewal was denied, it will expire
-	remainder   bool // grantor: what the holder is to give up after a smaller renewal, and may not know of yet
+	amount      float64 // items per second, or in flight
+	expires     float64 // local clock, ms; until then the holder may use it and the grantor counts it as granted
+	startedAt   float64
+	renewing    bool // holder: a renewal is pending
+	denied      bool // holder: the renewal was denied, so the lease will expire
+	remainder   bool // grantor: capacity that the holder loses by a smaller renewal, and may still use until it learns of it
 }
 
-// maxLeases of either direction exist at a time in an allocation.
+// maxLeases is the maximum number of leases of an allocation in each direction.
 const maxLeases = 1024
 
-// grantExpiry is until when a lease granted now counts as granted: longer than its holder, whose clock may be slow where
-// ours is fast, can use it.
+// grantExpiry returns the time until which a lease granted now counts as granted. It is later than the holder can use the
+// lease, even if the holder's clock is slow and the local clock is fast.
 func (a *Allocation) grantExpiry(now float64) float64 {
 	return now + a.limit.MaxLeaseDuration*(1+a.limit.ClockDrift)*(1+a.limit.ClockDrift)
 }
 
-// leaseExpiry is until when a lease requested at a time may be used: counted from the request, which was before the
-// grant, and shortened by the drift.
+// leaseExpiry returns the time until which a lease requested at requestedAt may be used. The duration counts from the
+// request, which precedes the grant, and is shortened by the clock drift.
 func (a *Allocation) leaseExpiry(requestedAt, duration float64) float64 {
 	return requestedAt + math.Min(duration, a.limit.MaxLeaseDuration)*(1-a.limit.ClockDrift)
 }
 
-// reserveFormerGrants counts as granted all that a former incarnation may have granted until the process started.
+// reserveFormerGrants books all capacity that a former incarnation may have granted before the process started.
 func (a *Allocation) reserveFormerGrants(start float64) {
 	a.granted = a.granted[:0]
 	if amount := a.owned - a.limit.Floor; amount > 0 {
@@ -42,7 +42,7 @@
 	a.sumLeases()
 }
 
-// sumLeases must be called whenever leases have changed.
+// sumLeases updates the sums and the next expiry. It must be called after every change to the leases.
 func (a *Allocation) sumLeases() {
 	a.grantedSum = 0
 	a.leasedSum = 0
--- a/decision/quota/ledger.go
+++ b/decision/quota/ledger.go
@@ -1,8 +1,8 @@
 package quota
 
-// This file holds a server's allocations of many limits: one for each customer, and some for upstream services. An
-// allocation takes memory only while something is acquired of it or leased; one that is not in the table owns its full
-// share. The table must never make space by forgetting a lease.
+// This file implements the table of a server's allocations: one per customer, and some for upstream services. An allocation
+// takes memory only while it is in use or has leases; an allocation that is not in the table owns its full share. The table
+// must never evict an allocation that has leases.
 
 import (
 	"cmp"
@@ -12,12 +12,12 @@
 )
 
 const (
-	// maxAllocations are in the table at a time: of a hundred thousand customers some thousand send within a few seconds,
-	// and an allocation takes some hundred bytes.
+	// maxAllocations is the capacity of the table. Of a hundred thousand customers, a few thousand send within a few
+	// seconds, and an allocation takes a few hundred bytes.
 	maxAllocations     = 8192
-	idleTimeout        = 2e3 // ms, after which an allocation without leases may be evicted
-	evictionScan       = 32  // allocations that are examined for one eviction
-	maxMessagesPerTick = 128 // the rest is sent by the next ticks
+	idleTimeout        = 2e3 // ms without use, after which an allocation without leases may be evicted
+	evictionScan       = 32  // allocations examined per eviction
+	maxMessagesPerTick = 128 // further messages are sent by the next ticks
 )
 
 // Ledger holds one server's allocations by key.
@@ -29,11 +29,11 @@
 	rng           *rand.Rand
 	byKey         map[string]*entry
 	entries       []*entry
-	evictionHand  int // index into entries, moves round as in the CLOCK algorithm
-	nextTicked    int // index of the entry at which the next tick begins, after one with too many messages
+	evictionHand  int // index into entries, advances as in the CLOCK algorithm
+	nextTicked    int // index into entries at which the next tick begins, after a tick that reached maxMessagesPerTick
 	disabled      bool
 
-	// Overflows counts calls that found no place in the table.
+	// Overflows counts lookups that failed because the table was full.
 	Overflows uint64
 }
 
@@ -43,8 +43,8 @@
 	allocation *Allocation
 }
 
-// NewLedger returns the ledger of a server whose process has the given incarnation, a random number drawn at its start.
-// limits returns the limit of a key, if there is one.
+// NewLedger returns the ledger of a server. The incarnation is a random number drawn at the start of the process. limits
+// returns the limit of a key, and false if the key has none.
 func NewLedger(incarnation uint64, seed int64, now float64, limits func(key string) (Limit, bool)) *Ledger {
 	return &Ledger{
 		limits:      limits,
@@ -55,7 +55,8 @@
 	}
 }
 
-// lookup returns the allocation of a key, put into the table if there is such a limit and space; nil if not.
+// lookup returns the allocation of a key and inserts it into the table if needed. It returns nil if the key has no limit or
+// the table has no space.
 func (l *Ledger) lookup(now float64, key string) *Allocation {
 	if e := l.byKey[key]; e != nil {
 		e.lastUsed = now
@@ -72,8 +73,8 @@
 	return a
 }
 
-// newAllocation returns an allocation that was not in the table. Since the start of the process nothing was acquired of it
-// that its token bucket did not refill, as only full ones are evicted; what a former incarnation granted may still be out.
+// newAllocation returns an allocation for a key that is not in the table. Its token bucket starts full, which is correct
+// because only allocations with a full bucket are evicted. Leases that a former incarnation granted may still be in use.
 func (l *Ledger) newAllocation(now float64, limit Limit) *Allocation {
 	a := newAllocation(limit, l.incarnation, &l.lastRequestID, l.startedAt)
 	a.rng = l.rng
@@ -82,7 +83,8 @@
 	return a
 }
 
-// makeSpace evicts an allocation if the table is full: one without leases, with a full bucket, and not used of late.
+// makeSpace reports whether the table has space. If the table is full, it tries to evict an allocation that has no leases and
+// a full bucket and has not been used recently.
 func (l *Ledger) makeSpace(now float64) bool {
 	if len(l.entries) < maxAllocations {
 		return true
@@ -104,13 +106,14 @@
 	return false
 }
 
-// evictable tells whether the allocation may be dropped and made anew without a difference.
+// evictable reports whether the allocation can be dropped and created again without any difference.
 func (a *Allocation) evictable() bool {
 	return len(a.granted)+len(a.leased)+len(a.pending) == 0 && a.inFlight <= 0 && a.tokens >= a.burst()
 }
 
-// TryAcquire takes one item of a limit, as Allocation.TryAcquire. Without such a limit it is admitted, and limited is
-// false. If it is rejected, retryAfter is in how many ms it may be admitted, 0 if that is not known.
+// TryAcquire takes one item of the limit of a key, as Allocation.TryAcquire does. If the key has no limit, the item is
+// admitted and limited is false. If the item is rejected, retryAfter is the time (ms) after which it may be admitted, or 0 if
+// that is unknown.
 func (l *Ledger) TryAcquire(now float64, key string, priorityWeight, maxHold float64) (ok, limited bool, retryAfter float64) {
 	a := l.lookup(now, key)
 	switch {
@@ -125,15 +128,15 @@
 	return false, true, a.RetryAfter(now)
 }
 
-// Release returns one item that was in flight.
+// Release returns one item that was in flight to the limit of a key.
 func (l *Ledger) Release(key string) {
 	if e := l.byKey[key]; e != nil {
 		e.allocation.Release(1)
 	}
 }
 
-// Update applies the limits as they are now to all allocations. One that has no limit any more owns nothing, and is
-// evicted once its leases are over.
+// Update applies the current limits to all allocations. An allocation whose limit was removed owns nothing, and can be
+// evicted once its leases have ended.
 func (l *Ledger) Update(now float64) {
 	for _, e := range l.entries {
 		limit, limited := l.limits(e.key)
@@ -148,17 +151,17 @@
 	}
 }
 
-// Invalidate drops all leased capacity: this server has stalled.
+// Invalidate drops all leased capacity. It is called after this process has stalled.
 func (l *Ledger) Invalidate(now float64) {
 	for _, e := range l.entries {
 		e.allocation.Invalidate(now)
 	}
 }
 
-// Disable ends the use of all allocations: another process uses this server's name and owns them.
+// Disable stops all use of the allocations, because another process uses this server's name and owns them.
 func (l *Ledger) Disable() { l.disabled = true }
 
-// Tick returns the messages to send to peers that are reachable.
+// Tick returns the messages to send; peers are the reachable peers. It must be called several times per second.
 func (l *Ledger) Tick(now float64, peers []string) (out []KeyedMessage) {
 	if l.disabled {
 		return nil
@@ -177,7 +180,7 @@
 	return out
 }
 
-// Receive takes a message from a peer and returns the answers.
+// Receive handles a message from a peer and returns the replies.
 func (l *Ledger) Receive(now float64, from string, m KeyedMessage) (out []KeyedMessage) {
 	if l.disabled {
 		return nil
@@ -195,7 +198,7 @@
 	return out
 }
 
-// AllocationStatus is how one allocation of a ledger stands. Fleet status prints it as JSON.
+// AllocationStatus is the status of one allocation of a ledger. Fleet status prints it as JSON.
 type AllocationStatus struct {
 	Key  string
 	Kind Kind
@@ -203,9 +206,10 @@
 	Counts Counts
 }
 
-// Statuses reports at most maxReported allocations of the server called self, those with the most leased, used and
-// rejected first, each with at most maxLeasesReported leases of either direction.
-func (l *Ledger) Statuses(now float64, self string, maxReported, maxLeasesReported int) (all []AllocationStatus) {
+// Statuses returns the status of at most maxReported allocations, sorted by descending activity: the sum of leased and
+// granted capacity, usage and unmet demand. self is the name of this server. Each status lists at most maxLeasesReported
+// leases per direction.
+func (l *Ledger) Statuses(now float64, self string, maxReported, maxLeasesReported int) (statuses []AllocationStatus) {
 	activity := func(a *Allocation) float64 { return a.leasedSum + a.grantedSum + a.usage + a.unmet }
 	entries := slices.Clone(l.entries)
 	for _, e := range entries {
@@ -215,18 +219,18 @@
 		return cmp.Or(cmp.Compare(activity(y.allocation), activity(x.allocation)), cmp.Compare(x.key, y.key))
 	})
 	for _, e := range entries[:min(maxReported, len(entries))] {
-		all = append(all, AllocationStatus{
+		statuses = append(statuses, AllocationStatus{
 			Key:             e.key,
 			Kind:            e.allocation.limit.Kind,
 			AllocationState: e.allocation.State(now, self, maxLeasesReported),
 			Counts:          e.allocation.Counts,
 		})
 	}
-	return all
+	return statuses
 }
 
-// Capacity is what may be used of a limit now, a second or in flight, without any change to the ledger. It is infinite
-// without such a limit, and 0 once the ledger is disabled.
+// Capacity returns the capacity that this server may use now of the limit of a key, in items per second or in flight. It does
+// not change the ledger. It returns +Inf if the key has no limit, and 0 once the ledger is disabled.
 func (l *Ledger) Capacity(now float64, key string) float64 {
 	if l.disabled {
 		return 0
@@ -241,8 +245,8 @@
 	return l.newAllocation(now, limit).capacityAt(now)
 }
 
-// LeaseCounts is how many leases are granted to and leased from peers, and how many requests are pending, over all
-// allocations.
+// LeaseCounts returns the number of leases granted to peers, the number leased from peers and the number of pending requests,
+// summed over all allocations.
 func (l *Ledger) LeaseCounts() (granted, leased, pending int) {
 	for _, e := range l.entries {
 		granted += len(e.allocation.granted)
@@ -252,5 +256,5 @@
 	return granted, leased, pending
 }
 
-// Size is how many allocations are in the table.
+// Size returns the number of allocations in the table.
 func (l *Ledger) Size() int { return len(l.entries) }
--- a/decision/quota/message.go
+++ b/decision/quota/message.go
@@ -2,63 +2,63 @@
 
 // This file defines the messages by which servers request, grant and release leases.
 
-// MessageKind is what a message asks or answers. The numbers go over the wire.
+// MessageKind is the type of a message. The numbers are part of the wire format.
 type MessageKind int
 
 // The values of MessageKind.
 const (
-	Request    MessageKind = iota + 1 // by a holder: a new lease, or a renewal
-	Grant                             // by a grantor: the request is granted, perhaps in part
-	Deny                              // by a grantor: the request is denied
-	Relinquish                        // by a holder: it gives a lease back before it expires
-	Offer                             // by a grantor, to one that it had denied: capacity has become free
+	Request    MessageKind = iota + 1 // from a holder: requests a new lease or a renewal
+	Grant                             // from a grantor: grants the request, possibly in part
+	Deny                              // from a grantor: denies the request
+	Relinquish                        // from a holder: returns a lease before it expires
+	Offer                             // from a grantor to a recent requester: capacity has become free
 )
 
-// DenialReason is why a request got nothing. The numbers go over the wire.
+// DenialReason is the reason why a request was not granted. The numbers are part of the wire format.
 type DenialReason int
 
 // The values of DenialReason.
 const (
-	Exhausted     DenialReason = iota + 1 // nothing is free
-	Contended                             // others request, too, and each one's part is too small to lease
-	TooManyLeases                         // the grantor has granted as many leases as it may
-	UnknownLimit                          // the grantor has no such limit
+	Exhausted     DenialReason = iota + 1 // no capacity is free
+	Contended                             // other servers request capacity too, and the share of each is too small for a lease
+	TooManyLeases                         // the grantor has reached maxLeases
+	UnknownLimit                          // the grantor has no limit of that key
 	NoAnswer                              // the request timed out
 )
 
 var denialTexts = [...]string{
-	Exhausted:     "nothing is free there",
-	Contended:     "too many ask there",
-	TooManyLeases: "it has lent to as many as it may",
-	UnknownLimit:  "it has no such budget",
+	Exhausted:     "no free capacity",
+	Contended:     "too many servers request capacity",
+	TooManyLeases: "too many leases",
+	UnknownLimit:  "unknown limit",
 	NoAnswer:      "no answer came",
 }
 
-// String returns the text that status output shows.
+// String returns the text that fleet status shows.
 func (r DenialReason) String() string { return denialTexts[min(max(r, 0), NoAnswer)] }
 
-// Denial is a request that got nothing. Fleet status prints it as JSON under the names in the tags.
+// Denial is a request that was denied or timed out. Fleet status prints it as JSON under the names in the tags.
 type Denial struct {
 	By     string
 	Reason DenialReason `json:"Why"`
 	Age    float64      `json:"Ago"` // ms
 }
 
-// Message travels between two servers. It may arrive in any order, late, twice or never.
+// Message is a message between two servers. Messages may be reordered, delayed, duplicated or lost.
 type Message struct {
 	Kind            MessageKind
 	To              string
-	RequestID       uint64  // of the request, within the requester's incarnation
+	RequestID       uint64  // ID of the request, unique within the requester's incarnation
 	Incarnation     uint64  // of the requester
-	Amount          float64 // requested, granted, released or offered
-	Duration        float64 // Grant: ms
-	PriorityWeight  float64 // Request: the highest of what the requester rejects
+	Amount          float64 // requested, granted, relinquished or offered
+	Duration        float64 // Grant: of the lease, ms
+	PriorityWeight  float64 // Request: highest priority weight of the requester's recent rejections
 	CurrentCapacity float64 // Request: the requester's capacity
-	Renews          uint64  // Request: id of the lease to renew; 0 for a new one
+	Renews          uint64  // Request: ID of the lease to renew; 0 for a new lease
 	Reason          DenialReason
 }
 
-// KeyedMessage is a message about one of a ledger's limits.
+// KeyedMessage is a message about the limit with the given key.
 type KeyedMessage struct {
 	Key string
 	Message
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -1,20 +1,20 @@
 // Package quota divides a fleet-wide limit among the servers of a fleet, as leases of capacity in the manner of Doorman.
 //
-// A limit is either a rate with a burst or a count of items in flight. Each of the servers that the operator counts owns
-// an equal share, always keeps a floor of it whatever its peers request, and grants leases on the rest to peers for a
-// bounded time; a lease holder uses leased capacity only while the grantor cannot yet have taken it back. The sum over
-// the fleet therefore stays within the limit by construction, whoever is partitioned, crashes or stalls, as long as no
-// more servers run than were counted and clocks drift by no more than stated. A server never uses capacity it cannot
-// prove to be its own at that moment.
+// A limit is either a rate with a burst or a number of items in flight. Each server owns an equal share of it, always keeps
+// a floor of that share regardless of its peers' requests, and grants leases on the rest to peers for a bounded time. A
+// holder uses leased capacity only while the grantor cannot yet have taken it back. The sum over the fleet therefore stays
+// within the limit by construction, even if servers are partitioned, crash or stall, as long as no more servers run than
+// configured and clocks drift by no more than configured. A server never uses capacity unless it can prove that it holds
+// that capacity at that moment.
 //
 // An Allocation is one server's part of one limit; a Ledger holds the allocations of many limits. All times are
 // milliseconds as float64.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times), starts no goroutine and draws randomness
-// only from a seeded source. An instance is not safe for concurrent use; its owner must serialise calls.
+// only from a seeded source. An instance is not safe for concurrent use; the caller must serialise calls.
 //
-// Source: leases and their names follow Doorman (https://github.com/youtube/doorman). There one elected server grants all
-// leases; here each server grants leases on what it owns.
+// Leases and their terms follow Doorman (https://github.com/youtube/doorman). In Doorman one elected server grants all
+// leases; here each server grants leases on the capacity that it owns.
 package quota
 
 import (
@@ -23,51 +23,52 @@
 	"slices"
 )
 
-// Kind is what a limit bounds.
+// Kind is the quantity that a limit bounds.
 type Kind int
 
 // The values of Kind. Fleet status prints them as numbers.
 const (
-	Rate        Kind = iota // items a second, and a burst beyond
-	Concurrency             // items in flight at a time
+	Rate        Kind = iota // items per second, plus a burst
+	Concurrency             // items in flight
 )
 
-// Limit is one fleet-wide limit as an operator sets it, the same on all servers. Times are ms.
+// Limit is one fleet-wide limit as configured by the operator, identical on all servers except for OwnedCapacity. Times are
+// in ms.
 type Limit struct {
 	Kind             Kind
-	Capacity         float64 // of the whole fleet: items a second, or in flight
-	Burst            float64 // of the whole fleet, items beyond the rate
-	Servers          int     // that run at a time, at most
-	Floor            float64 // of each server's capacity, never leased to others
+	Capacity         float64 // of the whole fleet: items per second, or in flight
+	Burst            float64 // of the whole fleet: items beyond the rate
+	Servers          int     // maximum number of servers that run at the same time
+	Floor            float64 // part of each server's capacity that is never leased to peers
 	MaxLeaseDuration float64
-	ClockDrift       float64 // by which the rate of a server's clock may be off, as a fraction
-	OwnedCapacity    float64 // owned by this server; 0 for an equal share. All servers' together must not exceed Capacity
+	ClockDrift       float64 // maximum error of the rate of a server's clock, as a fraction
+	OwnedCapacity    float64 // owned by this server; 0 for an equal share. The sum over all servers must not exceed Capacity
 }
 
-// Defaults for what operators do not set.
+// Defaults for values that the operator does not set.
 const (
-	// DefaultLeaseDuration (ms) is long enough that renewals are a few messages, and short enough that capacity whose
-	// holder crashed is soon back.
+	// DefaultLeaseDuration (ms) is long enough that renewals need few messages, and short enough that the grantor soon
+	// regains the capacity of a holder that crashed.
 	DefaultLeaseDuration = 4000.0
-	// DefaultClockDrift is more than what machines' clocks are off by.
+	// DefaultClockDrift is larger than the drift of the clocks of real machines.
 	DefaultClockDrift = 1e-3
 )
 
-// Usable tells whether each server's share of a rate's burst admits one whole item. With less, a token bucket that never
-// holds one item admits nothing.
+// Usable reports whether each server's share of the burst of a rate is at least one item. With less, the token bucket never
+// holds a whole item and admits nothing.
 func (l Limit) Usable() bool { return l.Kind == Concurrency || l.Burst >= float64(max(1, l.Servers)) }
 
-// serverCount is Servers, at least one.
+// serverCount returns Servers, but at least 1.
 func (l *Limit) serverCount() float64 { return float64(max(1, l.Servers)) }
 
 const (
-	averagingTime  = 500.0 // ms, time constant of the averages of usage and unmet demand
-	ceasedArrivals = 15.0  // expected arrivals missed, from which on demand has ceased. By chance once in 3 million
-	headroom       = 1.25  // times the own usage that is kept before anything is granted to others
-	minRefillRate  = 1e-3  // a second, by which RetryAfter reckons with less capacity
+	averagingTime     = 500.0 // ms, time constant of the moving averages of usage and unmet demand
+	maxMissedArrivals = 15.0  // expected arrivals without any, after which demand has ceased. Happens by chance once in 3 million
+	headroom          = 1.25  // factor of this server's usage that is kept before capacity is granted to peers
+	minRefillRate     = 1e-3  // items per second, lower bound of the capacity that RetryAfter assumes
 )
 
-// Allocation is one server's part of one limit: what it owns, less what it granted to peers, plus what it leased.
+// Allocation is one server's part of one limit: owned capacity, less leases granted to peers, plus leases from peers.
 type Allocation struct {
 	limit       Limit
 	incarnation uint64
@@ -77,28 +78,28 @@
 	leased     []lease // from peers
 	grantedSum float64
 	leasedSum  float64
-	nextExpiry float64 // of all leases
+	nextExpiry float64 // of any lease
 	negotiation
 
-	tokens   float64 // Rate: in the token bucket
+	tokens   float64 // Rate: content of the token bucket
 	filledAt float64
 	inFlight float64 // Concurrency
 
-	// Averages a second; for Concurrency the unmet demand only.
+	// Moving averages, items per second. For Concurrency, only the unmet demand is used.
 	usage       float64
-	unmet       float64 // what was rejected
-	unmetWeight float64 // the highest priority weight of recent rejections
+	unmet       float64 // rejected items
+	unmetWeight float64 // highest priority weight of recent rejections
 	averagedAt  float64
 	lastArrival float64
-	arrivalRate float64 // a second, as of lastArrival
+	arrivalRate float64 // items per second at lastArrival
 
-	// Counts since the start of the process.
+	// Counts are totals since the start of the process.
 	Counts Counts
 }
 
-// New returns the allocation of a server whose process has the given incarnation, a random number drawn at its start.
-// What the former incarnation may have granted counts as granted until no such lease can last: at first the server has
-// only its floor.
+// New returns the allocation of a server. The incarnation is a random number drawn at the start of the process. Capacity that
+// a former incarnation may have granted counts as granted until any such lease must have expired, so at first the server
+// has only its floor.
 func New(limit Limit, incarnation uint64, seed int64, now float64) *Allocation {
 	a := newAllocation(limit, incarnation, new(uint64), now)
 	a.rng = rand.New(rand.NewPCG(uint64(seed), 1))
@@ -106,7 +107,7 @@
 	return a
 }
 
-// newAllocation returns an allocation without any leases. lastRequestID is shared by all allocations of an incarnation.
+// newAllocation returns an allocation without leases. lastRequestID is shared by all allocations of an incarnation.
 func newAllocation(limit Limit, incarnation uint64, lastRequestID *uint64, now float64) *Allocation {
 	a := &Allocation{incarnation: incarnation, filledAt: now, averagedAt: now}
 	a.lastRequestID = lastRequestID
@@ -122,17 +123,17 @@
 	}
 }
 
-// Update applies a changed limit while leases are out. What is granted stays granted to its end, whatever is owned from
-// now on: until the last server has the new limit and a longest lease has passed, the fleet keeps within the larger of
-// the two limits.
+// Update applies a changed limit while leases exist. Existing leases stay granted until they end, whatever the new owned
+// capacity is. The fleet keeps within the larger of the two limits until the last server has the new limit and the maximum
+// lease duration has passed after that.
 func (a *Allocation) Update(now float64, limit Limit) {
 	a.advance(now)
 	a.setLimit(limit)
 	a.trimBucket()
 }
 
-// Invalidate drops all leased capacity: the server's clock can't be trusted to have seen it expire. What is granted
-// counts as granted anew.
+// Invalidate drops all leased capacity, because after a stall the server cannot be sure that its clock has seen the leases
+// expire. Granted leases count as granted for a full duration from now.
 func (a *Allocation) Invalidate(now float64) {
 	a.advance(now)
 	a.leased = a.leased[:0]
@@ -144,9 +145,9 @@
 	a.trimBucket()
 }
 
-// advance brings leases, the token bucket and the averages up to now.
+// advance updates leases, the token bucket and the averages to the time now.
 func (a *Allocation) advance(now float64) {
-	// The bucket fills at the capacity held meanwhile; what expired on the way is gone for the time after it.
+	// Fill the bucket at the capacity of each interval: from its expiry on, a lease no longer contributes.
 	for a.nextExpiry <= now {
 		at := math.Max(a.filledAt, a.nextExpiry)
 		a.fill(at)
@@ -163,7 +164,7 @@
 		a.unmet *= decay
 		a.unmetWeight *= decay
 		a.averagedAt = now
-		if (now-a.lastArrival)*a.arrivalRate > ceasedArrivals*1000 {
+		if (now-a.lastArrival)*a.arrivalRate > maxMissedArrivals*1000 {
 			a.usage = 0
 			a.unmet = 0
 			a.arrivalRate = 0
@@ -171,10 +172,10 @@
 	}
 }
 
-// capacity is what may be used now: owned, less granted, plus leased.
+// capacity returns the capacity that may be used now: owned, less granted, plus leased.
 func (a *Allocation) capacity() float64 { return math.Max(0, a.owned-a.grantedSum+a.leasedSum) }
 
-// capacityAt is capacity at a given time, without any change to the instance.
+// capacityAt returns the capacity at the time now without changing the allocation.
 func (a *Allocation) capacityAt(now float64) float64 {
 	sum := a.owned
 	for i := range a.granted {
@@ -190,31 +191,31 @@
 	return math.Max(0, sum)
 }
 
-// burst is the size of the token bucket: one item, which never moves between servers, and the capacity's share of the
-// rest. Over the fleet that is the whole burst.
+// burst returns the size of the token bucket: one item, which never moves between servers, plus a share of the remaining burst
+// in proportion to the capacity. Summed over the fleet, that is the whole burst.
 func (a *Allocation) burst() float64 {
 	if a.limit.Capacity <= 0 || a.limit.Kind != Rate {
 		return 0
 	}
 	servers := a.limit.serverCount()
-	each := math.Min(1, a.limit.Burst/servers)
-	return each + (a.limit.Burst-each*servers)*math.Min(1, a.capacity()/a.limit.Capacity)
+	fixed := math.Min(1, a.limit.Burst/servers)
+	return fixed + (a.limit.Burst-fixed*servers)*math.Min(1, a.capacity()/a.limit.Capacity)
 }
 
 func (a *Allocation) fill(now float64) {
 	if a.limit.Kind == Rate && now > a.filledAt {
-		// A clock that is fast by the drift must not fill the bucket faster than the capacity allows.
+		// A clock that runs fast by the drift must not fill the bucket faster than the capacity allows.
 		a.tokens = math.Min(a.burst(), a.tokens+a.capacity()/(1+a.limit.ClockDrift)*(now-a.filledAt)/1000)
 	}
 	a.filledAt = math.Max(a.filledAt, now)
 }
 
-// trimBucket drops tokens beyond the burst, after capacity was granted, lost or released.
+// trimBucket drops tokens beyond the burst. It is called after the capacity has shrunk.
 func (a *Allocation) trimBucket() { a.tokens = math.Min(a.tokens, a.burst()) }
 
-// TryAcquire takes n items of the limit, for an RPC of a priority weight, and reports whether they were available. For
-// Concurrency, maxHold (ms) is how long they may stay in flight at most: they are taken from a lease only if it lasts as
-// long, and Release returns them.
+// TryAcquire takes n items of the limit for an RPC with the given priority weight, and reports whether they were available.
+// For Concurrency, maxHold (ms) is the maximum time for which the items stay in flight: a lease is used only if it lasts that
+// long, and the caller must return the items with Release.
 func (a *Allocation) TryAcquire(now, n, priorityWeight, maxHold float64) bool {
 	a.advance(now)
 	a.idle = false
@@ -239,7 +240,7 @@
 	return ok
 }
 
-// availableFor is how many more items may be in flight for up to maxHold ms.
+// availableFor returns the number of further items that may be in flight for up to maxHold ms.
 func (a *Allocation) availableFor(now, maxHold float64) float64 {
 	available := a.owned - a.inFlight - a.grantedSum
 	for i := range a.leased {
@@ -253,8 +254,8 @@
 // Release returns n items that were in flight.
 func (a *Allocation) Release(n float64) { a.inFlight = math.Max(0, a.inFlight-n) }
 
-// RetryAfter is in how many ms one more item of a rate is available, if nothing else takes it. For Concurrency that is
-// not known, and 0.
+// RetryAfter returns the time (ms) until one more item of a rate is available, if no other RPC takes it first. For Concurrency
+// that time is unknown, and the result is 0.
 func (a *Allocation) RetryAfter(now float64) float64 {
 	a.advance(now)
 	if a.limit.Kind == Concurrency || a.tokens >= 1 {
@@ -263,7 +264,7 @@
 	return (1 - a.tokens) * 1000 * (1 + a.limit.ClockDrift) / math.Max(a.capacity(), minRefillRate)
 }
 
-// demand is what this server uses, a second or in flight, and what it rejects beyond.
+// demand returns this server's usage and the demand that it rejects on top of it, in items per second or in flight.
 func (a *Allocation) demand() (usage, unmet float64) {
 	if a.limit.Kind == Concurrency {
 		return a.inFlight, a.unmet * averagingTime / 1000
@@ -271,8 +272,8 @@
 	return a.usage, a.unmet
 }
 
-// grantable is what may be granted to peers: not the floor, nor what is used or granted already. Leased capacity is never
-// granted on.
+// grantable returns the capacity that may be granted to peers: the owned capacity less what is already granted, and less the
+// floor or the server's own demand with headroom, whichever is larger. Leased capacity is never granted to others.
 func (a *Allocation) grantable() float64 {
 	usage, unmet := a.demand()
 	return math.Max(0, a.owned-a.grantedSum-math.Max(a.limit.Floor, headroom*usage+unmet))
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -10,16 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is some allocations, each with its own drifting clock, and messages in transit between them.
+// testFleet is a set of allocations, each with its own drifting clock, and the messages in transit between them.
 type testFleet struct {
 	limit        Limit
-	trueTime     float64 // true ms
+	trueTime     float64 // ms
 	allocations  []*Allocation
-	clockRates   []float64 // of each clock
+	clockRates   []float64 // by allocation, relative to trueTime
 	clockOffsets []float64
 	incarnations uint64
 	inTransit    []delivery
-	admitted     []float64 // true times of admissions
+	admitted     []float64 // trueTime of each admission
 	rng          *rand.Rand
 }
 
@@ -49,45 +49,46 @@
 
 func serverName(i int) string { return fmt.Sprint("n", i) }
 
-func (f *testFleet) peersOf(i int) (all []string) {
+func (f *testFleet) peersOf(i int) (peers []string) {
 	for k := range f.allocations {
 		if k != i {
-			all = append(all, serverName(k))
+			peers = append(peers, serverName(k))
 		}
 	}
-	return all
+	return peers
 }
 
-func (f *testFleet) send(from int, all []Message, delay float64) {
-	for _, m := range all {
+func (f *testFleet) send(from int, messages []Message, delay float64) {
+	for _, m := range messages {
 		var to int
 		if _, err := fmt.Sscanf(m.To, "n%d", &to); err != nil {
-			panic(err) // serverName wrote it
+			panic(err) // all names come from serverName
 		}
 		f.inTransit = append(f.inTransit, delivery{from, to, m, f.trueTime + delay})
 	}
 }
 
-// checkCapacity checks what all may use at this moment, the time of a lease's end included on both sides.
+// checkCapacity checks that each server's capacity is consistent and at least its floor, and that the sum is within the limit.
 func (f *testFleet) checkCapacity(t interface{ Fatalf(string, ...any) }) {
 	sum := 0.0
 	for i, s := range f.allocations {
 		st := s.State(f.now(i), "", 0)
 		if math.Abs(st.Owned-st.Granted+st.Leased-st.Capacity) > 1e-6 && st.Capacity > 0 {
-			t.Fatalf("%s: owned %g - granted %g + leased %g is not its capacity %g", serverName(i), st.Owned, st.Granted, st.Leased, st.Capacity)
+			t.Fatalf("%s: owned %g - granted %g + leased %g differs from capacity %g", serverName(i), st.Owned, st.Granted, st.Leased, st.Capacity)
 		}
 		if st.Capacity < f.limit.Floor-1e-9 {
-			t.Fatalf("%s: a capacity of %g, under its floor %g", serverName(i), st.Capacity, f.limit.Floor)
+			t.Fatalf("%s: capacity %g is below the floor %g", serverName(i), st.Capacity, f.limit.Floor)
 		}
 		sum += st.Capacity
 	}
 	if sum > f.limit.Capacity*(1+1e-9) {
-		t.Fatalf("at %g ms the capacities sum to %g of %g", f.trueTime, sum, f.limit.Capacity)
+		t.Fatalf("at %g ms: sum of capacities is %g, limit is %g", f.trueTime, sum, f.limit.Capacity)
 	}
 }
 
-// Whatever messages are lost, late or doubled, whoever crashes, stalls or restarts, with clocks off by the stated drift:
-// capacities sum to the limit at most, nobody is under its floor, and admissions in any window stay within rate and burst.
+// With lost, late and duplicate messages, with servers that crash, stall or restart, and with clocks off by the configured
+// drift, the sum of capacities stays within the limit, no server is below its floor, and admissions in any window stay within
+// rate and burst.
 func TestCapacityHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runSchedule(t, drawSource{
@@ -97,23 +98,23 @@
 	})
 }
 
-// The same from fixed seeds, which cover enough each time: leases, their renewals, and answers that come too late.
+// Same as TestCapacityHolds, but with fixed seeds, which are checked to cover leases, renewals and late grants.
 func TestCapacityHoldsBySeed(t *testing.T) {
 	var leased, late, renewed uint64
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
-		b, l, r := runSchedule(t, drawSource{
+		newLeases, lateGrants, renewals := runSchedule(t, drawSource{
 			int:  func(low, high int) int { return low + rng.Intn(high-low+1) },
 			pick: func(of ...float64) float64 { return of[rng.Intn(len(of))] },
 		})
-		leased, late, renewed = leased+b, late+l, renewed+r
+		leased, late, renewed = leased+newLeases, late+lateGrants, renewed+renewals
 	}
 	if leased < 100 || late < 100 || renewed < 20 {
-		t.Errorf("%d leases, %d answers that came late, %d renewals: the runs cover too little", leased, late, renewed)
+		t.Errorf("coverage too low: %d leases, %d late grants, %d renewals", leased, late, renewed)
 	}
 }
 
-// drawSource is where a schedule's randomness comes from.
+// drawSource supplies the random choices of a schedule.
 type drawSource struct {
 	int  func(low, high int) int
 	pick func(of ...float64) float64
@@ -121,23 +122,23 @@
 
 func runSchedule(t interface{ Fatalf(string, ...any) }, d drawSource) (leased, late, renewed uint64) {
 	n := d.int(2, 6)
-	r := Limit{Kind: Rate, Capacity: 100, Burst: 20, Servers: n, Floor: 100 / float64(n) * d.pick(0, 0.2, 0.5),
+	limit := Limit{Kind: Rate, Capacity: 100, Burst: 20, Servers: n, Floor: 100 / float64(n) * d.pick(0, 0.2, 0.5),
 		MaxLeaseDuration: 1000, ClockDrift: d.pick(0, 1e-3, 0.05)}
-	f := newTestFleet(r, n, int64(d.int(0, 1<<20)))
+	f := newTestFleet(limit, n, int64(d.int(0, 1<<20)))
 	stopped := make([]bool, n)
 	if d.int(0, 1) == 1 {
-		f.trueTime += 3 * r.MaxLeaseDuration
+		f.trueTime += 3 * limit.MaxLeaseDuration
 	}
-	hot, bad := 0, 0.0
+	hot, lossRate := 0, 0.0
 	for range d.int(50, 300) {
 		switch d.int(0, 39) {
 		case 0:
-			f.restart(d.int(0, n-1)) // and back at once
+			f.restart(d.int(0, n-1))
 		case 1, 2:
 			i := d.int(0, n-1)
 			stopped[i] = !stopped[i]
 		case 3:
-			bad = d.pick(0, 0.3, 1)
+			lossRate = d.pick(0, 0.3, 1)
 		case 4:
 			hot = d.int(0, n-1)
 		case 5:
@@ -160,18 +161,18 @@
 			}
 			f.send(i, s.Tick(f.now(i), f.peersOf(i)), d.pick(1, 1, 1, 40, 700, 2000))
 		}
-		way := f.inTransit // messages arrive in any order; some not, some twice, some much later
+		deliveries := f.inTransit // reordered below; some are lost, duplicated or delayed
 		f.inTransit = nil
-		f.rng.Shuffle(len(way), func(i, k int) { way[i], way[k] = way[k], way[i] })
-		for _, x := range way {
+		f.rng.Shuffle(len(deliveries), func(i, k int) { deliveries[i], deliveries[k] = deliveries[k], deliveries[i] })
+		for _, next := range deliveries {
 			switch {
-			case x.deliverAt > f.trueTime || stopped[x.to]:
-				f.inTransit = append(f.inTransit, x)
-			case f.rng.Float64() >= bad:
-				f.send(x.to, f.allocations[x.to].Receive(f.now(x.to), serverName(x.from), x.message), 1)
+			case next.deliverAt > f.trueTime || stopped[next.to]:
+				f.inTransit = append(f.inTransit, next)
+			case f.rng.Float64() >= lossRate:
+				f.send(next.to, f.allocations[next.to].Receive(f.now(next.to), serverName(next.from), next.message), 1)
 				if f.rng.Float64() < 0.2 {
-					x.deliverAt += d.pick(0, 30, 1500)
-					f.inTransit = append(f.inTransit, x)
+					next.deliverAt += d.pick(0, 30, 1500)
+					f.inTransit = append(f.inTransit, next)
 				}
 			}
 		}
@@ -185,25 +186,26 @@
 	return leased, late, renewed
 }
 
-// checkWindows checks any window of admissions, starting at each admission.
+// checkWindows checks the number of admissions in every window of up to 3 s against rate and burst.
 func (f *testFleet) checkWindows(t interface{ Fatalf(string, ...any) }) {
 	sort.Float64s(f.admitted)
 	for i := range f.admitted {
 		for k := i; k < len(f.admitted) && f.admitted[k]-f.admitted[i] <= 3000; k++ {
 			if n, w := float64(k-i+1), f.admitted[k]-f.admitted[i]; n > f.limit.Capacity*w/1000+f.limit.Burst+1e-6 {
-				t.Fatalf("%g taken within %g ms, of %g a second and %g", n, w, f.limit.Capacity, f.limit.Burst)
+				t.Fatalf("%g items admitted within %g ms, limit is %g per second with a burst of %g", n, w, f.limit.Capacity, f.limit.Burst)
 			}
 		}
 	}
 }
 
-// run lets a connected fleet work: each ms, each server gets the arrivals of load; messages take 5 ms.
+// run simulates a connected fleet for some ms. load returns the arrivals per second at a server; messages take 5 ms. The
+// admissions of each server are added to served.
 func (f *testFleet) run(ms int, load func(i int) float64, served []float64) {
 	for range ms {
 		f.trueTime++
 		for i, s := range f.allocations {
-			for x := load(i) / 1000; x > 0; x-- {
-				if x < 1 && f.rng.Float64() >= x {
+			for arrivals := load(i) / 1000; arrivals > 0; arrivals-- {
+				if arrivals < 1 && f.rng.Float64() >= arrivals {
 					break
 				}
 				if s.TryAcquire(f.now(i), 1, 1, 0) {
@@ -217,111 +219,112 @@
 		}
 		later := f.inTransit[:0]
 		due := []delivery{}
-		for _, x := range f.inTransit {
-			if x.deliverAt <= f.trueTime {
-				due = append(due, x)
+		for _, next := range f.inTransit {
+			if next.deliverAt <= f.trueTime {
+				due = append(due, next)
 			} else {
-				later = append(later, x)
+				later = append(later, next)
 			}
 		}
 		f.inTransit = later
-		for _, x := range due {
-			f.send(x.to, f.allocations[x.to].Receive(f.now(x.to), serverName(x.from), x.message), 5)
+		for _, next := range due {
+			f.send(next.to, f.allocations[next.to].Receive(f.now(next.to), serverName(next.from), next.message), 5)
 		}
 	}
 }
 
-// A customer whose callers stick to one server gets nearly all of the limit, also after they have moved; leases are given
-// back; at rest no messages are sent.
+// A customer whose callers use only one server gets nearly the whole limit, also after they move to another server. Without
+// load, all leases are relinquished and no requests are sent.
 func TestSkewedDemand(t *testing.T) {
-	r := Limit{Kind: Rate, Capacity: 400, Burst: 40, Servers: 8, Floor: 5, MaxLeaseDuration: DefaultLeaseDuration, ClockDrift: DefaultClockDrift}
-	f := newTestFleet(r, 8, 1)
-	f.trueTime += 2 * r.MaxLeaseDuration // what a former incarnation may have granted has expired
+	limit := Limit{Kind: Rate, Capacity: 400, Burst: 40, Servers: 8, Floor: 5, MaxLeaseDuration: DefaultLeaseDuration, ClockDrift: DefaultClockDrift}
+	f := newTestFleet(limit, 8, 1)
+	f.trueTime += 2 * limit.MaxLeaseDuration // leases of a former incarnation have expired
 	for turn, hot := range []int{3, 6} {
 		served := make([]float64, 8)
 		f.run(2000, func(i int) float64 { return map[bool]float64{true: 500}[i == hot] }, served)
 		clear(served)
 		f.run(4000, func(i int) float64 { return map[bool]float64{true: 500}[i == hot] }, served)
-		most := r.Capacity - 7*r.Floor // the others keep their floors
-		if share := served[hot] / 4 / most; share < 0.95 {
-			t.Errorf("turn %d: the hot server serves %.2f of what it can", turn, share)
+		available := limit.Capacity - 7*limit.Floor // the others keep their floors
+		if share := served[hot] / 4 / available; share < 0.95 {
+			t.Errorf("turn %d: the hot server admits %.2f of the available rate, want at least 0.95", turn, share)
 		}
 	}
 	f.run(4000, func(int) float64 { return 0 }, make([]float64, 8))
 	for i, s := range f.allocations {
 		if st := s.State(f.now(i), "", 0); st.Granted != 0 || st.Leased != 0 {
-			t.Errorf("%s at rest: %+v", serverName(i), st)
+			t.Errorf("%s without load: leases remain: %+v", serverName(i), st)
 		}
 		before := s.Counts.Requested
 		f.run(500, func(int) float64 { return 0 }, make([]float64, 8))
 		if s.Counts.Requested != before {
-			t.Errorf("%s requests though nothing is needed", serverName(i))
+			t.Errorf("%s sends requests without load", serverName(i))
 		}
 	}
 	f.checkWindows(t)
 }
 
-// Partitioned, a server has its floor and what it did not grant; the first RPC after a stop for longer than a lease does
-// not use that.
+// A partitioned server keeps the owned capacity that it did not grant, and uses no lease after a stop that is longer than the
+// lease. A restarted server has only its floor.
 func TestPartitionedAndStopped(t *testing.T) {
-	r := Limit{Kind: Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 10, MaxLeaseDuration: 1000, ClockDrift: 1e-3}
-	f := newTestFleet(r, 2, 2)
+	limit := Limit{Kind: Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 10, MaxLeaseDuration: 1000, ClockDrift: 1e-3}
+	f := newTestFleet(limit, 2, 2)
 	f.trueTime += 3000
 	f.run(3000, func(i int) float64 { return map[bool]float64{true: 200}[i == 0] }, make([]float64, 2))
 	before := f.allocations[0].State(f.now(0), "", 0)
 	if before.Capacity < 70 {
-		t.Fatalf("it leased little: %+v", before)
+		t.Fatalf("holder before the partition: got %+v, want a capacity of at least 70", before)
 	}
 	f.inTransit = nil // partitioned
 	f.trueTime += 1500
 	if st := f.allocations[0].State(f.now(0), "", 0); st.Capacity != 50 || st.Leased != 0 {
-		t.Errorf("after the lease expired: %+v", st)
+		t.Errorf("holder after the lease expired: got %+v, want its own capacity of 50 only", st)
 	}
 	f.trueTime += 1500
 	if st := f.allocations[1].State(f.now(1), "", 0); st.Capacity != 50 {
-		t.Errorf("the grantor: %+v", st)
+		t.Errorf("grantor after the lease expired: got %+v, want a capacity of 50", st)
 	}
-	f.restart(1) // killed and restarted: it can't know what it granted
-	if st := f.allocations[1].State(f.now(1), "", 0); st.Capacity != r.Floor {
-		t.Errorf("after a restart: %+v", st)
+	f.restart(1) // the new incarnation does not know which leases it granted
+	if st := f.allocations[1].State(f.now(1), "", 0); st.Capacity != limit.Floor {
+		t.Errorf("grantor after a restart: got %+v, want a capacity equal to the floor", st)
 	}
 }
 
-// Leases on a concurrency limit are not used by what may stay in flight past their end.
+// A lease on a concurrency limit is not used for items that may stay in flight past its end, and duplicate requests and grants
+// have no effect.
 func TestConcurrency(t *testing.T) {
-	r := Limit{Kind: Concurrency, Capacity: 20, Servers: 2, Floor: 2, MaxLeaseDuration: 1000, ClockDrift: 0}
-	a, b := New(r, 1, 1, 0), New(r, 2, 2, 0)
+	limit := Limit{Kind: Concurrency, Capacity: 20, Servers: 2, Floor: 2, MaxLeaseDuration: 1000, ClockDrift: 0}
+	a, b := New(limit, 1, 1, 0), New(limit, 2, 2, 0)
 	now := 2000.0
 	for range 10 {
 		if !a.TryAcquire(now, 1, 1, 500) {
-			t.Fatal("its own capacity")
+			t.Fatal("item within the owned capacity rejected")
 		}
 	}
 	if a.TryAcquire(now, 1, 1, 500) {
-		t.Error("more than its capacity")
+		t.Error("item beyond the owned capacity admitted")
 	}
 	for range 20 {
 		a.TryAcquire(now, 1, 1, 500)
 	}
 	requests := a.Tick(now, []string{"b"})
 	if len(requests) != 1 || requests[0].Kind != Request {
-		t.Fatalf("%+v", requests)
+		t.Fatalf("messages of the tick: got %+v, want one request", requests)
 	}
 	grant := b.Receive(now, "a", requests[0])
 	again := b.Receive(now, "a", requests[0])
 	if grant[0] != again[0] || len(b.granted) != 1 {
-		t.Errorf("the same request got a second lease: %+v %+v", grant, again)
+		t.Errorf("duplicate request: first answer %+v, second answer %+v, want equal answers and one lease", grant, again)
 	}
 	a.Receive(now+10, "b", grant[0])
 	a.Receive(now+20, "b", grant[0])
 	if st := a.State(now+20, "", 0); st.Leased != grant[0].Amount {
-		t.Errorf("a grant that came twice: %+v", st)
+		t.Errorf("state after a duplicate grant: got %+v, want one lease", st)
 	}
 	if !a.TryAcquire(now+20, 1, 1, 500) {
-		t.Error("the lease lasts long enough")
+		t.Error("item rejected although the lease lasts long enough")
 	}
 	if a.TryAcquire(now+600, 1, 1, 500) {
-		t.Error("it could stay in flight past the lease's end")
+		t.Error("admitted an item that may stay in flight past the end of the lease")
 	}
 }
 
--- a/decision/quota/request.go
+++ b/decision/quota/request.go
@@ -1,7 +1,7 @@
 package quota
 
-// This file is the holder's side of a lease: which peers are asked for capacity and how much, renewals, and when a lease
-// is given back. It must never use capacity that was not granted to a request of this incarnation.
+// This file implements the holder's side of a lease: which peers are asked for how much capacity, renewals, and the return of
+// leases that are not needed. It must never use capacity that was not granted to a request of this incarnation.
 
 import (
 	"math"
@@ -9,30 +9,30 @@
 	"slices"
 )
 
-// Requests go out in rounds; times are ms.
+// Requests are sent in rounds. Times are in ms.
 const (
-	minRoundInterval = 100.0  // between two rounds, at the fastest
-	maxRoundInterval = 1600.0 // and at the slowest, where rounds bring nothing
-	maxRoundSize     = 64     // peers in a round
-	smallRoundSize   = 8      // after a round that brought nothing
-	retransmitAfter  = 130.0  // without an answer, first: more than a round trip between zones
+	minRoundInterval = 100.0  // minimum interval between rounds
+	maxRoundInterval = 1600.0 // maximum interval, reached if rounds yield no lease
+	maxRoundSize     = 64     // peers per round
+	smallRoundSize   = 8      // peers per round, after a round that yielded no lease
+	retransmitAfter  = 130.0  // until the first retransmission: more than a round trip between zones
 	requestTimeout   = 400.0
-	minPeerBackoff   = 200.0 // for which a peer that denied is not asked again; doubles each time
+	minPeerBackoff   = 200.0 // during which a peer that denied a request is not asked again; doubles each time
 	maxPeerBackoff   = 3200.0
-	maxBackoffs      = 4096 // peers whose backoff is remembered
+	maxBackoffs      = 4096 // maximum number of peers with a recorded backoff
 
-	renewalFraction  = 0.5  // of MaxLeaseDuration: a lease with less left is renewed
-	releaseFraction  = 0.5  // of a lease: if so much of it is not needed, it is given back
-	minLeaseAge      = 1.0  // times averagingTime, before a lease may be given back
-	minUnmetFraction = 0.02 // of the usage: less that is rejected is chance
-	minLeaseFraction = 0.05 // of the own capacity: less is not worth a message
+	renewalFraction  = 0.5  // of MaxLeaseDuration: a lease with less time left is renewed
+	releaseFraction  = 0.5  // of a lease: it is relinquished if that much of it is not needed
+	minLeaseAge      = 1.0  // in multiples of averagingTime, before a lease may be relinquished
+	minUnmetFraction = 0.02 // of the usage: a smaller unmet demand is considered noise
+	minLeaseFraction = 0.05 // of the owned capacity: a smaller lease is not worth a message
 
-	jitterMin         = 0.75 // the least factor of a jittered duration
-	jitterRange       = 0.5  // so that the mean factor is 1
-	roundingTolerance = 1e-9 // by which a grant may exceed what was requested
+	jitterMin         = 0.75 // minimum factor of a jittered duration
+	jitterRange       = 0.5  // width of the range of factors; the mean factor is 1
+	roundingTolerance = 1e-9 // by which a grant may exceed the requested amount
 )
 
-// pendingRequest is a request without an answer so far.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	id              uint64
 	peer            string
@@ -40,7 +40,7 @@
 	amount          float64
 	priorityWeight  float64
 	currentCapacity float64
-	renews          uint64 // id of the lease to renew; 0 for a new one
+	renews          uint64 // ID of the lease to renew; 0 for a new lease
 	attempts        int    // retransmissions
 }
 
@@ -57,14 +57,14 @@
 	}
 }
 
-// backoff is for how long a peer that denied is left alone.
+// backoff is the period during which a peer that denied or did not answer a request is not asked again.
 type backoff struct {
 	until, duration float64
 }
 
-// negotiation is what an allocation remembers of its messages, as holder and as grantor.
+// negotiation is the state of an allocation's message exchange, as holder and as grantor.
 type negotiation struct {
-	lastRequestID *uint64 // over all allocations of this incarnation
+	lastRequestID *uint64 // shared by all allocations of this incarnation
 	rng           *rand.Rand
 
 	pending       []pendingRequest
@@ -76,14 +76,14 @@
 	lastDenial    Denial
 	lastDenialAt  float64
 
-	requesters []requester // that this server granted less than they wanted, or nothing
-	offeredAt  float64     // when requesters were last told of free capacity
-	announced  float64     // free capacity that requesters know of
-	idle       bool        // nothing to do until something is acquired or a message arrives
+	requesters []requester // peers that were granted nothing, or less than they requested
+	offeredAt  float64     // time of the last offers
+	announced  float64     // free capacity already offered to requesters
+	idle       bool        // nothing to do until an item is acquired or a message arrives
 }
 
-// Tick must be called several times a second, with the peers that can be asked. It returns the messages to send: few, and
-// none at rest.
+// Tick returns the messages to send: few, and none when idle. It must be called several times per second; peers are the
+// peers that can be asked for capacity.
 func (a *Allocation) Tick(now float64, peers []string) (out []Message) {
 	if a.idle {
 		return nil
@@ -101,8 +101,8 @@
 	return out
 }
 
-// retransmit sends requests without an answer again, since messages get lost (a grantor answers a duplicate alike), and
-// gives up those that timed out.
+// retransmit resends unanswered requests, since messages may be lost, and drops those that timed out. A grantor gives a
+// duplicate the same answer.
 func (a *Allocation) retransmit(now float64, out []Message) []Message {
 	for i := 0; i < len(a.pending); {
 		r := &a.pending[i]
@@ -111,7 +111,7 @@
 			a.pending = slices.Delete(a.pending, i, i+1)
 			a.backOff(now, timedOut.peer, NoAnswer)
 			if k := a.renewedLease(timedOut); k >= 0 {
-				a.leased[k].renewing = false // requested again as long as the lease lasts
+				a.leased[k].renewing = false // the renewal is requested again while the lease lasts
 			}
 			continue
 		}
@@ -124,7 +124,7 @@
 	return out
 }
 
-// releaseUnused gives leases back that are not needed, the latest first.
+// releaseUnused relinquishes leases that are not needed, the most recent first.
 func (a *Allocation) releaseUnused(now float64, out []Message) []Message {
 	usage, unmet := a.demand()
 	spare := a.capacity() - headroom*usage - unmet
@@ -135,7 +135,7 @@
 	for i := len(a.leased) - 1; i >= 0; i-- {
 		l := &a.leased[i]
 		inUse := a.limit.Kind == Concurrency && a.inFlight > a.capacity()-l.amount
-		if l.amount*releaseFraction > spare || now-l.began < minLeaseAge*averagingTime || inUse {
+		if l.amount*releaseFraction > spare || now-l.startedAt < minLeaseAge*averagingTime || inUse {
 			continue
 		}
 		spare -= l.amount
@@ -151,9 +151,9 @@
 	return out
 }
 
-// renewLeases requests renewals of leases that expire soon, as far as needed: a grantor has them booked, and no other could
-// have them before they expire. It returns what this server will have beside leases that expire, and how many of those
-// there are.
+// renewLeases requests renewals of leases that expire soon, until the needed capacity is secured. The grantor has these
+// leases booked, so no other server could use the capacity before they expire. secured is the capacity that this server
+// will have without the leases that are left to expire; expiring is the number of leases that were about to expire.
 func (a *Allocation) renewLeases(now, needed float64, out []Message) (secured float64, expiring int, _ []Message) {
 	secured = a.owned - a.grantedSum
 	for i := range a.leased {
@@ -182,7 +182,7 @@
 	return l.expires-now < renewalFraction*a.limit.MaxLeaseDuration
 }
 
-// shortfall is how much capacity to request beside what this server will have and has requested.
+// shortfall returns how much capacity to request on top of the secured capacity and pending requests.
 func (a *Allocation) shortfall(usage, unmet, secured float64, expiring int) float64 {
 	if unmet <= minUnmetFraction*usage && expiring == 0 {
 		return 0
@@ -195,8 +195,8 @@
 	return math.Min(usage+unmet-secured, a.limit.Capacity-a.capacity())
 }
 
-// requestLeases sends one round of requests for a shortfall: first to peers that offered capacity, then to those that
-// never denied, then to the rest, from a random one on.
+// requestLeases sends one round of requests for a shortfall: first to peers that offered capacity, then to peers without a
+// recorded backoff, then to the others. The order of the latter two starts at a random peer.
 func (a *Allocation) requestLeases(now, shortfall float64, peers []string, out []Message) []Message {
 	minLease := minLeaseFraction * a.owned
 	if shortfall < minLease || len(a.leased) >= maxLeases || len(peers) == 0 {
@@ -206,9 +206,9 @@
 		a.roundInterval = minRoundInterval
 		a.roundSize = maxRoundSize
 	}
-	perPeer := math.Max(1, a.owned-a.limit.Floor) // what a peer may have of which nothing is known
+	maxPerPeer := math.Max(1, a.owned-a.limit.Floor) // the most that any peer can grant with equal shares
 	if a.limit.OwnedCapacity > 0 {
-		perPeer = a.limit.Capacity
+		maxPerPeer = a.limit.Capacity
 	}
 	first := a.rng.IntN(len(peers))
 	sent := 0
@@ -216,8 +216,8 @@
 		if sent >= a.roundSize || shortfall < minLease {
 			return false
 		}
-		if !a.isAsked(peer) {
-			amount := math.Min(shortfall, perPeer)
+		if !a.hasPendingRequest(peer) {
+			amount := math.Min(shortfall, maxPerPeer)
 			shortfall -= amount
 			sent++
 			out = append(out, a.newRequest(now, peer, amount, 0))
@@ -239,7 +239,7 @@
 			}
 		}
 	}
-	// The more peers were asked, the later the next round; a grant or an offer resets that.
+	// The more peers were asked, the longer the interval until the next round; a grant or an offer resets it.
 	a.nextRound = now + a.jitter(a.roundInterval)
 	slowest := math.Max(minRoundInterval, maxRoundInterval*math.Min(1, float64(sent)/smallRoundSize))
 	a.roundInterval = math.Min(2*a.roundInterval, slowest)
@@ -247,8 +247,8 @@
 	return out
 }
 
-// isAsked tells whether a request for a new lease to a peer is pending.
-func (a *Allocation) isAsked(peer string) bool {
+// hasPendingRequest reports whether a request for a new lease is pending at a peer.
+func (a *Allocation) hasPendingRequest(peer string) bool {
 	return slices.ContainsFunc(a.pending, func(r pendingRequest) bool { return r.peer == peer && r.renews == 0 })
 }
 
@@ -268,7 +268,7 @@
 	return r.message(a.incarnation)
 }
 
-// pendingIndex is the place of the request that a message answers; negative if there is none of this incarnation.
+// pendingIndex returns the index of the pending request that a message answers, or -1 if there is none of this incarnation.
 func (a *Allocation) pendingIndex(from string, m Message) int {
 	if m.Incarnation != a.incarnation {
 		return -1
@@ -276,12 +276,12 @@
 	return slices.IndexFunc(a.pending, func(r pendingRequest) bool { return r.id == m.RequestID && r.peer == from })
 }
 
-// renewedLease is the place of the lease that a request would renew; negative if there is none.
+// renewedLease returns the index of the lease that a request renews, or -1 if there is none.
 func (a *Allocation) renewedLease(r pendingRequest) int {
 	return slices.IndexFunc(a.leased, func(l lease) bool { return r.renews != 0 && l.id == r.renews && l.peer == r.peer })
 }
 
-// backOff notes that a peer denied or did not answer: it is not asked for a while, the longer the more often that was so.
+// backOff records that a peer denied or did not answer a request. The backoff doubles with each failure.
 func (a *Allocation) backOff(now float64, peer string, reason DenialReason) {
 	a.lastDenial = Denial{By: peer, Reason: reason}
 	a.lastDenialAt = now
@@ -297,20 +297,21 @@
 	a.backoffs[peer] = b
 }
 
-// jitter spreads a duration, so that servers do not request in step.
+// jitter randomizes a duration, so that servers do not send requests in lockstep.
 func (a *Allocation) jitter(duration float64) float64 {
 	return duration * (jitterMin + jitterRange*a.rng.Float64())
 }
 
-// expedite makes the next round come soon and large.
+// expedite schedules the next round soon and at full size.
 func (a *Allocation) expedite(now float64) {
 	a.roundInterval = minRoundInterval
 	a.roundSize = maxRoundSize
 	a.nextRound = math.Min(a.nextRound, now+minRoundInterval/2)
 }
 
-// acceptGrant books a grant once: for a pending request of this incarnation, from when it was sent. If it is for less than
-// the lease that it renews, it returns that lease's id, to be relinquished: nothing of the rest is used from here on.
+// acceptGrant books a grant once, and only for a pending request of this incarnation. The lease counts from when the request
+// was sent. If the grant is smaller than the lease that it renews, acceptGrant returns the former ID of that lease for the
+// caller to relinquish: the difference is not used from now on.
 func (a *Allocation) acceptGrant(now float64, from string, m Message) (relinquished uint64) {
 	i := a.pendingIndex(from, m)
 	if i < 0 {
@@ -344,13 +345,13 @@
 		l.expires = expires
 		l.renewing = false
 		l.denied = false
-	} else { // a new lease, or the former expired or was relinquished meanwhile and the grant stands by itself
+	} else { // a new lease, or a renewal whose former lease expired or was relinquished in the meantime
 		a.leased = append(a.leased, lease{
 			peer:        from,
 			id:          m.RequestID,
 			incarnation: a.incarnation,
 			amount:      m.Amount,
-			began:       now,
+			startedAt:   now,
 			expires:     expires,
 		})
 	}
@@ -359,7 +360,7 @@
 	return relinquished
 }
 
-// acceptDenial ends a pending request that was denied.
+// acceptDenial removes a pending request that was denied and backs off from the peer.
 func (a *Allocation) acceptDenial(now float64, from string, m Message) {
 	i := a.pendingIndex(from, m)
 	if i < 0 {
@@ -375,7 +376,7 @@
 	a.Counts.Denied++
 }
 
-// Receive takes a message from a peer and returns the answers.
+// Receive handles a message from a peer and returns the replies.
 func (a *Allocation) Receive(now float64, from string, m Message) (out []Message) {
 	a.advance(now)
 	a.idle = false
--- a/decision/quota/state.go
+++ b/decision/quota/state.go
@@ -1,42 +1,44 @@
 package quota
 
-// This file reports how an allocation stands. Fleet status prints these types as JSON under the names in the tags.
+// This file defines the status report of an allocation. Fleet status prints these types as JSON under the names in the tags.
 
 // Counts are totals of one allocation since the start of the process.
 type Counts struct {
-	Admitted   uint64 `json:"Taken"`  // calls of TryAcquire that were admitted
-	Rejected   uint64 `json:"Turned"` // and those that were not
+	Admitted   uint64 `json:"Taken"`  // calls of TryAcquire that succeeded
+	Rejected   uint64 `json:"Turned"` // calls of TryAcquire that failed
 	Requested  uint64 `json:"Asked"`  // lease requests sent, renewals included
 	Granted    uint64 // new leases granted to peers
-	Denied     uint64 // own requests that were denied
-	Leased     uint64 `json:"Borrowed"` // new leases got from peers
-	Released   uint64 `json:"Returned"` // leases given back before they expired
-	LateGrants uint64 `json:"Late"`     // grants that came too late, twice or malformed, and were not used
+	Denied     uint64 // requests of this server that were denied
+	Leased     uint64 `json:"Borrowed"` // new leases received from peers
+	Released   uint64 `json:"Returned"` // leases relinquished before they expired
+	LateGrants uint64 `json:"Late"`     // grants that were late, duplicate or invalid, and therefore not used
 	Renewed    uint64 // renewals, as grantor or holder
 }
 
-// AllocationState is how an allocation stands. Amounts are a second, or in flight.
+// AllocationState is the state of an allocation. Amounts are in items per second, or in flight.
 type AllocationState struct {
 	Owned       float64      `json:"Own"`
 	Floor       float64      // of Owned, never granted
 	Granted     float64      `json:"Lent"`     // to peers
 	Leased      float64      `json:"Borrowed"` // from peers
-	Capacity    float64      `json:"Part"`     // what may be used now
+	Capacity    float64      `json:"Part"`     // may be used now
 	Usage       float64      `json:"Use"`
-	UnmetDemand float64      `json:"Need"` // what was rejected, as an average
+	UnmetDemand float64      `json:"Need"` // rejected demand, as a moving average
 	InFlight    float64      `json:"InHand"`
 	Leases      []LeaseState `json:"Loans"`
-	LastDenial  Denial       `json:"Refused"` // zero for none
+	LastDenial  Denial       `json:"Refused"` // zero value if there was none
 }
 
-// LeaseState is one lease. From is the grantor, To the holder; To is empty for what a former incarnation may have granted.
+// LeaseState is the state of one lease. From is the grantor and To the holder. To is empty for capacity that a former
+// incarnation may have granted.
 type LeaseState struct {
 	From, To  string
 	Amount    float64
 	Remaining float64 `json:"For"` // ms until it expires
 }
 
-// State reports the allocation of the server called self, with at most maxReported leases of either direction.
+// State returns the state of the allocation. self is the name of this server. At most maxReported leases per direction are
+// listed.
 func (a *Allocation) State(now float64, self string, maxReported int) (st AllocationState) {
 	a.advance(now)
 	st = AllocationState{
