--- a/decision/permit/halt.go
+++ b/decision/permit/halt.go
@@ -1,24 +1,24 @@
 package permit
 
-// This file owns halts, above all automatic ones. An automatic halt must never end one that was made by hand.
+// This file implements halts, in particular automatic ones. The end of an automatic halt must never end a manual halt.
 
 import "strings"
 
-// autoHaltHysteresis is the part of MaxRejectedShare below which a halt for rejections ends: apart from where it begins,
-// so that it does not flap.
+// autoHaltHysteresis is the fraction of MaxRejectedShare at which an automatic halt for rejections ends. It is below 1 so
+// that the halt does not flap.
 const autoHaltHysteresis = 0.5
 
-// The causes of automatic halts. They are part of the replicated state.
+// The causes of automatic halts. The texts are part of the replicated state and must not change.
 const (
 	causeRejections = "the fleet pushes back more than it may"
 	causeLosses     = "losses use the fleet's allowance up"
 )
 
-// autoHaltActor stands in the history for the permit servers themselves.
+// autoHaltActor is the actor that the history records for automatic halts.
 const autoHaltActor = "keepers"
 
-// haltReason returns why nothing new may begin for a subject; "" if it may. Lost servers halt servers only: members of
-// pools have limits of their own.
+// haltReason returns the reason why no new disruption of a subject may begin, or "" if it may. An automatic halt for lost
+// servers does not apply to pool members, which have their own limits.
 func (s *State) haltReason(subject string) string {
 	if s.HaltReason != "" {
 		return s.HaltReason
@@ -29,8 +29,8 @@
 	return s.AutoHaltReason
 }
 
-// AutoHaltCause returns the cause of the automatic halt that would stand with these observations; "" for none. It changes
-// nothing.
+// AutoHaltCause returns the cause of the automatic halt that would apply with these observations, or "" for none. It does not
+// change the state.
 func (s *State) AutoHaltCause(observations []Observation, rejectedShare float64) string {
 	if s.rejectsTooMuch(rejectedShare) {
 		return causeRejections
@@ -41,7 +41,7 @@
 	return ""
 }
 
-// rejectsTooMuch reports whether the fleet rejects more than it may. A share that is not a number is too much.
+// rejectsTooMuch reports whether the fleet rejects a larger share of its RPCs than allowed. NaN counts as too large.
 func (s *State) rejectsTooMuch(rejectedShare float64) bool {
 	maxShare := s.Limits.MaxRejectedShare
 	if maxShare <= 0 {
@@ -53,8 +53,8 @@
 	return !(rejectedShare <= maxShare)
 }
 
-// lostTooMuch reports whether what is out without a permit uses up the fleet's limit. A share that is not a number is a loss
-// of unknown size, and too much.
+// lostTooMuch reports whether servers that are out of service without a permit use up the fleet's limit. A share of NaN is a
+// loss of unknown size and counts as too much.
 func (s *State) lostTooMuch(observations []Observation) bool {
 	limit := s.Limits.Fleet
 	if !limit.isSet() {
@@ -66,14 +66,14 @@
 	}
 	count, capacity, total := 0.0, 0.0, 0.0
 	for i := range s.Servers {
-		x := &s.Servers[i]
-		total += x.capacity()
-		if s.Permits[x.Name] != nil {
+		server := &s.Servers[i]
+		total += server.capacity()
+		if s.Permits[server.Name] != nil {
 			continue
 		}
-		if lost := out[x.Name]; !(lost <= 0) {
+		if lost := out[server.Name]; !(lost <= 0) {
 			count += lost
-			capacity += lost * x.capacity()
+			capacity += lost * server.capacity()
 		}
 	}
 	if limit.MaxCount > 0 && !(count < limit.MaxCount-sumTolerance) {
@@ -82,7 +82,8 @@
 	return limit.MaxShare > 0 && !(capacity < limit.MaxShare*total-sumTolerance)
 }
 
-// updateAutoHalt begins or ends an automatic halt by what a command carries, and records it.
+// updateAutoHalt begins or ends an automatic halt according to the observations in a command, and records that in the
+// history.
 func (s *State) updateAutoHalt(c *Command) {
 	cause := s.AutoHaltCause(c.Observations, c.RejectedShare)
 	if cause == s.AutoHaltReason {
--- a/decision/permit/halt_test.go
+++ b/decision/permit/halt_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// An automatic halt ends with its cause and not before; a manual one ends manually.
-func TestHaltByItself(t *testing.T) {
+// An automatic halt begins and ends with its cause. A manual halt ends only by Resume.
+func TestAutoHalt(t *testing.T) {
 	s := newState(t, 6, Limits{Fleet: Limit{MaxCount: 2}, MaxRejectedShare: 0.2})
 	n := 0
-	ask := func(name string, rejectedShare float64, observations ...Observation) Result {
+	acquire := func(name string, rejectedShare float64, observations ...Observation) Result {
 		n++
 		return s.Apply(Command{ID: fmt.Sprint(n), Kind: Acquire, Subject: name, Actor: "w", Incarnation: 1, Observations: observations, RejectedShare: rejectedShare})
 	}
@@ -20,86 +20,86 @@
 		observations  []Observation
 		auto          string
 	}{
-		{"all well", 0.1, nil, ""},
-		{"one lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}}, ""},
-		{"two lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 1}}, causeLosses},
-		{"one of them half back", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 0.5}}, ""},
-		{"much is pushed back", 0.3, nil, causeRejections},
-		{"a little less", 0.15, nil, causeRejections},
-		{"half of the bound", 0.1, nil, ""},
-		{"not a number", nan(), nil, causeRejections},
+		{"no losses, few rejections", 0.1, nil, ""},
+		{"one server lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}}, ""},
+		{"two servers lost", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 1}}, causeLosses},
+		{"one of them half warmed up", 0.1, []Observation{{Name: "n1", OutOfService: 1}, {Name: "n2", OutOfService: 0.5}}, ""},
+		{"rejections above the limit", 0.3, nil, causeRejections},
+		{"rejections between the limit and the hysteresis", 0.15, nil, causeRejections},
+		{"rejections at half the limit", 0.1, nil, ""},
+		{"rejected share is NaN", nan(), nil, causeRejections},
 	} {
-		a := ask("n5", c.rejectedShare, c.observations...)
-		if s.AutoHaltReason != c.auto || a.Halted != (c.auto != "") {
-			t.Errorf("%s: %q, %+v", c.name, s.AutoHaltReason, a)
+		result := acquire("n5", c.rejectedShare, c.observations...)
+		if s.AutoHaltReason != c.auto || result.Halted != (c.auto != "") {
+			t.Errorf("%s: automatic halt %q, result %+v", c.name, s.AutoHaltReason, result)
 		}
-		if a.OK {
-			s.Apply(Command{ID: "r" + fmt.Sprint(n), Kind: Return, Subject: "n5", PermitID: a.PermitID, Incarnation: 1})
+		if result.OK {
+			s.Apply(Command{ID: "r" + fmt.Sprint(n), Kind: Return, Subject: "n5", PermitID: result.PermitID, Incarnation: 1})
 		}
 	}
 	s.Apply(Command{ID: "h", Kind: Halt, Actor: "me", Reason: "look"})
-	if a := ask("n5", 0); a.OK || s.AutoHaltReason != "" {
-		t.Errorf("%+v %q", a, s.AutoHaltReason)
+	if result := acquire("n5", 0); result.OK || s.AutoHaltReason != "" {
+		t.Errorf("acquire during a manual halt: result %+v, automatic halt %q", result, s.AutoHaltReason)
 	}
 	s.Apply(Command{ID: "on", Kind: Resume, Actor: "me"})
-	if a := ask("n5", 0); !a.OK {
-		t.Errorf("%+v", a)
+	if result := acquire("n5", 0); !result.OK {
+		t.Errorf("acquire after the manual halt: got %+v, want a permit", result)
 	}
-	// The holder of a permit is out by intent, and no loss.
-	if a := ask("n0", 0, Observation{Name: "n5", OutOfService: 1}); !a.OK || s.AutoHaltReason != "" {
-		t.Errorf("%+v %q", a, s.AutoHaltReason)
+	// A subject with a permit is out of service on purpose and does not count as a loss.
+	if result := acquire("n0", 0, Observation{Name: "n5", OutOfService: 1}); !result.OK || s.AutoHaltReason != "" {
+		t.Errorf("acquire while a subject with a permit is out: result %+v, automatic halt %q", result, s.AutoHaltReason)
 	}
 	if got := len(s.History); got < 6 {
-		t.Errorf("%d steps recorded", got)
+		t.Errorf("history: got %d entries, want at least 6", got)
 	}
 }
 
 func nan() float64 { z := 0.0; return z / z }
 
-// The directives of servers, and when a member's drain is done.
-func TestOrdersAndProgress(t *testing.T) {
+// Covers the directives of servers, the progress of a pool member's drain, and drain requests.
+func TestDirectivesAndDrainProgress(t *testing.T) {
 	s := newState(t, 3, Limits{Fleet: Limit{MaxCount: 1}, Pools: map[string]Limit{"p": {MaxCount: 2}}})
 	n := 0
-	do := func(c Command) Result {
+	apply := func(c Command) Result {
 		n++
 		c.ID = fmt.Sprint(n)
 		return s.Apply(c)
 	}
-	a := do(Command{Kind: Acquire, Subject: "p/m1", Actor: "me", Reason: "disk"})
-	if o := s.DirectivesFor("n0"); len(o.DrainingMembers) != 0 {
-		t.Errorf("left alone before it has begun: %+v", o)
+	memberPermit := apply(Command{Kind: Acquire, Subject: "p/m1", Actor: "me", Reason: "disk"})
+	if directives := s.DirectivesFor("n0"); len(directives.DrainingMembers) != 0 {
+		t.Errorf("directives before the drain has begun: got %+v, want no draining members", directives)
 	}
-	do(Command{Kind: Begin, Subject: "p/m1", PermitID: a.PermitID, Actor: "me"})
-	if o := s.DirectivesFor("n0"); !reflect.DeepEqual(o.DrainingMembers, map[string]uint64{"p/m1": a.PermitID}) {
-		t.Errorf("%+v", o)
+	apply(Command{Kind: Begin, Subject: "p/m1", PermitID: memberPermit.PermitID, Actor: "me"})
+	if directives := s.DirectivesFor("n0"); !reflect.DeepEqual(directives.DrainingMembers, map[string]uint64{"p/m1": memberPermit.PermitID}) {
+		t.Errorf("directives after the drain has begun: got %+v", directives)
 	}
-	report := func(id uint64, hand int) map[string]MemberDrain {
-		return map[string]MemberDrain{"p/m1": {PermitID: id, InFlight: hand}}
+	report := func(id uint64, inFlight int) map[string]MemberDrain {
+		return map[string]MemberDrain{"p/m1": {PermitID: id, InFlight: inFlight}}
 	}
 	for _, c := range []struct {
 		name    string
 		reports map[string]map[string]MemberDrain
 		want    DrainStatus
 	}{
-		{"nobody is heard", nil, DrainStatus{Unreachable: []string{"n0", "n1", "n2"}}},
-		{"one has not said", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": {}}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
-		{"one speaks of a former drain", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": report(a.PermitID-1, 0)}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
-		{"calls in hand", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 2), "n1": report(a.PermitID, 1)}, DrainStatus{InFlight: 3, Unreachable: []string{"n2"}}},
-		{"one can't", map[string]map[string]MemberDrain{"n0": {"p/m1": {PermitID: a.PermitID, BlockedReason: "all"}}, "n1": report(a.PermitID, 0)}, DrainStatus{Blocked: []string{"n0: all"}, Unreachable: []string{"n2"}}},
-		{"all heard have", map[string]map[string]MemberDrain{"n0": report(a.PermitID, 0), "n1": report(a.PermitID, 0)}, DrainStatus{Done: true, Unreachable: []string{"n2"}}},
+		{"no reports", nil, DrainStatus{Unreachable: []string{"n0", "n1", "n2"}}},
+		{"a reachable server has not reported", map[string]map[string]MemberDrain{"n0": report(memberPermit.PermitID, 0), "n1": {}}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"a report on a former permit", map[string]map[string]MemberDrain{"n0": report(memberPermit.PermitID, 0), "n1": report(memberPermit.PermitID-1, 0)}, DrainStatus{Pending: []string{"n1"}, Unreachable: []string{"n2"}}},
+		{"RPCs in flight", map[string]map[string]MemberDrain{"n0": report(memberPermit.PermitID, 2), "n1": report(memberPermit.PermitID, 1)}, DrainStatus{InFlight: 3, Unreachable: []string{"n2"}}},
+		{"a server is blocked", map[string]map[string]MemberDrain{"n0": {"p/m1": {PermitID: memberPermit.PermitID, BlockedReason: "all"}}, "n1": report(memberPermit.PermitID, 0)}, DrainStatus{Blocked: []string{"n0: all"}, Unreachable: []string{"n2"}}},
+		{"all reachable servers are done", map[string]map[string]MemberDrain{"n0": report(memberPermit.PermitID, 0), "n1": report(memberPermit.PermitID, 0)}, DrainStatus{Done: true, Unreachable: []string{"n2"}}},
 	} {
-		c.want.Subject, c.want.PermitID = "p/m1", a.PermitID
+		c.want.Subject, c.want.PermitID = "p/m1", memberPermit.PermitID
 		if got := s.DrainProgress(c.reports); len(got) != 1 || !reflect.DeepEqual(got[0], c.want) {
-			t.Errorf("%s: %+v", c.name, got)
+			t.Errorf("%s: drain progress: got %+v", c.name, got)
 		}
 	}
-	if b := do(Command{Kind: Recall, Subject: "p/m1", Actor: "me"}); !b.OK || len(s.DirectivesFor("n0").DrainingMembers) != 0 {
-		t.Errorf("%+v", b)
+	if result := apply(Command{Kind: Recall, Subject: "p/m1", Actor: "me"}); !result.OK || len(s.DirectivesFor("n0").DrainingMembers) != 0 {
+		t.Errorf("recall of a member: got %+v, want success and no draining members", result)
 	}
-	// A drain request stands until the drain has begun or the request is recalled.
+	// A drain request is pending until the drain has begun or the request is recalled.
 	for _, c := range []struct {
-		c  Command
-		ok bool
+		command Command
+		ok      bool
 	}{
 		{Command{Kind: RequestDrain, Subject: "n1", Actor: "me", Reason: "kernel"}, true},
 		{Command{Kind: RequestDrain, Subject: "n1", Actor: "you", Reason: "kernel"}, false},
@@ -108,23 +108,23 @@
 		{Command{Kind: Recall, Subject: "n1", Actor: "me"}, false},
 		{Command{Kind: RequestDrain, Subject: "n1", Actor: "you", Reason: "kernel"}, true},
 	} {
-		if b := do(c.c); b.OK != c.ok {
-			t.Errorf("%+v: %+v", c.c, b)
+		if result := apply(c.command); result.OK != c.ok {
+			t.Errorf("command %+v: got %+v", c.command, result)
 		}
 	}
-	if o := s.DirectivesFor("n1"); o.DrainRequest == nil || o.DrainRequest.Actor != "you" {
-		t.Errorf("%+v", o)
+	if directives := s.DirectivesFor("n1"); directives.DrainRequest == nil || directives.DrainRequest.Actor != "you" {
+		t.Errorf("directives with a pending drain request: got %+v", directives)
 	}
-	b := do(Command{Kind: Acquire, Subject: "n1", Actor: "you", Incarnation: 1})
-	do(Command{Kind: Begin, Subject: "n1", PermitID: b.PermitID, Incarnation: 1})
-	if o := s.DirectivesFor("n1"); o.DrainRequest != nil || o.PermitID != b.PermitID {
-		t.Errorf("%+v", o)
+	serverPermit := apply(Command{Kind: Acquire, Subject: "n1", Actor: "you", Incarnation: 1})
+	apply(Command{Kind: Begin, Subject: "n1", PermitID: serverPermit.PermitID, Incarnation: 1})
+	if directives := s.DirectivesFor("n1"); directives.DrainRequest != nil || directives.PermitID != serverPermit.PermitID {
+		t.Errorf("directives after the requested drain has begun: got %+v", directives)
 	}
-	do(Command{Kind: Recall, Subject: "n1", Actor: "me"})
-	if o := s.DirectivesFor("n1"); o.RecalledBy != "me" {
-		t.Errorf("%+v", o)
+	apply(Command{Kind: Recall, Subject: "n1", Actor: "me"})
+	if directives := s.DirectivesFor("n1"); directives.RecalledBy != "me" {
+		t.Errorf("directives after a recall: got %+v", directives)
 	}
-	if c := do(Command{Kind: Return, Subject: "n1", PermitID: b.PermitID, Incarnation: 1}); !c.OK {
-		t.Errorf("one that was called back and stayed: %+v", c)
+	if result := apply(Command{Kind: Return, Subject: "n1", PermitID: serverPermit.PermitID, Incarnation: 1}); !result.OK {
+		t.Errorf("return by a recalled server without a restart: got %+v, want success", result)
 	}
 }
--- a/decision/permit/lifecycle.go
+++ b/decision/permit/lifecycle.go
@@ -1,13 +1,14 @@
 package permit
 
-// This file owns the life of a permit: acquired, begun, recalled, returned or freed. It must never hold two for one subject.
+// This file implements the life cycle of a permit: acquired, begun, recalled, returned or freed. A subject must never have two
+// permits at the same time.
 
 import (
 	"cmp"
 	"fmt"
 )
 
-// acquire grants a permit if the subject is on the roster, nothing is halted and no limit would be exceeded.
+// acquire grants a permit if the subject is on the roster, no halt applies to it and no limit would be exceeded.
 func (s *State) acquire(c *Command, current *Permit) Result {
 	if halt := s.haltReason(c.Subject); halt != "" {
 		return Result{Reason: "halted: " + halt}
@@ -43,7 +44,7 @@
 	case current.RecalledBy != "":
 		return Result{PermitID: current.ID, Reason: current.RecalledBy + " wants it back"}
 	}
-	// Losses since the permit was granted use up the limit first.
+	// Capacity that was lost since the permit was granted counts against the limit before this drain does.
 	if reason, out := s.exceededLimit(c.Subject, c.Observations); reason != "" {
 		return Result{PermitID: current.ID, Reason: reason, OutOfService: out}
 	}
@@ -57,7 +58,7 @@
 	if current == nil || c.PermitID != 0 && current.ID != c.PermitID {
 		return Result{OK: true, Reason: "it was not held"}
 	}
-	// A server that has restarted does not know the ID that its former incarnation current.
+	// A server that has restarted does not know the ID of the permit that its former incarnation held.
 	if c.PermitID == 0 && c.Incarnation <= current.Incarnation {
 		return Result{PermitID: current.ID, Reason: "its holder is not of a later start"}
 	}
@@ -68,7 +69,7 @@
 	return Result{OK: true, PermitID: current.ID}
 }
 
-// free releases a permit on an operator's word.
+// free releases a permit at the request of an operator, who must give a name and a reason.
 func (s *State) free(c *Command, current *Permit) Result {
 	if current == nil {
 		return Result{Reason: "no permit is held for it"}
@@ -80,7 +81,8 @@
 	return Result{OK: true, PermitID: current.ID}
 }
 
-// recall withdraws a drain request, ends a member's drain, or marks a server's permit as recalled for its holder to return.
+// recall withdraws a drain request, and ends a member's drain or marks a server's permit as recalled so that its holder returns
+// it.
 func (s *State) recall(c *Command, current *Permit) Result {
 	_, requested := s.DrainRequests[c.Subject]
 	delete(s.DrainRequests, c.Subject)
@@ -90,7 +92,7 @@
 	if current == nil {
 		return Result{Reason: "no permit is held for it"}
 	}
-	if isMember(c.Subject) { // the operator is its holder
+	if isMember(c.Subject) { // the holder is the operator, who needs no recall
 		delete(s.Permits, c.Subject)
 		return Result{OK: true, PermitID: current.ID}
 	}
@@ -98,7 +100,7 @@
 	return Result{OK: true, PermitID: current.ID}
 }
 
-// requestDrain notes that an operator wants a server to drain.
+// requestDrain records an operator's request that a server drains. It is denied if another operator's request is pending.
 func (s *State) requestDrain(c *Command) Result {
 	if request, pending := s.DrainRequests[c.Subject]; pending && request.Actor != c.Actor {
 		return Result{Reason: request.Actor + " has asked for it before"}
--- a/decision/permit/limits.go
+++ b/decision/permit/limits.go
@@ -1,6 +1,7 @@
 package permit
 
-// This file owns the budget: what is out of service in each scope of a limit, and whether one more subject would exceed it.
+// This file implements the disruption budget: what is out of service in the scope of each limit, and whether one more subject
+// would exceed a limit.
 
 import (
 	"fmt"
@@ -9,8 +10,8 @@
 	"strings"
 )
 
-// outOfService returns how much of each subject is out for any reason: 1 with a permit, else as observed. Holders that are
-// off the roster count as well.
+// outOfService returns the share of each subject that is out of service for any reason: 1 with a permit, otherwise as
+// observed. It includes subjects with a permit that are not on the roster.
 func (s *State) outOfService(observations []Observation) map[string]float64 {
 	out := map[string]float64{}
 	for _, o := range observations {
@@ -29,15 +30,15 @@
 	return out
 }
 
-// usage is what is out of service within the scope of a limit.
+// usage sums up what is out of service in the scope of a limit.
 type usage struct {
-	count    float64  // servers or members that are out, in parts of one
-	capacity float64  // that is out
-	total    float64  // capacity of the scope
-	subjects []string // that are out
+	count    float64  // servers or members that are out, including fractions
+	capacity float64  // capacity that is out
+	total    float64  // total capacity of the scope
+	subjects []string // subjects that are out, wholly or in part
 }
 
-// add counts a subject of the scope of which a share is out.
+// add counts a subject of the scope; out is the share of it that is out of service.
 func (u *usage) add(subject string, capacity, out float64) {
 	u.total += capacity
 	if out > 0 {
@@ -47,8 +48,8 @@
 	}
 }
 
-// exceededLimit describes the limit that would be exceeded if a subject went out of service, with the subjects that use it up;
-// "" for none.
+// exceededLimit describes the limit that would be exceeded if a subject went out of service, and returns the subjects that
+// would then be out in its scope. The reason is "" if no limit would be exceeded.
 func (s *State) exceededLimit(subject string, observations []Observation) (reason string, subjects []string) {
 	out := s.outOfService(observations)
 	out[subject] = 1
@@ -73,8 +74,8 @@
 		limit    Limit
 		contains func(*Server) bool
 	}{
-		{"the zone " + server.Zone, s.Limits.Zone, func(x *Server) bool { return x.Zone == server.Zone }},
-		{"the group " + server.Group, s.Limits.Group, func(x *Server) bool { return x.Group == server.Group }},
+		{"the zone " + server.Zone, s.Limits.Zone, func(other *Server) bool { return other.Zone == server.Zone }},
+		{"the group " + server.Group, s.Limits.Group, func(other *Server) bool { return other.Group == server.Group }},
 	}
 	for _, scope := range scopes {
 		if !scope.limit.isSet() {
@@ -89,7 +90,7 @@
 	return "", nil
 }
 
-// exceededPoolLimit is exceededLimit for a member; out includes the member.
+// exceededPoolLimit is exceededLimit for a pool member; out already includes the member.
 func (s *State) exceededPoolLimit(pool string, out map[string]float64) (reason string, subjects []string) {
 	limit, configured := s.Limits.Pools[pool]
 	if !configured {
@@ -104,18 +105,19 @@
 	return exceeds("the pool "+pool, limit, &u), u.subjects
 }
 
-// usage sums up the servers of a scope.
+// usage returns the usage over the servers of a scope.
 func (s *State) usage(out map[string]float64, contains func(*Server) bool) usage {
 	var u usage
 	for i := range s.Servers {
-		if x := &s.Servers[i]; contains(x) {
-			u.add(x.Name, x.capacity(), out[x.Name])
+		if server := &s.Servers[i]; contains(server) {
+			u.add(server.Name, server.capacity(), out[server.Name])
 		}
 	}
 	return u
 }
 
-// addDeparted counts servers that hold a permit and have left the roster: they are out, and no part of the total.
+// addDeparted counts servers that hold a permit but have left the roster: they count as out of service and do not add to the
+// total.
 func (u *usage) addDeparted(s *State) {
 	for name := range s.Permits {
 		if !isMember(name) && !s.onRoster(name) {
@@ -126,10 +128,10 @@
 	}
 }
 
-// sumTolerance is the excess that is tolerated where shares are summed up, since such sums are not exact.
+// sumTolerance is the tolerance of comparisons with sums of shares, which are subject to rounding errors.
 const sumTolerance = 1e-9
 
-// exceeds describes how a limit is exceeded; "" if it is not. A limit that is not set is exceeded by anything.
+// exceeds describes how a limit is exceeded, or returns "" if it is not. A limit that is not set counts as exceeded.
 func exceeds(scope string, limit Limit, u *usage) string {
 	if limit.MaxCount > 0 && u.count > limit.MaxCount+sumTolerance {
 		return fmt.Sprintf("%s: %.3g would be out, %g may", scope, u.count, limit.MaxCount)
--- a/decision/permit/permit.go
+++ b/decision/permit/permit.go
@@ -9,34 +9,33 @@
 
 import "strings"
 
-// Limit bounds how much of a scope may be out of service at a time: the stricter of the two bounds that are set.
+// Limit bounds how much of a scope may be out of service at a time. If both bounds are set, both apply.
 type Limit struct {
-	MaxCount float64 `json:"number,omitempty"` // servers or members; 0: not set
-	MaxShare float64 `json:"share,omitempty"`  // of the scope's capacity, from 0 to 1; 0: not set
+	MaxCount float64 `json:"number,omitempty"` // servers or members; 0 if not set
+	MaxShare float64 `json:"share,omitempty"`  // of the scope's capacity, from 0 to 1; 0 if not set
 }
 
 // isSet reports whether either bound is set.
 func (l Limit) isSet() bool { return l != Limit{} }
 
-// Limits are what an operator configures. A zone or group without a limit is bounded by the fleet's alone; a fleet or pool
-// without one gets no permits at all.
+// Limits are the limits that an operator configures. A zone or group without a limit is bounded only by the fleet's limit.
+// Without a limit for the fleet or for a pool, no permits are granted for it.
 type Limits struct {
 	Fleet Limit            `json:"fleet"`
 	Zone  Limit            `json:"zone"`            // applies to each zone
 	Group Limit            `json:"group"`           // applies to each group
 	Pools map[string]Limit `json:"pools,omitempty"` // by pool name
-	// MaxRejectedShare is the share of its RPCs, from 0 to 1, that the fleet may reject before it halts by itself;
-	// 0: rejections never halt it.
+	// MaxRejectedShare is the share of its RPCs, from 0 to 1, that the fleet may reject before an automatic halt begins.
+	// With 0, rejections cause no halt.
 	MaxRejectedShare float64 `json:"pushed,omitempty"`
 }
 
-// Server is an entry of the roster that an operator maintains: a server that is expected to exist, whether or not it is
-// reachable.
+// Server is a server on the roster that an operator maintains. It is expected to exist, whether or not it is reachable.
 type Server struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone,omitempty"`
 	Group    string  `json:"group,omitempty"`
-	Capacity float64 `json:"capacity,omitempty"` // in units of the operator's choice; 0 counts as 1
+	Capacity float64 `json:"capacity,omitempty"` // in a unit that the operator chooses; 0 counts as 1
 }
 
 // capacity returns the server's capacity with the default applied.
@@ -64,33 +63,33 @@
 // isMember reports whether a subject names a pool member rather than a server.
 func isMember(subject string) bool { return strings.Contains(subject, subjectSeparator) }
 
-// Observation is how much of a subject is out of service as the leader sees it.
+// Observation is the share of a subject that is out of service, as observed by the leader.
 type Observation struct {
 	Name string `json:"name"`
-	// OutOfService is the share of the subject that is out: 1 if it drains, is unreachable or has crashed; while it
-	// warms up, the share of its traffic that it does not take yet.
+	// OutOfService is 1 if the subject drains, is unreachable or has crashed. While it warms up, it is the share of its
+	// traffic that it does not take yet.
 	OutOfService float64 `json:"out"`
-	Incarnation  uint64  `json:"start,omitempty"` // of the server; larger after each restart
+	Incarnation  uint64  `json:"start,omitempty"` // of the server; increases with each restart
 }
 
-// Permit is a granted permit for a subject to go out of service.
+// Permit allows a subject to go out of service.
 type Permit struct {
 	ID          uint64 `json:"id"`
 	Subject     string `json:"subject"`
-	Holder      string `json:"who"`              // who requested it
-	Reason      string `json:"why"`              // as the holder gave it
-	Incarnation uint64 `json:"start"`            // of the server when it requested the permit
+	Holder      string `json:"who"`              // actor that acquired it
+	Reason      string `json:"why"`              // as given by the holder
+	Incarnation uint64 `json:"start"`            // of the server when it acquired the permit
 	Begun       bool   `json:"begun"`            // the drain has started
 	RecalledBy  string `json:"recall,omitempty"` // the operator who wants the subject back in service; "" for none
 }
 
-// DrainRequest is an operator's pending request that a server drains: the server acquires the permit itself.
+// DrainRequest is an operator's pending request that a server drains. The server acquires the permit itself.
 type DrainRequest struct {
 	Actor  string `json:"who"`
 	Reason string `json:"why"`
 }
 
-// HistoryEntry is one step of the history that operators can look up.
+// HistoryEntry is one entry of the history that operators can query.
 type HistoryEntry struct {
 	Index    uint64 `json:"index"` // of the command
 	Kind     Kind   `json:"kind"`
--- a/decision/permit/roster.go
+++ b/decision/permit/roster.go
@@ -1,7 +1,7 @@
 package permit
 
-// This file owns the roster and limits that an operator configures. It must never release the permit of a subject that has
-// left the roster.
+// This file implements the configuration of the roster and the limits. A new configuration must never release the permit of a
+// subject that has left the roster.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// server returns the roster's entry of a name; nil if there is none.
+// server returns the server of the given name on the roster, or nil if there is none.
 func (s *State) server(name string) *Server {
 	for i := range s.Servers {
 		if s.Servers[i].Name == name {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// onRoster reports whether a subject is a server or a member of the roster.
+// onRoster reports whether a subject is a server or a pool member on the roster.
 func (s *State) onRoster(subject string) bool {
 	return s.server(subject) != nil ||
 		slices.ContainsFunc(s.Members, func(m Member) bool { return m.subject() == subject })
@@ -29,46 +29,46 @@
 
 // configure replaces the roster and the limits, completely or not at all.
 func (s *State) configure(c *Command) Result {
-	if wrong := checkRoster(c.Servers, c.Members); wrong != "" {
-		return Result{Reason: wrong}
+	if problem := checkRoster(c.Servers, c.Members); problem != "" {
+		return Result{Reason: problem}
 	}
-	if wrong := checkLimits(c.Limits); wrong != "" {
-		return Result{Reason: wrong}
+	if problem := checkLimits(c.Limits); problem != "" {
+		return Result{Reason: problem}
 	}
 	s.Servers = slices.Clone(c.Servers)
 	s.Members = slices.Clone(c.Members)
 	s.Limits = *c.Limits
 	maps.DeleteFunc(s.DrainRequests, func(name string, _ DrainRequest) bool { return !s.onRoster(name) })
-	// Permits of subjects that have left the roster stay: they count as out of service until they are returned or freed.
+	// Subjects that have left the roster keep their permits and count as out of service until these are returned or freed.
 	return Result{OK: true}
 }
 
-// checkRoster describes what is wrong with a roster; "" if nothing is.
+// checkRoster describes the first problem of a roster, or returns "" if it is valid.
 func checkRoster(servers []Server, members []Member) string {
 	if len(servers) > maxServers || len(members) > maxMembers {
 		return fmt.Sprintf("at most %d servers and %d members expected", maxServers, maxMembers)
 	}
 	known := map[string]bool{}
 	for i := range servers {
-		x := &servers[i]
-		validName := x.Name != "" && !strings.Contains(x.Name, subjectSeparator) && !known[x.Name]
-		validCapacity := x.Capacity >= 0 && !math.IsInf(x.Capacity, 0)
+		server := &servers[i]
+		validName := server.Name != "" && !strings.Contains(server.Name, subjectSeparator) && !known[server.Name]
+		validCapacity := server.Capacity >= 0 && !math.IsInf(server.Capacity, 0)
 		if !validName || !validCapacity {
 			return fmt.Sprintf("servers[%d]: a name of its own without a slash, and a capacity, expected", i)
 		}
-		known[x.Name] = true
+		known[server.Name] = true
 	}
 	for i := range members {
-		x := &members[i]
-		if x.Pool == "" || x.Name == "" || strings.Contains(x.Pool, subjectSeparator) || known[x.subject()] {
+		member := &members[i]
+		if member.Pool == "" || member.Name == "" || strings.Contains(member.Pool, subjectSeparator) || known[member.subject()] {
 			return fmt.Sprintf("members[%d]: a pool and a name of its own expected", i)
 		}
-		known[x.subject()] = true
+		known[member.subject()] = true
 	}
 	return ""
 }
 
-// checkLimits describes what is wrong with limits; "" if nothing is.
+// checkLimits describes the first problem of limits, or returns "" if they are valid.
 func checkLimits(limits *Limits) string {
 	if limits == nil {
 		return "limits expected"
@@ -76,10 +76,10 @@
 	if !isShare(limits.MaxRejectedShare) {
 		return "limits.pushed: a share from 0 to 1 expected"
 	}
-	all := append(slices.Collect(maps.Values(limits.Pools)), limits.Fleet, limits.Zone, limits.Group)
-	for _, l := range all {
-		validCount := l.MaxCount >= 0
-		if !validCount || !isShare(l.MaxShare) {
+	everyLimit := append(slices.Collect(maps.Values(limits.Pools)), limits.Fleet, limits.Zone, limits.Group)
+	for _, limit := range everyLimit {
+		validCount := limit.MaxCount >= 0
+		if !validCount || !isShare(limit.MaxShare) {
 			return "limits: a number from 0 and a share from 0 to 1 expected"
 		}
 	}
--- a/decision/permit/state.go
+++ b/decision/permit/state.go
@@ -1,7 +1,7 @@
 package permit
 
-// This file owns the replicated state and the dispatch of commands. It must never release a permit but by a command that
-// names it.
+// This file implements the replicated state and the dispatch of commands. A permit must only ever be released by a command
+// that names its subject.
 
 import (
 	"cmp"
@@ -13,49 +13,50 @@
 const (
 	maxServers = 4096 // on the roster
 	maxMembers = 4096 // on the roster
-	// maxResults are retained for commands that are retried: a sender retries within seconds, and 300 servers that
-	// request at once are far fewer.
+	// maxResults is the number of results retained for retried commands. Senders retry within seconds, so that even 300
+	// servers that send commands at the same time need far fewer.
 	maxResults   = 8192
-	maxHistory   = 1024 // steps
+	maxHistory   = 1024 // entries
 	maxTextBytes = 256  // of an ID, subject, actor or reason
 )
 
-// unnamedActor stands for an actor that gave no name, noReason for a reason that was not given.
+// Defaults for texts that a command does not give. They are part of the replicated state and must not change.
 const (
 	unnamedActor = "somebody"
 	noReason     = "no reason told"
 )
 
-// State is the replicated state. Snapshots hold it as JSON.
+// State is the replicated state. Snapshots store it as JSON.
 type State struct {
-	Index        uint64             `json:"index"` // of the last command
-	LastPermitID uint64             `json:"next"`  // IDs are granted from 1 up
+	Index        uint64             `json:"index"` // of the last applied command
+	LastPermitID uint64             `json:"next"`  // IDs are assigned from 1 up
 	Servers      []Server           `json:"servers"`
 	Members      []Member           `json:"members"`
 	Limits       Limits             `json:"limits"`
 	Permits      map[string]*Permit `json:"permits"`          // by subject
-	HaltReason   string             `json:"halted,omitempty"` // of the manual halt; "" for none
-	HaltedBy     string             `json:"by,omitempty"`     // who halted manually
-	// AutoHaltReason is the cause of the automatic halt, which ends with its cause; "" for none.
+	HaltReason   string             `json:"halted,omitempty"` // of the manual halt; "" if there is none
+	HaltedBy     string             `json:"by,omitempty"`     // actor of the manual halt
+	// AutoHaltReason is the cause of the automatic halt, which ends when its cause does; "" if there is none.
 	AutoHaltReason string                  `json:"auto,omitempty"`
 	DrainRequests  map[string]DrainRequest `json:"wants,omitempty"` // by server
-	Results        map[string]Result       `json:"answers"`         // of the latest commands, by ID
-	ResultOrder    []string                `json:"order"`           // the IDs in Results, the oldest first
-	History        []HistoryEntry          `json:"history"`         // the oldest first
+	Results        map[string]Result       `json:"answers"`         // of the latest commands, by command ID
+	ResultOrder    []string                `json:"order"`           // the keys of Results, oldest first
+	History        []HistoryEntry          `json:"history"`         // oldest first
 }
 
-// New returns a state with an empty roster: nothing is granted until a roster and limits are configured.
+// New returns a state with an empty roster. No permits are granted until a roster and limits are configured.
 func New() *State {
 	return &State{Permits: map[string]*Permit{}, Results: map[string]Result{}}
 }
 
-// Apply carries out one command and returns its result.
+// Apply applies one command and returns its result. If a command with the same ID was applied before and its result is still
+// retained, Apply returns that result and changes nothing but the index.
 func (s *State) Apply(c Command) Result {
 	s.Index++
 	if c.ID == "" || len(c.ID) > maxTextBytes || len(c.Actor) > maxTextBytes || len(c.Reason) > maxTextBytes || len(c.Subject) > maxTextBytes {
 		return Result{Reason: fmt.Sprintf("an id, and texts of at most %d bytes, expected", maxTextBytes), Halted: s.HaltReason != ""}
 	}
-	if r, done := s.Results[c.ID]; done {
+	if r, applied := s.Results[c.ID]; applied {
 		return r
 	}
 	if c.carriesObservations() {
@@ -70,7 +71,7 @@
 	return r
 }
 
-// retain keeps a result for retries of its command.
+// retain stores a result for retries of its command and drops the oldest one beyond maxResults.
 func (s *State) retain(id string, r Result) {
 	s.Results[id] = r
 	s.ResultOrder = append(s.ResultOrder, id)
@@ -80,6 +81,7 @@
 	}
 }
 
+// record appends an entry to the history and drops the oldest ones beyond maxHistory.
 func (s *State) record(e HistoryEntry) {
 	s.History = append(s.History, e)
 	if len(s.History) > maxHistory {
@@ -87,7 +89,7 @@
 	}
 }
 
-// apply dispatches a command that is new and well formed.
+// apply dispatches a new, well-formed command.
 func (s *State) apply(c *Command) Result {
 	current := s.Permits[c.Subject]
 	switch c.Kind {
@@ -119,10 +121,10 @@
 	return Result{Reason: fmt.Sprintf("%.40q is no command", string(c.Kind))}
 }
 
-// Granted returns the permits that are held, sorted by subject.
-func (s *State) Granted() (all []Permit) {
+// Granted returns all permits, sorted by subject.
+func (s *State) Granted() (permits []Permit) {
 	for _, name := range slices.Sorted(maps.Keys(s.Permits)) {
-		all = append(all, *s.Permits[name])
+		permits = append(permits, *s.Permits[name])
 	}
-	return all
+	return permits
 }
--- a/decision/quota/quota_test.go
+++ b/decision/quota/quota_test.go
@@ -92,8 +92,8 @@
 func TestCapacityHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runSchedule(t, drawSource{
-			int:  func(low, high int) int { return rapid.IntRange(low, high).Draw(t, "n") },
-			pick: func(of ...float64) float64 { return rapid.SampledFrom(of).Draw(t, "x") },
+			int:  func(low, high int) int { return rapid.IntRange(low, high).Draw(t, "int") },
+			pick: func(of ...float64) float64 { return rapid.SampledFrom(of).Draw(t, "choice") },
 		})
 	})
 }
