--- a/decision/configure/guard.go
+++ b/decision/configure/guard.go
@@ -1,7 +1,7 @@
 package configure
 
-// This file owns the guard: what a change that is valid as written would take from the methods that are protected. It must
-// never judge a change by anything but figures that it names.
+// This file implements the guard, which finds what a valid change would take away from protected methods. Each reason must
+// state the figures on which the decision is based.
 
 import (
 	"fmt"
@@ -9,40 +9,40 @@
 	"slices"
 )
 
-// Throughput is what was served in the last minutes, in RPCs per second.
+// Throughput holds the rates that were served in the last minutes, in RPCs per second.
 type Throughput struct {
 	Methods   map[string]MethodLoad         // by method
 	Customers map[string]map[string]float64 // by customer and method
 	Routes    map[string]float64            // by route
 }
 
-// MethodLoad is what is known of one method.
+// MethodLoad is the recent load of one method.
 type MethodLoad struct {
-	Protected bool    // carries idempotency keys, or is the most critical
-	Rate      float64 // RPCs per second that were ok
-	MeanRunMS float64 // of a run
+	Protected bool    // carries idempotency keys, or has the highest criticality
+	Rate      float64 // successful RPCs per second
+	MeanRunMS float64 // mean duration of a run
 }
 
 // concurrency returns the mean number of RPCs in flight (Little's law).
 func (m *MethodLoad) concurrency() float64 { return m.Rate * m.MeanRunMS / 1000 }
 
-// Limits are the parts of settings that can starve a method, read from a tree by its owner.
+// Limits are the settings that can starve a method. The caller reads them from a tree.
 type Limits struct {
-	Quotas  map[string]float64 // RPCs per second, by customer; a missing one has no limit here
-	Routes  map[string]string  // method, by route
-	Pools   map[string]Pool    // by method that a pool serves
-	MaxRuns float64            // at once on all cores; 0 for no limit here
+	Quotas  map[string]float64 // RPCs per second, by customer; a missing customer has no quota
+	Routes  map[string]string  // method by route
+	Pools   map[string]Pool    // by the method that the pool serves
+	MaxRuns float64            // concurrent runs on all cores; 0 for no limit
 }
 
 // Pool bounds a method's concurrency.
 type Pool struct {
 	Name        string
-	Connections float64 // over all members
+	Connections float64 // summed over all members
 }
 
-// Guard names what a change would take from protected methods that served RPCs: their last route, connections or runs below
-// their concurrency, a quota below what their customers' RPCs alone came to. What does not change is not judged, however
-// tight it is.
+// Guard returns the reasons why a change would starve protected methods that have recently served RPCs: it removes the last
+// route of a method, lowers connections or runs below a method's concurrency, or lowers a customer's quota below the
+// customer's rate of one method. A limit that does not change gives no reason, however low it is.
 func Guard(before, after *Limits, served *Throughput) (reasons []string) {
 	for _, name := range slices.Sorted(maps.Keys(served.Methods)) {
 		load := served.Methods[name]
@@ -56,7 +56,7 @@
 	return append(reasons, guardQuotas(before, after, served)...)
 }
 
-// guardRoutes finds a method that would lose all routes that served it.
+// guardRoutes returns a reason if the method would lose all routes that served it.
 func guardRoutes(before, after *Limits, served *Throughput, method string) []string {
 	rate := before.routeThroughput(method, served)
 	lost := rate - after.routeThroughput(method, served)
@@ -66,7 +66,7 @@
 	return []string{fmt.Sprintf("%s: the last of its routes would go, which carried %.1f a second", method, rate)}
 }
 
-// guardPool finds a method whose pool would get fewer connections than it used.
+// guardPool returns a reason if the method's pool would get fewer connections than the method used.
 func guardPool(before, after *Limits, method string, load *MethodLoad) []string {
 	old, hadPool := before.Pools[method]
 	pool, hasPool := after.Pools[method]
@@ -77,7 +77,7 @@
 		pool.Connections, load.Rate, load.MeanRunMS, load.concurrency())}
 }
 
-// guardRuns finds a method that alone used more runs at once than would be allowed.
+// guardRuns returns a reason if the method alone used more concurrent runs than would be allowed.
 func guardRuns(before, after *Limits, method string, load *MethodLoad) []string {
 	lowered := after.MaxRuns > 0 && (before.MaxRuns == 0 || after.MaxRuns < before.MaxRuns)
 	if !lowered || after.MaxRuns >= load.concurrency() {
@@ -86,7 +86,7 @@
 	return []string{fmt.Sprintf("%s: %g runs at once would be allowed, and it alone takes %.1f", method, after.MaxRuns, load.concurrency())}
 }
 
-// guardQuotas finds customers whose quota would be below what one protected method alone came to.
+// guardQuotas returns a reason for each customer and protected method whose rate alone exceeds the customer's new quota.
 func guardQuotas(before, after *Limits, served *Throughput) (reasons []string) {
 	for _, customer := range slices.Sorted(maps.Keys(after.Quotas)) {
 		quota := after.Quotas[customer]
@@ -104,10 +104,10 @@
 	return reasons
 }
 
-// routeThroughput returns what the routes of a method served.
+// routeThroughput returns the rate that the routes of a method served, in RPCs per second.
 func (l *Limits) routeThroughput(method string, served *Throughput) (sum float64) {
-	for name, to := range l.Routes {
-		if to == method {
+	for name, target := range l.Routes {
+		if target == method {
 			sum += served.Routes[name]
 		}
 	}
--- a/decision/configure/store.go
+++ b/decision/configure/store.go
@@ -1,7 +1,7 @@
 // Package configure implements transactional configuration: a candidate is built from the running settings and a set
 // of changes, validated by checks, diffed against the running settings, committed atomically and rolled back by its
-// commit number. It treats settings as a tree of tables and leaves and knows nothing of their meaning; validation is
-// supplied by the caller. The package is pure: no I/O and no clock. A Store is not safe for concurrent use; its owner
+// version number. It treats settings as a tree of tables and leaves without regard to their meaning; the caller supplies
+// the validation. The package is pure: no I/O and no clock. A Store is not safe for concurrent use; its owner
 // serializes access. A commit never mutates the running tree: it replaces it.
 package configure
 
@@ -10,16 +10,16 @@
 	"slices"
 )
 
-// Kind is what an operation does.
+// Kind is the type of an operation.
 type Kind int
 
-// The kinds of operations, in the order in which a candidate carries them out.
+// The kinds of operations, in the order in which Candidate applies them.
 const (
 	// Delete removes a table or leaf, as if it had never been set.
 	Delete Kind = iota
-	// Replace sets a value; what the value does not name is removed.
+	// Replace sets a value; keys that the new value does not contain are removed.
 	Replace
-	// Update merges a value into what is there.
+	// Update merges a value into the existing one.
 	Update
 )
 
@@ -34,21 +34,22 @@
 type Version struct {
 	Number      int
 	CommittedMS float64 // Unix ms
-	Origin      string  // who or what committed it
+	Origin      string  // the person or component that committed it
 	Tree        Tree
 }
 
-// Store holds the running version and those before it.
+// Store holds the running version and earlier versions.
 type Store struct {
 	check       func(Tree) []Violation
 	guard       func(before, after Tree) []string
 	restartOnly []Path
 	maxVersions int
-	versions    []Version // the last one is running
+	versions    []Version // in ascending order; the last one is running
 }
 
-// New returns a store that runs first, which must pass check. guard names what a change would starve and may be nil;
-// restartOnly are the paths that only a restart can change; maxVersions are retained.
+// New returns a store whose running version is first. It returns an InvalidError if first does not pass check. guard returns
+// the reasons why a change would starve something, and may be nil. restartOnly lists the paths that only a restart can
+// change. The store retains the last maxVersions versions.
 func New(first Version, check func(Tree) []Violation, guard func(before, after Tree) []string, restartOnly []Path, maxVersions int) (*Store, error) {
 	if violations := check(first.Tree); len(violations) > 0 {
 		return nil, &InvalidError{violations}
@@ -60,14 +61,15 @@
 	return &Store{check: check, guard: guard, restartOnly: restartOnly, maxVersions: max(1, maxVersions), versions: []Version{first}}, nil
 }
 
-// Running returns the version that is in force.
+// Running returns the running version.
 func (s *Store) Running() Version { return s.versions[len(s.versions)-1] }
 
-// History returns the retained versions, the oldest first.
+// History returns the retained versions, oldest first.
 func (s *Store) History() []Version { return slices.Clone(s.versions) }
 
-// Candidate returns the running settings with operations carried out: all deletes, then all replaces, then all updates, each
-// kind in the order given. It returns the number of the version that it was built from, for Commit. An error wraps ErrNotTable.
+// Candidate returns a copy of the running settings with the operations applied: all deletes, then all replaces, then all
+// updates, and within each kind in the given order. base is the number of the version that the candidate was built from, for
+// Commit. An error wraps ErrNotTable.
 func (s *Store) Candidate(operations []Operation) (candidate Tree, base int, err error) {
 	running := s.Running()
 	t := clone(running.Tree).(Tree)
@@ -85,10 +87,10 @@
 	return t, running.Number, nil
 }
 
-// Commit puts a candidate in force if it was built from the running version, passes the checks, changes nothing that needs a
-// restart and, unless forced, starves nothing. A candidate that changes nothing is the running version. The owner must have
-// every part take the new version in one step. The error is ErrConflict, an InvalidError, a RestartRequiredError or a
-// StarvationError; the running version is returned with it.
+// Commit makes a candidate the running version if it was built from the running version, passes the checks, changes nothing
+// that requires a restart and, unless force is set, starves nothing. If the candidate does not differ from the running
+// version, Commit returns the running version. The caller must apply the new version to all components in one step. The
+// error is ErrConflict, an InvalidError, a RestartRequiredError or a StarvationError; the running version is returned with it.
 func (s *Store) Commit(candidate Tree, base int, committedMS float64, origin string, force bool) (Version, error) {
 	running := s.Running()
 	if base != running.Number {
@@ -115,7 +117,7 @@
 	return v, nil
 }
 
-// needRestart returns the paths among the changes that only a restart can change.
+// needRestart returns the paths of the changes that require a restart.
 func (s *Store) needRestart(changes []Change) (paths []Path) {
 	for i := range changes {
 		path := changes[i].Path
@@ -126,8 +128,8 @@
 	return paths
 }
 
-// Rollback commits the settings of an earlier version anew, by the same checks as any other change. It fails with
-// ErrUnknownVersion if the version is not retained, else as Commit does.
+// Rollback commits the settings of an earlier version as a new version, subject to the same checks as any other change. It
+// returns ErrUnknownVersion if the version is not retained, and otherwise the errors of Commit.
 func (s *Store) Rollback(number int, committedMS float64, origin string, force bool) (Version, error) {
 	for _, v := range s.versions {
 		if v.Number == number {
--- a/decision/configure/tree.go
+++ b/decision/configure/tree.go
@@ -1,6 +1,6 @@
 package configure
 
-// This file owns trees of settings: paths, operations on them, and differences.
+// This file implements trees of settings: paths, operations and differences.
 
 import (
 	"maps"
@@ -10,21 +10,21 @@
 )
 
 // Tree is a table of settings: its values are leaves (bool, float64, string), lists of leaves ([]any) and tables
-// (map[string]any). A Tree that was returned by a Store or given to it must not be changed any more.
+// (map[string]any). A Tree must not be changed once it was returned by a Store or passed to it.
 type Tree = map[string]any
 
-// Path leads to a table or leaf, by the keys from the root.
+// Path is the location of a table or leaf: the keys from the root.
 type Path []string
 
-// String returns the keys, each behind a slash.
+// String returns the keys, each preceded by a slash.
 func (p Path) String() string { return "/" + strings.Join(p, "/") }
 
-// under reports whether a path is another or lies below it.
+// under reports whether a path equals top or lies below it.
 func (p Path) under(top Path) bool {
 	return len(p) >= len(top) && slices.Equal(p[:len(top)], top)
 }
 
-// apply carries out the operation on a tree that nobody else holds, and returns the result.
+// apply applies the operation and returns the resulting tree. It may modify t, which must not be shared.
 func (o *Operation) apply(t Tree) (Tree, error) {
 	if len(o.Path) == 0 {
 		return o.applyToRoot(t)
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if parent == nil { // what is deleted does not exist
+	if parent == nil { // the path to delete does not exist
 		return t, nil
 	}
 	key := o.Path[last]
@@ -49,7 +49,7 @@
 	return t, nil
 }
 
-// applyToRoot carries out the operation on the whole tree.
+// applyToRoot applies the operation to the whole tree.
 func (o *Operation) applyToRoot(t Tree) (Tree, error) {
 	switch v := o.Value.(type) {
 	case nil:
@@ -63,7 +63,7 @@
 	return nil, ErrNotTable
 }
 
-// parent returns the table at a path. Where a table is missing, it is created, or nil is returned for a delete.
+// parent returns the table at a path. Missing tables are created, except for a Delete, which gets nil instead.
 func (o *Operation) parent(t Tree, path Path) (Tree, error) {
 	table := t
 	for _, key := range path {
@@ -84,15 +84,15 @@
 	return table, nil
 }
 
-// merge lays a value over another: tables key by key, all else replaced. It changes the tables of the first.
+// merge merges value into old: tables are merged key by key, all other values are replaced. It modifies the tables of old.
 func merge(old, value any) any {
 	table, isTable := old.(Tree)
-	with, withTable := value.(Tree)
-	if !isTable || !withTable {
+	additions, valueIsTable := value.(Tree)
+	if !isTable || !valueIsTable {
 		return clone(value)
 	}
-	for key, x := range with {
-		table[key] = merge(table[key], x)
+	for key, child := range additions {
+		table[key] = merge(table[key], child)
 	}
 	return table
 }
@@ -102,54 +102,56 @@
 	switch x := v.(type) {
 	case Tree:
 		t := make(Tree, len(x))
-		for key, y := range x {
-			t[key] = clone(y)
+		for key, child := range x {
+			t[key] = clone(child)
 		}
 		return t
 	case []any:
-		l := make([]any, len(x))
-		for i, y := range x {
-			l[i] = clone(y)
+		list := make([]any, len(x))
+		for i, item := range x {
+			list[i] = clone(item)
 		}
-		return l
+		return list
 	}
 	return v
 }
 
-// Change is one leaf, list of leaves, or empty table that differs. Before or After is nil where it does not exist.
+// Change is a difference at one leaf, list of leaves or empty table, or between a leaf and a table. Before or After is nil if
+// the value does not exist on that side.
 type Change struct {
 	Path          Path
 	Before, After any
 }
 
-// Diff returns what differs between two trees, in the order of paths.
+// Diff returns the differences between two trees, sorted by path.
 func Diff(before, after Tree) (changes []Change) {
 	diff(nil, before, after, &changes)
 	return changes
 }
 
+// diff appends the differences between the values at a path to changes.
 func diff(path Path, before, after any, changes *[]Change) {
-	a, aTable := before.(Tree)
-	b, bTable := after.(Tree)
-	noTables := !aTable && !bTable
-	emptyTable := aTable && len(a) == 0 && after == nil || bTable && len(b) == 0 && before == nil
+	oldTable, oldIsTable := before.(Tree)
+	newTable, newIsTable := after.(Tree)
+	noTables := !oldIsTable && !newIsTable
+	emptyTable := oldIsTable && len(oldTable) == 0 && after == nil || newIsTable && len(newTable) == 0 && before == nil
 	if noTables || emptyTable {
 		if !reflect.DeepEqual(before, after) {
 			*changes = append(*changes, Change{path, before, after})
 		}
 		return
 	}
-	if aTable != bTable && before != nil && after != nil { // a leaf in place of a table, or the other way round
+	if oldIsTable != newIsTable && before != nil && after != nil { // a leaf replaces a table or vice versa
 		*changes = append(*changes, Change{path, before, after})
 		return
 	}
-	for _, key := range unionOfKeys(a, b) {
-		x, inA := a[key]
-		y, inB := b[key]
-		if inA && inB && reflect.DeepEqual(x, y) {
+	for _, key := range unionOfKeys(oldTable, newTable) {
+		oldValue, inOld := oldTable[key]
+		newValue, inNew := newTable[key]
+		if inOld && inNew && reflect.DeepEqual(oldValue, newValue) {
 			continue
 		}
-		diff(append(slices.Clone(path), key), x, y, changes)
+		diff(append(slices.Clone(path), key), oldValue, newValue, changes)
 	}
 }
 
