--- a/decision/quota/ledger.go
+++ b/decision/quota/ledger.go
@@ -73,8 +73,9 @@
 	return a
 }
 
-// newAllocation returns an allocation for a key that is not in the table. Its token bucket starts full, which is correct
-// because only allocations with a full bucket are evicted. Leases that a former incarnation granted may still be in use.
+// newAllocation returns an allocation for a key that is not in the table. Its token bucket is filled as if it had existed
+// since the start of the process, which is correct because only allocations with a full bucket are evicted. Leases that a
+// former incarnation granted may still be in use.
 func (l *Ledger) newAllocation(now float64, limit Limit) *Allocation {
 	a := newAllocation(limit, l.incarnation, &l.lastRequestID, l.startedAt)
 	a.rng = l.rng
--- a/decision/quota/ledger_test.go
+++ b/decision/quota/ledger_test.go
@@ -11,9 +11,9 @@
 	return func(key string) (Limit, bool) { return limit, key[0] == 'c' }
 }
 
-// The table stays bounded and consistent under many keys, never evicts an allocation with a lease, and admits nothing once it
-// is disabled.
-func TestLedgerKeepsLeases(t *testing.T) {
+// With three times as many keys as the table holds, the table stays bounded and consistent, and leases are granted before and
+// after evictions. A disabled ledger admits nothing.
+func TestLedgerManyKeys(t *testing.T) {
 	limit := Limit{Kind: Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 5, MaxLeaseDuration: 1000, ClockDrift: 1e-3}
 	ledger := NewLedger(7, 1, 0, customerLimits(limit))
 	now := 20e3
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -63,7 +63,7 @@
 
 const (
 	averagingTime     = 500.0 // ms, time constant of the moving averages of usage and unmet demand
-	maxMissedArrivals = 15.0  // expected arrivals without any, after which demand has ceased. Happens by chance once in 3 million
+	maxMissedArrivals = 15.0  // expected arrivals missed until demand counts as ceased; happens by chance once in 3 million
 	headroom          = 1.25  // factor of this server's usage that is kept before capacity is granted to peers
 	minRefillRate     = 1e-3  // items per second, lower bound of the capacity that RetryAfter assumes
 )
@@ -107,7 +107,8 @@
 	return a
 }
 
-// newAllocation returns an allocation without leases. lastRequestID is shared by all allocations of an incarnation.
+// newAllocation returns an allocation without leases. lastRequestID is shared by all allocations of an incarnation, so that an
+// allocation that was evicted and created again does not reuse request IDs.
 func newAllocation(limit Limit, incarnation uint64, lastRequestID *uint64, now float64) *Allocation {
 	a := &Allocation{incarnation: incarnation, filledAt: now, averagedAt: now}
 	a.lastRequestID = lastRequestID
