--- a/control/admission.go
+++ b/control/admission.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// slowStartRetryAfter is the retry-after of rejections by slow start: short, as other servers are to be tried at once.
+// slowStartRetryAfter is the retry-after in ms of rejections by slow start. It is short because the caller should try
+// another server at once.
 const slowStartRetryAfter = 100.0
 
-// longRunFactor separates the two lanes of the queue: expected run times above this multiple of the mean are long. Half
-// of all lognormal work lies below the mean, a twentieth above three times it.
+// longRunFactor is the multiple of the mean run time above which an RPC is put into the long lane of the queue. With
+// lognormally distributed run times, half of the RPCs are below the mean and 5% above three times the mean.
 const longRunFactor = 3.0
 
-// retryWeight is the part of its criticality that a retry counts for: part of its time is gone, and in a retry storm
-// most retries are late when answered.
+// retryWeight is the fraction of its criticality that a retry keeps. Part of its time has passed, and in a retry storm
+// most retries are answered late.
 const retryWeight = 0.5
 
-// onArrived decides on an RPC that has just been read.
+// onArrived decides whether an RPC that has just been read is joined, rejected or queued.
 func (c *Controller) onArrived(ev *Event) {
 	r := c.newRPC(ev)
 	abandoned := c.callerWillAbandon(&r, ev)
@@ -27,14 +28,14 @@
 		c.join(i, tooLate)
 		return
 	}
-	// Its caller was rejected elsewhere, and here capacity is free: slow start does not apply.
+	// Slow start does not apply to a retry, which was rejected elsewhere, while this server has free capacity.
 	freeRun := ev.Retry && c.queue.length == 0 && c.runningCount < c.runLimit.maxRuns()
 	switch {
 	case tooLate:
 		c.reject(i, c.maxRetryAfter, false)
 	case !freeRun && !c.slowStart.admits(c.now, ev.Caller, ev.Subject, ev.RPC):
 		c.reject(i, math.Min(slowStartRetryAfter, c.maxRetryAfter), false)
-	case ev.Quota == OverQuota && c.overQuotaFraction == 0: // a hard quota, which holds whatever capacity is free
+	case ev.Quota == OverQuota && c.overQuotaFraction == 0: // a hard quota is enforced even if capacity is free
 		c.reject(i, math.Min(ev.RetryAfter, c.maxRetryAfter), false)
 	case abandoned:
 		c.reject(i, 0, false)
@@ -47,8 +48,8 @@
 	}
 }
 
-// newRPC makes the record of an RPC just read: its latency objective, its deadline, and the weight that is left of its
-// criticality after its customer's quota and whether it is a retry.
+// newRPC creates the rpc for an RPC that has just been read: its latency objective, its deadline, and its weight, which
+// is its criticality reduced if it is over its customer's quota and if it is a retry.
 func (c *Controller) newRPC(ev *Event) rpc {
 	methodIndex := min(ev.Method, len(c.methods)-1)
 	method := &c.methods[methodIndex]
@@ -73,7 +74,7 @@
 	if c.propagatesDeadline {
 		r.deadline = c.now + ev.Remaining
 	} else if ev.Retry {
-		age = method.LatencyObjective / 2 // unknown: others rejected it before, or its client did not wait
+		age = method.LatencyObjective / 2 // estimate: another server rejected it before, or its client did not wait
 	}
 	r.objective = math.Min(r.arrivedAt+method.LatencyObjective+method.ObjectiveStretch*ev.CostHint-age, r.deadline)
 	c.drain.clampDeadline(&r)
@@ -87,8 +88,8 @@
 	return r
 }
 
-// quotaWeight is the part of its criticality that an arrival keeps with regard to its customer's quota. What the quota's
-// lease says goes before what this server measures.
+// quotaWeight returns the fraction of its criticality that an arrival keeps with regard to its customer's quota. The
+// status from a shared quota's lease takes precedence over the rate measured at this server.
 func (c *Controller) quotaWeight(ev *Event) float64 {
 	within := c.quotas[ev.Customer].fractionWithin(c.now, c.runLimit.startedAt, ev.Retry)
 	switch ev.Quota {
@@ -100,14 +101,14 @@
 	return within + (1-within)*c.overQuotaFraction
 }
 
-// callerWillAbandon tells whether an RPC is likely to run longer than its caller has been seen to wait.
+// callerWillAbandon reports whether an RPC is likely to end after its caller's estimated timeout.
 func (c *Controller) callerWillAbandon(r *rpc, ev *Event) bool {
 	return !c.propagatesDeadline && ev.CostHint > 0 &&
 		r.arrivedAt+c.callerTimeouts[ev.Caller].estimate() < c.now+c.expectedRunTime(r)
 }
 
-// arrivedTooLateForDrain tells whether an RPC arrived after the grace of a drain, or so close to the stop that its
-// answer would miss it.
+// arrivedTooLateForDrain reports whether an RPC arrived after the grace period of a drain, or so shortly before the
+// stop that it could not be answered in time.
 func (c *Controller) arrivedTooLateForDrain(r *rpc) bool {
 	if !c.drain.active {
 		return false
@@ -115,8 +116,9 @@
 	return r.arrivedAt > c.drain.noticedAt+c.drainGrace-c.node.Tick || c.now > c.drain.stopAt-2*tickPeriod
 }
 
-// duplicatesKnownRPC tells whether an arrival repeats an RPC that is in flight or has a cached token. An original that
-// was never seen here does not count: of two attempts in one batch that name each other, the first is admitted.
+// duplicatesKnownRPC reports whether an arrival duplicates an RPC that is in flight or has a cached token. An original
+// that this server has not seen is ignored: if two attempts in one batch name each other as original, the first is
+// admitted.
 func (c *Controller) duplicatesKnownRPC(ev *Event) bool {
 	if ev.DuplicateOf == 0 {
 		return false
@@ -125,8 +127,8 @@
 	return inFlight || c.tokens.contains(ev.DuplicateOf)
 }
 
-// join answers a duplicate with the result of its original. It must neither run again nor, once any attempt has run, be
-// rejected; so where it can't be joined it is aborted.
+// join answers a duplicate with the result of its original. A duplicate must not run again, and must not be rejected
+// once any attempt has run, so it is aborted if it cannot be joined.
 func (c *Controller) join(i int, tooLate bool) {
 	if tooLate || !c.hasMemory() {
 		c.abort(i)
@@ -137,8 +139,8 @@
 	c.emit(Action{Kind: Join, RPC: r.id})
 }
 
-// enqueue admits an RPC to the queue. age is the time since it arrived. Its idempotency token is cached before it runs,
-// for the whole window counted from its arrival.
+// enqueue admits an RPC to the queue. age is the time in ms since it arrived. The idempotency token is cached before
+// the RPC runs and expires when the deduplication window, counted from the arrival, ends.
 func (c *Controller) enqueue(i int, age float64) {
 	r := &c.rpcs.slots[i]
 	method := &c.methods[r.method]
--- a/control/admissionloop.go
+++ b/control/admissionloop.go
@@ -6,42 +6,44 @@
 	"slices"
 )
 
-// admissionLoop is the feedback loop that sets the fraction of arrivals admitted under pressure.
+// admissionLoop is the feedback loop that sets the fraction of arrivals that are admitted under overload.
 type admissionLoop struct {
 	admitFraction float64
-	lateness      []float64 // per method: mean latency over the part of the latency objective that runs may take
+	lateness      []float64 // per method: ratio of the mean latency to objectiveFraction of the latency objective
 }
 
-// objectivePart of the latency objective is what runs may take in the mean: the rest is for the network and the spread.
-const objectivePart = 0.9
+// objectiveFraction is the fraction of the latency objective that is the target of the mean latency. The rest is for
+// the network and for variation.
+const objectiveFraction = 0.9
 
-// observe takes in the latency of a run of a method.
+// observe records the latency of a completed run of a method.
 func (l *admissionLoop) observe(method int, latency, objective float64) {
-	const weight = 0.1 // about ten runs of memory, some seconds of one method's traffic
-	l.lateness[method] += weight * (latency/(objectivePart*objective) - l.lateness[method])
+	const weight = 0.1 // averages over about ten runs, a few seconds of a method's traffic
+	l.lateness[method] += weight * (latency/(objectiveFraction*objective) - l.lateness[method])
 }
 
-// step moves the fraction. It falls only while runs are late and the cores are busy.
+// step updates the fraction. It decreases only while runs are late and the cores are busy.
 func (l *admissionLoop) step(g *Gauges) {
 	const (
-		decrease    = 0.95 // factor that halves the fraction in under three seconds
-		increase    = 0.02 // from a half to all in five seconds
+		decrease    = 0.95 // factor per step; halves the fraction in less than three seconds
+		increase    = 0.02 // per step; from one half to 1 in five seconds
 		minFraction = 0.1
-		busy        = 0.9 // CPU utilization
+		busyCPU     = 0.9 // CPU utilization
 	)
 	if g.Stale {
-		return // without a gauge the fraction stays
+		return // keep the fraction while the CPU utilization is unknown
 	}
-	if slices.Max(l.lateness) > 1 && g.CPUUtilization > busy {
+	if slices.Max(l.lateness) > 1 && g.CPUUtilization > busyCPU {
 		l.admitFraction = math.Max(minFraction, l.admitFraction*decrease)
 	} else {
 		l.admitFraction = math.Min(1, l.admitFraction+increase)
 	}
 }
 
-// admits tells whether an arrival of a rank is admitted: the fraction that is not is the lowest in rank, with a soft edge
-// that is drawn at random.
+// admits reports whether an arrival of the given rank is admitted. The arrivals of the lowest rank are rejected; near
+// the threshold the result is random.
 func (l *admissionLoop) admits(random *rand.Rand, rank float64) bool {
-	const edge = 0.2 // equal weights share a rank: without it they would all be rejected at once
-	return l.admitFraction == 1 || rank+edge*(random.Float64()-0.5) >= 1-l.admitFraction
+	// Arrivals of equal weight have the same rank, so with a sharp threshold all of them would be rejected at once.
+	const edgeWidth = 0.2
+	return l.admitFraction == 1 || rank+edgeWidth*(random.Float64()-0.5) >= 1-l.admitFraction
 }
--- a/control/callertimeout.go
+++ b/control/callertimeout.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// callerTimeout estimates how long a caller waits for one attempt where deadlines are not propagated. An impatient
-// caller is gone before heavy work ends, which then runs for nobody and runs again elsewhere; it is better rejected at
-// once, to be retried on a server that may be faster. Mean and deviation are in ms.
+// callerTimeout estimates a caller's timeout per attempt if deadlines are not propagated. If the timeout is shorter
+// than an RPC's run time, the run is wasted and the RPC runs again on another server, so it is better to reject the RPC
+// at once and let the caller retry on a server that may be faster. Mean and deviation are in ms.
 type callerTimeout struct {
-	mean      float64 // 0 before any attempt was abandoned
+	mean      float64 // 0 until an attempt has been abandoned
 	deviation float64 // mean absolute deviation
 }
 
-// observe takes in an attempt that the caller abandoned at an age of so many ms.
+// observe records that the caller abandoned an attempt at the given age in ms.
 func (t callerTimeout) observe(age float64) callerTimeout {
-	const weight = 0.4 // three attempts abandoned at the same age make an estimate, and it is soon corrected
+	const weight = 0.4 // three attempts abandoned at the same age suffice for an estimate, and it adapts quickly
 	if t.mean == 0 {
 		t.mean = age
 		t.deviation = age / 2
@@ -22,9 +22,10 @@
 	return t
 }
 
-// estimate is the caller's timeout in ms; infinite if its abandoned attempts show no common one.
+// estimate returns the estimated timeout in ms, or infinity if the ages of the abandoned attempts vary too much.
 func (t callerTimeout) estimate() float64 {
-	const maxDeviation = 0.2 // of the mean: a caller that leaves at such different ages has reasons of its own
+	// Fraction of the mean. A larger deviation indicates that the caller abandons attempts for other reasons.
+	const maxDeviation = 0.2
 	if t.mean == 0 || t.deviation > maxDeviation*t.mean {
 		return math.Inf(1)
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -1,14 +1,15 @@
 // Package control decides for one server which RPCs it admits, when it runs them and how it rejects the rest.
 //
-// It has one entry point: New makes a Controller from the start-up facts, and Handle takes one event with the clock and
-// returns the actions that answer it, to be carried out in that order. The types of events, actions and start-up facts
-// stand in api.go. A Controller does no I/O, shares nothing, reads no clock of its own and draws random numbers only
-// from its seed, so the same events give the same actions. All clock values and durations are milliseconds.
+// New creates a Controller from the configuration, and Handle processes one event at a clock value and returns the
+// resulting actions, which are to be performed in order. The types of events, actions and configuration are declared in
+// api.go. A Controller does no I/O, shares no state, reads no clock and derives its random numbers from its seed only,
+// so the same events produce the same actions. All clock values and durations are in milliseconds.
 //
-// On the ordinary path slow start admits a rising share of callers after a cold start, the admission loop sets the
-// fraction of arrivals that are admitted under pressure, and an admitted RPC is queued if it can still meet its latency
-// objective and runs when the run limit has capacity. The rest guards invariants: memory, the number of runs, idempotency
-// tokens, calls to a shared dependency, an answer to every RPC by its deadline, and draining.
+// On the normal path, slow start admits an increasing share of the callers after a cold start, the admission loop sets
+// the fraction of arrivals that are admitted under overload, and an admitted RPC is queued if it can still meet its
+// latency objective. It runs when the run limit has capacity. The other files enforce invariants: the memory limit, the
+// limit of concurrent runs, idempotency tokens, the limit of calls to a shared dependency, an answer to every RPC by
+// its deadline, and draining.
 package control
 
 import (
@@ -16,11 +17,11 @@
 	"math/rand"
 )
 
-// tickPeriod is the time between two timers, at which the gauges are read and deadlines checked. It lies under the slack
-// that answers have, and twenty-five timers a second cost a server well under a thousandth of a core.
+// tickPeriod is the time in ms between two timers; each timer reads the gauges and checks deadlines. It is shorter than
+// the tolerance for late answers, and 25 timers per second cost well under 0.1% of a core.
 const tickPeriod = 40.0
 
-// Controller is one instance. It is not safe for concurrent use.
+// Controller makes the decisions for one server. It is not safe for concurrent use.
 type Controller struct {
 	node    Node
 	methods []Method
@@ -30,16 +31,16 @@
 	overQuotaFraction  float64 // as in Fleet
 	maxRetryAfter      float64 // as in Fleet
 	propagatesDeadline bool    // as in Fleet
-	tightestObjective  float64 // the tightest latency objective of all methods
+	tightestObjective  float64 // the shortest latency objective of all methods
 
 	now          float64
 	nextTimer    float64  // clock value at which the next timer is due
-	ticks        int      // timers so far
-	actions      []Action // of the event at hand; its memory is used again
+	ticks        int      // number of timers that have fired
+	actions      []Action // actions of the current event; the slice is reused
 	rpcs         rpcTable // the RPCs in flight
-	runningCount int      // those that run and are not at a dependency call
-	usedKB       float64  // memory of the RPCs in flight
-	memoryShort  bool     // memory has kept an RPC from the queue or from running since the last timer
+	runningCount int      // number of RPCs that run and are not at a dependency call
+	usedKB       float64  // memory of the RPCs in flight, in KB
+	memoryShort  bool     // lack of memory has blocked an RPC from the queue or from running since the last timer
 	logged       [conditionCount]bool
 	random       *rand.Rand
 
@@ -54,17 +55,17 @@
 	health         health
 	feedback       loadFeedback
 	runTimes       []runTimeModel // by method
-	slowdown       float64        // recent run times over those of the models: above 1 is slow
+	slowdown       float64        // ratio of recent run times to the predicted ones; above 1 if the server is slow
 	quotas         []quotaMeter   // by customer
 	callerTimeouts map[uint16]callerTimeout
 	ranks          weightRanks
 }
 
-// New makes an instance for a server that is just starting. Its first event must be Started. The slices of the
-// configuration are read as long as the instance is in use.
+// New creates a Controller for a server that is starting. The first event must be Started. The slices of config must
+// not be modified while the Controller is in use.
 func New(config Config) *Controller {
 	node, fleet, methods := config.Node, config.Fleet, config.Methods
-	// These are divisors: missing or zero values must not lead to infinite or undefined shares.
+	// These values are used as divisors: a missing or zero value must not result in an infinite or undefined share.
 	fleet.Callers = max(1, fleet.Callers)
 	fleet.Peers = max(1, fleet.Peers)
 	node.WarmUpTime = math.Max(1, node.WarmUpTime)
@@ -102,7 +103,7 @@
 	return c
 }
 
-// Handle takes one event and returns the actions that answer it. now is the clock in ms; it never moves backwards. The
+// Handle processes one event and returns the resulting actions. now is the clock value in ms; it must not decrease. The
 // returned slice is valid until the next call.
 func (c *Controller) Handle(now float64, ev Event) []Action {
 	c.actions = c.actions[:0]
@@ -111,7 +112,7 @@
 	switch ev.Kind {
 	case CallerGone, Completed, AwaitingCall, CallCompleted:
 		if !inFlight {
-			return c.actions // the RPC is over here
+			return c.actions // the RPC is no longer in flight
 		}
 	}
 	switch ev.Kind {
@@ -138,7 +139,7 @@
 	return c.actions
 }
 
-// onStarted begins the warm-up and asks for the first timer.
+// onStarted starts the warm-up and sets the first timer.
 func (c *Controller) onStarted() {
 	c.slowStart.startedAt = c.now
 	c.runLimit.startedAt = c.now
@@ -146,5 +147,5 @@
 	c.emit(Action{Kind: SetHealth, Healthy: true}, Action{Kind: SetTimer, Time: c.nextTimer})
 }
 
-// emit appends actions to those that answer the event at hand.
+// emit appends to the actions of the current event.
 func (c *Controller) emit(a ...Action) { c.actions = append(c.actions, a...) }
--- a/control/dependency.go
+++ b/control/dependency.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// maxCallAttempts bounds the calls that an RPC makes for one response, and maxOptionalCallAttempts the calls of one
-	// that may go on without.
+	// maxCallAttempts limits the attempts per dependency call, and maxOptionalCallAttempts those of a call that can be
+	// skipped.
 	maxCallAttempts         = 3
 	maxOptionalCallAttempts = 2
 )
 
-// onAwaitingCall handles a running RPC that has come to its dependency call.
+// onAwaitingCall handles a running RPC that has reached its dependency call.
 func (c *Controller) onAwaitingCall(i int) {
 	r := &c.rpcs.slots[i]
 	if r.state != running {
@@ -25,16 +25,16 @@
 	c.startCall(i)
 }
 
-// startCall makes, defers or skips the call that an RPC awaits.
+// startCall makes, defers or skips the dependency call that an RPC is waiting for, or aborts the RPC.
 func (c *Controller) startCall(i int) {
-	const optionalCallTime = 0.7 // of the time left, for a call that can be skipped: the rest is to go on without it
+	const optionalCallFraction = 0.7 // of the time left, for a call that can be skipped; the rest is to proceed without it
 	r := &c.rpcs.slots[i]
 	if r.answered || r.state != awaitingCall {
 		return
 	}
 	method := &c.methods[r.method]
 	optional := method.DegradedFraction > 0
-	left := r.objective - c.now - c.expectedRunTime(r)/3 // what its run still needs after the call is not known
+	left := r.objective - c.now - c.expectedRunTime(r)/3 // the run time after the call is unknown; assume a third
 	if method.LateFraction > 0 || c.now > r.objective {
 		left += r.deadline - r.objective
 	}
@@ -47,11 +47,11 @@
 		return
 	}
 	if optional {
-		left *= optionalCallTime
+		left *= optionalCallFraction
 	}
 	timeout := c.calls.acquire(c.now, left)
 	if timeout == 0 {
-		if optional { // the capacity is for those that can't skip; this one would occupy a run while it waits
+		if optional { // leave the capacity to calls that cannot be skipped, and do not block a run while waiting
 			c.skipCall(r)
 		}
 		return
@@ -61,13 +61,13 @@
 	c.emit(Action{Kind: Call, RPC: r.id, Time: timeout})
 }
 
-// skipCall has an RPC go on without its dependency call.
+// skipCall resumes an RPC without its dependency call.
 func (c *Controller) skipCall(r *rpc) {
 	c.emit(Action{Kind: SkipCall, RPC: r.id})
 	c.resume(r)
 }
 
-// resume accounts for an RPC that runs again after its call.
+// resume updates the state of an RPC that continues to run after its call.
 func (c *Controller) resume(r *rpc) {
 	r.dependencyTime += c.now - r.awaitingSince
 	r.state = running
@@ -84,47 +84,47 @@
 	r.state = awaitingCall
 	neverRan := ev.Outcome == OutcomeRejected || ev.Outcome == OutcomeUnreachable
 	switch {
-	case r.answered: // its run ends here
+	case r.answered: // the run ends without another call
 	case ev.Outcome == OutcomeOK:
 		c.resume(r)
 	case c.methods[r.method].Idempotency != Idempotent && !neverRan:
-		c.abort(i) // the call may have had its effect, so it must not be made again
+		c.abort(i) // the call may have taken effect, so it must not be repeated
 	}
 	for k := range c.rpcs.slots {
-		c.startCall(k) // those that were deferred
+		c.startCall(k) // a call that was deferred
 	}
 }
 
-// callLimiter bounds the concurrent calls to a shared dependency to this node's share at every moment, so that the mean
-// over the fleet holds whatever the other nodes do. All times are ms.
+// callLimiter limits the concurrent calls to a shared dependency to this node's share at any time, so that the mean
+// over the fleet stays within its limit regardless of the other nodes. All times are in ms.
 type callLimiter struct {
-	share          float64   // concurrent calls that this node may have; 0 if nothing is shared
-	limit          float64   // what of the share is used, to keep the dependency fast
+	share          float64   // concurrent calls that this node may have; 0 if there is no shared dependency
+	limit          float64   // adaptive limit of concurrent calls, at most share
 	linger         float64   // as in Dependency
 	window         float64   // as in Dependency
-	inFlight       int       // calls
-	abandonedUntil []float64 // clock values until which abandoned calls linger
-	meanTime       float64   // recent duration of a call
-	baseline       float64   // that duration when the dependency is not crowded
-	startedAt      float64   // clock value at which the latest call began
-	history        []span    // the calls that ended within window, if the share is under one call
+	inFlight       int       // number of calls
+	abandonedUntil []float64 // clock values until which abandoned calls occupy the dependency
+	meanTime       float64   // mean duration of recent calls
+	baseline       float64   // mean duration while the dependency is not overloaded
+	startedAt      float64   // clock value at the start of the latest call
+	history        []span    // calls that ended within window; used if the share is below one call
 }
 
-// span is a period of the clock.
+// span is a time interval between two clock values.
 type span struct{ from, to float64 }
 
 func newCallLimiter(d *Dependency) callLimiter {
 	return callLimiter{share: d.ConcurrencyShare, limit: d.ConcurrencyShare, linger: d.Linger, window: d.AveragingWindow}
 }
 
-// fractional tells whether the share is less than one call at any time.
+// fractional reports whether the share is below one concurrent call.
 func (k *callLimiter) fractional() bool { return k.share > 0 && k.share < 1 }
 
-// acquire takes capacity for a call and returns how long the call may last, up to left; 0 if there is no capacity. A
-// share under one call is kept in the mean: the call ends before any window holds more than that, however slow the
-// dependency becomes meanwhile, which all servers meet at the same time.
+// acquire reserves capacity for a call and returns the timeout of the call, at most left, or 0 if there is no capacity.
+// A share below one call is enforced in the mean over the window: the timeout ends the call before its window exceeds
+// the share, even if the dependency slows down in the meantime, which affects all servers at the same time.
 func (k *callLimiter) acquire(now, left float64) float64 {
-	const minTimes = 1.5 // times the usual duration, below which a call is not begun
+	const minTimeoutRatio = 1.5 // to the mean duration; a call with a shorter timeout is not started
 	k.abandonedUntil = slices.DeleteFunc(k.abandonedUntil, func(until float64) bool { return until <= now })
 	if k.share > 0 && float64(k.inFlight+len(k.abandonedUntil)) >= math.Max(1, math.Floor(k.limit)) {
 		return 0
@@ -135,7 +135,7 @@
 		for _, s := range k.history {
 			capacity -= s.to - math.Max(s.from, now-k.window)
 		}
-		if capacity < math.Min(left, math.Max(1, minTimes*k.meanTime)) {
+		if capacity < math.Min(left, math.Max(1, minTimeoutRatio*k.meanTime)) {
 			return 0
 		}
 		left = math.Min(left, capacity)
@@ -145,18 +145,19 @@
 	return left
 }
 
-// release returns the capacity of a call that took elapsed ms. A call that we gave up on lingers at the dependency.
+// release returns the capacity of a call that took elapsed ms. An abandoned call occupies the dependency for linger ms
+// more.
 //
-// A crowded dependency slows all callers and stays crowded: callers wait longer, so more calls are in flight there. Fewer
-// calls let it recover whatever slowed it; where it is slow for another reason, this costs the RPCs that are queued here
-// instead.
+// An overloaded dependency stays overloaded: calls take longer, so more of them are in flight there. Reducing the limit
+// lets it recover. If the dependency is slow for another reason, reducing the limit delays the RPCs that are queued
+// here instead.
 func (k *callLimiter) release(now, elapsed float64, outcome Outcome) {
 	const (
-		slow       = 2.5   // times the baseline: above the spread of single calls
-		meanWeight = 0.1   // ten calls of memory
-		drift      = 1.001 // growth of the baseline per call
-		decrease   = 0.95  // factor of the limit per call while the dependency is slow
-		increase   = 0.1   // calls that the limit grows by per call
+		slowRatio  = 2.5   // of the mean to the baseline; above the variation of single calls
+		meanWeight = 0.1   // averages over about ten calls
+		drift      = 1.001 // growth factor of the baseline per call
+		decrease   = 0.95  // factor applied to the limit per call while the dependency is slow
+		increase   = 0.1   // added to the limit per call otherwise
 	)
 	k.inFlight--
 	if outcome == OutcomeTimedOut || outcome == OutcomeReset {
@@ -164,7 +165,7 @@
 		k.abandonedUntil = append(k.abandonedUntil, now)
 	}
 	if k.fractional() {
-		k.history = append(k.history, span{k.startedAt, now}) // its end may be reported late
+		k.history = append(k.history, span{k.startedAt, now}) // the end may be reported late
 	}
 	if outcome == OutcomeOK {
 		if k.baseline == 0 {
@@ -174,12 +175,12 @@
 		k.meanTime += meanWeight * (elapsed - k.meanTime)
 		k.baseline = math.Min(k.meanTime, drift*k.baseline)
 	}
-	if k.meanTime > slow*k.baseline || outcome == OutcomeTimedOut {
+	if k.meanTime > slowRatio*k.baseline || outcome == OutcomeTimedOut {
 		k.limit = math.Max(math.Min(1, k.share), math.Min(k.limit, float64(k.inFlight+1))*decrease)
 	} else {
 		k.limit = math.Min(k.share, k.limit+increase)
 	}
 }
 
-// reduced tells whether the limit is at less than half of the share.
+// reduced reports whether the limit is below half of the share.
 func (k *callLimiter) reduced() bool { return 2*k.limit < k.share }
