--- a/control/drain.go
+++ b/control/drain.go
@@ -9,7 +9,7 @@
 	stopAt    float64
 }
 
-// clampDeadline has an RPC answered before the stop, with one timer to spare.
+// clampDeadline limits an RPC's deadline so that it is answered one timer before the stop.
 func (d *drain) clampDeadline(r *rpc) {
 	if d.active {
 		r.deadline = math.Min(r.deadline, d.stopAt-tickPeriod)
@@ -17,7 +17,7 @@
 	}
 }
 
-// onDrainNotice begins a drain.
+// onDrainNotice starts a drain.
 func (c *Controller) onDrainNotice(ev *Event) {
 	noticedAt := c.now - ev.Age
 	c.drain = drain{active: true, noticedAt: noticedAt, stopAt: noticedAt + ev.Remaining}
@@ -27,7 +27,7 @@
 	c.emit(Action{Kind: SetHealth}, Action{Kind: LogEvent, Message: "drain.notice_received"})
 }
 
-// onDrainCancelled ends a drain. RPCs in flight keep the deadlines that it gave them.
+// onDrainCancelled ends a drain. RPCs in flight keep their limited deadlines.
 func (c *Controller) onDrainCancelled() {
 	c.drain = drain{}
 	c.emit(Action{Kind: SetHealth, Healthy: c.health.healthy}, Action{Kind: LogEvent, Message: "drain.notice_cancelled"})
--- a/control/feedback_test.go
+++ b/control/feedback_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := retryMonitor{marksRetries: c.marks, announcedTimeout: 20000, maxIdleTimeout: 20000}
+			p := retryMonitor{marksRetries: c.marks, appliedTimeout: 20000, maxIdleTimeout: 20000}
 			for range 200 {
 				for range c.firsts {
 					p.observe(false)
--- a/control/log.go
+++ b/control/log.go
@@ -1,6 +1,6 @@
 package control
 
-// condition is a state of the server whose begin and end are logged.
+// condition is a state of the server whose start and end are logged.
 type condition int
 
 const (
@@ -12,8 +12,8 @@
 	conditionCount
 )
 
-// conditionEvents are the names of the log events at the begin and at the end of each condition.
-var conditionEvents = [conditionCount]struct{ begin, end string }{
+// conditionEvents contains the names of the log events at the start and at the end of each condition.
+var conditionEvents = [conditionCount]struct{ start, end string }{
 	conditionSlowStart:        {"slow_start.started", "slow_start.completed"},
 	conditionAdmissionReduced: {"admission.reduced", "admission.restored"},
 	conditionUnhealthy:        {"health.unhealthy", "health.healthy"},
@@ -21,7 +21,7 @@
 	conditionCallsReduced:     {"dependency.calls_reduced", "dependency.calls_restored"},
 }
 
-// logConditions logs the conditions that have begun or ended since the last timer.
+// logConditions logs the conditions that have started or ended since the last timer.
 func (c *Controller) logConditions() {
 	conditions := [conditionCount]bool{
 		conditionSlowStart:        !c.slowStart.complete,
@@ -37,7 +37,7 @@
 		c.logged[i] = active
 		event := conditionEvents[i].end
 		if active {
-			event = conditionEvents[i].begin
+			event = conditionEvents[i].start
 		}
 		c.emit(Action{Kind: LogEvent, Message: event})
 	}
--- a/control/ranks.go
+++ b/control/ranks.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// weightRanks are the weights of the latest arrivals.
+// weightRanks ranks weights among those of the latest arrivals.
 type weightRanks struct {
-	weights [64]float64 // a ring: some seconds of traffic
-	count   int         // arrivals so far
+	weights [64]float64 // ring buffer, a few seconds of traffic
+	count   int         // number of arrivals so far
 }
 
-// rank adds a weight. It returns the part of the latest arrivals that weigh less, equals counting half, and the weight
-// over their mean.
+// rank adds the weight of an arrival. It returns the fraction of the latest arrivals that have less weight, where equal
+// weights count half, and the ratio of the weight to their mean.
 func (k *weightRanks) rank(weight float64) (rank, relativeWeight float64) {
-	const minSum = 1e-9 // keeps the quotient finite if nothing has a weight
+	const minSum = 1e-9 // keeps the ratio finite if all weights are zero
 	k.weights[k.count%len(k.weights)] = weight
 	k.count++
 	latest := k.weights[:min(k.count, len(k.weights))]
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// retryAfter is the advice that goes with a rejection by overload: until half the queue has drained. Callers that stay
-// away until all of it has find idle cores, and come back together. Retries, which a storm is made of, stay away for what
-// waits unread as well.
+// retryAfter returns the retry-after in ms of a rejection by overload: the time until half of the queue has drained. If
+// callers waited until the whole queue has drained, the cores would become idle and the callers would return together.
+// Retries, which cause retry storms, also wait for the arrivals that have not been read yet.
 func (c *Controller) retryAfter(retry bool) float64 {
 	wait := c.expectedWait(math.Inf(1), 0) / 2
 	if retry {
@@ -13,14 +13,14 @@
 	return math.Min(c.maxRetryAfter, math.Max(wait, slowStartRetryAfter))
 }
 
-// shed rejects an RPC by overload. A marked retry has met another full server before this one: its caller is asked not to
-// retry elsewhere, or reading it costs one more server each time.
+// shed rejects an RPC by overload. A marked retry has been rejected by another overloaded server before, so its caller
+// is asked not to retry elsewhere: each further attempt costs another server the time to read it.
 func (c *Controller) shed(i int) {
 	retry := c.rpcs.slots[i].retry
 	c.reject(i, c.retryAfter(retry), retry || c.retries.fleetOverloaded())
 }
 
-// reject answers a queued RPC, which never ran, with a rejection.
+// reject answers an RPC that has not run with a rejection.
 func (c *Controller) reject(i int, retryAfter float64, noRetry bool) {
 	r := &c.rpcs.slots[i]
 	c.evictToken(r)
@@ -28,7 +28,7 @@
 	c.remove(i)
 }
 
-// evictToken drops the token of an RPC that never ran.
+// evictToken evicts the idempotency token of an RPC that has not run.
 func (c *Controller) evictToken(r *rpc) {
 	if r.tokenCached && r.state == queued {
 		c.tokens.evict(r.id, c.now)
@@ -36,13 +36,13 @@
 	}
 }
 
-// abort answers an RPC with an error. A running RPC that can be preempted is, unless it has an effect that a duplicate
-// may still ask for.
+// abort answers an RPC with an error. A running RPC is preempted if that is possible, unless a duplicate may still
+// request the result of its effect.
 func (c *Controller) abort(i int) {
 	r := &c.rpcs.slots[i]
 	if !r.answered {
 		c.emit(Action{Kind: Abort, RPC: r.id})
-		if r.state == running { // if only runs that end in time counted, all would seem fast
+		if r.state == running { // if only runs that end in time were learnt, the estimates would be too low
 			c.learnRunTime(r, math.Max(c.now-r.startedAt-r.dependencyTime, c.expectedRunTime(r)))
 		}
 	}
@@ -52,18 +52,18 @@
 		if c.canPreempt(r) {
 			c.emit(Action{Kind: Preempt, RPC: r.id})
 		}
-	case awaitingCall, calling: // its end is reported, and a call goes on at the dependency until then
+	case awaitingCall, calling: // the RPC stays until its end is reported; a call continues at the dependency until then
 	default:
 		c.remove(i)
 	}
 }
 
-// canPreempt tells whether a run may be stopped without leaving an effect in doubt.
+// canPreempt reports whether a run can be stopped without leaving it uncertain whether it took effect.
 func (c *Controller) canPreempt(r *rpc) bool {
 	return c.node.Preemption != PreemptNone && c.methods[r.method].Idempotency == Idempotent
 }
 
-// remove takes an RPC out of the table.
+// remove removes an RPC from the table.
 func (c *Controller) remove(i int) {
 	r := &c.rpcs.slots[i]
 	switch r.state {
--- a/control/rpc.go
+++ b/control/rpc.go
@@ -5,15 +5,15 @@
 
 const (
 	free         state = iota // the slot holds no RPC
-	queued                    // read, not run yet
-	running                   // on a core or waiting for disk
-	awaitingCall              // waits for us to make its dependency call
+	queued                    // read, but not running yet
+	running                   // on a core or waiting for disk I/O
+	awaitingCall              // its dependency call has not been made yet
 	calling                   // its dependency call is in flight
-	joined                    // waits for the RPC that it duplicates
+	joined                    // waits for the result of the RPC that it duplicates
 )
 
-// rpc is one RPC in flight. It stays until its run is over, even when it has been answered. Times are ms; those named as
-// a moment are clock values.
+// rpc is an RPC in flight. It stays in the table until its run has ended, even if it has been answered. Durations are
+// in ms; the fields whose names end in At or Since, objective and deadline are clock values in ms.
 type rpc struct {
 	id             uint32
 	state          state
@@ -23,27 +23,27 @@
 	answered       bool
 	tokenCached    bool
 	lane           lane
-	arrivedAt      float64 // when it reached the machine
-	readAt         float64 // when it was read here
-	startedAt      float64 // start of its run
+	arrivedAt      float64 // when the RPC reached the machine
+	readAt         float64 // when the RPC was read by the server
+	startedAt      float64 // when the run started
 	objective      float64 // when the response is wanted
 	deadline       float64 // when the caller gives up
-	cost           float64 // its cost hint, or the prior of its method if there is none
-	queuedKB       float64 // its memory while queued
-	memoryKB       float64 // its memory now
+	cost           float64 // cost hint, or the prior run time of the method if there is none
+	queuedKB       float64 // memory while queued
+	memoryKB       float64 // current memory
 	dependencyTime float64 // time spent at dependency calls so far
-	awaitingSince  float64 // when it came to its dependency call
-	callAttempts   int     // calls made since then
-	weight         float64 // what it counts for: criticality, reduced by quota and for retries
-	rank           float64 // fraction of the latest arrivals that weigh less
-	relativeWeight float64 // weight over the mean of the latest arrivals
+	awaitingSince  float64 // when the RPC reached its dependency call
+	callAttempts   int     // number of attempts of the current dependency call
+	weight         float64 // criticality, reduced if the RPC is over quota or a retry
+	rank           float64 // fraction of the latest arrivals that have less weight
+	relativeWeight float64 // ratio of the weight to the mean of the latest arrivals
 }
 
-// rpcTable holds the RPCs in flight in slots that are used again. Indexes of slots stay valid while the RPC is in flight.
+// rpcTable holds the RPCs in flight in reusable slots. The index of a slot stays valid while its RPC is in flight.
 type rpcTable struct {
 	slots []rpc
-	free  []int          // indexes of free slots, the next one last
-	byID  map[uint32]int // index of the slot of each RPC
+	free  []int          // indexes of free slots; the last one is used next
+	byID  map[uint32]int // slot index by RPC identifier
 }
 
 // add puts an RPC into a slot and returns its index.
--- a/control/runqueue.go
+++ b/control/runqueue.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// startRuns starts queued RPCs for which the run limit and the memory have capacity.
+// startRuns starts queued RPCs while the run limit and the memory have capacity.
 func (c *Controller) startRuns() {
-	const runFraction = 0.95 // of the memory; the rest is for arrivals that nobody can reject before they are read
+	const runFraction = 0.95 // of the memory; the rest is for arrivals, which cannot be rejected before they are read
 	for c.queue.length > 0 {
 		maxRuns := c.runLimit.maxRuns()
 		longRuns, blocked := c.occupancy()
@@ -28,8 +28,9 @@
 	}
 }
 
-// occupancy counts long runs, and the RPCs that are blocked for lack of capacity at the dependency. These count against
-// the run limit: what is started beside them would only come to be blocked there too, its work on the cores lost.
+// occupancy returns the number of long runs and the number of RPCs that are blocked because the dependency has no
+// capacity. Blocked RPCs count against the run limit: further RPCs would most likely be blocked as well, and their work
+// on the cores would be wasted.
 func (c *Controller) occupancy() (longRuns, blocked int) {
 	for i := range c.rpcs.slots {
 		r := &c.rpcs.slots[i]
@@ -45,17 +46,18 @@
 // lane is one of the two lanes of the queue.
 type lane int
 
-// The lanes: runs expected to be of usual length, and those above longRunFactor times the mean.
+// The lanes. RPCs whose expected run time exceeds longRunFactor times the mean are put into the long lane.
 const (
 	shortLane lane = iota
 	longLane
 	laneCount
 )
 
-// runQueue holds the indexes of the queued RPCs in two lanes, each ordered by latency objective, the earliest first.
+// runQueue holds the indexes of the queued RPCs in two lanes. Each lane is ordered by latency objective, earliest
+// first.
 type runQueue struct {
 	lanes  [laneCount][]int
-	length int // of both lanes
+	length int // total length of both lanes
 }
 
 // add inserts the RPC at index i of slots into its lane.
@@ -68,14 +70,14 @@
 	}
 }
 
-// remove takes the RPC at index i out of a lane. An RPC that was just read may be in none.
+// remove removes the RPC at index i from a lane. It does nothing if the RPC has just been read and is not queued yet.
 func (q *runQueue) remove(i int, l lane) {
 	q.lanes[l] = slices.DeleteFunc(q.lanes[l], func(member int) bool { return member == i })
 	q.length = len(q.lanes[shortLane]) + len(q.lanes[longLane])
 }
 
-// next is the index of the RPC to run next. Long runs get at most half of the run limit while short ones wait. The queue
-// must not be empty.
+// next returns the index of the RPC to run next. Long runs get at most half of the run limit while RPCs in the short
+// lane are waiting. The queue must not be empty.
 func (q *runQueue) next(slots []rpc, longRuns, maxRuns int) int {
 	short, long := q.lanes[shortLane], q.lanes[longLane]
 	switch {
--- a/control/runtimemodel.go
+++ b/control/runtimemodel.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// meanRunTime is the run time of the usual RPC in ms: the mean over all methods, weighted by their recent runs.
+// meanRunTime returns the mean run time in ms over all methods, weighted by their numbers of recent runs.
 func (c *Controller) meanRunTime() float64 {
 	sum, runs := 0.0, 0.0
 	for i := range c.runTimes {
@@ -12,17 +12,18 @@
 	return sum / runs
 }
 
-// expectedRunTime is the expected run time of an RPC in ms, without its dependency calls.
+// expectedRunTime returns the expected run time of an RPC in ms, excluding its dependency calls.
 func (c *Controller) expectedRunTime(r *rpc) float64 {
 	return c.runTimes[r.method].predict(r.cost, c.slowdown)
 }
 
-// learnRunTime takes in a run of elapsed ms. All methods together show the recent slowdown: a single method runs too
-// seldom on a small server, and its last twenty runs reach back past a change such as a slow machine or a storm of reads.
+// learnRunTime records a run of elapsed ms. The slowdown is estimated over all methods: on a small server a single
+// method runs too rarely, and its last twenty runs may date from before a change such as a slow machine or a burst of
+// reads.
 func (c *Controller) learnRunTime(r *rpc, elapsed float64) {
 	const (
-		weight   = 0.15 // about seven runs, a second or two of traffic
-		minRatio = 0.25 // bounds of what one run may show, as a single heavy run says little about the speed
+		weight   = 0.15 // averages over about seven runs, one to two seconds of traffic
+		minRatio = 0.25 // minRatio and maxRatio limit the effect of one run: a single long run is a weak sign of low speed
 		maxRatio = 4
 	)
 	model := &c.runTimes[r.method]
@@ -34,29 +35,30 @@
 // runTimeModel learns how long the runs of a method take and how well their cost hints predict it. The sums decay
 // exponentially.
 type runTimeModel struct {
-	elapsedSum     float64 // of run times in ms
-	costSum        float64 // of cost hints
+	elapsedSum     float64 // sum of run times in ms
+	costSum        float64 // sum of cost hints
 	runs           float64 // number of runs
-	dependencyTime float64 // mean ms at dependency calls
-	prior          float64 // run time in ms before any run has ended
-	covariance     float64 // of run time and cost hint, each over its mean
-	costVariance   float64 // of the cost hint over its mean
+	dependencyTime float64 // mean time in ms at dependency calls
+	prior          float64 // assumed run time in ms before the first run has ended
+	covariance     float64 // covariance of run time and cost hint, each divided by its mean
+	costVariance   float64 // variance of the cost hint divided by its mean
 }
 
-// newRunTimeModel starts as if two runs had ended, of a sixth of the latency objective and as long as hinted: a first
-// run with a short hint would otherwise make all others seem endless. Hints are trusted fully at first.
+// newRunTimeModel returns a model as after two runs that took a sixth of the latency objective, equal to their cost
+// hints. Otherwise a first run with a short hint would make the predictions for all other RPCs far too long. Cost hints
+// are fully trusted at first.
 func newRunTimeModel(objective float64) runTimeModel {
 	prior := objective / 6
 	return runTimeModel{prior: prior, elapsedSum: 2 * prior, costSum: 2 * prior, runs: 2, covariance: 0.5, costVariance: 0.5}
 }
 
-// observe takes in a run: its time at normal speed, its cost hint and the time that it spent at dependency calls.
+// observe records a run: its run time at normal speed, its cost hint and its time at dependency calls.
 func (m *runTimeModel) observe(elapsed, cost, dependencyTime float64) {
 	const (
-		decay     = 0.95 // twenty runs of memory; faster changes show in the slowdown
-		hintDecay = 0.98 // fifty for the quality of hints, which no slowdown changes
+		decay     = 0.95 // averages over about twenty runs; the slowdown captures faster changes
+		hintDecay = 0.98 // about fifty runs for the accuracy of hints, which does not depend on the slowdown
 	)
-	elapsed = math.Max(1, elapsed) // a run that took no time shows no speed
+	elapsed = math.Max(1, elapsed) // a run of zero length gives no information about the speed
 	m.elapsedSum = m.elapsedSum*decay + elapsed
 	m.costSum = m.costSum*decay + cost
 	m.runs = m.runs*decay + 1
@@ -67,13 +69,13 @@
 	m.costVariance = m.costVariance*hintDecay + (1-hintDecay)*costError*costError
 }
 
-// predict is the run time to expect in ms. Rough hints overrate what they call heavy, so it is drawn towards the mean by
-// the regression of run time on hint. The mean stays under what an idle server takes: what was learnt during a hang must
-// not keep a method from ever being tried again.
+// predict returns the expected run time in ms. Inaccurate cost hints overestimate expensive RPCs, so the prediction is
+// regressed towards the mean by the regression coefficient of run time on cost hint. The mean is capped at a value that
+// an idle server admits: otherwise run times learnt during a hang could cause a method to be rejected forever.
 func (m *runTimeModel) predict(cost, slowdown float64) float64 {
 	const (
-		minTrust   = 0.3 // in hints
-		maxOfPrior = 5   // the mean, in priors
+		minTrust   = 0.3 // minimum weight of the cost hint
+		maxOfPrior = 5   // maximum of the mean, as a multiple of the prior
 	)
 	trust := math.Max(minTrust, math.Min(1, m.covariance/m.costVariance))
 	return math.Min(slowdown*m.elapsedSum/m.runs, maxOfPrior*m.prior) * (1 - trust + trust*cost*m.runs/m.costSum)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -3,25 +3,26 @@
 import "math"
 
 const (
-	// minShares is the least number of shares in which slow start admits traffic: its steps are a twentieth of the
-	// traffic at most.
+	// minShares is the minimum number of parts into which slow start divides the traffic: the admitted share rises by
+	// at most 5% of the traffic at a time.
 	minShares = 20
-	// durationFraction is the duration of slow start over the longest warm-up: most servers are warm well before its
-	// end, and what slow start rejects the rest of a fleet that is being replaced must run.
+	// durationFraction is the duration of slow start as a fraction of the longest warm-up. Most servers are warm well
+	// before the longest warm-up ends, and the other servers of a fleet that is being replaced must run the RPCs that
+	// slow start rejects.
 	durationFraction = 0.35
-	// slowStartStep is the time in ms between two rises of the admitted share.
+	// slowStartStep is the time in ms between two increases of the admitted share.
 	slowStartStep = 1000
 )
 
-// slowStart is the rising share of callers that a cold server admits, after the AppOptics post "Zero-Downtime AWS ALB
-// Deployments": percentEnabled rises linearly with the whole seconds since the start, and a caller is admitted if the
-// hash of its number modulo 100 is not above it.
+// slowStart computes the increasing share of callers that a cold server admits, as described in the AppOptics post
+// "Zero-Downtime AWS ALB Deployments": the percentage of admitted callers (percentEnabled there) rises linearly with
+// the whole seconds since the start, and a caller is admitted if the hash of its number modulo 100 does not exceed it.
 type slowStart struct {
 	complete        bool
 	startedAt       float64 // clock value in ms
 	duration        float64 // ms
-	subjectParts    uint64  // few callers are split by subject into so many parts each
-	salt            uint64  // of the hash
+	subjectParts    uint64  // number of parts into which each caller is divided by subject; above 1 if there are few callers
+	salt            uint64  // salt of the hash
 	admittedPercent float64
 }
 
@@ -34,8 +35,9 @@
 	}
 }
 
-// admits tells whether slow start admits a caller. The share never falls, so a caller that was admitted stays so. Where
-// callers are few, each is split by the subject of its RPCs: a hashed share of three callers is no share of the traffic.
+// admits reports whether slow start admits an RPC of a caller. The share never decreases, so an admitted caller stays
+// admitted. If there are few callers, each is divided by the subjects of its RPCs, because a share of, say, three
+// hashed callers does not correspond to a share of the traffic.
 func (s *slowStart) admits(now float64, caller uint16, subject uint64, id uint32) bool {
 	if s.complete {
 		return true
@@ -46,7 +48,7 @@
 		s.complete = true
 		return true
 	}
-	h := mix(uint64(caller) ^ s.salt) // salted, or successive servers would all reject the same callers
+	h := mix(uint64(caller) ^ s.salt) // without the salt, servers started one after another would all reject the same callers
 	if s.subjectParts > 1 {
 		if subject == 0 {
 			subject = uint64(id)
--- a/control/timer.go
+++ b/control/timer.go
@@ -1,13 +1,13 @@
 package control
 
-// loopPeriod is the number of timers between two steps of the feedback loops: two steps in the half second that the
-// gauge of CPU utilization covers.
+// loopPeriod is the number of timers between two steps of the feedback loops: about two steps per half second, which is
+// the period that the CPU utilization gauge covers.
 const loopPeriod = 5
 
-// onTimer reads the gauges, steps the feedback loops and checks the deadlines of all RPCs.
+// onTimer reads the gauges, updates the feedback loops and checks the deadlines of all RPCs.
 func (c *Controller) onTimer(g *Gauges) {
 	if gap := c.now - c.nextTimer; gap > 3*tickPeriod {
-		c.slowStart.startedAt += gap // during a stall the clock ran without traffic: slow start does not count it
+		c.slowStart.startedAt += gap // exclude the stall from slow start: there was no traffic during it
 	}
 	c.runLimit.step(c.now, g, c.runningCount)
 	c.ticks++
@@ -26,26 +26,27 @@
 	c.emit(Action{Kind: SetTimer, Time: c.nextTimer})
 }
 
-// stepLoops steps the feedback loops that set the admitted fraction, the idle timeout and the load feedback.
+// stepLoops updates the feedback loops that set the admitted fraction, the idle timeout and the load feedback.
 func (c *Controller) stepLoops(g *Gauges) {
 	const (
-		calmCPU        = 0.5  // utilization
-		calmRejections = 0.02 // fraction of arrivals
+		lightLoadCPU        = 0.5  // utilization
+		lightLoadRejections = 0.02 // fraction of arrivals
 	)
 	c.admission.step(g)
-	// With cores to spare and no rejections, an open connection costs less than opening the next one.
-	calm := !g.Stale && g.CPUUtilization < calmCPU && c.retries.rejectFraction < calmRejections
-	if c.retries.updateIdleTimeout(c.runLimit.unreadWait, calm) {
+	// With idle cores and few rejections, keeping a connection open costs less than opening a new one.
+	lightlyLoaded := !g.Stale && g.CPUUtilization < lightLoadCPU && c.retries.rejectFraction < lightLoadRejections
+	if c.retries.updateIdleTimeout(c.runLimit.unreadWait, lightlyLoaded) {
 		c.emit(Action{Kind: SetIdleTimeout, Time: c.retries.idleTimeout})
 	}
-	// RPCs in flight that can still meet their objective.
+	// The number of RPCs in flight that can meet their latency objective.
 	inTime := float64(c.runLimit.maxRuns()) * (1 + c.tightestObjective/2/c.meanRunTime())
 	if value, changed := c.feedback.step(inTime, c.runLimit.unreadWait); changed {
 		c.emit(Action{Kind: SetFeedback, Feedback: value})
 	}
 }
 
-// checkDeadline answers an RPC whose deadline falls before the next timer, or that can no longer meet its objective.
+// checkDeadline answers an RPC whose deadline is before the next timer or that can no longer meet its latency
+// objective.
 func (c *Controller) checkDeadline(i int) {
 	r := &c.rpcs.slots[i]
 	if r.state == free || r.answered {
@@ -59,13 +60,13 @@
 		if method.LateFraction > 0 {
 			last = r.deadline
 		}
-		if c.now >= answerBy || c.now+costDoubt*c.expectedRunTime(r)+c.runTimes[r.method].dependencyTime > last {
+		if c.now >= answerBy || c.now+minRunTimeFraction*c.expectedRunTime(r)+c.runTimes[r.method].dependencyTime > last {
 			c.shed(i)
 		}
 	case c.now >= answerBy:
 		c.abort(i)
 	case c.now > r.objective && method.LateFraction == 0 && c.canPreempt(r):
-		c.abort(i) // its response has no value any more, and the core is needed
+		c.abort(i) // the response has no value anymore, and other RPCs need the core
 	case r.state == awaitingCall:
 		c.startCall(i)
 	}
--- a/control/tokens.go
+++ b/control/tokens.go
@@ -1,25 +1,25 @@
 package control
 
-// tokenCache holds the idempotency tokens that are cached here: some tens, so lookups are linear.
+// tokenCache holds the cached idempotency tokens. There are only tens of them, so lookups are linear.
 type tokenCache struct {
-	entryKB float64 // memory of one token
+	entryKB float64 // memory of one token in KB
 	entries []cachedToken
 }
 
-// cachedToken is the token of one RPC. Its times are clock values in ms.
+// cachedToken is the idempotency token of an RPC. Its times are clock values in ms.
 type cachedToken struct {
 	rpc             uint32
-	expiresAt       float64 // the server's table drops it then
-	duplicatesUntil float64 // a duplicate that is read late may name it until then
+	expiresAt       float64 // when the server's table evicts the token
+	duplicatesUntil float64 // until when a duplicate that is read late may refer to the token
 }
 
-// add caches an RPC's token for lifetime ms. A duplicate that arrives within that may be read up to deadline ms later.
+// add caches an RPC's token for lifetime ms. A duplicate that arrives in that time may be read up to deadline ms later.
 func (t *tokenCache) add(rpc uint32, now, lifetime, deadline float64) {
 	t.evict(rpc, now)
 	t.entries = append(t.entries, cachedToken{rpc, now + lifetime, now + lifetime + deadline})
 }
 
-// evict drops an RPC's token, and all that no duplicate can name any more.
+// evict removes an RPC's token and all tokens that no duplicate can refer to anymore.
 func (t *tokenCache) evict(rpc uint32, now float64) {
 	n := 0
 	for _, e := range t.entries {
@@ -31,7 +31,7 @@
 	t.entries = t.entries[:n]
 }
 
-// contains tells whether an RPC's token is cached.
+// contains reports whether an RPC's token is cached.
 func (t *tokenCache) contains(rpc uint32) bool {
 	for _, e := range t.entries {
 		if e.rpc == rpc {
@@ -41,7 +41,7 @@
 	return false
 }
 
-// usedKB is the memory that the tokens take.
+// usedKB returns the memory in KB that the tokens take.
 func (t *tokenCache) usedKB(now float64) float64 {
 	kb := 0.0
 	for _, e := range t.entries {
