--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs the decisions of package control on the simulator's wire, on standard input and output.
+// Command adapter connects package control to the simulator. It reads event batches from standard input and writes the
+// resulting actions to standard output.
 package main
 
 import (
@@ -12,7 +13,7 @@
 	"sorrelvalve/internal/simwire"
 )
 
-// readBufferSize is that of standard input, in bytes.
+// readBufferSize is the size of the buffer for standard input, in bytes.
 const readBufferSize = 1 << 16
 
 func main() {
@@ -22,10 +23,10 @@
 	}
 }
 
-// serve answers each batch of in with one reply on out, until in ends.
+// serve reads batches from in until it ends, and writes one reply per batch to out.
 func serve(in io.Reader, out io.Writer) error {
 	reader := simwire.NewReader(bufio.NewReaderSize(in, readBufferSize))
-	instances := map[uint16]*control.Controller{}
+	controllers := map[uint16]*control.Controller{}
 	var reply simwire.Reply
 	for {
 		now, err := reader.Batch()
@@ -36,7 +37,7 @@
 			return err
 		}
 		reply.Reset()
-		if err := answer(reader, now, instances, &reply); err != nil {
+		if err := handleBatch(reader, now, controllers, &reply); err != nil {
 			return err
 		}
 		if _, err := reply.WriteTo(out); err != nil {
@@ -45,8 +46,9 @@
 	}
 }
 
-// answer gives the events of one batch to their instances and adds their actions to the reply.
-func answer(reader *simwire.Reader, now float64, instances map[uint16]*control.Controller, reply *simwire.Reply) error {
+// handleBatch passes the events of one batch to the controllers of their instances and adds the resulting actions to
+// reply.
+func handleBatch(reader *simwire.Reader, now float64, controllers map[uint16]*control.Controller, reply *simwire.Reply) error {
 	for {
 		ev, more, err := reader.Next()
 		if err != nil {
@@ -57,14 +59,14 @@
 		}
 		switch ev.Record {
 		case simwire.InstanceExited:
-			delete(instances, ev.Instance)
+			delete(controllers, ev.Instance)
 			continue
 		case simwire.InstanceOpened:
-			instances[ev.Instance] = control.New(ev.Config.Config)
+			controllers[ev.Instance] = control.New(ev.Config.Config)
 		}
-		controller := instances[ev.Instance]
+		controller := controllers[ev.Instance]
 		if controller == nil {
-			return fmt.Errorf("event for instance %d: it was never opened", ev.Instance)
+			return fmt.Errorf("event for instance %d, which is not open", ev.Instance)
 		}
 		reply.Add(ev.Instance, controller.Handle(now, ev.Event))
 	}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// record packs one event: its code, the instance and its further fields.
-func record(code byte, who uint16, rest ...byte) []byte {
-	b := []byte{code, 0, 0, 0, 0, byte(who >> 8), byte(who)}
-	b = append(b, rest...)
+// record encodes one event: its code, its instance and its other fields.
+func record(code byte, instance uint16, fields ...byte) []byte {
+	b := []byte{code, 0, 0, 0, 0, byte(instance >> 8), byte(instance)}
+	b = append(b, fields...)
 	binary.BigEndian.PutUint32(b[1:], uint32(len(b)-5))
 	return b
 }
 
-func open(who uint16, settings string) []byte {
+func open(instance uint16, settings string) []byte {
 	b := binary.BigEndian.AppendUint64(nil, 7)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(settings)))
-	return record(10, who, append(b, settings...)...)
+	return record(10, instance, append(b, settings...)...)
 }
 
 func frame(records ...[]byte) []byte {
@@ -30,36 +30,36 @@
 }
 
 func TestServe(t *testing.T) {
-	const plain = "classes.count=1\nfamily_info.ram_kb=1000\n"
-	ask := record(30, 3, 0, 0, 0, 9)
+	const settings = "classes.count=1\nfamily_info.ram_kb=1000\n"
+	arrival := record(30, 3, 0, 0, 0, 9)
 	cases := []struct {
 		name    string
 		frames  [][]byte
-		actions []uint32 // in each reply
-		bad     string
+		actions []uint32 // number of actions in each reply
+		wantErr string   // part of the error; empty for none
 	}{
 		{"end of input", nil, nil, ""},
-		{"a start and an RPC", [][]byte{frame(open(3, plain)), frame(ask)}, []uint32{2, 1}, ""},
-		{"a start over a live one", [][]byte{frame(open(3, plain), open(3, plain))}, []uint32{4}, ""},
-		{"exit and start", [][]byte{frame(open(3, plain)), frame(record(40, 3), open(3, plain))}, []uint32{2, 2}, ""},
-		{"an RPC after the exit", [][]byte{frame(open(3, plain), record(40, 3)), frame(ask)}, []uint32{2}, "never opened"},
+		{"instance opened, then an RPC", [][]byte{frame(open(3, settings)), frame(arrival)}, []uint32{2, 1}, ""},
+		{"open instance opened again", [][]byte{frame(open(3, settings), open(3, settings))}, []uint32{4}, ""},
+		{"instance exited and opened again", [][]byte{frame(open(3, settings)), frame(record(40, 3), open(3, settings))}, []uint32{2, 2}, ""},
+		{"RPC after the instance exited", [][]byte{frame(open(3, settings), record(40, 3)), frame(arrival)}, []uint32{2}, "not open"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := serve(bytes.NewReader(bytes.Join(c.frames, nil)), &out)
-			if c.bad == "" && err != nil || c.bad != "" && (err == nil || !strings.Contains(err.Error(), c.bad)) {
-				t.Errorf("error %v, want %q", err, c.bad)
+			if c.wantErr == "" && err != nil || c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
+				t.Errorf("serve: got error %v, want %q", err, c.wantErr)
 			}
-			for i, n := range c.actions {
-				head := out.Next(8)
-				if len(head) < 8 || binary.BigEndian.Uint32(head[4:]) != n {
-					t.Fatalf("reply %d is % x, want %d actions", i, head, n)
+			for i, count := range c.actions {
+				header := out.Next(8)
+				if len(header) < 8 || binary.BigEndian.Uint32(header[4:]) != count {
+					t.Fatalf("header of reply %d: got % x, want %d actions", i, header, count)
 				}
-				out.Next(int(binary.BigEndian.Uint32(head)))
+				out.Next(int(binary.BigEndian.Uint32(header)))
 			}
 			if out.Len() > 0 {
-				t.Errorf("%d bytes beyond the replies", out.Len())
+				t.Errorf("output has %d bytes after the expected replies", out.Len())
 			}
 		})
 	}
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -2,7 +2,7 @@
 
 import "sorrelvalve/control"
 
-// Codes of the events, as the simulator numbers and names them.
+// Event codes. The numbers and names are those of the simulator's protocol.
 const (
 	eventOpenInstance = 10
 	eventWakeup       = 20
@@ -15,7 +15,7 @@
 	eventClientLeft   = 90
 )
 
-// Codes of the actions, as the simulator numbers and names them.
+// Action codes. The numbers and names are those of the simulator's protocol.
 const (
 	actionProcess      = 10
 	actionReject       = 20
@@ -33,7 +33,7 @@
 	actionTrace        = 140
 )
 
-// actionCodes are the codes by the kind of action.
+// actionCodes maps control.ActionKind to the action code.
 var actionCodes = [...]byte{
 	control.Run:            actionProcess,
 	control.Reject:         actionReject,
@@ -51,16 +51,16 @@
 	control.LogEvent:       actionTrace,
 }
 
-// Bits of the flags of eventAsk.
+// Flag bits of eventAsk.
 const (
-	flagCostHint = 1 // the cost hint is valid
-	flagRetry    = 2 // a marked retry or a hedged request
+	flagCostHint = 1 // the cost hint field is valid
+	flagRetry    = 2 // the RPC is marked as a retry or a hedged request
 )
 
-// maxVerdict is the highest verdict of eventSettled and eventCalled. The verdicts are the values of control.Outcome.
+// maxVerdict is the highest verdict of eventSettled and eventCalled. Verdicts equal the values of control.Outcome.
 const maxVerdict = 7
 
-// maxTraceBytes bounds the text of actionTrace.
+// maxTraceBytes is the maximum length of the text of actionTrace.
 const maxTraceBytes = 200
 
 // Sizes in bytes.
@@ -70,5 +70,5 @@
 	recordHeaderSize = 5  // code u8, length u32
 )
 
-// nsPerMs converts the wire's unit of time to that of package control.
+// nsPerMs is the number of nanoseconds, the protocol's time unit, per millisecond, the time unit of package control.
 const nsPerMs = 1e6
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -6,19 +6,19 @@
 	"math"
 )
 
-// fields reads the packed big-endian fields of a record. Fields that are not there are zero.
+// fields decodes the packed big-endian fields of a record. Fields beyond the end of the record are zero.
 type fields struct {
 	rest []byte
-	err  error // the first field that was cut off
+	err  error // set if a field is truncated; no field is read after that
 }
 
-// take returns the next n bytes, nil if there are none.
+// take returns the next n bytes, or nil at the end of the record or after an error.
 func (f *fields) take(n int) []byte {
 	if len(f.rest) == 0 || f.err != nil {
 		return nil
 	}
 	if len(f.rest) < n {
-		f.err = fmt.Errorf("field of %d bytes expected, %d there", n, len(f.rest))
+		f.err = fmt.Errorf("truncated field: want %d bytes, have %d", n, len(f.rest))
 		return nil
 	}
 	b := f.rest[:n]
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// f32 reads a number; what is none counts as zero.
+// f32 reads a 32-bit floating-point number. It returns 0 for NaN and infinities.
 func (f *fields) f32() float64 {
 	v := float64(math.Float32frombits(f.u32()))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -63,14 +63,14 @@
 	return v
 }
 
-// ms reads a time of the wire as milliseconds.
+// ms reads a time in nanoseconds and returns it in milliseconds.
 func (f *fields) ms() float64 { return float64(f.u64()) / nsPerMs }
 
-// bytes reads a length of four bytes and as many bytes.
+// bytes reads a 4-byte length followed by that number of bytes.
 func (f *fields) bytes() []byte {
 	n := f.u32()
 	if uint64(n) > uint64(len(f.rest)) {
-		f.err = fmt.Errorf("text of %d bytes announced, %d there", n, len(f.rest))
+		f.err = fmt.Errorf("truncated text: length field is %d bytes, have %d", n, len(f.rest))
 		return nil
 	}
 	return f.take(int(n))
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -1,5 +1,5 @@
-// Package simwire reads the event batches of the simulator's wire and writes the replies. It converts the wire's names,
-// units and codes to those of package control and decides nothing.
+// Package simwire implements the simulator's binary protocol: it reads batches of events and writes replies. It
+// converts the names, units and codes of the protocol to those of package control and makes no decisions.
 package simwire
 
 import (
@@ -13,32 +13,32 @@
 	"sorrelvalve/internal/startup"
 )
 
-// RecordKind says what the adapter has to do for a record.
+// RecordKind specifies how the adapter has to process a record.
 type RecordKind int
 
 // The kinds of records.
 const (
-	ControlEvent   RecordKind = iota // the event is for the controller of the instance
-	InstanceOpened                   // a fresh instance starts with Config
-	InstanceExited                   // the instance's process has died
+	ControlEvent   RecordKind = iota // an event for the controller of the instance
+	InstanceOpened                   // a new instance starts with Config
+	InstanceExited                   // the instance's process has exited
 )
 
-// Event is one record of a batch.
+// Event is a record of a batch.
 type Event struct {
 	Record   RecordKind
 	Instance uint16
-	Config   *startup.Config // of InstanceOpened
+	Config   *startup.Config // set for InstanceOpened
 	control.Event
 }
 
-// FormatError tells what is wrong with the bytes of a batch.
+// FormatError reports a malformed batch.
 type FormatError struct {
-	Frame  int // number of the batch, from 1
-	Record int // number of the record in it, from 1; 0 if the batch as a whole is wrong
+	Frame  int // number of the batch, starting at 1
+	Record int // number of the record in the batch, starting at 1; 0 if the batch as a whole is malformed
 	Err    error
 }
 
-// Error names the frame and the record at fault.
+// Error returns the cause with the numbers of the frame and the record.
 func (e *FormatError) Error() string {
 	if e.Record == 0 {
 		return fmt.Sprintf("frame %d: %v", e.Frame, e.Err)
@@ -53,20 +53,20 @@
 type Reader struct {
 	src     io.Reader
 	buf     bytes.Buffer
-	rest    []byte // of the batch, not decoded yet
-	pending uint32 // records still to be read
+	rest    []byte // undecoded bytes of the batch
+	pending uint32 // number of records still to be read
 	record  int    // number of the latest record
 	frame   int    // number of the latest batch
 	gauges  map[uint16][]string
 }
 
-// NewReader returns a reader of the batches in src.
+// NewReader returns a Reader that reads batches from src.
 func NewReader(src io.Reader) *Reader {
 	return &Reader{src: src, gauges: map[uint16][]string{}}
 }
 
-// Batch reads the next batch and returns its clock in milliseconds. It returns io.EOF if src ends before it, and a
-// *FormatError if src ends within it.
+// Batch reads the next batch and returns its clock value in milliseconds. It returns io.EOF if src ends before the
+// batch, and a *FormatError if src ends within it.
 func (r *Reader) Batch() (now float64, err error) {
 	var header [batchHeaderSize]byte
 	r.frame++
@@ -76,20 +76,20 @@
 		return 0, io.EOF
 	}
 	if err != nil {
-		return 0, r.fail("header of %d bytes cut off after %d", batchHeaderSize, n)
+		return 0, r.fail("truncated batch header: want %d bytes, got %d", batchHeaderSize, n)
 	}
 	size := binary.BigEndian.Uint32(header[0:])
 	r.buf.Reset()
-	// CopyN grows the buffer with what arrives, so a false length allocates nothing.
+	// CopyN grows the buffer with the data that arrives, so a wrong length field does not cause a large allocation.
 	if n, err := io.CopyN(&r.buf, r.src, int64(size)); err != nil {
-		return 0, r.fail("%d bytes announced, %d there", size, n)
+		return 0, r.fail("truncated batch: length field is %d bytes, got %d", size, n)
 	}
 	r.rest = r.buf.Bytes()
 	r.pending = binary.BigEndian.Uint32(header[12:])
 	return float64(binary.BigEndian.Uint64(header[4:])) / nsPerMs, nil
 }
 
-// Next returns the next event of the batch, and false when there is none. The error is a *FormatError.
+// Next returns the next event of the batch. more is false after the last event. The error is a *FormatError.
 func (r *Reader) Next() (ev Event, more bool, err error) {
 	if r.pending == 0 {
 		if len(r.rest) > 0 {
@@ -101,13 +101,13 @@
 	r.pending--
 	r.record++
 	if len(r.rest) < recordHeaderSize {
-		return ev, false, r.fail("record header of %d bytes expected, %d there", recordHeaderSize, len(r.rest))
+		return ev, false, r.fail("truncated record header: want %d bytes, have %d", recordHeaderSize, len(r.rest))
 	}
 	code := r.rest[0]
 	size := binary.BigEndian.Uint32(r.rest[1:])
 	body := r.rest[recordHeaderSize:]
 	if uint64(size) > uint64(len(body)) {
-		return ev, false, r.fail("record of %d bytes announced, %d there", size, len(body))
+		return ev, false, r.fail("truncated record: length field is %d bytes, have %d", size, len(body))
 	}
 	f := fields{rest: body[:size]}
 	r.rest = body[size:]
@@ -149,7 +149,7 @@
 		ev.Kind = control.CallerGone
 		ev.RPC = f.u32()
 	default:
-		return r.fail("an event code expected, %d there", code)
+		return r.fail("unknown event code %d", code)
 	}
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	seed := f.u64()
 	text := f.bytes()
 	if f.err != nil {
-		return nil // the caller reports it
+		return nil // the caller reports f.err
 	}
 	config, err := startup.Parse(string(text))
 	if err != nil {
@@ -206,7 +206,7 @@
 	ev.Remaining = f.ms()
 	ev.CostHint = f.ms()
 	ev.QueuedKB = f.f32()
-	f.f32() // the rank: decisions go by criticality and quota
+	f.f32() // the rank, which is unused: decisions are based on criticality and quota
 	flags := f.u8()
 	if flags&flagCostHint == 0 {
 		ev.CostHint = 0
@@ -221,7 +221,7 @@
 	ev.RPC = f.u32()
 	verdict := f.u8()
 	if verdict > maxVerdict && f.err == nil {
-		return r.fail("verdict 0 to %d expected, %d there", maxVerdict, verdict)
+		return r.fail("verdict must be 0 to %d, got %d", maxVerdict, verdict)
 	}
 	ev.Outcome = control.Outcome(verdict)
 	ev.Elapsed = f.ms()
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,13 +8,13 @@
 	"sorrelvalve/control"
 )
 
-// Reply collects the actions that answer one batch. The zero value is empty.
+// Reply collects the actions in response to one batch. The zero value is an empty reply.
 type Reply struct {
 	buf   []byte
-	count uint32 // records in buf
+	count uint32 // number of records in buf
 }
 
-// Add appends the actions of one instance.
+// Add appends actions of an instance.
 func (p *Reply) Add(instance uint16, actions []control.Action) {
 	if p.buf == nil {
 		p.Reset()
@@ -27,7 +27,7 @@
 func (p *Reply) add(instance uint16, a *control.Action) {
 	be := binary.BigEndian
 	start := len(p.buf)
-	b := append(p.buf, actionCodes[a.Kind], 0, 0, 0, 0) // the length follows below
+	b := append(p.buf, actionCodes[a.Kind], 0, 0, 0, 0) // the length is set below
 	b = be.AppendUint16(b, instance)
 	switch a.Kind {
 	case control.SetHealth:
@@ -65,15 +65,15 @@
 	return 0
 }
 
-// nanoseconds converts milliseconds to the wire's unit; rounding up keeps a timer from coming early.
+// nanoseconds converts milliseconds to nanoseconds. It rounds up so that timers do not fire early.
 func nanoseconds(ms float64) uint64 {
-	if !(ms > 0) { // nor a NaN
+	if !(ms > 0) { // NaN included
 		return 0
 	}
 	return uint64(math.Ceil(ms * nsPerMs))
 }
 
-// Reset empties the reply and keeps its memory.
+// Reset empties the reply and keeps its buffer.
 func (p *Reply) Reset() {
 	p.buf = append(p.buf[:0], make([]byte, replyHeaderSize)...)
 	p.count = 0
