--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// setup is what a small server is configured with; cases change what they are about.
+// setup is the configuration of an instance under test. Test cases start from defaultSetup and change some values.
 type setup struct {
 	node       Node
 	fleet      Fleet
@@ -18,6 +18,7 @@
 	}
 }
 
+// defaultSetup returns the configuration of a warm server with two cores and one method.
 func defaultSetup() setup {
 	return setup{
 		node: Node{
@@ -29,51 +30,51 @@
 	}
 }
 
-// harness drives one instance and records what it does.
+// harness sends events to a Controller and records its actions.
 type harness struct {
 	t           *testing.T
 	controller  *Controller
 	now         float64
-	answers     map[uint32]ActionKind // Reject or Abort; Run and Join are counted in runs
-	runs        map[uint32]int
-	lastActions []Action // what the latest event brought
+	answers     map[uint32]ActionKind // by RPC: Reject or Abort
+	runs        map[uint32]int        // by RPC: number of Run and Join actions
+	lastActions []Action              // actions of the latest event
 	nextTimer   float64
 	logEvents   []string
 }
 
 func newHarness(t *testing.T, s setup) *harness {
-	w := &harness{
+	h := &harness{
 		t: t, controller: New(s.config()),
 		answers: map[uint32]ActionKind{}, runs: map[uint32]int{},
 	}
-	w.handle(Event{Kind: Started})
-	return w
+	h.handle(Event{Kind: Started})
+	return h
 }
 
-func (w *harness) handle(e Event) []Action {
-	w.t.Helper()
-	w.lastActions = append([]Action(nil), w.controller.Handle(w.now, e)...)
-	for _, a := range w.lastActions {
+func (h *harness) handle(e Event) []Action {
+	h.t.Helper()
+	h.lastActions = append([]Action(nil), h.controller.Handle(h.now, e)...)
+	for _, a := range h.lastActions {
 		switch a.Kind {
 		case Run, Join:
-			w.runs[a.RPC]++
+			h.runs[a.RPC]++
 		case Reject, Abort:
-			if _, twice := w.answers[a.RPC]; twice {
-				w.t.Errorf("RPC %d answered twice", a.RPC)
+			if _, answered := h.answers[a.RPC]; answered {
+				h.t.Errorf("RPC %d answered more than once", a.RPC)
 			}
-			w.answers[a.RPC] = a.Kind
+			h.answers[a.RPC] = a.Kind
 		case SetTimer:
-			w.nextTimer = a.Time
+			h.nextTimer = a.Time
 		case LogEvent:
-			w.logEvents = append(w.logEvents, a.Message)
+			h.logEvents = append(h.logEvents, a.Message)
 		}
 	}
-	return w.lastActions
+	return h.lastActions
 }
 
-// arrive reads an RPC whose caller waits the whole deadline of method 0 unless e says else.
-func (w *harness) arrive(id uint32, e Event) {
-	w.t.Helper()
+// arrive sends the arrival of an RPC. The time left defaults to the deadline of method 0, and the memory to 10 KB.
+func (h *harness) arrive(id uint32, e Event) {
+	h.t.Helper()
 	e.Kind, e.RPC = Arrived, id
 	if e.Remaining == 0 {
 		e.Remaining = 3000
@@ -81,27 +82,28 @@
 	if e.QueuedKB == 0 {
 		e.QueuedKB = 10
 	}
-	w.handle(e)
+	h.handle(e)
 }
 
-func (w *harness) complete(id uint32, o Outcome, spent float64) {
-	w.t.Helper()
-	w.handle(Event{Kind: Completed, RPC: id, Outcome: o, Elapsed: spent})
+func (h *harness) complete(id uint32, outcome Outcome, elapsed float64) {
+	h.t.Helper()
+	h.handle(Event{Kind: Completed, RPC: id, Outcome: outcome, Elapsed: elapsed})
 }
 
-// advance lets time pass with its timers, the gauges standing still.
-func (w *harness) advance(t float64, g Gauges) {
-	w.t.Helper()
-	for w.nextTimer <= t {
-		w.now = w.nextTimer
-		w.handle(Event{Kind: TimerFired, Gauges: g})
+// advance advances the clock to t and fires the timers that are due, all with the same gauges.
+func (h *harness) advance(until float64, gauges Gauges) {
+	h.t.Helper()
+	for h.nextTimer <= until {
+		h.now = h.nextTimer
+		h.handle(Event{Kind: TimerFired, Gauges: gauges})
 	}
-	w.now = t
+	h.now = until
 }
 
-func (w *harness) did(d ActionKind, id uint32) bool {
-	for _, a := range w.lastActions {
-		if a.Kind == d && a.RPC == id {
+// emitted reports whether the latest event resulted in an action of a kind for an RPC.
+func (h *harness) emitted(kind ActionKind, id uint32) bool {
+	for _, a := range h.lastActions {
+		if a.Kind == kind && a.RPC == id {
 			return true
 		}
 	}
--- a/control/retries.go
+++ b/control/retries.go
@@ -59,7 +59,7 @@
 func (m *retryMonitor) overloadedAlone() bool {
 	const (
 		manyRejections = 0.3  // fraction of attempts; a normally loaded server reaches half of that by chance
-		fewRetries     = 0.17 // fraction of attempts; if the list is updated late, a server that is taken off it stays idle
+		fewRetries     = 0.17 // fraction of attempts, close to manyRetries; if the list does not follow, a server off it stays idle
 	)
 	return m.marksRetries && m.rejectFraction > manyRejections && m.retryFraction < fewRetries &&
 		m.firstAttempts*m.feedbackTTLPerCaller < 1
