--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// The quota status of an arrival takes precedence over the measured rate. An RPC over a hard quota is rejected at once even
-// if there is capacity, with a retry-after up to the maximum that callers honor. A duplicate is still joined.
+// The quota status of an arrival takes precedence over the measured rate. An RPC over a hard quota is rejected at once
+// even if there is capacity, with a retry-after up to the maximum that callers honor. A duplicate is still joined.
 func TestLeasedQuota(t *testing.T) {
 	s := defaultSetup()
 	s.customers = []Customer{{"a", 1000}}
--- a/control/api.go
+++ b/control/api.go
@@ -86,7 +86,7 @@
 	PropagatesDeadline bool         `json:"TellsTime"` // an RPC carries the time left until its caller's deadline
 	Feedback           FeedbackKind `json:"Say"`       // how callers interpret load feedback
 	FeedbackTTL        float64      `json:"Heeded"`    // ms during which a caller acts on feedback after receiving it
-	IdleTimeout        float64      `json:"Idle"`      // ms after which callers close idle connections; bounds the idle timeout here
+	IdleTimeout        float64      `json:"Idle"`      // ms after which callers close idle connections; maximum of our timeout
 	MaxRetryAfter      float64      // longest retry-after in ms that callers honor; 0 if retry-after is not sent
 	OverQuotaFraction  float64      `json:"OverShare"` // fraction of the criticality that an RPC over quota keeps
 }
--- a/control/dependency_test.go
+++ b/control/dependency_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A share below one call is kept in the mean over every window, whenever and by whatever factor the dependency slows down.
-// The test starts a call whenever there is capacity; each call ends or is abandoned by its timeout.
+// A share below one call is kept in the mean over every window, whenever and by whatever factor the dependency slows
+// down. The test starts a call whenever there is capacity; each call ends or is abandoned by its timeout.
 func TestShareUnderOneCall(t *testing.T) {
 	const window, linger = 5000.0, 200.0
 	for seed := range int64(200) {
@@ -137,7 +137,8 @@
 	}
 }
 
-// A dependency call continues after its RPC is answered or its caller is gone, and counts against the limit until it ends.
+// A dependency call continues after its RPC is answered or its caller is gone, and counts against the limit until it
+// ends.
 func TestCallOutlivesItsRPC(t *testing.T) {
 	s := defaultSetup()
 	s.dependency = Dependency{ConcurrencyShare: 2.2, Linger: 200, AveragingWindow: 5000}
--- a/control/feedback_test.go
+++ b/control/feedback_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// While arrivals are too old when they are read, the admission level is 1, so that callers send nothing. It returns to its
-// former value at once afterwards.
+// While arrivals are too old when they are read, the admission level is 1, so that callers send nothing. It returns to
+// its former value at once afterwards.
 func TestLevelWhileFlooded(t *testing.T) {
 	f := loadFeedback{kind: FeedbackLevel, callers: 4}
 	for _, c := range []struct{ unreadWait, want float64 }{{0.1, 0}, {1.5, 1}, {0.1, 0}} {
@@ -71,7 +71,8 @@
 	}
 }
 
-// Idle connections are kept open while the cores are lightly loaded and nothing is rejected, and closed early otherwise.
+// Idle connections are kept open while the cores are lightly loaded and nothing is rejected, and closed early
+// otherwise.
 func TestIdleTimeoutAtLightLoad(t *testing.T) {
 	cases := []struct {
 		name           string
--- a/control/retries.go
+++ b/control/retries.go
@@ -47,7 +47,7 @@
 func (m *retryMonitor) fleetOverloaded() bool {
 	const (
 		manyRetries  = 0.15 // fraction of attempts that are retries; below 0.1 if the fleet has capacity for most RPCs
-		lostFraction = 0.5  // unmarked: fraction of attempts without a completed run, i.e. two attempts per completed run
+		lostFraction = 0.5  // if unmarked: fraction of attempts without a completed run; two attempts per run
 	)
 	return m.retryFraction > manyRetries || !m.marksRetries && m.firstAttempts > m.completions/(1-lostFraction)
 }
@@ -58,8 +58,9 @@
 // traffic. If callers do not retry, an overloaded fleet cannot be distinguished from this.
 func (m *retryMonitor) overloadedAlone() bool {
 	const (
-		manyRejections = 0.3  // fraction of attempts; a normally loaded server reaches half of that by chance
-		fewRetries     = 0.17 // fraction of attempts, close to manyRetries; if the list does not follow, a server off it stays idle
+		manyRejections = 0.3 // fraction of attempts; a normally loaded server reaches half of that by chance
+		// If the endpoint list is not updated in time, a server that is taken off it stays idle.
+		fewRetries = 0.17 // fraction of attempts, close to manyRetries of fleetOverloaded
 	)
 	return m.marksRetries && m.rejectFraction > manyRejections && m.retryFraction < fewRetries &&
 		m.firstAttempts*m.feedbackTTLPerCaller < 1
@@ -75,7 +76,7 @@
 		decay          = 0.9    // factor of the counters per step
 		minIdleTimeout = 1000.0 // ms; if there are few callers, each returns sooner than this
 		flood          = 3.0    // first attempts per completed run; reading them takes about half of the cores
-		maxUnreadWait  = 0.3    // of the shortest latency objective; beyond it, RPCs queued in connections are too old when read
+		maxUnreadWait  = 0.3    // of the shortest latency objective; RPCs that wait longer in connections are too old when read
 		grow           = 1.15   // factor per step: from one second to ten in three seconds
 		shrink         = 0.95   // factor per step: from ten seconds to one in nine seconds
 		minChange      = 0.1    // fraction of the timeout; smaller changes are not set
--- a/control/runtimemodel_test.go
+++ b/control/runtimemodel_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Runs that are aborted because they are late must raise the estimate, as it would otherwise be based on short runs only.
-// They must not cause the method to be rejected forever either.
+// Runs that are aborted because they are late must raise the estimate, as it would otherwise be based on short runs
+// only. They must not cause the method to be rejected forever either.
 func TestLateAbortsAreLearnt(t *testing.T) {
 	s := defaultSetup()
 	s.node.Preemption = PreemptSuspend
@@ -49,8 +49,8 @@
 	}
 }
 
-// One run with a short hint must not make the predictions for other RPCs far too long, and predictions must follow a change
-// of speed within a few runs.
+// One run with a short hint must not make the predictions for other RPCs far too long, and predictions must follow a
+// change of speed within a few runs.
 func TestFewRuns(t *testing.T) {
 	c := newHarness(t, defaultSetup()).controller
 	typical := rpc{cost: 200}
--- a/control/simulation_test.go
+++ b/control/simulation_test.go
@@ -5,23 +5,24 @@
 	"math/rand"
 )
 
-// This file owns a node that performs the actions of an instance on a virtual clock, with random settings and events.
+// This file implements a simulated node that performs the actions of a Controller on a virtual clock, with random
+// settings and events.
 
-// attempt is one RPC as the node that performs the actions knows it.
+// attempt is the simulated node's state of one RPC. Its times are clock values in ms.
 type attempt struct {
-	id, group         uint32 // group: all attempts of one RPC with an idempotency token
+	id, group         uint32 // group is shared by all attempts with the same idempotency token
 	method            int
 	arrived, deadline float64
 	memoryKB          float64
 	state             attemptState
-	ran, done         bool // done: answered, or its caller is gone
-	since, until      float64
-	callDeadline      float64 // when its call is given up
-	calls             int
-	joinsRPC          uint32
+	ran, done         bool    // done: the attempt is answered, or its caller is gone
+	since, until      float64 // start and end of the current run or call
+	callDeadline      float64 // when its call times out
+	calls             int     // calls still to be made; -1 if the run was preempted
+	joinsRPC          uint32  // the RPC that it duplicates; 0 for none
 }
 
-// attemptState is what an attempt is doing on the node; the decisions keep their own.
+// attemptState is the state of an attempt on the simulated node. The Controller has a state of its own.
 type attemptState int
 
 const (
@@ -33,40 +34,41 @@
 	isJoined
 )
 
+// tokenEntry is a cached idempotency token.
 type tokenEntry struct {
 	rpc       uint32
 	expiresAt float64
 }
 
-// simulatedNode performs the actions of an instance and keeps account of the rules.
+// simulatedNode performs the actions of a Controller and checks the invariants.
 type simulatedNode struct {
 	setup            setup
 	controller       *Controller
 	random           *rand.Rand
 	now              float64
 	attempts         map[uint32]*attempt
-	finished         []uint32
+	finished         []uint32              // RPCs that are no longer in attempts
 	tokens           map[uint32]tokenEntry // by group
-	ranAt            map[uint32]float64    // arrival of the attempt of a group that ran last
+	ranAt            map[uint32]float64    // by group: arrival of the attempt that ran last
 	lastID           uint32
 	nextTimer        float64
 	label            uint64
 	startedAt        float64
 	noticeAt         float64 // -1 for none
 	stopAt           float64
-	stalledUntil     float64 // what falls due just after a stall may be answered after it
+	stalledUntil     float64 // end of the latest stall; an answer due shortly after it may be late
 	violation        string
 	answered         int
 	served           int
 	running          int
-	runnableFraction float64 // part of these that want a core, as the gauge has it; all may come back from disk at once
-	runningHistory   []int   // running at each tick
-	calls            []span  // calls that have ended, until they leave the dependency
-	callSlowdown     float64 // times the usual that calls take
-	runningSum       int     // of these, over the last overloadWindow
+	runnableFraction float64 // fraction of the running RPCs that need a core, for the gauge; all may return from disk at once
+	runningHistory   []int   // number of running RPCs at each tick
+	calls            []span  // ended calls, including their time at the dependency after they were abandoned
+	callSlowdown     float64 // factor of the duration of calls
+	runningSum       int     // sum of runningHistory over the last overloadWindow
 }
 
-// randomSetup draws settings; what is missing, nothing or contradictory is among them.
+// randomSetup returns random settings, including missing, zero and contradictory values.
 func randomSetup(r *rand.Rand) setup {
 	s := setup{
 		node: Node{
@@ -83,9 +85,9 @@
 		s.dependency = Dependency{ConcurrencyShare: 0.3 + 8*r.Float64()*r.Float64(), Linger: 200, AveragingWindow: 5000}
 	}
 	for range 1 + r.Intn(4) {
-		target := 60 * math.Exp(4.5*r.Float64()) // up to some seconds
+		objective := 60 * math.Exp(4.5*r.Float64()) // up to a few seconds
 		s.methods = append(s.methods, Method{
-			Idempotency: Idempotency(r.Intn(3)), LatencyObjective: target * float64(min(1, r.Intn(12))), Deadline: math.Max(200, target*(0.8+3*r.Float64())),
+			Idempotency: Idempotency(r.Intn(3)), LatencyObjective: objective * float64(min(1, r.Intn(12))), Deadline: math.Max(200, objective*(0.8+3*r.Float64())),
 			DedupWindow: float64(r.Intn(3)) * 8000 * r.Float64(), Criticality: float64(r.Intn(6)), LateFraction: 0.2 * float64(r.Intn(2)),
 			DegradedFraction: 0.5 * float64(r.Intn(2)),
 		})
@@ -94,12 +96,13 @@
 		s.customers = append(s.customers, Customer{Quota: float64(r.Intn(3)) * 50})
 	}
 	const queuedKB = 30.0
-	// Either the run limit or the memory binds first.
+	// Depending on the drawn value, the run limit or the memory limit is reached first.
 	s.node.MemoryKB = queuedKB * s.node.RunMemoryFactor * float64(s.node.Cores) * (1.5 + 20*r.Float64())
 	s.node.TokenKB = s.node.MemoryKB / 500 * r.Float64()
 	return s
 }
 
+// newSimulatedNode returns a node with random settings whose Controller has been started.
 func newSimulatedNode(seed int64) *simulatedNode {
 	r := rand.New(rand.NewSource(seed))
 	s := randomSetup(r)
@@ -113,7 +116,7 @@
 	return m
 }
 
-// handle hands over one event and performs the actions that answer it.
+// handle passes one event to the Controller and performs the resulting actions.
 func (m *simulatedNode) handle(ev Event) {
 	for _, a := range m.controller.Handle(m.now, ev) {
 		m.perform(a)
@@ -121,22 +124,22 @@
 	m.check()
 }
 
-// answer notes a final answer.
-func (m *simulatedNode) answer(t *attempt, how string) {
-	if t.done {
-		m.violate("RPC %d %s, though it was over", t.id, how)
+// answer records a final answer. description is used in the message of a violation.
+func (m *simulatedNode) answer(att *attempt, description string) {
+	if att.done {
+		m.violate("RPC %d %s after it was answered or its caller was gone", att.id, description)
 	}
-	t.done = true
+	att.done = true
 	m.answered++
 }
 
-// drop forgets an attempt that is over.
-func (m *simulatedNode) drop(t *attempt) {
-	delete(m.attempts, t.id)
-	m.finished = append(m.finished, t.id)
+// drop removes an attempt that is finished.
+func (m *simulatedNode) drop(att *attempt) {
+	delete(m.attempts, att.id)
+	m.finished = append(m.finished, att.id)
 }
 
-// perform carries out one action, and tests the rules that it may break.
+// perform performs one action and checks the invariants that it may violate.
 func (m *simulatedNode) perform(a Action) {
 	switch a.Kind {
 	case SetTimer:
@@ -145,223 +148,223 @@
 	case SetHealth, SetFeedback, SetIdleTimeout, LogEvent:
 		return
 	}
-	t := m.attempts[a.RPC]
-	if t == nil {
+	att := m.attempts[a.RPC]
+	if att == nil {
 		if a.Kind != EvictToken {
-			m.violate("action %d for RPC %d, which is not here", a.Kind, a.RPC)
+			m.violate("action %d for RPC %d, which is not in flight", a.Kind, a.RPC)
 		}
 		return
 	}
-	meth := &m.setup.methods[t.method]
+	meth := &m.setup.methods[att.method]
 	switch a.Kind {
 	case Run:
-		m.performRun(t, meth)
+		m.performRun(att, meth)
 	case Reject:
-		if t.ran && meth.Idempotency != Idempotent {
-			m.violate("duplicate: RPC %d is rejected after it ran", t.id)
+		if att.ran && meth.Idempotency != Idempotent {
+			m.violate("duplicate: RPC %d is rejected after it ran", att.id)
 		}
-		m.answer(t, "is rejected")
-		if t.state != isRunning {
-			m.drop(t)
+		m.answer(att, "is rejected")
+		if att.state != isRunning {
+			m.drop(att)
 		}
 	case Abort:
-		m.answer(t, "is aborted")
-		switch t.state {
+		m.answer(att, "is aborted")
+		switch att.state {
 		case isQueued, isSuspended, isJoined:
-			m.drop(t)
-		case isAwaitingCall: // a call goes on until its own end
-			t.until = m.now
+			m.drop(att)
+		case isAwaitingCall: // a call continues until it ends
+			att.until = m.now
 		}
 	case Preempt:
 		if m.setup.node.Preemption == PreemptNone {
-			m.violate("RPC %d is stopped, which can't be done here", t.id)
+			m.violate("RPC %d is preempted, but runs cannot be preempted", att.id)
 		}
-		if t.state == isRunning {
-			t.until, t.calls = m.now, -1 // its end is reported as cancelled
+		if att.state == isRunning {
+			att.until, att.calls = m.now, -1 // the end of the run is reported as cancelled
 		}
 	case Call:
-		if t.state != isAwaitingCall {
-			m.violate("RPC %d calls in state %d", t.id, t.state)
+		if att.state != isAwaitingCall {
+			m.violate("RPC %d makes a call in state %d", att.id, att.state)
 		}
-		t.state, t.since, t.callDeadline = isCalling, m.now, m.now+a.Time
-		t.until = math.Min(t.callDeadline, m.now+m.callSlowdown*60*m.random.ExpFloat64())
+		att.state, att.since, att.callDeadline = isCalling, m.now, m.now+a.Time
+		att.until = math.Min(att.callDeadline, m.now+m.callSlowdown*60*m.random.ExpFloat64())
 	case SkipCall:
-		if t.state != isAwaitingCall || meth.DegradedFraction == 0 {
-			m.violate("RPC %d goes on without its call in state %d", t.id, t.state)
+		if att.state != isAwaitingCall || meth.DegradedFraction == 0 {
+			m.violate("RPC %d skips its call, but the call is not optional or the state is %d", att.id, att.state)
 		}
-		t.state, t.until = isRunning, m.now+100*m.random.Float64()
+		att.state, att.until = isRunning, m.now+100*m.random.Float64()
 	case CacheToken:
 		if meth.Idempotency == IdempotencyKeyed {
-			m.tokens[t.group] = tokenEntry{t.id, m.now + a.Time}
+			m.tokens[att.group] = tokenEntry{att.id, m.now + a.Time}
 		}
 	case EvictToken:
-		if e, there := m.tokens[t.group]; there && e.rpc == t.id {
-			delete(m.tokens, t.group)
+		if e, ok := m.tokens[att.group]; ok && e.rpc == att.id {
+			delete(m.tokens, att.group)
 		}
 	case Join:
-		if t.joinsRPC == 0 || t.state != isQueued {
-			m.violate("RPC %d joins nothing, or in state %d", t.id, t.state)
+		if att.joinsRPC == 0 || att.state != isQueued {
+			m.violate("RPC %d joins without an original, or in state %d", att.id, att.state)
 		}
-		t.state = isJoined
+		att.state = isJoined
 	}
 }
 
-// performRun starts or resumes a run and draws its length and its calls.
-func (m *simulatedNode) performRun(t *attempt, meth *Method) {
-	if t.state != isQueued && t.state != isSuspended || t.done {
-		m.violate("RPC %d run in state %d", t.id, t.state)
+// performRun starts or resumes a run with a random duration and a random number of calls.
+func (m *simulatedNode) performRun(att *attempt, meth *Method) {
+	if att.state != isQueued && att.state != isSuspended || att.done {
+		m.violate("RPC %d is run in state %d, or after it was answered", att.id, att.state)
 	}
-	if t.ran && meth.Idempotency != Idempotent && t.state == isQueued {
-		m.violate("duplicate: RPC %d runs again after it was stopped", t.id)
+	if att.ran && meth.Idempotency != Idempotent && att.state == isQueued {
+		m.violate("duplicate: RPC %d runs again after it was preempted", att.id)
 	}
-	at, ran := m.ranAt[t.group]
-	if meth.Idempotency == IdempotencyKeyed && ran && !t.ran && math.Abs(t.arrived-at) < meth.DedupWindow {
-		m.violate("duplicate: RPC %d runs within the window of its token", t.id)
+	ranAt, ran := m.ranAt[att.group]
+	if meth.Idempotency == IdempotencyKeyed && ran && !att.ran && math.Abs(att.arrived-ranAt) < meth.DedupWindow {
+		m.violate("duplicate: RPC %d runs again within the deduplication window", att.id)
 	}
-	if m.noticeAt >= 0 && t.arrived > m.noticeAt+m.setup.limits.DrainGrace {
-		m.violate("drain: RPC %d, which arrived past the grace, runs", t.id)
+	if m.noticeAt >= 0 && att.arrived > m.noticeAt+m.setup.limits.DrainGrace {
+		m.violate("drain: RPC %d runs although it arrived after the grace period", att.id)
 	}
 	if meth.Idempotency == IdempotencyKeyed {
-		m.ranAt[t.group] = t.arrived
+		m.ranAt[att.group] = att.arrived
 	}
-	t.state, t.ran, t.since = isRunning, true, m.now
-	t.until = m.now + meth.Deadline*0.4*m.random.ExpFloat64()*m.random.Float64()
-	t.calls = 0
+	att.state, att.ran, att.since = isRunning, true, m.now
+	att.until = m.now + meth.Deadline*0.4*m.random.ExpFloat64()*m.random.Float64()
+	att.calls = 0
 	if m.setup.dependency.ConcurrencyShare > 0 && m.random.Intn(2) == 0 {
-		t.calls = 1 + m.random.Intn(2)
+		att.calls = 1 + m.random.Intn(2)
 	}
 }
 
-// arrive has an attempt arrive, which may duplicate an earlier one.
+// arrive sends the arrival of an attempt, which may duplicate an earlier one.
 func (m *simulatedNode) arrive() {
 	m.lastID++
 	method := m.random.Intn(len(m.setup.methods))
 	meth := &m.setup.methods[method]
-	t := &attempt{id: m.lastID, group: m.lastID, method: method, memoryKB: 10 + 40*m.random.Float64()}
-	waited := 0.0
+	att := &attempt{id: m.lastID, group: m.lastID, method: method, memoryKB: 10 + 40*m.random.Float64()}
+	age := 0.0
 	if m.random.Intn(20) == 0 {
-		waited = meth.Deadline * m.random.Float64()
+		age = meth.Deadline * m.random.Float64()
 	}
-	t.arrived = m.now - waited
+	att.arrived = m.now - age
 	ev := Event{
-		Kind: Arrived, RPC: t.id, Method: method, Customer: m.random.Intn(4), Caller: uint16(m.random.Intn(50)), Age: waited, QueuedKB: t.memoryKB,
+		Kind: Arrived, RPC: att.id, Method: method, Customer: m.random.Intn(4), Caller: uint16(m.random.Intn(50)), Age: age, QueuedKB: att.memoryKB,
 		Retry: m.random.Intn(8) == 0, CostHint: float64(m.random.Intn(2)) * 100 * m.random.Float64(),
 	}
-	t.deadline = math.Max(t.arrived+meth.Deadline, m.now)
+	att.deadline = math.Max(att.arrived+meth.Deadline, m.now)
 	if m.setup.fleet.PropagatesDeadline {
 		ev.Remaining = meth.Deadline * m.random.Float64()
-		t.deadline = m.now + ev.Remaining
+		att.deadline = m.now + ev.Remaining
 	}
-	if meth.Idempotency == IdempotencyKeyed && m.random.Intn(3) == 0 && len(m.ranAt)+len(m.tokens) > 0 { // a duplicate of a late one
-		t.group = m.lastID - min(m.lastID-1, uint32(1+m.random.Intn(200)))
-		if o := m.attempts[t.group]; o != nil && o.method != method {
-			t.group = t.id
+	if meth.Idempotency == IdempotencyKeyed && m.random.Intn(3) == 0 && len(m.ranAt)+len(m.tokens) > 0 { // a duplicate of a recent RPC
+		att.group = m.lastID - min(m.lastID-1, uint32(1+m.random.Intn(200)))
+		if original := m.attempts[att.group]; original != nil && original.method != method {
+			att.group = att.id
 		}
 	}
-	t.group = t.group*8 + uint32(method)
-	if e, there := m.tokens[t.group]; meth.Idempotency == IdempotencyKeyed && there && t.arrived < e.expiresAt {
-		ev.DuplicateOf, t.joinsRPC = e.rpc, e.rpc
+	att.group = att.group*8 + uint32(method)
+	if e, ok := m.tokens[att.group]; meth.Idempotency == IdempotencyKeyed && ok && att.arrived < e.expiresAt {
+		ev.DuplicateOf, att.joinsRPC = e.rpc, e.rpc
 	}
-	m.attempts[t.id] = t
+	m.attempts[att.id] = att
 	m.handle(ev)
 }
 
-// completeDue reports all that is over by now.
+// completeDue reports the runs, calls and joins that have ended by now.
 func (m *simulatedNode) completeDue() {
 	for id := uint32(1); id <= m.lastID; id++ {
-		t := m.attempts[id]
-		if t == nil || m.now < t.until || t.state == isQueued || t.state == isSuspended {
+		att := m.attempts[id]
+		if att == nil || m.now < att.until || att.state == isQueued || att.state == isSuspended {
 			continue
 		}
-		switch t.state {
+		switch att.state {
 		case isRunning:
-			m.completeRun(t)
+			m.completeRun(att)
 		case isAwaitingCall:
-			if t.done {
-				m.drop(t)
-				m.handle(Event{Kind: Completed, RPC: id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
+			if att.done {
+				m.drop(att)
+				m.handle(Event{Kind: Completed, RPC: id, Outcome: OutcomeCancelled, Elapsed: m.now - att.since})
 			}
 		case isCalling:
-			m.completeCall(t)
+			m.completeCall(att)
 		case isJoined:
-			if m.attempts[t.joinsRPC] == nil {
-				m.answer(t, "ends joined")
-				m.drop(t)
+			if m.attempts[att.joinsRPC] == nil {
+				m.answer(att, "ends a join")
+				m.drop(att)
 				m.handle(Event{Kind: Completed, RPC: id, Outcome: OutcomeOK, Elapsed: 1})
 			}
 		}
 	}
 }
 
-// completeRun ends a run, or has it come to its next call.
-func (m *simulatedNode) completeRun(t *attempt) {
-	if t.calls > 0 && !t.done {
-		t.calls--
-		t.state = isAwaitingCall
-		m.handle(Event{Kind: AwaitingCall, RPC: t.id})
+// completeRun ends a run, or reports that it has reached its next call.
+func (m *simulatedNode) completeRun(att *attempt) {
+	if att.calls > 0 && !att.done {
+		att.calls--
+		att.state = isAwaitingCall
+		m.handle(Event{Kind: AwaitingCall, RPC: att.id})
 		return
 	}
 	outcome := OutcomeOK
-	if t.calls < 0 {
+	if att.calls < 0 {
 		outcome = OutcomeCancelled
-	} else if t.calls > 0 {
-		outcome = OutcomeCancelled // at a call, as it is over
+	} else if att.calls > 0 {
+		outcome = OutcomeCancelled // answered before its remaining calls
 	} else if m.random.Intn(20) == 0 {
 		outcome = OutcomeError
 	}
-	if t.calls < 0 && !t.done { // stopped and still owed
-		t.state = isQueued
+	if att.calls < 0 && !att.done { // preempted, but not answered yet
+		att.state = isQueued
 		if m.setup.node.Preemption == PreemptSuspend {
-			t.state = isSuspended
+			att.state = isSuspended
 		}
-		m.handle(Event{Kind: Completed, RPC: t.id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
+		m.handle(Event{Kind: Completed, RPC: att.id, Outcome: OutcomeCancelled, Elapsed: m.now - att.since})
 		return
 	}
-	if !t.done {
-		m.answer(t, "ends")
+	if !att.done {
+		m.answer(att, "ends")
 		m.served++
 	}
-	m.drop(t)
-	m.handle(Event{Kind: Completed, RPC: t.id, Outcome: outcome, Elapsed: m.now - t.since})
+	m.drop(att)
+	m.handle(Event{Kind: Completed, RPC: att.id, Outcome: outcome, Elapsed: m.now - att.since})
 }
 
-// callOutcomes are drawn from evenly: half of the calls succeed.
+// callOutcomes are the outcomes of calls, drawn with equal probability: half of the calls succeed.
 var callOutcomes = [...]Outcome{
 	OutcomeOK, OutcomeOK, OutcomeOK, OutcomeOK, OutcomeOK,
 	OutcomeError, OutcomeRejected, OutcomeTimedOut, OutcomeUnreachable, OutcomeReset,
 }
 
-// completeCall ends a call.
-func (m *simulatedNode) completeCall(t *attempt) {
-	m.calls = append(m.calls, span{t.since, t.until}) // reported late after a stall
+// completeCall ends a call with a random outcome.
+func (m *simulatedNode) completeCall(att *attempt) {
+	m.calls = append(m.calls, span{att.since, att.until}) // the end may be reported late after a stall
 	outcome := callOutcomes[m.random.Intn(len(callOutcomes))]
-	if m.now >= t.callDeadline {
+	if m.now >= att.callDeadline {
 		outcome = OutcomeTimedOut
 	}
 	if outcome == OutcomeTimedOut || outcome == OutcomeReset {
 		m.calls[len(m.calls)-1].to += m.setup.dependency.Linger
 	}
-	spent := t.until - t.since
-	if t.done {
-		t.state, t.until = isAwaitingCall, m.now
-		m.handle(Event{Kind: CallCompleted, RPC: t.id, Outcome: outcome, Elapsed: spent})
-		m.drop(t)
-		m.handle(Event{Kind: Completed, RPC: t.id, Outcome: OutcomeCancelled, Elapsed: m.now - t.since})
+	elapsed := att.until - att.since
+	if att.done {
+		att.state, att.until = isAwaitingCall, m.now
+		m.handle(Event{Kind: CallCompleted, RPC: att.id, Outcome: outcome, Elapsed: elapsed})
+		m.drop(att)
+		m.handle(Event{Kind: Completed, RPC: att.id, Outcome: OutcomeCancelled, Elapsed: m.now - att.since})
 		return
 	}
-	t.state, t.until = isAwaitingCall, m.now
+	att.state, att.until = isAwaitingCall, m.now
 	if outcome == OutcomeOK {
-		t.state, t.until = isRunning, m.now+100*m.random.Float64()
+		att.state, att.until = isRunning, m.now+100*m.random.Float64()
 	}
-	m.handle(Event{Kind: CallCompleted, RPC: t.id, Outcome: outcome, Elapsed: spent})
+	m.handle(Event{Kind: CallCompleted, RPC: att.id, Outcome: outcome, Elapsed: elapsed})
 }
 
-// oddEvent raises an event that makes no sense, or has a caller leave.
-func (m *simulatedNode) oddEvent() {
-	some := func() uint32 {
+// invalidEvent sends an event that is invalid in the current state, or the departure of a caller.
+func (m *simulatedNode) invalidEvent() {
+	randomID := func() uint32 {
 		switch m.random.Intn(3) {
 		case 0:
-			return m.lastID + 1000 // never heard of
+			return m.lastID + 1000 // an RPC that never arrived
 		case 1:
 			if len(m.finished) > 0 {
 				return m.finished[m.random.Intn(len(m.finished))]
@@ -371,16 +374,16 @@
 	}
 	switch m.random.Intn(6) {
 	case 0:
-		m.handle(Event{Kind: Completed, RPC: some(), Outcome: OutcomeOK, Elapsed: -1})
+		m.handle(Event{Kind: Completed, RPC: randomID(), Outcome: OutcomeOK, Elapsed: -1})
 	case 1:
-		m.handle(Event{Kind: CallCompleted, RPC: some(), Outcome: OutcomeRejected})
+		m.handle(Event{Kind: CallCompleted, RPC: randomID(), Outcome: OutcomeRejected})
 	case 2:
-		m.handle(Event{Kind: AwaitingCall, RPC: some()})
+		m.handle(Event{Kind: AwaitingCall, RPC: randomID()})
 	case 3:
-		m.handle(Event{Kind: CallerGone, RPC: some()})
-	case 4: // a call that nobody made, of one that is queued
+		m.handle(Event{Kind: CallerGone, RPC: randomID()})
+	case 4: // the end of a call that was not made, for a queued RPC
 		for id := range m.lastID {
-			if t := m.attempts[id]; t != nil && t.state == isQueued {
+			if att := m.attempts[id]; att != nil && att.state == isQueued {
 				m.handle(Event{Kind: CallCompleted, RPC: id, Outcome: OutcomeOK})
 				m.handle(Event{Kind: AwaitingCall, RPC: id})
 				break
@@ -388,16 +391,16 @@
 		}
 	case 5:
 		for id := range m.lastID {
-			t := m.attempts[id]
-			if t == nil || t.done || m.random.Intn(4) > 0 {
+			att := m.attempts[id]
+			if att == nil || att.done || m.random.Intn(4) > 0 {
 				continue
 			}
-			t.done = true
-			switch t.state {
+			att.done = true
+			switch att.state {
 			case isQueued, isSuspended, isJoined:
-				m.drop(t)
+				m.drop(att)
 			case isAwaitingCall:
-				t.until = m.now
+				att.until = m.now
 			}
 			m.handle(Event{Kind: CallerGone, RPC: id, Outcome: []Outcome{OutcomeError, OutcomeReset}[m.random.Intn(2)]})
 			break
@@ -405,21 +408,21 @@
 	}
 }
 
-// run simulates some seconds and returns the first violation.
+// run simulates the given time and returns the first violation, or an empty string.
 func (m *simulatedNode) run(ms float64) string {
 	end := m.now + ms
-	rate := float64(m.setup.node.Cores) * (0.2 + 3*m.random.Float64()) / 200 // arrivals a ms
-	notice := math.Inf(1)
+	rate := float64(m.setup.node.Cores) * (0.2 + 3*m.random.Float64()) / 200 // arrivals per ms
+	noticeAt := math.Inf(1)
 	if m.random.Intn(2) == 0 {
-		notice = m.now + ms*m.random.Float64()
+		noticeAt = m.now + ms*m.random.Float64()
 	}
 	for m.now < end && m.violation == "" {
 		m.now += m.setup.node.Tick
-		if m.random.Intn(2000) == 0 { // the machine stands still
+		if m.random.Intn(2000) == 0 { // a stall of the machine
 			m.now += 1000 * m.random.Float64()
 			m.stalledUntil = m.now
 		}
-		if m.now >= notice && m.noticeAt < 0 {
+		if m.now >= noticeAt && m.noticeAt < 0 {
 			m.noticeAt, m.stopAt = m.now, m.now+200+4000*m.random.Float64()
 			m.handle(Event{Kind: DrainNotice, Remaining: m.stopAt - m.now})
 		}
@@ -437,7 +440,7 @@
 		m.completeDue()
 		m.checkRunLimit()
 		if m.random.Intn(50) == 0 {
-			m.oddEvent()
+			m.invalidEvent()
 		}
 		for n := rate * m.setup.node.Tick * m.random.ExpFloat64(); n > m.random.Float64(); n-- {
 			m.arrive()
