--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -7,11 +7,11 @@
 
 func TestSlowStart(t *testing.T) {
 	cases := []struct {
-		name         string
-		cold         bool
-		callers      int
-		at           float64
-		minIn, maxIn int // admitted of 400 callers
+		name                     string
+		warmingUp                bool
+		callers                  int
+		at                       float64
+		minAdmitted, maxAdmitted int // of 400 callers
 	}{
 		{"cold at the start", true, 400, 0, 0, 15},
 		{"after a quarter", true, 400, 3600, 70, 130},
@@ -22,8 +22,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := newSlowStart(c.cold, 40000, c.callers, 7)
-			in := 0
+			p := newSlowStart(c.warmingUp, 40000, c.callers, 7)
+			admitted := 0
 			for i := range 400 {
 				caller, subject := uint16(i), uint64(0)
 				if c.callers < 400 {
@@ -33,11 +33,11 @@
 					t.Errorf("caller %d was admitted at the start and is rejected later", i)
 				}
 				if p.admits(c.at, caller, subject, 1) {
-					in++
+					admitted++
 				}
 			}
-			if in < c.minIn || in > c.maxIn {
-				t.Errorf("admitted callers: got %d of 400, want %d to %d", in, c.minIn, c.maxIn)
+			if admitted < c.minAdmitted || admitted > c.maxAdmitted {
+				t.Errorf("admitted callers: got %d of 400, want %d to %d", admitted, c.minAdmitted, c.maxAdmitted)
 			}
 		})
 	}
