--- a/decision/route/check.go
+++ b/decision/route/check.go
@@ -178,7 +178,7 @@
 		{"subject", &r.Subject},
 		{"retry", &r.Retry},
 		{"hint", &r.Hint},
-		{"door", &r.Door},
+		{"door", &r.Arrival},
 	} {
 		c.checkSource(r, s.key, s.source)
 	}
--- a/decision/route/resolve.go
+++ b/decision/route/resolve.go
@@ -45,7 +45,7 @@
 	}
 	resolved.Retry = v.flag("retry", &r.Retry, m)
 	resolved.Hint = v.number("hint", &r.Hint, m, maxCostHint)
-	resolved.Door = v.number("door", &r.Door, m, maxArrival)
+	resolved.ArrivedMs = v.number("door", &r.Arrival, m, maxArrival)
 	return resolved, v.err
 }
 
--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -70,7 +70,7 @@
 // rpc returns the RPC as the gate takes it.
 func (x *exchange) rpc() gate.RPC {
 	r := x.resolved
-	arrived := r.Door
+	arrived := r.ArrivedMs
 	if arrived == 0 {
 		arrived = float64(x.began.UnixNano()) / 1e6
 	}
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -116,7 +116,7 @@
 			Subject:  r.Subject.source(),
 			Retry:    r.Retry.source(),
 			Hint:     r.Hint.source(),
-			Door:     r.Door.source(),
+			Arrival:  r.Door.source(),
 		}
 		for _, variable := range sortedKeys(r.When) {
 			rule.When = append(rule.When, route.Condition{Variable: variable, Value: r.When[variable]})
--- a/valve/httpvalve/identify.go
+++ b/valve/httpvalve/identify.go
@@ -66,8 +66,8 @@
 		Retry:    r.Retry,
 		CostHint: time.Duration(r.Hint * float64(time.Millisecond)),
 	}
-	if r.Door > 0 {
-		rpc.ArrivedAt = time.UnixMicro(int64(r.Door * 1000))
+	if r.ArrivedMs > 0 {
+		rpc.ArrivedAt = time.UnixMicro(int64(r.ArrivedMs * 1000))
 	}
 	return rpc
 }
