--- a/decision/route/check.go
+++ b/decision/route/check.go
@@ -177,7 +177,7 @@
 		{"token", &r.Token},
 		{"subject", &r.Subject},
 		{"retry", &r.Retry},
-		{"hint", &r.Hint},
+		{"hint", &r.CostHint},
 		{"door", &r.Arrival},
 	} {
 		c.checkSource(r, s.key, s.source)
--- a/decision/route/resolve.go
+++ b/decision/route/resolve.go
@@ -44,7 +44,7 @@
 		resolved.Subject = max(1, xxhash.Sum64String(subject))
 	}
 	resolved.Retry = v.flag("retry", &r.Retry, m)
-	resolved.Hint = v.number("hint", &r.Hint, m, maxCostHint)
+	resolved.CostHintMs = v.number("hint", &r.CostHint, m, maxCostHint)
 	resolved.ArrivedMs = v.number("door", &r.Arrival, m, maxArrival)
 	return resolved, v.err
 }
--- a/decision/route/route.go
+++ b/decision/route/route.go
@@ -29,7 +29,7 @@
 	Token    Source // idempotency token
 	Subject  Source
 	Retry    Source // "1" for a retry, "0" or "" otherwise
-	Hint     Source // expected cost in ms
+	CostHint Source // expected cost in ms
 	Arrival  Source // arrival at this machine, Unix ms
 }
 
@@ -64,15 +64,15 @@
 
 // Resolved is the RPC that a message was identified as.
 type Resolved struct {
-	Rule      int // index of the rule that matched
-	Method    string
-	Customer  string
-	Caller    uint64 // hash; 0 for none
-	Token     string
-	Subject   uint64 // hash; 0 for none
-	Retry     bool
-	Hint      float64 // expected cost in ms; 0 for none
-	ArrivedMs float64 // arrival, Unix ms; 0 for none
+	Rule       int // index of the rule that matched
+	Method     string
+	Customer   string
+	Caller     uint64 // hash; 0 for none
+	Token      string
+	Subject    uint64 // hash; 0 for none
+	Retry      bool
+	CostHintMs float64 // expected cost in ms; 0 for none
+	ArrivedMs  float64 // arrival, Unix ms; 0 for none
 }
 
 // The errors of Resolve, beside *ValueError.
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -133,7 +133,7 @@
 func TestResolve(t *testing.T) {
 	table := New([]Rule{
 		{Name: "buy", Path: "/accounts/{id}/topup", Verb: "POST", Method: "topup-buy", Customer: Source{Variable: "PROVIDER", Names: map[string]string{"kw": "kaipara"}},
-			Caller: Source{Variable: "REMOTE_ADDR"}, Token: Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Retry: Source{Query: "again"}, Hint: Source{Variable: "WORK_MS"}},
+			Caller: Source{Variable: "REMOTE_ADDR"}, Token: Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Retry: Source{Query: "again"}, CostHint: Source{Variable: "WORK_MS"}},
 		{Name: "view", Path: "/accounts/{id}/*", Method: "account-view", Subject: Source{Segment: "id"}, Customer: Source{Fixed: "kaipara"}},
 	})
 	cases := []struct {
@@ -166,7 +166,7 @@
 					t.Errorf("error %v, want %v", err, c.err)
 				}
 			default:
-				if got := fmt.Sprint(f.Method, " ", f.Customer, " ", f.Token, " ", f.Retry, " ", f.Hint); err != nil || got != c.want {
+				if got := fmt.Sprint(f.Method, " ", f.Customer, " ", f.Token, " ", f.Retry, " ", f.CostHintMs); err != nil || got != c.want {
 					t.Errorf("found %q, error %v", got, err)
 				}
 			}
@@ -222,7 +222,7 @@
 		{"one token for all", with(func(r *Rule) { r.Method, r.Token.Fixed = "buy", "k" }), "token.fixed: "},
 		{"two sources", with(func(r *Rule) { r.Subject = Source{Variable: "X", Query: "y"} }), "subject: one of"},
 		{"a parameter that is not there", with(func(r *Rule) { r.Subject.Segment = "id" }), "subject.segment: the path has no parameter"},
-		{"names of a fixed value", with(func(r *Rule) { r.Hint = Source{Fixed: "1", Names: map[string]string{}} }), "hint.names: "},
+		{"names of a fixed value", with(func(r *Rule) { r.CostHint = Source{Fixed: "1", Names: map[string]string{}} }), "hint.names: "},
 		{"two that tie", second(func(*Rule) {}), "path: ties with route \"a\""},
 		{"two that tie but for the names of parameters", []Rule{{Name: "a", Path: "/{x}", Method: "view", Customer: sound.Customer}, {Name: "b", Path: "/{y}", Method: "view", Customer: sound.Customer}}, "path: ties"},
 		{"two that tie by other conditions", second(func(r *Rule) { r.When = []Condition{{"Y", "1"}} })[1:], ""},
--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -82,7 +82,7 @@
 		Caller:     front.CallerNumber(r.Caller),
 		Subject:    r.Subject,
 		ArrivedMs:  arrived,
-		CostHintMs: r.Hint,
+		CostHintMs: r.CostHintMs,
 		QueuedKB:   x.config.limits.QueuedKB + float64(len(x.body))/1024,
 		Retry:      r.Retry,
 		Token:      strings.Clone(r.Token), // it may outlive the block
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -115,7 +115,7 @@
 			Token:    r.Token.source(),
 			Subject:  r.Subject.source(),
 			Retry:    r.Retry.source(),
-			Hint:     r.Hint.source(),
+			CostHint: r.Hint.source(),
 			Arrival:  r.Door.source(),
 		}
 		for _, variable := range sortedKeys(r.When) {
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -30,7 +30,7 @@
 
 var routes = []route.Rule{
 	{Name: "view", Path: "/view/*", Method: "view"},
-	{Name: "buy", Path: "/buy", Verb: "POST", Method: "buy", Token: route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, Hint: route.Source{Variable: "HTTP_WORK_MS"}},
+	{Name: "buy", Path: "/buy", Verb: "POST", Method: "buy", Token: route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, CostHint: route.Source{Variable: "HTTP_WORK_MS"}},
 }
 
 // testServer is a server behind a valve, with a handler that the test gives.
--- a/valve/httpvalve/identify.go
+++ b/valve/httpvalve/identify.go
@@ -64,7 +64,7 @@
 		Subject:  r.Subject,
 		Token:    r.Token,
 		Retry:    r.Retry,
-		CostHint: time.Duration(r.Hint * float64(time.Millisecond)),
+		CostHint: time.Duration(r.CostHintMs * float64(time.Millisecond)),
 	}
 	if r.ArrivedMs > 0 {
 		rpc.ArrivedAt = time.UnixMicro(int64(r.ArrivedMs * 1000))
