--- a/decision/pool/balance.go
+++ b/decision/pool/balance.go
@@ -18,11 +18,12 @@
 	NoCapacity
 )
 
-// Acquire asks for a member for a request. id names the request while it is queued. Members in avoid, which have
-// failed it before, are chosen only if no other member could ever serve it. caller is a hash of the request's caller.
+// Acquire requests a member for a request. id identifies the request while it is queued. Members in avoid, at which the
+// request has failed before, are chosen only if no other member could ever serve it. caller is a hash of the request's
+// caller.
 func (p *Pool) Acquire(now float64, id uint64, avoid []int, caller uint64) (member int, placement Placement) {
 	p.updateEjections(now)
-	if len(p.queue) == 0 { // queued requests come first
+	if len(p.queue) == 0 { // queued requests take precedence
 		if m := p.choose(now, avoid, caller); m != nil {
 			p.assign(now, m)
 			return m.id, Granted
@@ -40,7 +41,7 @@
 	return 0, Queued
 }
 
-// AcquireEjected assigns a request to the ejected member at addr, as a trial of its health. It reports false if the
+// AcquireEjected assigns a request to the ejected member at addr, as a trial of its health. It returns false if the
 // member is not ejected, is draining or has no spare connection.
 func (p *Pool) AcquireEjected(now float64, addr string) (member int, granted bool) {
 	for _, m := range p.members {
@@ -61,7 +62,7 @@
 	m.requests++
 }
 
-// loadShare returns the fraction of its connection limit that a member may use: 1, but for one in slow start.
+// loadShare returns the fraction of its connection limit that a member may use, which is 1 except during slow start.
 func (p *Pool) loadShare(now float64, m *member) float64 {
 	if p.config.SlowStart <= 0 || p.fleetAdmits != nil { // the fleet limits the callers of a returning member instead
 		return 1
@@ -69,7 +70,7 @@
 	return math.Min(1, math.Max(initialLoadShare, (now-m.returnedAt)/p.config.SlowStart))
 }
 
-// admits reports whether a member may get requests of a caller.
+// admits reports whether a member may receive requests from a caller.
 func (p *Pool) admits(m *member, caller uint64) bool {
 	return m.usable() && (p.fleetAdmits == nil || p.fleetAdmits(m.addr, caller, m.callerShare))
 }
@@ -78,16 +79,17 @@
 	return p.admits(m, caller) && m.inFlight < p.connectionLimit(now, m)
 }
 
-// connectionLimit returns how many requests a member may have in flight from here. The fraction is rounded by a draw
-// that holds for the whole slow start. A member gets requests from all servers of a fleet: if each rounded up, the sum
-// would be many times its share while each sends less than one. With the draw the mean over the servers is that share,
-// without any communication between them.
+// connectionLimit returns how many requests a member may have in flight from this server. During slow start the limit
+// is not a whole number; one random draw per slow start decides whether it is rounded up or down. A member gets
+// requests from all servers of a fleet: if the limit of each were less than one and all rounded it up, their sum would
+// be many times the member's share. With the draw, the mean over the servers equals that share without any
+// communication between them.
 func (p *Pool) connectionLimit(now float64, m *member) int {
 	share := float64(p.config.MaxConnections) * p.loadShare(now, m)
 	return min(p.config.MaxConnections, int(share+m.roundingDraw))
 }
 
-// choose returns the better of two members drawn at random, each weighted by its load share; nil if none has capacity.
+// choose returns the better of two members drawn at random, weighted by load share, or nil if no member has capacity.
 func (p *Pool) choose(now float64, avoid []int, caller uint64) *member {
 	candidates := make([]*member, 0, 16)
 	for _, m := range p.members {
@@ -96,7 +98,7 @@
 		}
 	}
 	if len(candidates) == 0 {
-		if len(avoid) > 0 && !p.anyAdmits(avoid, caller) { // all that are left have failed the request
+		if len(avoid) > 0 && !p.anyAdmits(avoid, caller) { // the request has failed at all other members
 			return p.choose(now, nil, caller)
 		}
 		return nil
@@ -113,7 +115,7 @@
 	return first
 }
 
-// anyAdmits reports whether a member outside avoid takes the caller's requests, now or once it has capacity.
+// anyAdmits reports whether any member outside avoid accepts the caller's requests, now or once it has capacity.
 func (p *Pool) anyAdmits(avoid []int, caller uint64) bool {
 	return slices.ContainsFunc(p.members, func(m *member) bool {
 		return p.admits(m, caller) && !slices.Contains(avoid, m.id)
@@ -126,17 +128,17 @@
 	for _, m := range candidates {
 		total += p.loadShare(now, m)
 	}
-	x := p.random.Float64() * total
+	remaining := p.random.Float64() * total
 	for _, m := range candidates {
-		if x -= p.loadShare(now, m); x < 0 {
+		if remaining -= p.loadShare(now, m); remaining < 0 {
 			return m
 		}
 	}
 	return candidates[len(candidates)-1]
 }
 
-// expectedWait estimates the time of one more request at a member: requests in flight, this one included, times the
-// recent latency, over the member's load share.
+// expectedWait estimates how long one more request would take at a member: the requests in flight, including this one,
+// times the recent latency in ms, divided by the member's load share.
 func (p *Pool) expectedWait(now float64, m *member) float64 {
 	latency := m.meanLatency
 	if m.samples < minSamples {
@@ -150,7 +152,7 @@
 
 // The outcomes.
 const (
-	// Succeeded: a response that counts as success; its latency is recorded.
+	// Succeeded: the response counts as a success, and its latency is recorded.
 	Succeeded Outcome = iota
 	// Failed: an error response, a broken connection, or no response in time.
 	Failed
@@ -160,7 +162,7 @@
 
 // Grant is a member granted to a queued request.
 type Grant struct {
-	ID     uint64 // of the request, as Acquire was given it
+	ID     uint64 // id of the request, as passed to Acquire
 	Member int
 }
 
@@ -174,7 +176,7 @@
 	switch outcome {
 	case Succeeded:
 		m.recordSuccess(now, latency)
-	case Failed: // its latency is not learnt: a member that fails fast must not look quick
+	case Failed: // its latency is not recorded: a member that fails quickly must not look fast
 		m.failuresInARow++
 		m.silentSince = now
 		if m.ejection == NotEjected && p.config.ConsecutiveFailures > 0 && m.failuresInARow >= p.config.ConsecutiveFailures {
@@ -193,7 +195,7 @@
 	m.silentSince = now
 	if m.samples == 0 {
 		m.meanLatency = latency
-	} else { // part of a rise counts at once, so that a member that turns slow soon gets less
+	} else { // each response counts at once, so that a member that becomes slow soon gets less traffic
 		m.meanLatency += latencyWeight * (latency - m.meanLatency)
 	}
 	m.samples++
--- a/decision/pool/ejection.go
+++ b/decision/pool/ejection.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// EjectionReason is why a member gets no new requests; NotEjected means that it is in use.
+// EjectionReason is the reason why a member gets no new requests. NotEjected means that the member is in use.
 type EjectionReason int
 
 // The reasons.
@@ -11,15 +11,15 @@
 	NotEjected EjectionReason = iota
 	// FailuresInARow: consecutive requests failed.
 	FailuresInARow
-	// HighLatency: its latency is far above the other members' median.
+	// HighLatency: the member's latency is far above the other members' median.
 	HighLatency
-	// Unresponsive: it has requests in flight and has not responded for long.
+	// Unresponsive: the member has requests in flight and has sent no response for a long time.
 	Unresponsive
 	// HealthCheckFailed: consecutive active health checks failed.
 	HealthCheckFailed
-	// EjectedByFleet: the fleet decided so; see UseFleetDecisions.
+	// EjectedByFleet: the fleet decided to eject the member; see UseFleetDecisions.
 	EjectedByFleet
-	// Draining: an operator drains it; see SetDraining.
+	// Draining: an operator is draining the member; see SetDraining.
 	Draining
 )
 
@@ -32,7 +32,7 @@
 // Event is an ejection or a return of a member, for logs and counters.
 type Event struct {
 	Addr     string
-	Reason   EjectionReason // NotEjected: it returned
+	Reason   EjectionReason // NotEjected if the member returned
 	Duration float64        // of the ejection in ms; 0 for a return, a drain or an ejection by the fleet
 }
 
@@ -64,11 +64,13 @@
 	}
 }
 
+// isSlow reports whether a member's mean latency is too far above the usual latency of the others.
 func (p *Pool) isSlow(m *member, usual float64) bool {
 	return p.config.LatencyFactor > 0 && m.samples >= minSamples && m.meanLatency > p.config.LatencyFactor*usual
 }
 
-// isUnresponsive goes by two requests in flight at least: a single one may just be long.
+// isUnresponsive reports whether a member has sent no response for too long. It requires at least two requests in
+// flight, because a single request may simply take long.
 func (p *Pool) isUnresponsive(now float64, m *member, usual float64) bool {
 	if p.config.ConsecutiveFailures <= 0 || m.inFlight <= 1 {
 		return false
@@ -77,7 +79,7 @@
 	return now-m.silentSince > limit
 }
 
-// eject takes a member out of use, unless too few would be left.
+// eject takes a member out of use unless that would leave too few members in use.
 func (p *Pool) eject(now float64, m *member, reason EjectionReason) {
 	if p.fleetAdmits != nil {
 		return
@@ -99,11 +101,11 @@
 	if float64(inUse-1) < minShare*float64(configured) {
 		return
 	}
-	if now-m.returnedAt > ejectionResetFactor*m.ejectionDuration { // it had been healthy for a while
+	if now-m.returnedAt > ejectionResetFactor*m.ejectionDuration { // the member had been healthy for a while
 		m.ejectionDuration = 0
 	}
-	longest := maxEjectionFactor * p.config.BaseEjection
-	m.ejectionDuration = math.Min(longest, math.Max(p.config.BaseEjection, 2*m.ejectionDuration))
+	maxDuration := maxEjectionFactor * p.config.BaseEjection
+	m.ejectionDuration = math.Min(maxDuration, math.Max(p.config.BaseEjection, 2*m.ejectionDuration))
 	m.ejection = reason
 	m.ejectedUntil = now + m.ejectionDuration
 	m.passedHealthCheck = false
@@ -111,8 +113,8 @@
 	p.events = append(p.events, Event{Addr: m.addr, Reason: reason, Duration: m.ejectionDuration})
 }
 
-// restoreMinHealthy returns ejected members to use, the one due first before others, while fewer than the minimum
-// share are in use, as after members were removed or drained.
+// restoreMinHealthy returns ejected members to use while fewer than the minimum share are in use, which may happen
+// after members were removed or drained. The member whose ejection ends first returns first.
 func (p *Pool) restoreMinHealthy(now float64) {
 	if p.fleetAdmits != nil {
 		return
@@ -140,7 +142,7 @@
 	}
 }
 
-// restore returns a member to use, in slow start and with its record of failures and latency cleared.
+// restore returns a member to use in slow start. It clears the member's failures in a row and its latency samples.
 func (p *Pool) restore(now float64, m *member) {
 	m.ejection = NotEjected
 	m.returnedAt = now
@@ -151,8 +153,8 @@
 	p.events = append(p.events, Event{Addr: m.addr})
 }
 
-// UntilNextReturn returns the ms until the next ejected member may return, 0 if none is ejected: the Retry-After of a
-// request that found no capacity.
+// UntilNextReturn returns the time in ms until the next ejected member may return, or 0 if none is ejected. It serves as
+// the Retry-After of a request that found no capacity.
 func (p *Pool) UntilNextReturn(now float64) float64 {
 	soonest := math.Inf(1)
 	for _, m := range p.members {
--- a/decision/pool/fleet.go
+++ b/decision/pool/fleet.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// FleetDecision is what the fleet has decided about one member.
+// FleetDecision is the fleet's decision about one member.
 type FleetDecision struct {
 	Addr        string
 	Ejected     bool
-	CallerShare float64 // fraction of the callers whose requests it gets, if it is not ejected
+	CallerShare float64 // fraction of the callers whose requests the member gets, if it is not ejected
 }
 
 // FollowsFleet reports whether the pool follows the fleet's decisions.
 func (p *Pool) FollowsFleet() bool { return p.fleetAdmits != nil }
 
-// UseLocalDetection makes the pool detect outliers by itself, as without a fleet. Ejections by the fleet end.
+// UseLocalDetection makes the pool detect outliers by itself, as it does without a fleet, and ends ejections by the
+// fleet.
 func (p *Pool) UseLocalDetection(now float64) {
 	if p.fleetAdmits == nil {
 		return
@@ -28,8 +29,9 @@
 	}
 }
 
-// UseFleetDecisions makes the pool follow the fleet's decisions: it ejects and returns no member by itself. A member
-// without a decision is in use. admits reports whether a member with a caller share takes a caller's requests.
+// UseFleetDecisions makes the pool follow the fleet's decisions: it no longer ejects or returns members by itself. A
+// member without a decision is in use. admits reports whether a member with a given caller share accepts the requests
+// of a caller.
 func (p *Pool) UseFleetDecisions(now float64, decisions []FleetDecision, admits func(member string, caller uint64, share float64) bool) {
 	p.fleetAdmits = admits
 	for _, m := range p.members {
@@ -46,16 +48,18 @@
 			p.events = append(p.events, Event{Addr: m.addr, Reason: EjectedByFleet})
 		case !decision.Ejected && m.ejection != NotEjected:
 			p.restore(now, m)
-			// Its own latency is of another time, and its load is to follow from its share of the callers.
+			// The member's recorded latency is out of date. With the latency of the others, its load depends on its share
+			// of the callers alone.
 			m.meanLatency = p.medianOfResponding(m)
 		}
 		m.callerShare = decision.CallerShare
 	}
 }
 
-// SetDraining marks the members at addrs as drained by an operator, and no others: they get no requests and no trials,
-// and count against the share that ejection may take out of use. One that is no longer drained returns in slow start.
-// If all members are listed none is drained, as nobody intends that; refused then holds their addresses.
+// SetDraining marks the members at addrs, and no others, as drained by an operator. Drained members get no requests and
+// no trials, and count against the share of members that ejection may take out of use. A member that is no longer
+// drained returns in slow start. If addrs lists all members, none is drained, since that is assumed to be a mistake;
+// refused then holds their addresses.
 func (p *Pool) SetDraining(now float64, addrs []string) (refused []string) {
 	remaining := 0
 	for _, m := range p.members {
--- a/decision/pool/healthcheck.go
+++ b/decision/pool/healthcheck.go
@@ -1,7 +1,7 @@
 package pool
 
-// DueHealthChecks returns the members whose active health check is due now. The caller runs each check and reports it
-// by RecordHealthCheck, before which the member is not returned again.
+// DueHealthChecks returns the members whose active health check is due. The caller must run each check and report its
+// result to RecordHealthCheck; until then the member is not returned again.
 func (p *Pool) DueHealthChecks(now float64) (ids []int) {
 	if p.config.HealthCheckInterval <= 0 {
 		return nil
@@ -15,8 +15,8 @@
 	return ids
 }
 
-// RecordHealthCheck records the result of an active health check. Consecutive failures eject the member; an ejected one
-// needs a success before it returns.
+// RecordHealthCheck records the result of an active health check. Consecutive failures eject the member, and an ejected
+// member returns only after a successful check.
 func (p *Pool) RecordHealthCheck(now float64, id int, healthy bool) {
 	m := p.member(id)
 	if m == nil {
@@ -29,7 +29,7 @@
 		m.passedHealthCheck = m.passedHealthCheck || healthy
 		return
 	}
-	if healthy { // resets no failures: real requests say more about a member than a check
+	if healthy { // does not reset the failures in a row: requests tell more about a member than a check does
 		return
 	}
 	m.failuresInARow++
--- a/decision/pool/pool.go
+++ b/decision/pool/pool.go
@@ -28,7 +28,7 @@
 	queue           []queuedRequest
 	events          []Event
 
-	// fleetAdmits reports whether a member takes a caller's requests at its CallerShare. It is set while the pool
+	// fleetAdmits reports whether a member accepts a caller's requests, given its CallerShare. It is set while the pool
 	// follows the fleet's decisions, and nil while this server detects outliers by itself.
 	fleetAdmits func(member string, caller uint64, share float64) bool
 }
@@ -38,13 +38,13 @@
 	p := &Pool{random: rand.New(rand.NewSource(int64(seed)))}
 	p.Set(now, config, addrs)
 	for _, m := range p.members {
-		m.returnedAt = math.Inf(-1) // slow start needs others to carry the rest
+		m.returnedAt = math.Inf(-1) // no slow start: no other members could take the rest of the load
 	}
 	return p
 }
 
-// Set replaces the configuration and the members. A member whose address stays keeps its state and what is in flight;
-// one that goes gets nothing new, and one that comes goes through slow start.
+// Set replaces the configuration and the members. A member whose address is still listed keeps its state and its
+// requests in flight, a removed member gets no new requests, and an added member goes through slow start.
 func (p *Pool) Set(now float64, config Config, addrs []string) {
 	p.config = config
 	for _, m := range p.members {
@@ -68,7 +68,7 @@
 	p.restoreMinHealthy(now)
 }
 
-// deleteRemoved deletes the removed members that have nothing in flight.
+// deleteRemoved deletes the removed members that have no requests in flight.
 func (p *Pool) deleteRemoved() {
 	p.members = slices.DeleteFunc(p.members, func(m *member) bool { return m.removed && m.inFlight == 0 })
 }
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// Addr returns the address of a member that has been granted and whose requests are not all complete, "" otherwise.
+// Addr returns the address of a member, or "" if the member is not known. A removed member is known until its last
+// request is complete.
 func (p *Pool) Addr(id int) string {
 	if m := p.member(id); m != nil {
 		return m.addr
@@ -90,11 +91,11 @@
 	return ""
 }
 
-// MedianLatency returns the latency in ms to expect of a request here: the median over the members in use. It is 0
-// until enough responses have come.
+// MedianLatency returns the expected latency in ms of a request to the pool, which is the median over the members in use,
+// or 0 until there have been enough responses.
 func (p *Pool) MedianLatency() float64 { return p.medianLatencyExcept(nil) }
 
-// medianLatencyExcept returns the median latency of the members in use other than excluded, 0 if it is not known.
+// medianLatencyExcept returns the median latency of the members in use other than excluded, or 0 if it is not known.
 func (p *Pool) medianLatencyExcept(excluded *member) float64 {
 	var latencies []float64
 	for _, m := range p.members {
@@ -105,8 +106,8 @@
 	return median(latencies)
 }
 
-// medianOfResponding returns the median latency of the other members in use that have responded at all, or m's own if
-// there are none. With little traffic for each, few have enough samples for medianLatencyExcept.
+// medianOfResponding returns the median latency of the other members in use that have responded at least once, or m's
+// own latency if there are none. If each member gets little traffic, few have enough samples for medianLatencyExcept.
 func (p *Pool) medianOfResponding(m *member) float64 {
 	var latencies []float64
 	for _, other := range p.members {
@@ -120,7 +121,7 @@
 	return median(latencies)
 }
 
-// median returns the upper median of values, which it sorts; 0 for none.
+// median sorts values and returns their upper median, or 0 if there are none.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -129,7 +130,7 @@
 	return values[len(values)/2]
 }
 
-// Events returns the ejections and returns of members since the last call, in their order.
+// Events returns the ejections and returns of members since the last call, in the order in which they happened.
 func (p *Pool) Events() []Event {
 	events := p.events
 	p.events = nil
--- a/decision/pool/queue.go
+++ b/decision/pool/queue.go
@@ -10,15 +10,15 @@
 	caller   uint64
 }
 
-// Update ends and starts ejections as the time requires, and grants capacity to queued requests. Call it regularly;
-// Complete calls it as well.
+// Update ends the ejections that are over, ejects members that are slow or unresponsive, and grants free capacity to
+// queued requests. It must be called regularly; Complete calls it as well.
 func (p *Pool) Update(now float64) (grants []Grant) {
 	p.updateEjections(now)
 	for i := 0; i < len(p.queue); {
 		request := p.queue[i]
 		m := p.choose(now, request.avoid, request.caller)
 		if m == nil {
-			if len(request.avoid) > 0 { // a later request that avoids nobody may still find a member
+			if len(request.avoid) > 0 { // a later request with no members to avoid may still get one
 				i++
 				continue
 			}
@@ -31,7 +31,7 @@
 	return grants
 }
 
-// ExpireQueued ends the waits that have reached their timeout and returns the ids of their requests.
+// ExpireQueued removes the requests that have reached their timeout from the queue and returns their ids.
 func (p *Pool) ExpireQueued(now float64) (ids []uint64) {
 	p.queue = slices.DeleteFunc(p.queue, func(request queuedRequest) bool {
 		expired := now >= request.deadline
@@ -43,7 +43,7 @@
 	return ids
 }
 
-// CancelQueued ends the wait of one request and reports whether it was queued.
+// CancelQueued removes a request from the queue and reports whether it was queued.
 func (p *Pool) CancelQueued(id uint64) bool {
 	before := len(p.queue)
 	p.queue = slices.DeleteFunc(p.queue, func(request queuedRequest) bool { return request.id == id })
