--- a/decision/route/resolve.go
+++ b/decision/route/resolve.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	maxCostHint   = 3.6e6 // ms: an expected cost of over an hour is no hint
+	maxCostHint   = 3.6e6 // ms; an expected cost of more than an hour is invalid
 	maxArrival    = 1e14  // Unix ms, in the year 5138
-	maxTokenBytes = 64    // as in the routers' protocol, so that both carry any token
+	maxTokenBytes = 64    // same limit as in the routers' protocol, so that both can carry any token
 )
 
 // Resolve identifies the RPC in a message by the most specific rule that matches. The error is ErrNoRoute,
-// ErrVerbNotAllowed or a *ValueError; the RPC must not run then.
+// ErrVerbNotAllowed or a *ValueError. If there is an error, the RPC must not run.
 func (t *Table) Resolve(m *Message) (resolved Resolved, err error) {
 	rule := t.Match(m)
 	if rule < 0 {
@@ -27,7 +27,7 @@
 	return t.resolveValues(rule, m)
 }
 
-// resolveValues reads the values that a rule takes from a message.
+// resolveValues reads the values of a message that a rule names.
 func (t *Table) resolveValues(rule int, m *Message) (resolved Resolved, err error) {
 	r := &t.rules[rule]
 	v := valueReader{table: t, rule: rule}
@@ -49,19 +49,20 @@
 	return resolved, v.err
 }
 
-// valueReader reads the values of one rule and keeps the first error, after which all values are empty. The message is
-// passed to each read, not held, so that it need not be allocated on the heap.
+// valueReader reads the values of one rule and keeps the first error, after which all reads return empty values. The
+// message is passed to each read rather than stored, so that it need not be allocated on the heap.
 type valueReader struct {
 	table *Table
 	rule  int
 	err   error
 }
 
-// fail sets the error. It is called while there is none.
+// fail sets the error. It must not be called if there is one already.
 func (v *valueReader) fail(key, want, got string) {
 	v.err = &ValueError{Rule: v.table.rules[v.rule].Name, Key: key, Want: want, Got: got}
 }
 
+// text reads a value and translates it by the source's names, if any.
 func (v *valueReader) text(key string, s *Source, m *Message) string {
 	if v.err != nil {
 		return ""
@@ -77,6 +78,7 @@
 	return name
 }
 
+// flag reads a value that must be 0, 1 or empty.
 func (v *valueReader) flag(key string, s *Source, m *Message) bool {
 	value := v.text(key, s, m)
 	switch value {
@@ -91,21 +93,22 @@
 	return false
 }
 
+// number reads a value that must be empty or a number from 0 to highest.
 func (v *valueReader) number(key string, s *Source, m *Message, highest float64) float64 {
 	value := v.text(key, s, m)
 	if value == "" || v.err != nil {
 		return 0
 	}
-	x, err := strconv.ParseFloat(value, 64)
-	inRange := x >= 0 && x <= highest // false for NaN
+	number, err := strconv.ParseFloat(value, 64)
+	inRange := number >= 0 && number <= highest // false for NaN
 	if err != nil || !inRange {
 		v.fail(key, fmt.Sprintf("a number from 0 to %g", highest), value)
 		return 0
 	}
-	return x
+	return number
 }
 
-// sourceValue reads a source; "" stands for a value that is not there.
+// sourceValue reads the value of a source from a message. It returns "" if the message has no such value.
 func (t *Table) sourceValue(rule int, s *Source, m *Message) string {
 	switch {
 	case s.Fixed != "":
@@ -125,7 +128,7 @@
 	return ""
 }
 
-// pathSegment returns the segment of a path at an index from 0.
+// pathSegment returns the segment of a path at an index that counts from 0.
 func pathSegment(path string, index int) string {
 	rest := strings.TrimPrefix(path, "/")
 	for ; index > 0; index-- {
@@ -135,8 +138,8 @@
 	return segment
 }
 
-// queryValue returns the first value of a key as it stands. Escapes are not decoded: tokens and ids need none, and a
-// value with escapes is another one than the same without.
+// queryValue returns the first value of a key in a query string. Escapes are not decoded: tokens and ids need none, and
+// a value with escapes differs from the same value without them.
 func queryValue(query, key string) string {
 	for query != "" {
 		var pair string
--- a/decision/route/table.go
+++ b/decision/route/table.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Table is the index of the rules: for each host a trie of path segments. It is immutable and safe for concurrent use.
+// Table is an index of rules that has a trie of path segments for each host. It is immutable and safe for concurrent use.
 type Table struct {
 	rules         []Rule
 	exactHosts    map[string]*node
-	wildcardHosts map[string]*node // by what follows the star, from its dot
+	wildcardHosts map[string]*node // by wildcardSuffix
 	anyHost       *node
-	params        [][]pathParam // by rule
+	params        [][]pathParam // by index of the rule
 }
 
 // pathParam is a parameter of a rule's path.
@@ -22,14 +22,14 @@
 
 // node is a position in the paths of one host.
 type node struct {
-	literals  map[string]*node // next position by a literal segment
-	parameter *node            // next position by any one segment
-	rules     []int            // whose path ends here, the most specific first
-	tailRules []int            // whose path has its tail from here on, likewise
+	literals  map[string]*node // next position after a literal segment
+	parameter *node            // next position after any one segment
+	rules     []int            // rules whose path ends here, the most specific first
+	tailRules []int            // rules whose tail begins here, the most specific first
 }
 
-// New indexes the rules. It takes rules that Check finds fault with as well; of rules that tie, the one whose name
-// comes first in the alphabet counts.
+// New returns an index of the rules. It accepts rules in which Check finds faults; of rules that tie, the one whose name
+// sorts first is used.
 func New(rules []Rule) *Table {
 	t := &Table{
 		rules:         rules,
@@ -42,7 +42,7 @@
 	return t
 }
 
-// hostNode returns the root of the trie of a rule's host, made if need be.
+// hostNode returns the root of the trie for a rule's host, which it creates if necessary.
 func (t *Table) hostNode(host string) *node {
 	if host == "" {
 		if t.anyHost == nil {
@@ -60,7 +60,7 @@
 	return hosts[key]
 }
 
-// insert adds a rule below the root of its host and returns the parameters of its path.
+// insert adds a rule below n, the root of its host, and returns the parameters of its path.
 func (t *Table) insert(n *node, rule int) (params []pathParam) {
 	segments := splitPath(t.rules[rule].Path)
 	for i, segment := range segments {
@@ -89,7 +89,7 @@
 	return params
 }
 
-// bySpecificity sorts rules of one host and path by precedence.
+// bySpecificity sorts rules that have the same host and path by precedence and returns them.
 func (t *Table) bySpecificity(rules []int) []int {
 	slices.SortFunc(rules, func(i, k int) int {
 		a, b := &t.rules[i], &t.rules[k]
@@ -111,7 +111,8 @@
 	return t.visitHosts(m.Host, func(n *node) int { return t.matchPath(n, strings.TrimPrefix(m.Path, "/"), m) })
 }
 
-// visitHosts calls visit for the tries that cover a host, the most specific first, until one returns a rule.
+// visitHosts calls visit for the tries that cover a host, the most specific first, until a call returns a rule. It returns
+// the index of that rule, or -1.
 func (t *Table) visitHosts(host string, visit func(*node) int) int {
 	if n := t.exactHosts[host]; n != nil && host != "" {
 		if rule := visit(n); rule >= 0 {
@@ -136,8 +137,8 @@
 	return -1
 }
 
-// matchPath descends a trie, the more specific branch first, and backtracks where it leads to nothing. A node stands at
-// one depth only, so one match enters it once at most.
+// matchPath searches a trie for the rest of a path, more specific branches first, and backtracks if a branch has no
+// matching rule. Each node has one depth only, so a search enters it at most once.
 func (t *Table) matchPath(n *node, rest string, m *Message) int {
 	segment, remaining, deeper := strings.Cut(rest, "/")
 	for _, next := range [...]*node{n.literals[segment], n.parameter} {
@@ -171,18 +172,19 @@
 	return -1
 }
 
+// conditionsHold reports whether all conditions hold.
 func conditionsHold(conditions []Condition, variables Variables) bool {
 	for i := range conditions {
-		value, has := variables.Get(conditions[i].Variable)
-		if !has || value != conditions[i].Value {
+		value, ok := variables.Get(conditions[i].Variable)
+		if !ok || value != conditions[i].Value {
 			return false
 		}
 	}
 	return true
 }
 
-// Verbs returns the verbs that rules for the message's host, path and conditions take, sorted, whatever its own verb:
-// the Allow header of a response to ErrVerbNotAllowed.
+// Verbs returns the verbs that rules accept for the message's host, path and variables, sorted, regardless of the
+// message's own verb. The response to ErrVerbNotAllowed lists them in its Allow header.
 func (t *Table) Verbs(m *Message) (verbs []string) {
 	add := func(rules []int) {
 		for _, i := range rules {
@@ -200,7 +202,7 @@
 	return verbs
 }
 
-// visitRules calls visit with the rules of each path below n that matches rest.
+// visitRules calls visit with the rules of each path below n that matches the rest of a path.
 func (n *node) visitRules(rest string, visit func(rules []int)) {
 	segment, remaining, deeper := strings.Cut(rest, "/")
 	for _, next := range [...]*node{n.literals[segment], n.parameter} {
--- a/decision/route/ties.go
+++ b/decision/route/ties.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// checkTies finds rules of one host and path that tie in precedence, and those that other rules leave nothing to.
+// checkTies reports rules that tie in precedence, and rules for any verb that can never match because other rules with the
+// same host and path take all requests of every verb.
 func (c *checker) checkTies() {
-	for _, group := range c.rulesByPlace() {
-		unconditionalVerbs := map[string]bool{} // verbs that a rule without conditions takes all RPCs of
+	for _, group := range c.groupByHostAndPath() {
+		unconditionalVerbs := map[string]bool{} // verbs for which a rule without conditions exists
 		for _, i := range group {
 			r := &c.rules[i]
 			if r.Verb != "" && len(r.When) == 0 {
@@ -23,19 +24,19 @@
 			}
 			for _, k := range group[:n] {
 				if earlier := &c.rules[k]; tie(r, earlier) {
-					c.add("path", fmt.Sprintf("ties with route %q: both can fit one RPC, and neither is more telling", earlier.Name))
+					c.add("path", fmt.Sprintf("ties with route %q: both can match the same RPC, and neither is more specific", earlier.Name))
 				}
 			}
 		}
 	}
 }
 
-// place is the host and the path of rules, whatever the names of the path's parameters.
-type place struct{ host, pathShape string }
+// hostAndPath identifies rules that have the same host and the same path, regardless of the names of path parameters.
+type hostAndPath struct{ host, pathShape string }
 
-// rulesByPlace returns the indexes of the rules by place, each list in the order of the rules.
-func (c *checker) rulesByPlace() map[place][]int {
-	groups := map[place][]int{}
+// groupByHostAndPath returns the indexes of the rules by host and path. Each list is in the order of the rules.
+func (c *checker) groupByHostAndPath() map[hostAndPath][]int {
+	groups := map[hostAndPath][]int{}
 	for i := range c.rules {
 		r := &c.rules[i]
 		segments := splitPath(r.Path)
@@ -44,13 +45,13 @@
 				segments[k] = "{}"
 			}
 		}
-		p := place{host: r.Host, pathShape: strings.Join(segments, "/")}
-		groups[p] = append(groups[p], i)
+		key := hostAndPath{host: r.Host, pathShape: strings.Join(segments, "/")}
+		groups[key] = append(groups[key], i)
 	}
 	return groups
 }
 
-// tie reports whether two rules of one place can match the same RPC and neither is more specific.
+// tie reports whether two rules with the same host and path can match the same RPC and neither is more specific.
 func tie(a, b *Rule) bool {
 	return a.Verb == b.Verb && len(a.When) == len(b.When) && compatible(a.When, b.When)
 }
