--- a/internal/gate/clock.go
+++ b/internal/gate/clock.go
@@ -7,25 +7,26 @@
 	"sorrelvalve/control"
 )
 
-// startPoll is the time to the next tick while the decisions have not begun: soon enough to notice that they have.
+// startPoll is the interval of ticks before Start, short enough for the first timer after Start to be on time.
 const startPoll = 10 * time.Millisecond
 
-// minTickMs is the shortest time between two ticks.
+// minTickMs is the minimum time between two ticks.
 const minTickMs = 1.0
 
-// duration converts milliseconds.
+// duration converts milliseconds to a time.Duration.
 func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// milliseconds converts a duration.
+// milliseconds converts a time.Duration to milliseconds.
 func milliseconds(d time.Duration) float64 { return float64(d) / 1e6 }
 
 func unixMillis(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// elapsedMs returns a time on the controller's clock.
+// elapsedMs converts a time to milliseconds on the controller's clock.
 func (g *Gate) elapsedMs(t time.Time) float64 { return milliseconds(t.Sub(g.origin)) }
 
-// Tick moves the clock on. The gauges are in the order of the start-up configuration; none means that they could not be
-// read. It returns the time until it should be called next. Ticks that a stall has delayed are made up for by one.
+// Tick fires the controller's timer if it is due and returns the time until Tick should be called again. The gauges are in
+// the order of the start-up configuration; an empty slice means that they could not be read. After a stall one call is
+// enough, however many ticks were missed.
 func (g *Gate) Tick(gauges []float64) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,7 +44,7 @@
 	return duration(math.Max(minTickMs, g.nextTimer-now))
 }
 
-// readGauges puts values into the gauges that the start-up configuration names.
+// readGauges assigns values to the gauges that the start-up configuration names.
 func (g *Gate) readGauges(values []float64) control.Gauges {
 	gauges := control.Gauges{Stale: len(values) == 0 && len(g.startup.Gauges) > 0}
 	for i := range min(len(values), len(g.startup.Gauges)) {
@@ -57,8 +58,8 @@
 	return gauges
 }
 
-// abortOverdue gives a verdict to RPCs that the decisions have left without one past their deadline: no fault in them may
-// lose an RPC.
+// abortOverdue aborts RPCs that are past their deadline without a final verdict from the controller, so that a fault in the
+// controller can never lose an RPC.
 func (g *Gate) abortOverdue(nowMs float64) {
 	for _, t := range g.tickets {
 		if !t.final && nowMs > t.dueMs+g.startup.AnswerSlack/2 {
@@ -68,7 +69,8 @@
 	}
 }
 
-// expireTokens evicts the tokens whose window is over. One with a run that goes on stays and is looked at again soon.
+// expireTokens evicts the tokens whose window is over. A token whose run is still in progress stays and is checked again one
+// slot later.
 func (g *Gate) expireTokens(nowMs float64) {
 	if g.expiries == nil {
 		return
--- a/internal/gate/dispatch.go
+++ b/internal/gate/dispatch.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// panicRetryMs is the time to the next timer when an event has ended in a panic before it asked for another.
+	// panicRetryMs is the minimum time to the next timer after a panic, since the event may not have set another timer.
 	panicRetryMs = 40.0
-	// abortLeadMs is the time before its deadline at which the controller gives up an RPC that is due: two of its timers.
+	// abortLeadMs is how long before its deadline the controller may abort an RPC that is due: two of its timer intervals. An
+	// abort within that time counts as overdue.
 	abortLeadMs = 80.0
 )
 
-// handle passes an event to the controller and executes the actions, and so on with the events that these raise. A panic
-// in the decisions costs the RPC concerned, not the server. It is called with the lock held.
+// handle passes an event to the controller, executes the resulting actions and handles the events that these raise. A panic
+// in the controller aborts the RPC concerned but does not stop the server. The caller must hold the lock.
 func (g *Gate) handle(now float64, ev control.Event) {
 	g.pending = append(g.pending, ev)
 	if len(g.pending) > 1 {
-		return // a call of handle further up the stack goes on with it
+		return // a call of handle further up the stack processes it
 	}
 	defer func() {
 		g.pending = g.pending[:0]
@@ -43,10 +44,10 @@
 	}
 }
 
-// handleNow passes an event to the controller after the one that is being handled, or at once if there is none.
+// handleNow handles an event at the current time: at once, or after the event that is being handled.
 func (g *Gate) handleNow(ev control.Event) { g.handle(g.elapsedMs(g.now()), ev) }
 
-// trace reports an event and its actions, with the token key of a keyed arrival.
+// trace passes an event and its actions to the tracer, with the token key if the event is the arrival of a keyed RPC.
 func (g *Gate) trace(now float64, ev control.Event, actions []control.Action) {
 	tokenKey := ""
 	if t := g.tickets[ev.RPC]; t != nil && ev.Kind == control.Arrived {
@@ -70,7 +71,7 @@
 	default:
 		if t := g.tickets[a.RPC]; t != nil {
 			g.executeRPC(t, a)
-		} else if a.Kind == control.Run { // the RPC is over, but the controller must still get an end of its run
+		} else if a.Kind == control.Run { // the RPC is over, but the controller must still receive the end of its run
 			g.handleNow(control.Event{Kind: control.Completed, RPC: a.RPC, Outcome: control.OutcomeNotStarted})
 		}
 	}
@@ -99,8 +100,8 @@
 	}
 }
 
-// reject gives an RPC its final verdict, rejected. One that runs, or duplicates one that has run, is aborted instead: what
-// may have had its effect is never said to have been rejected.
+// reject gives an RPC the final verdict Rejected. An RPC that is running, or that duplicates one that has run, is aborted
+// instead: an RPC that may have had its effect is never reported as rejected.
 func (g *Gate) reject(t *Ticket, a control.Action) {
 	k := t.original
 	if t.running || k != nil && k.ran && g.tokens[t.tokenKey] == k {
@@ -110,7 +111,7 @@
 	t.finish(Verdict{Kind: Rejected, NoRetry: a.NoRetry, RetryAfterMs: g.CapRetryAfter(a.Time)})
 }
 
-// join has an RPC wait for the result of the attempt that it duplicates.
+// join makes an RPC wait for the result of the attempt that it duplicates.
 func (g *Gate) join(t *Ticket) {
 	k := t.original
 	if k == nil || g.tokens[t.tokenKey] != k {
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -6,7 +6,7 @@
 	"sorrelvalve/control"
 )
 
-// Drain announces that the server will stop after the given period. It does not block.
+// Drain announces that the server will stop after period. It does not block.
 func (g *Gate) Drain(period time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -16,7 +16,7 @@
 	g.sendDrainNotice(g.drainStarted)
 }
 
-// sendDrainNotice passes a drain on to the controller once that has been started; the drain may be older.
+// sendDrainNotice notifies the controller of a drain, if both have begun. The drain may have begun before the controller.
 func (g *Gate) sendDrainNotice(now time.Time) {
 	if g.controller == nil || !g.draining {
 		return
@@ -28,8 +28,8 @@
 	})
 }
 
-// CancelDrain withdraws a drain: the server goes on at full speed as if it had never been announced. What arrived past
-// the grace period is not run any more; what arrives from now on is.
+// CancelDrain cancels a drain. The server continues at full speed as if the drain had never been announced. RPCs that
+// arrived after the grace period are not run; RPCs that arrive from now on are.
 func (g *Gate) CancelDrain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,12 +1,13 @@
-// Package gate is the admission facade: it puts the pure decisions of package control behind blocking calls. A protocol
-// front submits each RPC that it has read, waits for its verdicts, reports how its run ended and ticks the clock. The gate
-// owns what control has not: the RPCs' identifiers, the lock, the clock and timer, the idempotency tokens with their cached
-// results, and the guarantee that each RPC gets exactly one final verdict, whatever races for it.
+// Package gate is the admission facade: it wraps the pure decisions of package control in blocking calls. A protocol front
+// submits each RPC that it has read, waits for its verdicts, reports how its run ended and ticks the clock. The gate owns
+// everything that package control lacks: the RPCs' identifiers, the lock, the clock and timer, the idempotency tokens with
+// their cached results, and the guarantee that each RPC gets exactly one final verdict even if several events race to end
+// it.
 //
-// All methods of Gate and Ticket may be called by many goroutines at once, those of the set-up (UseClock, UseTokenStore,
-// UseTracer, UseQuota) before the first RPC. No call but Ticket.Wait and SubmitAndWait blocks. The package touches no
-// socket and decides nothing itself: what is admitted, run or rejected is for package control, whose events and actions
-// stay in here.
+// All methods of Gate and Ticket are safe for concurrent use, except that the set-up methods (UseClock, UseTokenStore,
+// UseTracer, UseQuota) must be called before the first RPC. Only Ticket.Wait and SubmitAndWait block. The package uses no
+// sockets and makes no decisions: package control decides what is admitted, run or rejected, and its events and actions
+// are not exposed.
 package gate
 
 import (
@@ -31,41 +32,41 @@
 
 	methods   map[string]int // index by name
 	customers map[string]int // index by name
-	hashSeed  maphash.Seed   // of the hashes of bodies
+	hashSeed  maphash.Seed   // seed for the hashes of bodies
 
 	mu         sync.Mutex
 	controller *control.Controller // nil until Start
 	origin     time.Time           // zero of the controller's clock
-	nextTimer  float64             // when the controller wants its timer, in ms of its clock
-	timerLabel uint64              // of that timer
-	pending    []control.Event     // raised by the actions of the event that is being handled
+	nextTimer  float64             // time of the controller's next timer, in ms of its clock
+	timerLabel uint64              // label of that timer
+	pending    []control.Event     // the event that is being handled and the events that its actions have raised
 
 	lastID  uint32
-	tickets map[uint32]*Ticket  // until the final verdict and the end of the run
-	openIDs map[string]struct{} // of these, as their protocol has them
+	tickets map[uint32]*Ticket  // RPCs without a final verdict or with a run in progress
+	openIDs map[string]struct{} // protocol IDs of these RPCs
 
 	tokens      map[string]*token
-	expiries    *wheel  // of the tokens, by when they are evicted; nil until the first RPC
-	cacheFreeKB float64 // left of the bound on tokens and their results
+	expiries    *wheel  // times at which tokens are evicted; nil until the first RPC
+	cacheFreeKB float64 // memory left for tokens and their results
 
 	draining      bool
 	drainStarted  time.Time
-	drainPeriod   time.Duration // from then to the stop
+	drainPeriod   time.Duration // time from drainStarted to the stop
 	closed        bool
 	healthy       bool
 	healthChanged chan struct{}
 	idleTimeout   time.Duration
 
 	counts         Counts
-	methodStats    []MethodStats // by method
-	criticalMethod int           // the one of the largest criticality
+	methodStats    []MethodStats // by index of the method
+	criticalMethod int           // index of the method with the highest criticality
 }
 
-// tokenCacheShare is the share of the memory for RPCs that tokens and their results may take.
+// tokenCacheShare is the fraction of the memory for RPCs that tokens and their results may use.
 const tokenCacheShare = 1.0 / 4
 
-// New returns a gate with a start-up configuration, which must not change. Its tokens and their results stay under a
-// quarter of memoryMB. It admits nothing before Start.
+// New returns a gate with a start-up configuration, which must not be changed afterwards. Tokens and their results use at
+// most a quarter of memoryMB. The gate admits no RPCs before Start.
 func New(config *startup.Config, memoryMB int, log Log) *Gate {
 	g := &Gate{
 		log:           log,
@@ -94,31 +95,31 @@
 	return g
 }
 
-// UseClock replaces time.Now by another clock. It must be called before anything else.
+// UseClock replaces time.Now with another clock. It must be called before any other method.
 func (g *Gate) UseClock(now func() time.Time) { g.now = now }
 
-// UseTokenStore has tokens recorded in a durable store. It must be called before Start.
+// UseTokenStore sets a durable store in which tokens are recorded. It must be called before Start.
 func (g *Gate) UseTokenStore(s TokenStore) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.store = s
 }
 
-// UseQuota has the RPCs of customers checked against a quota that servers share.
+// UseQuota sets the checker of customers' quotas that are shared among servers.
 func (g *Gate) UseQuota(q QuotaChecker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.quota = q
 }
 
-// UseTracer has all events and decisions reported to t. It must be called before Start.
+// UseTracer sets a tracer that observes all events and decisions. It must be called before Start.
 func (g *Gate) UseTracer(t Tracer) { g.tracer = t }
 
-// ErrClosed is the error of Submit once the gate is closed.
+// ErrClosed is returned by Submit after Close.
 var ErrClosed = errors.New("the gate is closed")
 
-// Close gives every RPC in flight its final verdict and admits nothing more. What never ran is rejected, what may have
-// run is aborted.
+// Close gives every RPC in flight its final verdict and admits no more RPCs. An RPC that never ran is rejected, and an RPC
+// that may have run is aborted.
 func (g *Gate) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// Start begins the decisions for a backend that started some time ago, at full speed or warming up. The controller is
-// taken through that time at once, so that a slow start stands where it would. Later calls do nothing.
+// Start starts the controller. The backend, which is warming up or at full speed, started the time ago before this call.
+// The timers of that time are fired at once, so that a slow start has progressed accordingly. Later calls do nothing.
 func (g *Gate) Start(warmingUp bool, ago time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,22 +158,22 @@
 	g.sendDrainNotice(now)
 }
 
-// Started tells whether Start has been called.
+// Started reports whether Start has been called.
 func (g *Gate) Started() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.controller != nil
 }
 
-// InFlight returns the number of RPCs without a final verdict or with a run that has not ended.
+// InFlight returns the number of RPCs that have no final verdict or whose run has not ended.
 func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.tickets)
 }
 
-// MaxAnswerTime returns the longest deadline of all methods with the slack for delivering an answer: a caller that has not
-// got one by then no longer waits.
+// MaxAnswerTime returns the longest deadline of all methods plus the slack for delivering an answer. A caller that has no
+// answer by then no longer waits.
 func (g *Gate) MaxAnswerTime() time.Duration {
 	longest := 0.0
 	for i := range g.startup.Methods {
@@ -181,5 +182,5 @@
 	return duration(longest + g.startup.AnswerSlack)
 }
 
-// CapRetryAfter limits a retry-after of the protocol's own, in ms, to the longest that callers honour.
+// CapRetryAfter limits a retry-after in ms to the longest one that callers honour.
 func (g *Gate) CapRetryAfter(ms float64) float64 { return math.Min(ms, g.startup.Fleet.MaxRetryAfter) }
--- a/internal/gate/health.go
+++ b/internal/gate/health.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Healthy returns the answer to health checks.
+// Healthy returns the result for health checks: whether the controller considers the server healthy and there is no drain.
 func (g *Gate) Healthy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.healthy && !g.draining
 }
 
-// HealthChanged returns a channel that holds a value after Healthy may have changed. It serves one receiver.
+// HealthChanged returns a channel that receives a value when the result of Healthy may have changed. It supports a single
+// receiver.
 func (g *Gate) HealthChanged() <-chan struct{} { return g.healthChanged }
 
 func (g *Gate) setHealth(healthy bool) {
@@ -19,7 +20,7 @@
 	g.healthy = healthy
 	select {
 	case g.healthChanged <- struct{}{}:
-	default: // the change before has not been received yet
+	default: // the previous change has not been received yet
 	}
 }
 
@@ -30,7 +31,7 @@
 	return g.idleTimeout
 }
 
-// setIdleTimeout sets it in ms; 0 stands for the fleet's own.
+// setIdleTimeout sets the idle timeout in ms; 0 selects the fleet's default.
 func (g *Gate) setIdleTimeout(ms float64) {
 	if ms == 0 {
 		ms = g.startup.Fleet.IdleTimeout
--- a/internal/gate/rpc.go
+++ b/internal/gate/rpc.go
@@ -1,41 +1,41 @@
 package gate
 
-// VerdictKind says what a verdict asks the protocol to do.
+// VerdictKind tells what the protocol must do with an RPC.
 type VerdictKind int
 
 // The kinds of verdicts. All but Run are final.
 const (
 	Run        VerdictKind = iota // run the RPC, report the end of the run, and wait for the next verdict
 	OK                            // answer with Result
-	Rejected                      // it never ran
-	Aborted                       // an error that promises nothing about effects
-	CallerGone                    // the caller no longer waits: no answer is owed
+	Rejected                      // answer that the RPC never ran
+	Aborted                       // answer with an error that promises nothing about effects
+	CallerGone                    // send no answer: the caller no longer waits
 )
 
 // Verdict is the gate's decision on an RPC.
 type Verdict struct {
 	Kind         VerdictKind
 	Result       []byte  // OK
-	Head         []byte  // OK: what the backend put before its result, unchanged; nil for none
-	RetryAfterMs float64 // Rejected: ms for which the caller should stay away; 0 for no advice
+	Head         []byte  // OK: data that the backend sent before its result, unchanged; nil for none
+	RetryAfterMs float64 // Rejected: time in ms for which the caller should not retry; 0 for no advice
 	NoRetry      bool    // Rejected: the caller should not retry elsewhere
 	Reason       string  // Aborted: part of the answer to the client
-	Overdue      bool    // Aborted: because its answer was due
+	Overdue      bool    // Aborted: because the answer was due
 }
 
-// Outcome says how a run ended.
+// Outcome tells how a run ended.
 type Outcome int
 
 // The outcomes of runs.
 const (
-	Failed            Outcome = iota // it may have had its effect
-	Succeeded                        // it has had its effect
-	NotStarted                       // it never ran
-	NoCapacity                       // it never ran: the backend had no capacity for it, which may pass
-	SucceededUncached                // it has had its effect, with a result that can't be cached for duplicates
+	Failed            Outcome = iota // the RPC may have had its effect
+	Succeeded                        // the RPC has had its effect
+	NotStarted                       // the RPC never ran
+	NoCapacity                       // the RPC never ran: the backend had no capacity, which may be temporary
+	SucceededUncached                // the RPC has had its effect, but its result can't be cached for duplicates
 )
 
-// RPC is a request that a protocol has read.
+// RPC is a request that a protocol front has read.
 type RPC struct {
 	ID         string // unique for each attempt; "" if the protocol has none
 	Method     string
@@ -43,27 +43,28 @@
 	Body       []byte
 	Caller     uint16  // number of the calling process
 	Subject    uint64  // affinity key, such as a user or an object; 0 for none
-	ArrivedMs  float64 // when it reached the machine, in Unix ms
-	CostHintMs float64 // expected work; 0 for none
-	QueuedKB   float64 // its memory while queued
+	ArrivedMs  float64 // time at which it reached the machine, in Unix ms
+	CostHintMs float64 // expected cost in ms; 0 for none
+	QueuedKB   float64 // memory that it takes while queued
 	Retry      bool    // marked as a retry
-	Token      string  // idempotency token, the same in all attempts, as is their body; "" for none
+	Token      string  // idempotency token; "" for none. All attempts have the same token and body
 }
 
-// RunRequest describes a run that a verdict asked for to a backend.
+// RunRequest describes a requested run to the backend.
 type RunRequest struct {
 	ID        string
 	Method    string
 	Body      []byte
-	DueMs     float64 // Unix ms by which the answer must have been given
-	Caller    uint64  // hash that tells callers apart, for a backend that serves some of them only
-	Variables string  // request variables beside the body, in a form that front and backend agree on
+	DueMs     float64 // time by which the answer must have been given, in Unix ms
+	Caller    uint64  // hash of the caller, for backends that serve only some callers
+	Variables string  // request variables in addition to the body, in an encoding that front and backend share
 }
 
-// The FNV-1a prime of 64 bits.
+// fnvPrime is the 64-bit FNV-1a prime.
 const fnvPrime = 1099511628211
 
-// CallerHash returns a hash that tells an RPC's caller from others: by its subject, or by the RPC itself if it has none.
+// CallerHash returns a hash that identifies an RPC's caller by the calling process and the subject, or by the RPC's ID if
+// there is no subject.
 func CallerHash(r *RPC) uint64 {
 	h := uint64(r.Caller)<<32 ^ r.Subject
 	if r.Subject == 0 {
@@ -74,6 +75,6 @@
 	return h
 }
 
-// Runner runs an RPC on a backend without blocking and calls done once with the outcome, the time that the run took in ms
-// (0 for the time since it was asked for) and, as in Ticket.ReportWithHead, the head and the result.
+// Runner runs an RPC on a backend without blocking. It calls done once with the outcome, the duration of the run in ms (0
+// stands for the time since the run was requested) and the head and result as for Ticket.ReportWithHead.
 type Runner func(r RunRequest, done func(outcome Outcome, elapsedMs float64, head, result []byte))
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -7,17 +7,17 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// noCapacityRetryAfterMs is the retry-after for an RPC that found no capacity at the backend: a few run times, in which a
-// place comes free.
+// noCapacityRetryAfterMs is the minimum retry-after for an RPC that found no capacity at the backend: a few run times, within
+// which capacity becomes free.
 const noCapacityRetryAfterMs = 500.0
 
-// The reasons of aborted verdicts, which clients get to see.
+// Reasons of Aborted verdicts. They are part of answers to clients.
 const (
 	reasonMayHaveRun = "it may have run"
 	reasonUncached   = "the try that it repeats has run; its result was too large to keep"
 )
 
-// controlOutcome is the outcome that is passed to the controller.
+// controlOutcome maps an outcome to the one that is passed to the controller.
 var controlOutcome = [...]control.Outcome{
 	Failed:            control.OutcomeError,
 	Succeeded:         control.OutcomeOK,
@@ -26,7 +26,7 @@
 	SucceededUncached: control.OutcomeOK,
 }
 
-// tokenState is what the token store records of each outcome.
+// tokenState maps an outcome to the state that is recorded in the token store.
 var tokenState = [...]recovery.State{
 	Failed:            recovery.Failed,
 	Succeeded:         recovery.Succeeded,
@@ -40,18 +40,18 @@
 	t.ReportWithHead(outcome, elapsedMs, nil, result)
 }
 
-// ReportWithHead is Complete in the form of a Runner's callback.
+// ReportWithHead is Complete with the signature of a Runner's callback.
 func (t *Ticket) ReportWithHead(outcome Outcome, elapsedMs float64, head, result []byte) {
 	t.Complete(outcome, elapsedMs, head, result)
 }
 
-// Complete reports the end of a run that a verdict asked for. The verdict that answers it comes by Wait if the RPC has no
-// final one yet. The head is what the backend put before the result, such as the head of an HTTP response; it is cached and
-// returned with the result and never interpreted. elapsedMs is the time that the run took; 0 stands for the time since it was
-// asked for.
+// Complete reports the end of a run that a verdict requested. If the RPC has no final verdict yet, Wait returns the verdict
+// that results from the run. head is data that the backend sent before the result, such as the head of an HTTP response; it
+// is cached and returned with the result but never interpreted. elapsedMs is the duration of the run; 0 stands for the time
+// since the run was requested.
 //
-// Complete returns whether the verdict that the caller gets is that of the run. With a token store that verdict comes once
-// the end is durable, and the return value tells only that there was no other by the time of the call.
+// Complete reports whether the final verdict is the one of the run. With a token store the verdict is given once the end of
+// the run is durable, and true means only that there was no other final verdict at the time of the call.
 func (t *Ticket) Complete(outcome Outcome, elapsedMs float64, head, result []byte) bool {
 	g := t.gate
 	g.mu.Lock()
@@ -74,12 +74,13 @@
 	return own
 }
 
-// recordEnd has the end of a recorded run written to the token store and gives the verdict once it is durable. An end that
-// can't be made durable counts as a run that may have had its effect, which is what a duplicate would get after a restart.
+// recordEnd writes the end of a recorded run to the token store and gives the verdict once the end is durable. If it can't be
+// made durable, a success is reported as a run that may have had its effect, which is also the answer that a duplicate would
+// get after a restart.
 func (t *Ticket) recordEnd(outcome Outcome, head, result []byte) {
 	g := t.gate
 	until := t.arrivedMs + g.startup.Methods[t.method].DedupWindow
-	if k := g.tokens[t.tokenKey]; k != nil && k.id == t.id { // else it has been evicted meanwhile, as its window is over
+	if k := g.tokens[t.tokenKey]; k != nil && k.id == t.id { // otherwise it has been evicted, as its window is over
 		until = k.untilMs
 	}
 	t.recordingEnd = true
@@ -94,7 +95,7 @@
 	})
 }
 
-// completeRun gives the verdict of a run that has ended, to its caller and to the duplicates that wait for it.
+// completeRun gives the final verdict of a run that has ended to its RPC and to the duplicates that wait for it.
 func (t *Ticket) completeRun(outcome Outcome, head, result []byte) {
 	g := t.gate
 	if k := g.tokens[t.tokenKey]; k != nil && k.id == t.id {
@@ -105,7 +106,7 @@
 			g.answerDuplicates(k)
 		}
 	}
-	t.finalHandler = nil // the verdict is the run's own
+	t.finalHandler = nil // not called for the verdict of the run's own end
 	switch outcome {
 	case Succeeded, SucceededUncached:
 		t.finish(Verdict{Kind: OK, Head: head, Result: result})
@@ -117,8 +118,8 @@
 	g.removeTicket(t)
 }
 
-// startRun gives the verdict to run, unless another attempt has run within the window of its token: that upholds at most one
-// run a token against any fault in what the controller remembers.
+// startRun gives the verdict Run, unless another attempt has run within the window of the token. The check ensures at most
+// one run per token even if the controller's own state is wrong.
 func (g *Gate) startRun(t *Ticket) {
 	k := g.tokens[t.tokenKey]
 	own := k != nil && k.id == t.id
@@ -139,15 +140,15 @@
 	t.deliver(Verdict{Kind: Run})
 }
 
-// recordStart has the start of a run written to the token store and gives the verdict to run once it is durable: what can't
-// be recorded is not run.
+// recordStart writes the start of a run to the token store and gives the verdict Run once the record is durable. An RPC whose
+// start can't be recorded is not run.
 func (g *Gate) recordStart(t *Ticket, k *token) {
 	if rejection := g.store.Reserve(); rejection != nil {
 		t.retryAfterMs = rejection.RetryAfterMs
 		t.abandonRun()
 		return
 	}
-	k.ran = true // it may have, from here on
+	k.ran = true // from here on it may have run
 	g.store.RecordStart(t.tokenKey, t.storeBodyHash, k.untilMs, func(err error) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -155,7 +156,7 @@
 		case err != nil:
 			k.ran = false
 			t.abandonRun()
-		case t.final: // its caller has left or been answered: it is not run any more
+		case t.final: // its caller is gone or has been answered, so it is not run
 			k.ran = false
 			g.store.RecordEnd(t.tokenKey, recovery.NeverRan, t.storeBodyHash, k.untilMs, nil, nil, func(error) {})
 			t.abandonRun()
@@ -166,14 +167,14 @@
 	})
 }
 
-// abandonRun ends a run that the token store has kept from starting.
+// abandonRun ends a run that was not started, because its start was not recorded or its RPC had its final verdict.
 func (t *Ticket) abandonRun() {
 	t.running = false
 	t.completeRun(NoCapacity, nil, nil)
 	t.gate.handleNow(control.Event{Kind: control.Completed, RPC: t.id, Outcome: control.OutcomeNotStarted})
 }
 
-// completeUnrun gives a queued or joined RPC its final verdict and reports to the controller that it is over.
+// completeUnrun gives an RPC that has not run its final verdict and reports its end to the controller.
 func (g *Gate) completeUnrun(t *Ticket, v Verdict) {
 	if !t.finish(v) {
 		return
--- a/internal/gate/stats.go
+++ b/internal/gate/stats.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Counts are numbers of RPCs since the start by their final verdicts. Those whose caller left are not counted. The critical
-// method is that of the largest criticality, the first of several.
+// Counts holds the numbers of RPCs by final verdict since the gate was created. RPCs whose caller is gone are not counted. The
+// critical method is the first one with the highest criticality.
 type Counts struct {
 	Total          uint64
 	Rejected       uint64
 	Aborted        uint64
-	Late           uint64 // answered with OK past their latency objective
-	Critical       uint64 // of the critical method
-	CriticalFailed uint64 // of these, not answered with OK
+	Late           uint64 // answered with OK later than their latency objective
+	Critical       uint64 // RPCs of the critical method
+	CriticalFailed uint64 // RPCs of the critical method that were not answered with OK
 }
 
-// MethodStats are the counts of one method since the start.
+// MethodStats holds the counts of one method since the gate was created.
 type MethodStats struct {
 	OK        uint64   // RPCs answered with OK
-	RunMs     float64  // total time of its runs
-	Customers []uint64 // RPCs answered with OK by customer, as in the start-up configuration; the last is for all others
+	RunMs     float64  // total duration of its runs in ms
+	Customers []uint64 // RPCs answered with OK by index of the customer; the last element is for all other RPCs
 }
 
 // Counts returns the counts over all methods.
@@ -27,18 +27,18 @@
 	return g.counts
 }
 
-// MethodStats returns the counts of each method in the order of the start-up configuration. The caller may keep them.
+// MethodStats returns a copy of the counts of each method, in the order of the start-up configuration.
 func (g *Gate) MethodStats() []MethodStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := slices.Clone(g.methodStats)
-	for i := range all {
-		all[i].Customers = slices.Clone(all[i].Customers)
+	stats := slices.Clone(g.methodStats)
+	for i := range stats {
+		stats[i].Customers = slices.Clone(stats[i].Customers)
 	}
-	return all
+	return stats
 }
 
-// count counts a final verdict.
+// count updates the counts for a final verdict.
 func (g *Gate) count(t *Ticket, v *Verdict) {
 	if v.Kind == CallerGone || v.Kind == Run {
 		return
--- a/internal/gate/submit.go
+++ b/internal/gate/submit.go
@@ -11,24 +11,24 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// InvalidRPCError is the error of Submit for an RPC that can't be admitted as it is: its method or customer is unknown, its
-// token is missing or was used with another body, or its ID is that of an RPC in flight.
+// InvalidRPCError is returned by Submit for an invalid RPC: its method or customer is unknown, its token is missing or was
+// used with another body, or its ID is that of an RPC in flight.
 type InvalidRPCError struct {
 	reason string
 }
 
-// Error returns what is wrong with the RPC. It is part of the answer to the client.
+// Error describes what is invalid. The text is part of the answer to the client.
 func (e *InvalidRPCError) Error() string { return e.reason }
 
 func invalidRPC(format string, args ...any) error {
 	return &InvalidRPCError{reason: fmt.Sprintf(format, args...)}
 }
 
-// errBodyMismatch is the error for a token that an earlier attempt has used with another body.
+// errBodyMismatch reports a token that an earlier attempt used with another body.
 var errBodyMismatch = invalidRPC("token: its first try had another body")
 
-// Submit puts an RPC that has been read to the decisions. It does not block: the verdicts come by Ticket.Wait, and exactly
-// one of them is final. The error is ErrClosed or an *InvalidRPCError.
+// Submit submits an RPC for admission. It does not block: Ticket.Wait returns the verdicts, of which exactly one is final. The
+// error is ErrClosed or an *InvalidRPCError.
 func (g *Gate) Submit(r RPC) (*Ticket, error) {
 	method, customer, err := g.validate(&r)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if g.closed {
 		return nil, ErrClosed
 	}
-	// A second one under the ID of an RPC in flight would get the result of the first.
+	// A second RPC with the ID of an RPC in flight would get the result of the first.
 	if _, open := g.openIDs[r.ID]; open {
 		return nil, invalidRPC("id: that of an RPC in hand, %.20q", r.ID)
 	}
@@ -76,7 +76,7 @@
 	return t, nil
 }
 
-// SubmitAndWait submits an RPC and blocks until its first verdict. If ctx ends before, its caller is taken to be gone.
+// SubmitAndWait submits an RPC and blocks until its first verdict. If ctx ends earlier, the caller counts as gone.
 func (g *Gate) SubmitAndWait(ctx context.Context, r RPC) (*Ticket, Verdict, error) {
 	t, err := g.Submit(r)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return t, t.Wait(ctx), nil
 }
 
-// validate returns the indices of an RPC's method and customer; that of the customer has no meaning if the configuration
-// has none.
+// validate returns the indices of an RPC's method and customer. The index of the customer has no meaning if the configuration
+// has no customers.
 func (g *Gate) validate(r *RPC) (method, customer int, err error) {
 	method, known := g.methods[r.Method]
 	if !known {
@@ -102,8 +102,8 @@
 	return method, customer, nil
 }
 
-// newTicket returns the ticket of an RPC and the ms since it reached the machine. That time is limited to the method's
-// deadline: an older RPC is past it anyway.
+// newTicket returns the ticket of an RPC and the time in ms since it reached the machine. That time is limited to the method's
+// deadline, because an older RPC is overdue anyway.
 func (g *Gate) newTicket(r *RPC, method, customer int, now float64) (t *Ticket, age float64) {
 	t = &Ticket{
 		gate:       g,
@@ -136,7 +136,7 @@
 		Retry:    r.Retry,
 	}
 	if k := g.tokens[t.tokenKey]; k != nil && t.arrivedMs < k.untilMs {
-		ev.DuplicateOf = k.id // the quota of its customer was checked for the first attempt
+		ev.DuplicateOf = k.id // the customer's quota was checked for the first attempt
 		t.original = k
 	} else if g.quota != nil && len(g.customers) > 0 {
 		ev.Quota, ev.RetryAfter = g.quota.CheckQuota(r.Method, r.Customer, g.startup.Methods[t.method].Criticality)
@@ -148,20 +148,20 @@
 	g.handle(g.elapsedMs(at), ev)
 }
 
-// storedToken is what the token store knows of a token.
+// storedToken is the state of a token in the token store.
 type storedToken struct {
 	resolution recovery.Resolution
-	bodyHash   uint64 // of the RPC that is looked up; 0 without a store
+	bodyHash   uint64 // the store's hash of the RPC's body; 0 without a store
 	head       []byte
 	result     []byte
 }
 
-// lookupStored asks the token store for a token that this process has not cached. It is called without the lock, as the
-// store may read a disk.
+// lookupStored looks up a token in the token store unless it is in this process's cache. It must be called without the lock,
+// as the store may read a disk.
 func (g *Gate) lookupStored(r *RPC, method int) (s storedToken) {
 	key := tokenKey(r)
 	g.mu.Lock()
-	store := g.store // it may be set while the server listens already
+	store := g.store // UseTokenStore may be called while the server is already listening
 	now := unixMillis(g.now())
 	k := g.tokens[key]
 	cached := k != nil && r.ArrivedMs < k.untilMs
@@ -177,8 +177,8 @@
 	return s
 }
 
-// answerFromStore answers a duplicate of an attempt from before the start of this process, and returns whether it did. A
-// token that is cached by now goes before what the store knows.
+// answerFromStore answers a duplicate of an attempt from before the start of this process and reports whether it did. A token
+// that is in the cache by now takes precedence over the store.
 func (g *Gate) answerFromStore(t *Ticket, stored *storedToken) (answered bool, err error) {
 	if g.store == nil {
 		return false, nil
--- a/internal/gate/ticket.go
+++ b/internal/gate/ticket.go
@@ -6,41 +6,41 @@
 	"sorrelvalve/control"
 )
 
-// maxVerdicts is the number of verdicts that an RPC can get: one to run, and a final one.
+// maxVerdicts is the maximum number of verdicts of an RPC: Run and a final one.
 const maxVerdicts = 2
 
-// Ticket is an RPC that has been submitted. All but its gate, protocolID, method, customer and times is guarded by the
-// gate's lock; taken belongs to the goroutine that waits.
+// Ticket is an RPC that has been submitted. The gate's lock guards all fields except gate, protocolID, method, customer,
+// arrivedMs and dueMs, which do not change, and taken, which only the goroutine that waits uses.
 type Ticket struct {
 	gate       *Gate
-	id         uint32  // 0 if it was not passed to the controller
+	id         uint32  // 0 if the RPC was not passed to the controller
 	protocolID string  // RPC.ID
 	method     int     // index into the start-up configuration
-	customer   int     // likewise; its number of customers for one that it does not have
+	customer   int     // likewise; 0 if the configuration has no customers
 	arrivedMs  float64 // Unix ms
 	dueMs      float64 // Unix ms
 
 	tokenKey      string // "" if the method is not keyed
 	bodyHash      uint64
-	storeBodyHash uint64 // the token store's own hash
-	original      *token // of the attempt that it duplicates; nil for none
+	storeBodyHash uint64 // the token store's hash of the body
+	original      *token // token of the attempt that it duplicates; nil for none
 
-	runStarted   float64 // ms of the controller's clock
+	runStarted   float64 // in ms of the controller's clock
 	running      bool
 	recorded     bool    // the start of its run is in the token store
-	recordingEnd bool    // the end of its run is on its way there
-	retryAfterMs float64 // as the token store advised; 0 for none
+	recordingEnd bool    // the end of its run is being written to the token store
+	retryAfterMs float64 // from the token store; 0 for none
 
-	final        bool         // it has had its final verdict
-	finalHandler FinalHandler // gets a final verdict that is not the run's own; nil for the queue
+	final        bool         // it has its final verdict
+	finalHandler FinalHandler // receives a final verdict other than that of the run's end; nil to use the queue
 	queue        [maxVerdicts]Verdict
-	delivered    int           // into the queue so far
-	taken        int           // from the queue so far
-	verdicts     chan struct{} // holds a value for each that was delivered and not taken
+	delivered    int           // number of verdicts added to the queue
+	taken        int           // number of verdicts taken from the queue
+	verdicts     chan struct{} // holds a value for each verdict that was delivered but not taken
 }
 
-// Wait blocks until the next verdict and returns it. If ctx ends before, the caller is taken to be gone. It must not be
-// called again after a final verdict, nor by two goroutines at once.
+// Wait blocks until the next verdict and returns it. If ctx ends earlier, the caller counts as gone. Wait must not be called
+// after a final verdict or concurrently.
 func (t *Ticket) Wait(ctx context.Context) Verdict {
 	select {
 	case <-t.verdicts:
@@ -51,7 +51,7 @@
 	return t.take()
 }
 
-// TryWait returns the next verdict if there is one already.
+// TryWait returns the next verdict if there already is one. It does not block.
 func (t *Ticket) TryWait() (v Verdict, ok bool) {
 	select {
 	case <-t.verdicts:
@@ -61,24 +61,24 @@
 	}
 }
 
-// take returns the verdict that a value received from the channel stands for.
+// take returns the next verdict of the queue, after a value has been received from the channel.
 func (t *Ticket) take() Verdict {
 	t.taken++
 	return t.queue[t.taken-1]
 }
 
-// deliver queues a verdict. It is called with the lock held and does not block.
+// deliver queues a verdict. It does not block. The caller must hold the lock.
 func (t *Ticket) deliver(v Verdict) {
 	t.queue[t.delivered] = v
 	t.delivered++
 	t.verdicts <- struct{}{}
 }
 
-// Cancel reports that the caller no longer waits. It does nothing after the final verdict.
+// Cancel reports that the caller no longer waits. It has no effect after the final verdict.
 func (t *Ticket) Cancel() { t.callerGone(control.OutcomeError) }
 
-// ConnectionLost reports that the caller's connection broke, which says nothing of how long it would have waited. It does
-// nothing after the final verdict.
+// ConnectionLost reports that the caller's connection broke, which does not tell how long the caller would have waited. It
+// has no effect after the final verdict.
 func (t *Ticket) ConnectionLost() { t.callerGone(control.OutcomeReset) }
 
 func (t *Ticket) callerGone(outcome control.Outcome) {
@@ -87,8 +87,8 @@
 	t.gate.endTicket(t, outcome, Verdict{Kind: CallerGone})
 }
 
-// endTicket gives a final verdict that is not the controller's. The controller gets the event first, so that it can
-// still evict the token of an RPC that never ran.
+// endTicket gives a final verdict that does not come from the controller. The controller receives the event first, so that it
+// can still evict the token of an RPC that never ran.
 func (g *Gate) endTicket(t *Ticket, outcome control.Outcome, v Verdict) {
 	if !t.final {
 		g.handleNow(control.Event{Kind: control.CallerGone, RPC: t.id, Outcome: outcome})
@@ -96,12 +96,12 @@
 	}
 }
 
-// FinalHandler receives a final verdict. HandleFinal is called under the gate's lock: it must neither block nor call the
+// FinalHandler receives a final verdict. HandleFinal is called under the gate's lock and must neither block nor call the
 // gate.
 type FinalHandler interface{ HandleFinal(Verdict) }
 
-// NotifyFinal has h receive the final verdict, if that is not the one of the run's own end, in place of Wait. It does so at
-// once if there is one already.
+// NotifyFinal makes h instead of Wait receive the final verdict, unless it is the verdict of the run's own end. If there
+// already is a final verdict, h receives it at once.
 func (t *Ticket) NotifyFinal(h FinalHandler) {
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
@@ -112,10 +112,10 @@
 	t.finalHandler = h
 }
 
-// DueMs returns when the answer to the RPC must have been given, in Unix ms. It does not change.
+// DueMs returns the time by which the answer to the RPC must have been given, in Unix ms. It does not change.
 func (t *Ticket) DueMs() float64 { return t.dueMs }
 
-// finish gives the final verdict, unless there is one already, and returns whether it did.
+// finish gives the final verdict unless there already is one, and reports whether it did.
 func (t *Ticket) finish(v Verdict) bool {
 	if t.final {
 		return false
@@ -133,7 +133,7 @@
 	return true
 }
 
-// removeTicket forgets a ticket that has its final verdict and no run.
+// removeTicket removes a ticket that has its final verdict and no run in progress.
 func (g *Gate) removeTicket(t *Ticket) {
 	if g.tickets[t.id] == t {
 		delete(g.tickets, t.id)
--- a/internal/gate/token_test.go
+++ b/internal/gate/token_test.go
@@ -8,151 +8,151 @@
 	"sorrelvalve/control"
 )
 
-// tokenCase is what may happen to a duplicate after the first attempt was admitted.
+// tokenCase is a scenario for duplicates after the first attempt has been admitted.
 type tokenCase struct {
 	name string
-	run  func(w *testGate, first *Ticket)
+	run  func(tg *testGate, first *Ticket)
 }
 
 var tokenCases = []tokenCase{
-	{"a duplicate waits for the run", func(w *testGate, first *Ticket) {
-		a := w.submit("buy", "k")
-		w.expect(a, -1)
+	{"a duplicate waits for the run", func(tg *testGate, first *Ticket) {
+		a := tg.submit("buy", "k")
+		tg.expect(a, -1)
 		first.Report(Succeeded, 10, []byte("r"))
-		if v := w.expect(a, OK); string(v.Result) != "r" {
-			w.Errorf("result %q", v.Result)
+		if v := tg.expect(a, OK); string(v.Result) != "r" {
+			tg.Errorf("result: got %q", v.Result)
 		}
 	}},
-	{"a duplicate gets the cached result", func(w *testGate, first *Ticket) {
+	{"a duplicate gets the cached result", func(tg *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
-		w.advance(7 * time.Second)
-		if v := w.expect(w.submit("buy", "k"), OK); string(v.Result) != "r" {
-			w.Errorf("result %q", v.Result)
+		tg.advance(7 * time.Second)
+		if v := tg.expect(tg.submit("buy", "k"), OK); string(v.Result) != "r" {
+			tg.Errorf("result: got %q", v.Result)
 		}
 	}},
-	{"another token runs", func(w *testGate, _ *Ticket) {
-		w.expect(w.submit("buy", "other"), Run)
+	{"another token runs", func(tg *testGate, _ *Ticket) {
+		tg.expect(tg.submit("buy", "other"), Run)
 	}},
-	{"past the window it runs again", func(w *testGate, first *Ticket) {
+	{"an attempt after the window runs again", func(tg *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, nil)
-		w.advance(8020 * time.Millisecond)
-		w.expect(w.submit("buy", "k"), Run)
+		tg.advance(8020 * time.Millisecond)
+		tg.expect(tg.submit("buy", "k"), Run)
 	}},
-	{"written within the window, read after it", func(w *testGate, first *Ticket) {
+	{"a duplicate that arrives within the window and is read after it", func(tg *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
-		door := w.clock.Add(7990 * time.Millisecond)
-		w.advance(8500 * time.Millisecond)
-		w.expect(w.submitAt("buy", "k", door), OK)
+		arrived := tg.clock.Add(7990 * time.Millisecond)
+		tg.advance(8500 * time.Millisecond)
+		tg.expect(tg.submitAt("buy", "k", arrived), OK)
 	}},
-	{"a failed run is not run again", func(w *testGate, first *Ticket) {
+	{"a failed RPC is not run again", func(tg *testGate, first *Ticket) {
 		first.Report(Failed, 10, nil)
-		w.expect(w.submit("buy", "k"), Aborted)
+		tg.expect(tg.submit("buy", "k"), Aborted)
 	}},
-	{"a run that never started leaves nothing", func(w *testGate, first *Ticket) {
-		a := w.submit("buy", "k")
+	{"a run that never started frees the token", func(tg *testGate, first *Ticket) {
+		a := tg.submit("buy", "k")
 		first.Report(NotStarted, 0, nil)
-		w.expect(a, Aborted)
-		w.expect(w.submit("buy", "k"), Run)
-	}},
-	{"an aborted run serves a later duplicate", func(w *testGate, first *Ticket) {
-		w.advance(2 * time.Second)
-		w.expect(first, Aborted)
-		a := w.submit("buy", "k")
-		w.expect(a, -1)
+		tg.expect(a, Aborted)
+		tg.expect(tg.submit("buy", "k"), Run)
+	}},
+	{"the result of an aborted RPC answers a later duplicate", func(tg *testGate, first *Ticket) {
+		tg.advance(2 * time.Second)
+		tg.expect(first, Aborted)
+		a := tg.submit("buy", "k")
+		tg.expect(a, -1)
 		first.Report(Succeeded, 2100, []byte("r"))
-		w.expect(a, OK)
+		tg.expect(a, OK)
 	}},
-	{"a duplicate is cancelled while it waits", func(w *testGate, first *Ticket) {
-		a := w.submit("buy", "k")
+	{"a duplicate is cancelled while it waits", func(tg *testGate, first *Ticket) {
+		a := tg.submit("buy", "k")
 		a.Cancel()
-		w.expect(a, CallerGone)
+		tg.expect(a, CallerGone)
 		first.Report(Succeeded, 10, nil)
-		w.expect(a, -1)
+		tg.expect(a, -1)
 	}},
-	{"a duplicate in a drain is not rejected", func(w *testGate, _ *Ticket) {
-		w.Drain(3 * time.Second)
-		w.advance(1100 * time.Millisecond)
-		w.expect(w.submit("buy", "k"), Aborted)
+	{"a duplicate in a drain is not rejected", func(tg *testGate, _ *Ticket) {
+		tg.Drain(3 * time.Second)
+		tg.advance(1100 * time.Millisecond)
+		tg.expect(tg.submit("buy", "k"), Aborted)
 	}},
-	{"an attempt that left the queue is forgotten", func(w *testGate, first *Ticket) {
-		b, c := w.submit("view", ""), w.submit("buy", "held")
-		w.expect(b, Run)
-		w.expect(c, -1)
+	{"a cancelled attempt that was queued frees the token", func(tg *testGate, first *Ticket) {
+		b, c := tg.submit("view", ""), tg.submit("buy", "held")
+		tg.expect(b, Run)
+		tg.expect(c, -1)
 		c.Cancel()
 		first.Report(Succeeded, 10, nil)
-		w.expect(w.submit("buy", "held"), Run)
+		tg.expect(tg.submit("buy", "held"), Run)
 	}},
-	{"an attempt far older than its deadline", func(w *testGate, first *Ticket) {
+	{"a duplicate far older than its deadline", func(tg *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, []byte("r"))
-		door := w.clock
-		w.advance(9 * time.Second)
-		w.expect(w.submitAt("buy", "k", door), OK)
+		arrived := tg.clock
+		tg.advance(9 * time.Second)
+		tg.expect(tg.submitAt("buy", "k", arrived), OK)
 	}},
-	{"the cache is full", func(w *testGate, first *Ticket) {
+	{"the cache is full", func(tg *testGate, first *Ticket) {
 		first.Report(Succeeded, 10, nil)
-		w.cacheFreeKB = tokenKB - 1
-		w.expect(w.submit("buy", "other"), Rejected)
-		w.expect(w.submit("buy", "k"), OK)
+		tg.cacheFreeKB = tokenKB - 1
+		tg.expect(tg.submit("buy", "other"), Rejected)
+		tg.expect(tg.submit("buy", "k"), OK)
 	}},
-	{"a result too large to cache: its own caller gets it, a duplicate is aborted", func(w *testGate, first *Ticket) {
-		late := w.submit("buy", "k")
+	{"a result too large to cache: returned to its own caller, duplicates are aborted", func(tg *testGate, first *Ticket) {
+		late := tg.submit("buy", "k")
 		first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 4<<20))
-		if v := w.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
-			w.Errorf("%d bytes, head %q", len(v.Result), v.Head)
+		if v := tg.expect(first, OK); len(v.Result) != 4<<20 || string(v.Head) != "head" {
+			tg.Errorf("result: got %d bytes, head %q", len(v.Result), v.Head)
 		}
-		for _, t := range []*Ticket{late, w.submit("buy", "k")} {
-			if v := w.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
-				w.Errorf("reason %q", v.Reason)
+		for _, t := range []*Ticket{late, tg.submit("buy", "k")} {
+			if v := tg.expect(t, Aborted); !strings.Contains(v.Reason, "too large") {
+				tg.Errorf("reason: got %q", v.Reason)
 			}
 		}
 	}},
-	{"larger results count for what they take, and give it back", func(w *testGate, first *Ticket) {
-		before := w.cacheFreeKB
+	{"larger results are charged for their memory until they are evicted", func(tg *testGate, first *Ticket) {
+		before := tg.cacheFreeKB
 		first.ReportWithHead(Succeeded, 10, []byte("head"), make([]byte, 100<<10))
-		w.expect(first, OK)
-		if took := before - w.cacheFreeKB; took < 90 || took > 100 {
-			w.Errorf("took %g KB", took)
+		tg.expect(first, OK)
+		if charged := before - tg.cacheFreeKB; charged < 90 || charged > 100 {
+			tg.Errorf("charged memory: got %g KB, want 90 to 100", charged)
 		}
-		if v := w.expect(w.submit("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
-			w.Errorf("duplicate got %d bytes, head %q", len(v.Result), v.Head)
+		if v := tg.expect(tg.submit("buy", "k"), OK); len(v.Result) != 100<<10 || string(v.Head) != "head" {
+			tg.Errorf("result of the duplicate: got %d bytes, head %q", len(v.Result), v.Head)
 		}
-		w.advance(12 * time.Second)
-		if w.cacheFreeKB != before+tokenKB || len(w.tokens) != 0 {
-			w.Errorf("%g KB left of %g, %d tokens", w.cacheFreeKB, before+tokenKB, len(w.tokens))
+		tg.advance(12 * time.Second)
+		if tg.cacheFreeKB != before+tokenKB || len(tg.tokens) != 0 {
+			tg.Errorf("free cache: got %g KB, want %g; %d tokens cached", tg.cacheFreeKB, before+tokenKB, len(tg.tokens))
 		}
 	}},
-	{"no capacity: rejected, its token is free", func(w *testGate, first *Ticket) {
-		late := w.submit("buy", "k")
+	{"no capacity: the RPC is rejected and the token is free", func(tg *testGate, first *Ticket) {
+		late := tg.submit("buy", "k")
 		first.Report(NoCapacity, 0, nil)
-		if v := w.expect(first, Rejected); v.RetryAfterMs <= 0 {
-			w.Errorf("retry after %g", v.RetryAfterMs)
+		if v := tg.expect(first, Rejected); v.RetryAfterMs <= 0 {
+			tg.Errorf("retry-after: got %g ms, want more than 0", v.RetryAfterMs)
 		}
-		w.expect(late, Aborted)
-		w.expect(w.submit("buy", "k"), Run)
+		tg.expect(late, Aborted)
+		tg.expect(tg.submit("buy", "k"), Run)
 	}},
-	{"the controller asks for a second run", func(w *testGate, first *Ticket) {
-		a := w.submit("buy", "other")
-		w.expect(a, Run)
+	{"the controller requests a second run", func(tg *testGate, first *Ticket) {
+		a := tg.submit("buy", "other")
+		tg.expect(a, Run)
 		a.running, a.tokenKey, a.arrivedMs = false, first.tokenKey, first.arrivedMs
-		w.execute(control.Action{Kind: control.Run, RPC: a.id})
-		w.expect(a, Aborted)
+		tg.execute(control.Action{Kind: control.Run, RPC: a.id})
+		tg.expect(a, Aborted)
 	}},
-	{"the controller rejects what has run", func(w *testGate, first *Ticket) {
-		w.execute(control.Action{Kind: control.Reject, RPC: first.id})
-		w.expect(first, Aborted)
+	{"the controller rejects an RPC that is running", func(tg *testGate, first *Ticket) {
+		tg.execute(control.Action{Kind: control.Reject, RPC: first.id})
+		tg.expect(first, Aborted)
 	}},
 }
 
 func TestTokens(t *testing.T) {
 	for _, c := range tokenCases {
 		t.Run(c.name, func(t *testing.T) {
-			w := open(t, true)
-			first := w.submit("buy", "k")
-			w.expect(first, Run)
-			c.run(w, first)
+			tg := open(t, true)
+			first := tg.submit("buy", "k")
+			tg.expect(first, Run)
+			c.run(tg, first)
 			first.Report(Failed, 10, nil)
-			w.advance(30 * time.Second)
-			for key, k := range w.tokens {
+			tg.advance(30 * time.Second)
+			for key, k := range tg.tokens {
 				if k.completed {
 					t.Errorf("token %q is still cached", key)
 				}
--- a/internal/gate/tokens.go
+++ b/internal/gate/tokens.go
@@ -2,39 +2,41 @@
 
 import "math"
 
-// token is a cached idempotency token: the state of the attempt that may run, for its duplicates. It belongs to the method,
-// whatever front the attempts come by.
+// token is a cached idempotency token. It holds the state of the one attempt that may run, for its duplicates. It is unique
+// within its method, regardless of the fronts through which the attempts arrive.
 type token struct {
-	expiry               // its time, past the end of the window: a duplicate that is read later is past its deadline
-	id         uint32    // of the RPC that may run
-	key        string    // as tokenKey has it
-	bodyHash   uint64    // of that RPC
-	untilMs    float64   // end of its window, in Unix ms: no attempt that arrives before may run
-	ran        bool      // its run was asked for
+	expiry               // evicted one deadline after the window: a duplicate that is read later is overdue
+	id         uint32    // RPC that may run
+	key        string    // result of tokenKey
+	bodyHash   uint64    // hash of the body of that RPC
+	untilMs    float64   // end of its window in Unix ms: no other attempt that arrives earlier may run
+	ran        bool      // its run was requested
 	completed  bool      // its run has ended
-	succeeded  bool      // with a result that is cached
-	uncached   bool      // with a result that is not cached
-	head       []byte    // of the result
-	result     []byte    // what duplicates are answered with
+	succeeded  bool      // its run succeeded and the result is cached
+	uncached   bool      // its run succeeded and the result is not cached
+	head       []byte    // cached head
+	result     []byte    // cached result, with which duplicates are answered
 	extraKB    float64   // memory of head and result beyond tokenKB
-	duplicates []*Ticket // that wait for the end of the run
+	duplicates []*Ticket // duplicates that wait for the end of the run
 }
 
 const (
-	// tokenKB is what a cached token counts for: a head and result of up to plainResultBytes and its entry, rounded up for the
-	// allocator. A larger result counts for its excess as well.
-	tokenKB          = 6
-	plainResultBytes = 4 << 10
-	// maxResultShare is the largest share of the cache that one result may take: a few large ones must not keep tokens out.
+	// tokenKB is the memory charged for a cached token: a head and result of up to includedResultBytes and the entry itself,
+	// rounded up for the allocator. The excess of a larger result is charged as well.
+	tokenKB             = 6
+	includedResultBytes = 4 << 10
+	// maxResultShare is the largest fraction of the cache that one result may take, so that a few large results cannot keep
+	// tokens out of the cache.
 	maxResultShare = 1.0 / 16
-	// arrivalRoundingMs is added to a window, as times of arrival have whole ms.
+	// arrivalRoundingMs is added to a window, because times of arrival are rounded to whole ms.
 	arrivalRoundingMs = 1
 )
 
-// tokenKey returns the key of an RPC's token: it is unique for the method.
+// tokenKey returns the cache key of an RPC's token, which consists of the method and the token.
 func tokenKey(r *RPC) string { return r.Method + "\x00" + r.Token }
 
-// cacheToken caches the token of an RPC for some ms at least, in place of an earlier one that is over.
+// cacheToken caches the token of an RPC for at least the given time in ms. It replaces an earlier token that never ran or
+// whose window is over.
 func (g *Gate) cacheToken(t *Ticket, ms float64) {
 	if t.tokenKey == "" {
 		return
@@ -68,8 +70,8 @@
 	g.cacheFreeKB += tokenKB + k.extraKB
 }
 
-// cacheResult notes the end of a token's run and caches its result if there is memory for it. A duplicate of one whose
-// result is not cached is aborted and never runs.
+// cacheResult records the end of a token's run and caches the result if there is enough memory. If the result is not cached,
+// duplicates are aborted and never run.
 func (g *Gate) cacheResult(k *token, outcome Outcome, head, result []byte) {
 	k.completed = true
 	k.succeeded = outcome == Succeeded
@@ -77,10 +79,10 @@
 	if !k.succeeded {
 		return
 	}
-	extra := float64(len(head)+len(result)-plainResultBytes) / 1024
+	extra := float64(len(head)+len(result)-includedResultBytes) / 1024
 	if extra > 0 {
-		largest := maxResultShare * (g.cacheFreeKB + tokenKB*float64(len(g.tokens)))
-		if extra > largest || extra > g.cacheFreeKB {
+		maxExtra := maxResultShare * (g.cacheFreeKB + tokenKB*float64(len(g.tokens)))
+		if extra > maxExtra || extra > g.cacheFreeKB {
 			k.succeeded = false
 			k.uncached = true
 			return
@@ -92,14 +94,14 @@
 	k.result = result
 }
 
-// dropToken evicts a token whose attempt never ran. The duplicates that wait for it are aborted.
+// dropToken evicts a token whose attempt never ran and aborts the duplicates that wait for it.
 func (g *Gate) dropToken(k *token) {
 	g.evictToken(k)
 	k.completed = true
 	g.answerDuplicates(k)
 }
 
-// answerDuplicates gives a final verdict to the duplicates that wait for a token.
+// answerDuplicates gives the duplicates that wait for a token their final verdict.
 func (g *Gate) answerDuplicates(k *token) {
 	waiting := k.duplicates
 	k.duplicates = nil
--- a/internal/gate/verdict_test.go
+++ b/internal/gate/verdict_test.go
@@ -7,113 +7,113 @@
 	"sorrelvalve/control"
 )
 
-// verdictCase is one way of an RPC to its final verdict.
+// verdictCase is a scenario that ends with the final verdict of an RPC.
 type verdictCase struct {
 	name string
-	run  func(w *testGate)
+	run  func(tg *testGate)
 }
 
 var verdictCases = []verdictCase{
-	{"ok", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
+	{"ok", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Report(Succeeded, 100, []byte("r"))
-		if v := w.expect(a, OK); string(v.Result) != "r" {
-			w.Errorf("result %q", v.Result)
+		if v := tg.expect(a, OK); string(v.Result) != "r" {
+			tg.Errorf("result: got %q", v.Result)
 		}
 	}},
-	{"a failed run", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
+	{"a failed run", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Report(Failed, 100, nil)
-		w.expect(a, Aborted)
+		tg.expect(a, Aborted)
 	}},
-	{"an end that is reported twice", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
+	{"a run whose end is reported twice", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Report(Failed, 100, nil)
 		a.Report(Succeeded, 100, nil)
-		w.expect(a, Aborted)
-		w.expect(a, -1)
+		tg.expect(a, Aborted)
+		tg.expect(a, -1)
 	}},
-	{"aborted when due, the run's end comes later", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
-		w.advance(1900 * time.Millisecond)
-		w.expect(a, -1)
-		w.advance(100 * time.Millisecond)
-		w.expect(a, Aborted)
+	{"aborted when due, the run ends later", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
+		tg.advance(1900 * time.Millisecond)
+		tg.expect(a, -1)
+		tg.advance(100 * time.Millisecond)
+		tg.expect(a, Aborted)
 		a.Report(Succeeded, 2000, nil)
-		w.expect(a, -1)
+		tg.expect(a, -1)
 	}},
-	{"cancelled while queued: the RPC behind it runs", func(w *testGate) {
-		a, b, c, d := w.submit("view", ""), w.submit("view", ""), w.submit("view", ""), w.submit("view", "")
-		w.expect(a, Run)
-		w.expect(b, Run)
-		w.expect(c, -1)
+	{"cancelled while queued: the RPC behind it runs", func(tg *testGate) {
+		a, b, c, d := tg.submit("view", ""), tg.submit("view", ""), tg.submit("view", ""), tg.submit("view", "")
+		tg.expect(a, Run)
+		tg.expect(b, Run)
+		tg.expect(c, -1)
 		c.Cancel()
-		w.expect(c, CallerGone)
+		tg.expect(c, CallerGone)
 		a.Report(Succeeded, 100, nil)
-		w.expect(d, Run)
+		tg.expect(d, Run)
 	}},
-	{"cancelled while it runs", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
+	{"cancelled while running", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Cancel()
-		w.expect(a, CallerGone)
+		tg.expect(a, CallerGone)
 		a.Report(Succeeded, 100, nil)
-		w.expect(a, -1)
+		tg.expect(a, -1)
 	}},
-	{"an answer before the cancel", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
+	{"an answer before the cancellation", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Report(Succeeded, 100, nil)
 		a.Cancel()
-		w.expect(a, OK)
-		w.expect(a, -1)
+		tg.expect(a, OK)
+		tg.expect(a, -1)
 	}},
-	{"overdue, as the controller has lost it", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
-		w.controller.Handle(w.elapsedMs(w.clock), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
-		w.advance(2100 * time.Millisecond)
-		w.expect(a, Aborted)
+	{"overdue: the controller has lost the RPC", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
+		tg.controller.Handle(tg.elapsedMs(tg.clock), control.Event{Kind: control.CallerGone, RPC: a.id}) // the controller loses the RPC
+		tg.advance(2100 * time.Millisecond)
+		tg.expect(a, Aborted)
 	}},
-	{"draining: within the grace period and after", func(w *testGate) {
-		w.Drain(3 * time.Second)
-		if w.Healthy() {
-			w.Error("healthy in a drain")
+	{"draining: within and after the grace period", func(tg *testGate) {
+		tg.Drain(3 * time.Second)
+		if tg.Healthy() {
+			tg.Error("healthy during a drain")
 		}
-		a := w.submit("view", "")
-		w.expect(a, Run)
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
 		a.Report(Succeeded, 10, nil)
-		w.advance(1010 * time.Millisecond)
-		w.expect(w.submit("view", ""), Rejected)
+		tg.advance(1010 * time.Millisecond)
+		tg.expect(tg.submit("view", ""), Rejected)
 	}},
-	{"a stall is made up for by one tick", func(w *testGate) {
-		a := w.submit("view", "")
-		w.expect(a, Run)
-		w.clock = w.clock.Add(5 * time.Second)
-		if next := w.Tick(nil); next > 50*time.Millisecond {
-			w.Errorf("next tick in %v", next)
+	{"one tick is enough after a stall", func(tg *testGate) {
+		a := tg.submit("view", "")
+		tg.expect(a, Run)
+		tg.clock = tg.clock.Add(5 * time.Second)
+		if next := tg.Tick(nil); next > 50*time.Millisecond {
+			tg.Errorf("time to the next tick: got %v, want at most 50ms", next)
 		}
-		w.expect(a, Aborted)
+		tg.expect(a, Aborted)
 	}},
-	{"a caller's clock that is wrong", func(w *testGate) {
-		w.expect(w.submitAt("view", "", w.clock.Add(time.Hour)), Run)
-		w.expect(w.submitAt("view", "", w.clock.Add(-time.Hour)), Rejected)
+	{"a caller with a wrong clock", func(tg *testGate) {
+		tg.expect(tg.submitAt("view", "", tg.clock.Add(time.Hour)), Run)
+		tg.expect(tg.submitAt("view", "", tg.clock.Add(-time.Hour)), Rejected)
 	}},
 }
 
 func TestVerdicts(t *testing.T) {
 	for _, c := range verdictCases {
 		t.Run(c.name, func(t *testing.T) {
-			w := open(t, true)
-			c.run(w)
-			w.advance(20 * time.Second)
-			for _, left := range w.tickets {
-				if !left.final {
-					t.Error("one in flight at the end, without an answer")
+			tg := open(t, true)
+			c.run(tg)
+			tg.advance(20 * time.Second)
+			for _, ticket := range tg.tickets {
+				if !ticket.final {
+					t.Error("an RPC has no final verdict at the end")
 				}
 			}
 		})
--- a/internal/gate/wheel.go
+++ b/internal/gate/wheel.go
@@ -1,35 +1,37 @@
 package gate
 
-// expiry is an entry of a wheel, to be embedded in what expires.
+// expiry is an entry of a wheel. It is embedded in the value that expires.
 type expiry struct {
 	atMs       float64 // Unix ms
-	next, prev *expiry // in the ring of its slot; nil while it is in no wheel
-	token      *token  // that it is embedded in
+	next, prev *expiry // neighbours in the ring of its slot; nil while it is in no wheel
+	token      *token  // token in which it is embedded
 }
 
 const (
-	// slotMs is the width of the finest slot. An entry outlives its time by that at the most, and a tick of 40 ms meets a new
-	// slot more often than not.
+	// slotMs is the width of the finest slot. An entry expires at most that much too late, and with ticks of 40 ms most ticks
+	// reach a new slot.
 	slotMs = 64.0
-	// levelBits make 256 slots a level, so that the levels span 16 s, more than usual windows, 70 minutes and 12 days.
+	// levelBits gives each level 256 slots. The levels then span 16 s, which is more than usual windows, 70 minutes and 12
+	// days.
 	levelBits = 8
 	levelSize = 1 << levelBits
 	levelMask = levelSize - 1
 	levels    = 3
-	// minMoves bounds the entries that one advance moves or hands out, if a moveShare-th of all is not more: some tens of
-	// microseconds, and at 25 calls a second far more than the RPCs that a server reads.
-	minMoves  = 1024
-	moveShare = 64
+	// One advance moves or expires at most minMoves entries, or the size of the wheel divided by moveDivisor if that is more.
+	// minMoves entries take some tens of microseconds, and at 25 calls a second are far more than the RPCs that a server
+	// reads.
+	minMoves    = 1024
+	moveDivisor = 64
 )
 
 // wheel is a hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987): an index of
-// entries by their times in which adding and removing take constant time and each advance a bounded one. It never hands
-// out an entry before its time, whatever the clock does. The zero value is not ready; newWheel is. It is not safe for
-// concurrent use.
+// entries by expiry time. Adding and removing take constant time, and the time of each advance is bounded except after a
+// large jump of the clock. An entry never expires before its time, whatever the clock does. A wheel must be created by
+// newWheel and is not safe for concurrent use.
 type wheel struct {
-	nextSlot int64 // the number of the slot to be handed out next, of those of slotMs since 1970
+	nextSlot int64 // next slot to expire, counted in units of slotMs since 1970
 	size     int
-	slots    [levels][levelSize]expiry // heads of rings; one slot of a level spans all of the level below
+	slots    [levels][levelSize]expiry // heads of rings; a slot spans all slots of the level below
 }
 
 func newWheel(nowMs float64) *wheel {
@@ -44,12 +46,12 @@
 	return w
 }
 
-// add puts an entry into the wheel. It must not be in one.
+// add adds an entry, which must not be in a wheel.
 func (w *wheel) add(e *expiry) {
 	w.size++
-	slot := max(int64(e.atMs/slotMs), w.nextSlot) // one whose time has passed comes next
+	slot := max(int64(e.atMs/slotMs), w.nextSlot) // an entry whose time has passed goes into the next slot
 	ahead := slot - w.nextSlot
-	if last := int64(1)<<(levels*levelBits) - 1; ahead > last { // it is added again when the wheel comes there
+	if last := int64(1)<<(levels*levelBits) - 1; ahead > last { // beyond the span: added again when the wheel reaches its last slot
 		slot = w.nextSlot + last
 		ahead = last
 	}
@@ -65,12 +67,12 @@
 	head.prev = e
 }
 
-// slotOf returns the head of the slot of a level that covers a slot of the finest one.
+// slotOf returns the head of the slot of a level that contains the given slot of the finest level.
 func (w *wheel) slotOf(level int, slot int64) *expiry {
 	return &w.slots[level][slot>>(level*levelBits)&levelMask]
 }
 
-// remove takes an entry out. One that is in no wheel is left alone.
+// remove removes an entry. It does nothing if the entry is in no wheel.
 func (w *wheel) remove(e *expiry) {
 	if e.next == nil {
 		return
@@ -82,37 +84,38 @@
 	w.size--
 }
 
-// advance removes the entries whose time was before now and hands them to expired one by one. Where many are due at once
-// it leaves the rest to the next call.
+// advance removes the entries whose time is before now and passes each to expired. If too many are due at once, it leaves the
+// rest to the next call.
 func (w *wheel) advance(nowMs float64, expired func(*expiry)) {
 	end := int64(nowMs / slotMs)
-	if end-w.nextSlot > levelSize*levelSize { // the clock jumped by hours: no entry is in its right slot any more
+	if end-w.nextSlot > levelSize*levelSize { // the clock jumped by hours, and entries are in the wrong slots
 		w.rebuild(end)
 	}
-	moves := max(minMoves, w.size/moveShare)
+	moves := max(minMoves, w.size/moveDivisor)
 	for w.nextSlot < end {
 		if w.size == 0 {
 			w.nextSlot = end
 			return
 		}
-		// At the beginning of a level's turn its entries are taken from the slot of the next coarser level.
+		// When a level starts over, its entries are moved down from the current slot of the next coarser level.
 		for level := levels - 1; level > 0; level-- {
 			if w.nextSlot&(1<<(level*levelBits)-1) != 0 {
 				continue
 			}
-			if !w.empty(w.slotOf(level, w.nextSlot), &moves, w.add) {
+			if !w.drainSlot(w.slotOf(level, w.nextSlot), &moves, w.add) {
 				return
 			}
 		}
-		if !w.empty(w.slotOf(0, w.nextSlot), &moves, expired) {
+		if !w.drainSlot(w.slotOf(0, w.nextSlot), &moves, expired) {
 			return
 		}
 		w.nextSlot++
 	}
 }
 
-// empty removes the entries of a slot and passes each to f. It returns false once moves are used up.
-func (w *wheel) empty(head *expiry, moves *int, f func(*expiry)) bool {
+// drainSlot removes the entries of a slot and passes each to f. It returns false if moves is used up before the slot is
+// empty.
+func (w *wheel) drainSlot(head *expiry, moves *int, f func(*expiry)) bool {
 	for head.next != head {
 		if *moves == 0 {
 			return false
@@ -125,19 +128,19 @@
 	return true
 }
 
-// rebuild adds all entries anew as seen from slot end. It takes time in proportion to their number.
+// rebuild removes all entries and adds them again relative to the slot end. It takes time proportional to their number.
 func (w *wheel) rebuild(end int64) {
-	var all []*expiry
+	var entries []*expiry
 	for level := range w.slots {
 		for i := range w.slots[level] {
 			for head := &w.slots[level][i]; head.next != head; {
-				all = append(all, head.next)
+				entries = append(entries, head.next)
 				w.remove(head.next)
 			}
 		}
 	}
-	w.nextSlot = end - 1 // what is over is handed out by the advance that calls
-	for _, e := range all {
+	w.nextSlot = end - 1 // the calling advance expires the entries that are due
+	for _, e := range entries {
 		w.add(e)
 	}
 }
--- a/internal/gate/wheel_test.go
+++ b/internal/gate/wheel_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestWheel compares the wheel with a map: no entry is handed out before its time, all are within a slot and an advance of
-// it, and none that was removed, over steps of the clock to either side.
+// TestWheel compares the wheel with a map while the clock steps in either direction: no entry expires before its time, no
+// removed entry expires, and every other entry expires within one slot and one advance of its time.
 func TestWheel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Float64Range(0, 2e12).Draw(t, "begin")
 		w := newWheel(now)
-		plain := map[*expiry]float64{} // by when it must be over, as the clock stood when it came
-		latest := now                  // no look has been at a later time
+		expected := map[*expiry]float64{} // time of expiry, but not before the latest time when the entry was added
+		latest := now                     // latest time of an advance
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
@@ -24,13 +24,13 @@
 					span := rapid.SampledFrom([]float64{100, 20e3, 6e6, 2e9}).Draw(t, "span")
 					e := &expiry{atMs: now + rapid.Float64Range(-span/10, span).Draw(t, "life")}
 					w.add(e)
-					plain[e] = math.Max(e.atMs, latest)
+					expected[e] = math.Max(e.atMs, latest)
 				}
 			case 2:
-				for e := range plain {
+				for e := range expected {
 					w.remove(e)
-					w.remove(e) // the second time does nothing
-					delete(plain, e)
+					w.remove(e) // the second call does nothing
+					delete(expected, e)
 					break
 				}
 			case 3:
@@ -38,48 +38,48 @@
 				now = math.Max(0, now+rapid.Float64Range(0, 1).Draw(t, "part")*step)
 				w.advance(now, func(e *expiry) {
 					if e.atMs >= now {
-						t.Fatalf("expired %g ms before its time", e.atMs-now)
+						t.Fatalf("entry expired %g ms before its time", e.atMs-now)
 					}
-					if _, in := plain[e]; !in {
-						t.Fatal("handed out twice, or after it was removed")
+					if _, ok := expected[e]; !ok {
+						t.Fatal("entry expired twice, or after it was removed")
 					}
-					delete(plain, e)
+					delete(expected, e)
 				})
 				latest = math.Max(latest, now)
-				for _, at := range plain {
+				for _, at := range expected {
 					if at < now-2*slotMs && now == latest {
-						t.Fatalf("still there %g ms past its time", now-at)
+						t.Fatalf("entry has not expired %g ms past its time", now-at)
 					}
 				}
 			}
-			if w.size != len(plain) {
-				t.Fatalf("size %d of %d", w.size, len(plain))
+			if w.size != len(expected) {
+				t.Fatalf("size of the wheel: got %d, want %d", w.size, len(expected))
 			}
 		}
 	})
 }
 
-// TestWheelBurst checks that entries which are due all at once are handed out in bounded parts, and all in the end.
+// TestWheelBurst checks that entries that are due at the same time expire in batches of bounded size until all have expired.
 func TestWheelBurst(t *testing.T) {
 	w := newWheel(0)
-	const all = 50 * minMoves
-	for i := range all {
+	const entries = 50 * minMoves
+	for i := range entries {
 		w.add(&expiry{atMs: 20e3 + float64(i%100)})
 	}
-	got, looks := 0, 0
-	for now := 30e3; got < all; now += 40 {
-		before := got
-		w.advance(now, func(*expiry) { got++ })
-		if got-before > max(minMoves, all/moveShare) {
-			t.Fatalf("%d in one advance", got-before)
+	expired, advances := 0, 0
+	for now := 30e3; expired < entries; now += 40 {
+		before := expired
+		w.advance(now, func(*expiry) { expired++ })
+		if expired-before > max(minMoves, entries/moveDivisor) {
+			t.Fatalf("one advance expired %d entries", expired-before)
 		}
-		if looks++; looks > 200 {
-			t.Fatalf("%d of %d after %d advances", got, all, looks)
+		if advances++; advances > 200 {
+			t.Fatalf("expired entries: got %d of %d after %d advances", expired, entries, advances)
 		}
 	}
 }
 
-// byTime is the binary heap that the wheel is measured against.
+// byTime is a binary heap, with which the benchmark compares the wheel.
 type byTime []*expiry
 
 func (h byTime) Len() int           { return len(h) }
@@ -93,11 +93,12 @@
 	return e
 }
 
-// BenchmarkExpiry is one tick of 40 ms at a steady rate: as many entries come as expire. The map is what the gate had before.
+// BenchmarkExpiry measures one tick of 40 ms at a steady rate, at which as many entries are added as expire. The gate used
+// the map before it used the wheel.
 func BenchmarkExpiry(b *testing.B) {
-	const window = 18e3 // ms: a window of 13.6 s and a deadline of 4.5 s
+	const window = 18e3 // ms; a window of 13.6 s plus a deadline of 4.5 s
 	for _, size := range []int{1000, 8000, 100000} {
-		each := float64(size) * 40 / window // that come and go in a tick
+		perTick := float64(size) * 40 / window // entries added and expired in a tick
 		b.Run(fmt.Sprintf("map/%d", size), func(b *testing.B) {
 			m := map[string]*expiry{}
 			for i := range size {
@@ -109,7 +110,7 @@
 						delete(m, key)
 					}
 				}
-				for owed += each; owed >= 1; owed-- {
+				for owed += perTick; owed >= 1; owed-- {
 					m[fmt.Sprint("topup-buy\x00", i)] = &expiry{atMs: now + window}
 					i++
 				}
@@ -124,7 +125,7 @@
 				for h.Len() > 0 && (*h)[0].atMs < now {
 					heap.Pop(h)
 				}
-				for owed += each; owed >= 1; owed-- {
+				for owed += perTick; owed >= 1; owed-- {
 					heap.Push(h, &expiry{atMs: now + window})
 				}
 			}
@@ -136,7 +137,7 @@
 			}
 			for now, owed := 0.0, 0.0; b.Loop(); now += 40 {
 				w.advance(now, func(*expiry) {})
-				for owed += each; owed >= 1; owed-- {
+				for owed += perTick; owed >= 1; owed-- {
 					w.add(&expiry{atMs: now + window})
 				}
 			}
