--- a/decision/pool/balance.go
+++ b/decision/pool/balance.go
@@ -80,8 +80,8 @@
 }
 
 // connectionLimit returns how many requests a member may have in flight from this server. During slow start the limit
-// is not a whole number; one random draw per slow start decides whether it is rounded up or down. A member gets
-// requests from all servers of a fleet: if the limit of each were less than one and all rounded it up, their sum would
+// may be fractional; one random draw per slow start decides whether it is rounded up or down. A member gets requests
+// from all servers of a fleet: if the limit of each were less than one and all rounded it up, their sum would
 // be many times the member's share. With the draw, the mean over the servers equals that share without any
 // communication between them.
 func (p *Pool) connectionLimit(now float64, m *member) int {
--- a/decision/pool/pool_test.go
+++ b/decision/pool/pool_test.go
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestAllBad checks that all members are ejected if all fail and there is no minimum share, and that UntilNextReturn
+// TestAllMembersFail checks that all members are ejected if all fail and there is no minimum share, and that UntilNextReturn
 // gives the time until the first return.
-func TestAllBad(t *testing.T) {
+func TestAllMembersFail(t *testing.T) {
 	config := testConfig
 	config.MinHealthyShare = 0
 	p := newWarmPool(config, 3)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -90,7 +90,7 @@
 	return Verdict{}
 }
 
-func TestEnterErrors(t *testing.T) {
+func TestSubmitErrors(t *testing.T) {
 	cases := []struct {
 		name, want string
 		rpc        RPC
@@ -161,9 +161,9 @@
 	}
 }
 
-// TestOneAnswer races all events that can end an RPC, and checks that each RPC gets exactly one final verdict and each token
+// TestOneFinalVerdict races all events that can end an RPC, and checks that each RPC gets exactly one final verdict and each token
 // at most one run.
-func TestOneAnswer(t *testing.T) {
+func TestOneFinalVerdict(t *testing.T) {
 	tg := open(t, true)
 	tg.now = time.Now
 	tg.controller = nil
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestLongest(t *testing.T) {
+func TestMaxAnswerTime(t *testing.T) {
 	if got, want := open(t, false).MaxAnswerTime(), 2060*time.Millisecond; got != want {
 		t.Errorf("MaxAnswerTime: got %v, want %v", got, want)
 	}
