--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -70,7 +70,7 @@
 // rpc returns the RPC as the gate takes it.
 func (x *exchange) rpc() gate.RPC {
 	r := x.resolved
-	arrived := r.Door
+	arrived := r.ArrivedMs
 	if arrived == 0 {
 		arrived = float64(x.began.UnixNano()) / 1e6
 	}
@@ -82,7 +82,7 @@
 		Caller:     front.CallerNumber(r.Caller),
 		Subject:    r.Subject,
 		ArrivedMs:  arrived,
-		CostHintMs: r.Hint,
+		CostHintMs: r.CostHintMs,
 		QueuedKB:   x.config.limits.QueuedKB + float64(len(x.body))/1024,
 		Retry:      r.Retry,
 		Token:      strings.Clone(r.Token), // it may outlive the block
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -115,8 +115,8 @@
 			Token:    r.Token.source(),
 			Subject:  r.Subject.source(),
 			Retry:    r.Retry.source(),
-			Hint:     r.Hint.source(),
-			Door:     r.Door.source(),
+			CostHint: r.Hint.source(),
+			Arrival:  r.Door.source(),
 		}
 		for _, variable := range sortedKeys(r.When) {
 			rule.When = append(rule.When, route.Condition{Variable: variable, Value: r.When[variable]})
