--- a/internal/cuefile/cuefile.go
+++ b/internal/cuefile/cuefile.go
@@ -1,7 +1,7 @@
-// Package cuefile compiles the operator's file from CUE (https://cuelang.org): it validates it against the embedded
-// schema, fills in the defaults and runs the checks that the daemon runs. Errors name file, line and key.
+// Package cuefile compiles the operator's file from CUE (https://cuelang.org). It validates the file against the embedded
+// schema, fills in the defaults and runs the checks that the daemon runs. Errors name the file, the line and the key.
 //
-// It links CUE, which is large, so only the operator's tool imports it. It does not know what a value is used for.
+// The package links CUE, which is large, so only the operator's tool imports it. It does not depend on how values are used.
 package cuefile
 
 import (
@@ -25,10 +25,10 @@
 //go:embed schema.cue
 var schema string
 
-// Schema returns the text of the schema, in CUE.
+// Schema returns the source text of the CUE schema.
 func Schema() string { return schema }
 
-// Error is one thing wrong with a file.
+// Error is one error in a file.
 type Error struct {
 	File string
 	Line int    // 0 if unknown
@@ -36,45 +36,46 @@
 	Text string
 }
 
-// Error returns file, line, key and text, as far as they are known.
+// Error returns the file, the line, the key and the text. It omits an unknown line or key.
 func (e *Error) Error() string {
-	where := e.File
+	location := e.File
 	if e.Line > 0 {
-		where = fmt.Sprintf("%s:%d", e.File, e.Line)
+		location = fmt.Sprintf("%s:%d", e.File, e.Line)
 	}
 	if e.Key == "" {
-		return where + ": " + e.Text
+		return location + ": " + e.Text
 	}
-	return where + ": " + e.Key + ": " + e.Text
+	return location + ": " + e.Key + ": " + e.Text
 }
 
-// schemaFile is the name under which errors mention the embedded schema.
+// schemaFile is the file name of the embedded schema in the positions of CUE errors.
 const schemaFile = "schema.cue"
 
-// topLevel names the keys of the operator's file. The schema is open at the top, and a key that is misspelt there must
-// not be passed over.
+// topLevel is a CUE struct with the top-level keys of the operator's file. The schema is open at the top level, so a misspelt
+// key there would otherwise be ignored.
 const topLevel = "close({version: _, hold?: _, limits?: _, trace?: _, store?: _, uwsgi?: _, fleet?: _, budgets?: _, routes?: _, pools?: _, methods?: _})"
 
-// Compile reads the files, which are unified, and checks them. known are the names of the settings; the zero value
-// checks no names. A file is returned with the errors if it could be read whole.
+// Compile reads the files at paths, unifies them into one file and checks it. known holds the names in the settings; with the
+// zero value no names are checked. If only the checks fail, Compile returns the file together with the errors; if the file
+// cannot be decoded, the returned file is nil.
 func Compile(paths []string, known route.Catalog) (*operator.File, []*Error) {
 	ctx := cuecontext.New()
-	form := ctx.CompileString(schema, cue.Filename(schemaFile))
-	if err := form.Err(); err != nil {
+	schemaValue := ctx.CompileString(schema, cue.Filename(schemaFile))
+	if err := schemaValue.Err(); err != nil {
 		return nil, convert(err, schemaFile)
 	}
-	text, errs := unify(ctx, paths)
+	input, errs := unify(ctx, paths)
 	if errs != nil {
 		return nil, errs
 	}
-	complete := form.Unify(text)
-	if err := complete.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
+	unified := schemaValue.Unify(input)
+	if err := unified.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
 		return nil, convert(err, paths[0])
 	}
-	if err := unknownKey(ctx, text, paths[0]); err != nil {
+	if err := unknownKey(ctx, input, paths[0]); err != nil {
 		return nil, []*Error{err}
 	}
-	b, err := complete.MarshalJSON()
+	b, err := unified.MarshalJSON()
 	if err != nil {
 		return nil, convert(err, paths[0])
 	}
@@ -82,12 +83,12 @@
 	if err := json.Unmarshal(b, f); err != nil {
 		return nil, []*Error{{File: paths[0], Text: err.Error()}}
 	}
-	return f, check(f, known, complete, paths[0])
+	return f, check(f, known, unified, paths[0])
 }
 
-// unify reads the files into one value.
+// unify reads the files and unifies them into one value, without the schema.
 func unify(ctx *cue.Context, paths []string) (cue.Value, []*Error) {
-	text := ctx.CompileString("{}")
+	input := ctx.CompileString("{}")
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
 		if err != nil {
@@ -97,29 +98,29 @@
 		if err := v.Err(); err != nil {
 			return cue.Value{}, convert(err, path)
 		}
-		text = text.Unify(v)
+		input = input.Unify(v)
 	}
-	return text, nil
+	return input, nil
 }
 
-// unknownKey returns an error for the first key at the top of the text that the operator's file does not have.
-func unknownKey(ctx *cue.Context, text cue.Value, path string) *Error {
+// unknownKey returns an error for the first top-level key of the input that is not a key of the operator's file, or nil.
+func unknownKey(ctx *cue.Context, input cue.Value, path string) *Error {
 	closed := ctx.CompileString(topLevel)
-	fields, err := text.Fields()
+	fields, err := input.Fields()
 	for err == nil && fields.Next() {
 		if key := fields.Selector(); !closed.Allows(key) {
-			return &Error{File: path, Line: fields.Value().Pos().Line(), Key: key.String(), Text: "no key of the operator's file"}
+			return &Error{File: path, Line: fields.Value().Pos().Line(), Key: key.String(), Text: "unknown key of the operator's file"}
 		}
 	}
 	return nil
 }
 
-// check runs the checks that the daemon runs, and finds for each error the line of its key.
-func check(f *operator.File, known route.Catalog, complete cue.Value, path string) []*Error {
+// check runs the checks that the daemon runs, and adds to each error the position of its key.
+func check(f *operator.File, known route.Catalog, unified cue.Value, path string) []*Error {
 	var errs []*Error
 	for _, fault := range operator.Check(f, known) {
 		e := &Error{File: path, Key: fault.Path, Text: fault.Message}
-		if pos := position(complete, fault.Path); pos.IsValid() {
+		if pos := position(unified, fault.Path); pos.IsValid() {
 			e.File = relative(pos.Filename())
 			e.Line = pos.Line()
 		}
@@ -128,10 +129,11 @@
 	return errs
 }
 
-// position returns where a key stands in the operator's own text, or the nearest key above it that does.
-func position(complete cue.Value, path string) token.Pos {
+// position returns the position of a key in the operator's files. If the key is not there, it returns the position of the
+// nearest parent that is.
+func position(unified cue.Value, path string) token.Pos {
 	for path != "" {
-		v := complete.LookupPath(cue.ParsePath(path))
+		v := unified.LookupPath(cue.ParsePath(path))
 		if v.Exists() {
 			if pos := operatorPosition(v); pos.IsValid() {
 				return pos
@@ -142,8 +144,8 @@
 	return token.NoPos
 }
 
-// parent is the path of the table or list that a key stands in; "" at the top. An entry's name is quoted and may hold
-// dots itself.
+// parent returns the path of the table or list that contains a key, or "" for a top-level key. The name of an entry is quoted
+// and may contain dots.
 func parent(path string) string {
 	if strings.HasSuffix(path, `"`) {
 		return path[:max(0, strings.Index(path, `."`))]
@@ -151,10 +153,10 @@
 	return path[:max(0, strings.LastIndexAny(path, ".["))]
 }
 
-// inOperatorFile tells whether a position is in a file of the operator's rather than in the schema.
+// inOperatorFile reports whether a position is valid and lies in an operator's file rather than in the schema.
 func inOperatorFile(pos token.Pos) bool { return pos.IsValid() && pos.Filename() != schemaFile }
 
-// operatorPosition returns the position of a value in a file of the operator's, if it has one.
+// operatorPosition returns the position of a value in an operator's file, or token.NoPos if it has none there.
 func operatorPosition(v cue.Value) token.Pos {
 	if pos := v.Pos(); inOperatorFile(pos) {
 		return pos
@@ -170,32 +172,33 @@
 	return token.NoPos
 }
 
-// convert returns the errors of CUE, each with its place in the operator's file if it has one there.
+// convert converts the errors of CUE. Each gets its position in an operator's file, if it has one; otherwise it names file.
 func convert(err error, file string) []*Error {
-	var all []*Error
-	for _, x := range cueerrors.Errors(err) {
-		e := &Error{File: file, Key: strings.Join(x.Path(), ".")}
-		format, args := x.Msg()
+	var converted []*Error
+	for _, cueErr := range cueerrors.Errors(err) {
+		e := &Error{File: file, Key: strings.Join(cueErr.Path(), ".")}
+		format, args := cueErr.Msg()
 		e.Text = fmt.Sprintf(format, args...)
-		for _, pos := range append([]token.Pos{x.Position()}, x.InputPositions()...) {
+		for _, pos := range append([]token.Pos{cueErr.Position()}, cueErr.InputPositions()...) {
 			if inOperatorFile(pos) {
 				e.File = relative(pos.Filename())
 				e.Line = pos.Line()
 				break
 			}
 		}
-		all = append(all, e)
+		converted = append(converted, e)
 	}
-	// CUE sums up alternatives that all fail in an error of its own, which has no position; each says more itself.
-	return slices.DeleteFunc(all, func(e *Error) bool {
-		return e.Line == 0 && slices.ContainsFunc(all, func(o *Error) bool { return o.Key == e.Key && o.Line > 0 })
+	// If all alternatives of a disjunction fail, CUE adds a summary error without a position. The errors of the alternatives
+	// are more specific, so the summary is dropped.
+	return slices.DeleteFunc(converted, func(e *Error) bool {
+		return e.Line == 0 && slices.ContainsFunc(converted, func(other *Error) bool { return other.Key == e.Key && other.Line > 0 })
 	})
 }
 
-// relative returns a path below the working directory relative to it, and any other unchanged.
+// relative returns an absolute path below the working directory as a relative one, and any other path unchanged.
 func relative(path string) string {
-	if here, err := os.Getwd(); err == nil && filepath.IsAbs(path) {
-		if r, err := filepath.Rel(here, path); err == nil && !strings.HasPrefix(r, "..") {
+	if workingDir, err := os.Getwd(); err == nil && filepath.IsAbs(path) {
+		if r, err := filepath.Rel(workingDir, path); err == nil && !strings.HasPrefix(r, "..") {
 			return r
 		}
 	}
--- a/internal/cuefile/schema.cue
+++ b/internal/cuefile/schema.cue
@@ -1,68 +1,71 @@
-// The operator's file. All times are milliseconds. What has a star has that default.
+// Schema of the operator's file. All times are in milliseconds. A star marks the default.
 package sorrelvalve
 
-// Which version of the file this is, in the operator's own words.
+// Version of the file. The operator chooses the text.
 version: string & =~"^[^\\n]{1,64}$"
 
 hold: {
-	// An RPC that has been held for longer is not pushed back for one that counts for more, so that who is pushed
-	// back hears at once; 0 for no such time, which serves more where such bursts are long.
+	// Queueing time after which an RPC is no longer rejected in favour of a more critical one, so that callers whose RPCs
+	// are rejected learn so early. 0 for no limit, which serves more RPCs during long bursts.
 	settled_ms: *0 | number & >=0 & <=60000
 }
 
-// Limits that go before those of the platform's settings: what an RPC over its customer's quota keeps of its criticality,
-// runs a core at the most, RPCs a second by customer.
+// Limits that override those of the platform's settings: the fraction of its criticality that an RPC over its customer's
+// quota keeps, the maximum number of runs per core, and the quota of each customer in RPCs per second.
 limits: {
 	over_share?:  number & >=0 & <=1
 	runs_a_core?: number & >=1 & <=1000
 	quotas?: [string]: number & >=0
 }
 
-// The recorder of all that the decisions are told and say; without it nothing is recorded.
+// The recorder of the controller's events and actions. If not set, nothing is recorded.
 trace?: {
 	path: string & !=""
-	// The next file begins when one is so long, and so many are kept.
+	// Size at which the next file begins, and the number of files that are kept.
 	file_mb: *64 | number & >=0.1 & <=1048576
 	files:   *4 | int & >=1 & <=1000
 }
 
-// What keeps tokens and their answers over restarts, on a disk that lasts; without it they are kept in memory.
+// The durable store, which keeps idempotency tokens and their answers over restarts. It needs a persistent disk. If not set,
+// they are kept in memory only.
 store?: {
 	dir: string & !=""
-	// On disk in all, and in each segment, which is freed as a whole once all windows in it are over.
+	// Maximum size on disk, and the size of each segment. A segment is freed as a whole once the windows of all its tokens
+	// have ended.
 	mb:         *256 | number & >=1 & <=1048576
 	segment_mb: *8 | number & >=0.1 & <=4096
-	// The longest answer that is kept, its head included.
+	// Maximum size of a stored answer, including its header.
 	answer_bytes: *16384 | int & >=0 & <=16777216
-	// By how much the wall clock may step while the server is down.
+	// Maximum step of the wall clock while the server is down.
 	tolerance_ms: *2000 | number & >=0 & <=3600000
 }
 
-// The server's part in a fleet whose servers know one another; without it there is none. Only valvefleet serve has it.
+// Membership in a fleet. If not set, the server is in no fleet. Only valvefleet serve supports it.
 fleet?: #Fleet
 
-// Bounds that the servers of the fleet share, whoever hears nothing; without it each server goes by its own part.
+// Limits that the servers of the fleet share. They hold even while some servers are cut off from the others. If not set, each
+// server applies its limits on its own.
 budgets?: #Budgets
 
-// The front that accepts uwsgi; without it there is none.
+// The front that accepts uwsgi. If not set, there is none.
 uwsgi?: #UWSGI
 
-// How a message of the web becomes an RPC. The most telling route that fits counts, wherever it stands.
+// How web requests are mapped to RPCs. The most specific matching route applies, regardless of the order of routes.
 routes: [string]: #Route
 
-// What is expected of routing and of the order in which methods are pushed back, held against the rest before a file is taken.
+// Tests of routing and of the order in which methods are rejected. A file whose tests fail is not accepted.
 expect?: [string]: #Expect
 
-// uwsgi application servers.
+// Pools of uwsgi application servers.
 pools: [string]: #Pool
 
-// Methods whose work is done by a pool; that of all others is done by the engine.
+// Methods whose RPCs are sent to a pool. RPCs of all other methods are sent to the engine.
 methods: [string]: #Method
 
 #Address: =~"^(\\[[0-9a-fA-F:.]+\\]|[0-9.]+):[0-9]{1,5}$"
 
 #Expect: {
-	// Either a message and what it becomes,
+	// Either a request and the RPC to which it is mapped,
 	host?:      string
 	path?:      string
 	verb?:      string
@@ -71,84 +74,84 @@
 	method?:    string
 	customer?:  string
 	pool?:      string
-	// and that no route takes it,
+	// or that no route matches the request,
 	none?: bool
-	// or that RPCs of one method are pushed back before those of another,
+	// or that RPCs of method first are rejected before those of method then,
 	first?: string
 	then?:  string
-	// even where those of the other are beyond their customer's quota.
+	// also if the RPCs of method then are over their customer's quota.
 	over_quota?: bool
 }
 
 #Fleet: {
-	// Servers with another name do not hear one another.
+	// Name of the fleet. A server ignores servers of a fleet with another name.
 	name: *"" | string & =~"^[^\\n]{0,64}$"
-	// Packets and streams; what this server sends leaves from the same IP address.
+	// Address for UDP packets and TCP streams. Outgoing traffic uses the same IP address.
 	listen: #Address
-	// Where others reach it, if that is another address.
+	// Address of this server for the others, if it differs from listen.
 	advertise?: #Address
 	zone:       *"" | string & =~"^[^\\n]{0,64}$"
-	// Whom to join at the start and for ever after; the own address among them does no harm.
+	// Servers to join, at the start and repeatedly afterwards. The list may contain the server's own address.
 	seeds: *[] | [...#Address]
-	// How many servers there are: less is not the whole fleet; 0 for not told.
+	// Number of servers in the fleet. With fewer members the fleet is incomplete. 0 for unknown.
 	expect: *0 | int & >=0 & <=4096
-	// A file with the base64 of 16, 24 or 32 bytes, the same on all servers: what they say is encrypted with it.
+	// File with the base64 of a key of 16, 24 or 32 bytes, the same on all servers. It encrypts the traffic between servers.
 	key_file?: string & !=""
-	// Where keepers of permits for drains take clients.
+	// Client addresses of the replicas of the permit service, which grants drain permits.
 	keepers?: [...#Address]
-	// A folder that lasts, in which the version of the settings that keepers released is kept over restarts.
+	// Directory on a persistent disk. It keeps the released version of the settings over restarts.
 	folder?: string & !=""
-	// A Unix socket on which valvefleet status finds this server.
+	// Unix socket for valvefleet status and other operators' commands.
 	socket?: string & !=""
 }
 
 #Budgets: {
-	// How many servers run at a time, at the most: one that is replaced while the old one drains counts twice.
+	// Maximum number of servers that run at the same time. A server whose replacement starts while it drains counts twice.
 	servers: int & >=1 & <=4096
-	// By how much the rate of a server's clock may be off, as a share.
+	// Maximum error of the rate of a server's clock, as a fraction.
 	clocks: *0.001 | number & >=0 & <=0.1
-	// RPCs a second by customer, in the place of the settings' quotas; further tries a second by pool.
+	// RPCs per second by customer, instead of the quotas in the settings; and retries per second by pool.
 	customers?: [string]: #Rate
 	retries?: [string]:   #Rate
-	// Calls in hand by pool.
+	// Calls in flight by pool.
 	calls?: [string]: {
 		bound: number & >0
 		floor: *0 | number & >=0
-		// For which the pool may go on with a call that was given up: until then it counts as in hand.
+		// How long the pool may continue with an abandoned call. The call counts as in flight for this time.
 		linger_ms: *1000 | number & >=0 & <=600000
-		// Longer than any call may take with that, or a loan is of no use to it.
+		// Maximum duration of a lease. It must exceed the duration of any call plus linger_ms, or calls cannot use the lease.
 		longest_ms: *20000 | number & >=500 & <=600000
 	}
 }
 
 #Rate: {
 	bound: number & >0
-	// Beyond the rate, of the whole fleet; at least one for each server.
+	// Burst of the whole fleet, above the rate. At least one for each server.
 	burst: number & >0
-	// What each server keeps whatever others ask of it, and has when it is cut off.
+	// Rate that each server always keeps, even when others request leases or when it is cut off from the fleet.
 	floor: *0 | number & >=0
-	// How long a loan lasts between two renewals, and is out of use if its borrower has gone.
+	// Duration of a lease between two renewals. If its holder is lost, the leased capacity is unused for that long.
 	longest_ms: *4000 | number & >=500 & <=600000
 }
 
 #UWSGI: {
 	listen: #Address
-	// Whether a connection stays open after an answer: where its block has VALVE_KEEP=1, always or never.
+	// When a connection stays open after an answer: if the request's block has VALVE_KEEP=1, always, or never.
 	keep: *"asked" | "always" | "never"
-	// Whether a peer that ends its writing side still waits for the answer. Web tiers close both when their
-	// client leaves, so by default it has left.
+	// Whether a peer that closes its writing side still waits for the answer. Web servers close both sides when their
+	// client disconnects, so by default such a peer counts as disconnected.
 	half_close: *false | bool
-	// The longest block of variables, how many these may be, and the longest path with its query.
+	// Maximum size of the block of variables, number of variables, and length of the path with its query.
 	block_bytes: *16384 | int & >=512 & <=65535
 	variables:   *128 | int & >=8 & <=1024
 	path_bytes:  *4096 | int & >=16 & <=65535
-	// The longest body, and what all bodies that are being read or held may take.
+	// Maximum size of a body, and of all bodies together that are being read or are queued.
 	body_bytes: *65536 | int & >=0 & <=16777216
 	bodies_kb:  *8192 | int & >=1 & <=1048576
-	// A first message, and the rest of a block that has begun, must come within this; a body within body_ms.
+	// Timeout for the first message of a connection and for the rest of a block that has begun; and the timeout for a body.
 	silence_ms: *2000 | number & >=10 & <=60000
 	body_ms:    *5000 | number & >=10 & <=600000
-	// The memory booked for an RPC while it is held, in KB; its body is added.
+	// Memory accounted for a queued RPC, in KB, in addition to its body.
 	held_kb: *16 | number & >0 & <=2000
 }
 
@@ -163,7 +166,7 @@
 	verb?: "DELETE" | "GET" | "HEAD" | "OPTIONS" | "PATCH" | "POST" | "PUT"
 	when?: [string]: string
 	method: string & !=""
-	// The type of an answer that the engine made.
+	// Content type of an answer from the engine.
 	type:      *"application/octet-stream" | string & !=""
 	customer?: #Source
 	caller?:   #Source
@@ -176,23 +179,25 @@
 
 #Pool: {
 	members: [#Address, ...#Address]
-	// At each member; then how many RPCs may wait for one, over the pool, and for how long.
+	// Maximum connections to each member; maximum number of RPCs in the pool's queue, and how long they may wait; and the
+	// connect timeout.
 	connections: *32 | int & >=1 & <=4096
 	waiting:     *64 | int & >=0 & <=65536
 	wait_ms:     *100 | number & >=0 & <=60000
 	connect_ms:  *250 | number & >=1 & <=60000
-	// The longest body of an answer.
+	// Maximum size of the body of an answer.
 	answer_bytes: *262144 | int & >=1 & <=16777216
-	// A member is ejected after so many failures in a row, or at so many times the others' latency; 0 for never.
+	// A member is ejected after this many consecutive failures, or at this multiple of the other members' latency. 0 for never.
 	failures: *5 | int & >=0 & <=1000
 	outlier:  *4 | number & (0 | >=1.5) & <=1000
-	// The share of members that stay in use whatever they do, the first ejection and the time of the return.
+	// Fraction of the members that is never ejected, duration of the first ejection, and duration of the slow start after it.
 	min_share: *0.5 | number & >=0 & <=1
 	eject_ms:  *2000 | number & >=1 & <=600000
 	return_ms: *5000 | number & >=0 & <=600000
-	// Between two active checks (a uwsgi ping); 0 for none.
+	// Interval of active health checks (a uwsgi ping); 0 for none.
 	check_ms: *0 | number & >=0 & <=600000
-	// Further tries: for each first try, and a second at the least; and the tries of one RPC, the first included.
+	// Retry budget: the ratio of retries to first attempts, the retries per second that are always allowed, and the maximum
+	// number of attempts of one RPC, including the first.
 	retry: {
 		share: *0.1 | number & >=0 & <=1
 		floor: *1 | number & >=0 & <=1000
@@ -202,7 +207,7 @@
 
 #Method: {
 	pool: string & !=""
-	// What an RPC that came without them gets.
+	// Path, verb and variables of RPCs that have none.
 	path: =~"^/"
 	verb: *"POST" | "DELETE" | "GET" | "HEAD" | "OPTIONS" | "PATCH" | "PUT"
 	variables?: [string]: string
--- a/internal/model/model.go
+++ b/internal/model/model.go
@@ -1,7 +1,7 @@
-// Package model is the YANG model (RFC 7950) of a server's settings and state, and checks trees of settings against it: no
-// key that the model lacks, each leaf of its type and within its range, mandatory leaves set, references to what exists. The
-// model is parsed by goyang, which is heavy, so the daemon must never import this package. What a must-statement says is
-// checked by package operator, in the same words.
+// Package model holds the YANG model (RFC 7950) of a server's settings and state, and checks trees of settings against it. The
+// check rejects unknown keys, leaves of a wrong type or out of range, missing mandatory leaves, and references to entries that
+// do not exist. The must-statements of the model are checked by package operator instead. goyang, which parses the model, is a
+// large dependency, so the daemon must never import this package.
 package model
 
 import (
@@ -16,20 +16,19 @@
 //go:embed sorrelvalve.yang
 var schema string
 
-// Schema returns the model's text.
+// Schema returns the source text of the model.
 func Schema() string { return schema }
 
-// moduleName is the model's name.
 const moduleName = "sorrelvalve"
 
-// errIncomplete is a model that lacks one of its two containers.
-var errIncomplete = errors.New("the model lacks config or state")
+// errIncomplete reports a model without the container config or state.
+var errIncomplete = errors.New("model: container config or state is missing")
 
-// Model is the parsed model. It does not change after Load and may be used by many goroutines.
+// Model is the parsed model. It does not change after Load and is safe for concurrent use.
 type Model struct {
-	Config   *yang.Entry               // the settings, as in the operator's file
-	State    *yang.Entry               // what a server reports
-	patterns map[string]*regexp.Regexp // by their text in the model
+	Config   *yang.Entry               // settings, with the keys of the operator's file
+	State    *yang.Entry               // state that a server reports
+	patterns map[string]*regexp.Regexp // compiled patterns, by their text in the model
 }
 
 // Load parses the model.
@@ -57,19 +56,19 @@
 	return m, nil
 }
 
-// compile compiles the patterns of an entry and of all below it.
+// compile compiles the patterns of an entry and of its descendants.
 func (m *Model) compile(e *yang.Entry) error {
 	if e.Type != nil {
 		for _, p := range e.Type.Pattern {
-			x, err := regexp.Compile("^(" + p + ")$")
+			compiled, err := regexp.Compile("^(" + p + ")$")
 			if err != nil {
 				return fmt.Errorf("%s: %w", e.Path(), err)
 			}
-			m.patterns[p] = x
+			m.patterns[p] = compiled
 		}
 	}
-	for _, c := range e.Dir {
-		if err := m.compile(c); err != nil {
+	for _, child := range e.Dir {
+		if err := m.compile(child); err != nil {
 			return err
 		}
 	}
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -25,7 +25,8 @@
 	return m
 }
 
-// Model and operator's file have the same keys, both ways, and agree which are tables, lists and leaves.
+// The model and operator.File have the same keys, and agree on which of them are tables, lists and leaves. A key that is added
+// to only one of the two would make valid settings fail.
 func TestKeysAgree(t *testing.T) {
 	m := load(t)
 	var walk func(path string, e *yang.Entry, typ reflect.Type)
@@ -35,14 +36,14 @@
 		}
 		if e.IsList() {
 			if typ.Kind() != reflect.Map {
-				t.Errorf("%s: a list in the model, %v in the file", path, typ)
+				t.Errorf("%s: list in the model, %v in operator.File", path, typ)
 				return
 			}
 			typ = typ.Elem()
 		}
 		if typ.Kind() != reflect.Struct {
 			if leaf := e.IsLeaf() || e.IsLeafList() || e.IsList() && len(e.Dir) == 2; !leaf {
-				t.Errorf("%s: a table in the model, %v in the file", path, typ)
+				t.Errorf("%s: table in the model, %v in operator.File", path, typ)
 			}
 			return
 		}
@@ -54,7 +55,7 @@
 			}
 			keys = append(keys, key)
 			if e.Dir[key] == nil {
-				t.Errorf("%s/%s: not in the model", path, key)
+				t.Errorf("%s/%s: missing in the model", path, key)
 				continue
 			}
 			walk(path+"/"+key, e.Dir[key], typ.Field(i).Type)
@@ -62,13 +63,13 @@
 		for key := range e.Dir {
 			listKey := e.IsList() && key == e.Key
 			if !slices.Contains(keys, key) && !listKey {
-				t.Errorf("%s/%s: not in the file", path, key)
+				t.Errorf("%s/%s: missing in operator.File", path, key)
 			}
 		}
 	}
 	walk("", m.Config, reflect.TypeFor[operator.File]())
 	if m.State.Config != yang.TSFalse {
-		t.Error("state can be set")
+		t.Error("container state is not config false")
 	}
 }
 
@@ -84,8 +85,8 @@
 	return tree
 }
 
-// The example that ships passes the model's check; each change that the model does not allow is reported by its path, and CUE's
-// schema or the checks of the file reject it as well.
+// deploy/operator.cue passes the check of the model. Each invalid change is reported with its path, and cuefile rejects it as
+// well: if the two disagreed, a file could be valid for one tool and invalid for another.
 func TestCheck(t *testing.T) {
 	m := load(t)
 	f, errs := cuefile.Compile([]string{"../../deploy/operator.cue"}, route.Catalog{})
@@ -97,57 +98,57 @@
 	}
 	cases := []struct {
 		name, path string
-		value      any // nil: it goes
-		text       string
+		value      any    // nil deletes the key
+		text       string // of the violation; "" if the change is valid
 	}{
-		{"a key that is not known", "uwsgi/bodys", 1.0, "no such key"},
-		{"a table that is not known", "route", configure.Tree{}, "no such key"},
-		{"a number for a text", "version", 7.0, "a text"},
-		{"a text for a number", "uwsgi/variables", "7", "a number"},
-		{"below its range", "uwsgi/variables", 7.0, "expected, 7 there"},
-		{"above its range", "pools/pages/min_share", 1.5, "expected, 1.5 there"},
-		{"between two ranges", "pools/pages/outlier", 1.0, "expected, 1 there"},
+		{"unknown key", "uwsgi/bodys", 1.0, "unknown key"},
+		{"unknown table", "route", configure.Tree{}, "unknown key"},
+		{"number for a text", "version", 7.0, "a text"},
+		{"text for a number", "uwsgi/variables", "7", "a number"},
+		{"below the range", "uwsgi/variables", 7.0, "must be in the range 8..1024, got 7"},
+		{"above the range", "pools/pages/min_share", 1.5, ", got 1.5"},
+		{"between two ranges", "pools/pages/outlier", 1.0, ", got 1"},
 		{"in the first of two ranges", "pools/pages/outlier", 0.0, ""},
-		{"no whole number", "pools/pages/connections", 1.5, "whole"},
-		{"one of a list of words", "uwsgi/keep", "sometimes", "asked"},
-		{"a text for true or false", "uwsgi/half_close", "true", "true or false"},
-		{"an address without a port", "uwsgi/listen", "127.0.0.1", "like"},
-		{"a leaf for a table", "pools/pages", 7.0, "a table"},
-		{"a leaf for a list", "pools/pages/members", "127.0.0.1:1", "a list"},
+		{"fraction for a whole number", "pools/pages/connections", 1.5, "whole"},
+		{"unknown enum value", "uwsgi/keep", "sometimes", "asked"},
+		{"text for a boolean", "uwsgi/half_close", "true", "true or false"},
+		{"address without a port", "uwsgi/listen", "127.0.0.1", "must match"},
+		{"leaf for a table", "pools/pages", 7.0, "a table"},
+		{"leaf for a list", "pools/pages/members", "127.0.0.1:1", "a list"},
 		{"no members", "pools/pages/members", []any{}, "1 to 64"},
-		{"a member that is no address", "pools/pages/members", []any{"db"}, "like"},
-		{"a pool that is not there", "methods/account-view/pool", "others", "none of"},
-		{"what must be set", "routes/view/method", nil, "must be set"},
-		{"a mandatory leaf of a table that is there", "uwsgi/listen", nil, "must be set"},
-		{"a path that is none", "routes/view/path", "view", "like"},
-		{"a verb that is none", "routes/view/verb", "BREW", "DELETE"},
-		{"a quota", "limits/quotas", configure.Tree{"acme": 5.0}, ""},
-		{"a quota below nothing", "limits/quotas", configure.Tree{"acme": -5.0}, "expected, -5 there"},
-		{"a store", "store", configure.Tree{"dir": "/x"}, ""},
-		{"a store without a folder", "store", configure.Tree{"mb": 5.0}, "must be set"},
+		{"member that is not an address", "pools/pages/members", []any{"db"}, "must match"},
+		{"unknown pool", "methods/account-view/pool", "others", "does not exist in"},
+		{"mandatory leaf deleted", "routes/view/method", nil, "must be set"},
+		{"mandatory leaf of an optional table deleted", "uwsgi/listen", nil, "must be set"},
+		{"path without a slash", "routes/view/path", "view", "must match"},
+		{"unknown verb", "routes/view/verb", "BREW", "DELETE"},
+		{"quota", "limits/quotas", configure.Tree{"acme": 5.0}, ""},
+		{"negative quota", "limits/quotas", configure.Tree{"acme": -5.0}, ", got -5"},
+		{"store", "store", configure.Tree{"dir": "/x"}, ""},
+		{"store without a directory", "store", configure.Tree{"mb": 5.0}, "must be set"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tree := treeOf(t, f)
 			path := configure.Path(strings.Split(c.path, "/"))
-			at := tree
+			table := tree
 			for _, key := range path[:len(path)-1] {
-				at = at[key].(configure.Tree)
+				table = table[key].(configure.Tree)
 			}
 			if last := path[len(path)-1]; c.value == nil {
-				delete(at, last)
+				delete(table, last)
 			} else {
-				at[last] = c.value
+				table[last] = c.value
 			}
 			faults := m.Check(tree)
 			found := c.text == "" && len(faults) == 0
-			for _, x := range faults {
-				found = found || c.text != "" && strings.HasPrefix(x.Path.String(), path.String()) && strings.Contains(x.Text, c.text)
+			for _, fault := range faults {
+				found = found || c.text != "" && strings.HasPrefix(fault.Path.String(), path.String()) && strings.Contains(fault.Text, c.text)
 			}
 			if !found {
-				t.Errorf("faults %v, want %s: %s", faults, path, c.text)
+				t.Errorf("violations: got %v, want %s: %s", faults, path, c.text)
 			}
-			b, err := json.Marshal(tree) // JSON is CUE
+			b, err := json.Marshal(tree) // valid CUE as well, as JSON is a subset
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -156,7 +157,7 @@
 				t.Fatal(err)
 			}
 			if _, errs := cuefile.Compile([]string{file}, route.Catalog{}); (len(errs) > 0) != (c.text != "") {
-				t.Errorf("the file's own checks say %v", errs)
+				t.Errorf("cuefile disagrees with the model: errors %v", errs)
 			}
 		})
 	}
--- a/internal/operator/check.go
+++ b/internal/operator/check.go
@@ -11,32 +11,32 @@
 	"sorrelvalve/decision/route"
 )
 
-// Bounds of what a file may name.
+// Limits on the contents of a file.
 const (
-	maxSeeds         = 64 // a few in each zone are enough to find the rest by
-	maxPermitServers = 7  // more replicas agree no better
-	maxMembers       = 64 // of a pool: each costs a look at every choice
+	maxSeeds         = 64 // a few seeds in each zone are enough to discover the other servers
+	maxPermitServers = 7  // more replicas do not make the consensus more reliable
+	maxMembers       = 64 // of a pool; every choice of a member examines all of them
 	maxNameBytes     = 64
 )
 
-// FieldError is one thing wrong with a file, by the path of the key.
+// FieldError reports an invalid value of a file, or a missing one.
 type FieldError struct {
-	Path    string // as CUE writes it: pools."db".members[1]
+	Path    string // of the key, in CUE syntax: pools."db".members[1]
 	Message string
 }
 
 // Error returns the path and the message.
 func (e FieldError) Error() string { return e.Path + ": " + e.Message }
 
-// checker gathers what is wrong with a file, one method for each of its parts.
+// checker collects the errors of a file. It has a method for each part of the file.
 type checker struct {
 	file   *File
 	known  route.Catalog
 	faults []FieldError
 }
 
-// Check returns all that is wrong with a file, in the order of its keys. known are the names of the settings; the zero
-// value checks no names.
+// Check returns all errors of a file, in the order of the file's parts. known holds the names in the settings; with the zero
+// value no names are checked.
 func Check(f *File, known route.Catalog) []FieldError {
 	c := &checker{file: f, known: known}
 	c.version()
@@ -54,34 +54,36 @@
 	return c.faults
 }
 
+// fail adds an error.
 func (c *checker) fail(path, format string, a ...any) {
 	c.faults = append(c.faults, FieldError{path, fmt.Sprintf(format, a...)})
 }
 
-// within checks a number's range. NaN lies in none.
+// within checks that a number is in a range. NaN is in no range.
 func (c *checker) within(path string, v, low, high float64) {
 	inRange := v >= low && v <= high
 	if !inRange {
-		c.fail(path, "a number from %g to %g expected, %g there", low, high, v)
+		c.fail(path, "must be a number from %g to %g, got %g", low, high, v)
 	}
 }
 
 // address checks that a value is an IP address with a port.
 func (c *checker) address(path, value string) {
 	if !isAddress(value) {
-		c.fail(path, "an IP address and a port expected, %.60q there", value)
+		c.fail(path, "must be an IP address and a port, got %.60q", value)
 	}
 }
 
+// name checks the length of a name, which may be empty.
 func (c *checker) name(path, value string) {
 	if len(value) > maxNameBytes {
-		c.fail(path, "at most %d bytes expected", maxNameBytes)
+		c.fail(path, "must be at most %d bytes long", maxNameBytes)
 	}
 }
 
 func (c *checker) version() {
 	if c.file.Version == "" || len(c.file.Version) > maxNameBytes {
-		c.fail("version", "a text of up to %d bytes expected", maxNameBytes)
+		c.fail("version", "must be a text of 1 to %d bytes", maxNameBytes)
 	}
 }
 
@@ -101,7 +103,7 @@
 		path := entryPath("limits.quotas", name)
 		c.within(path, limits.Quotas[name], 0, 1e9)
 		if len(c.known.Customers) > 0 && !slices.Contains(c.known.Customers, name) {
-			c.fail(path, "no customer of the settings")
+			c.fail(path, "no customer of the settings has this name")
 		}
 	}
 }
@@ -112,7 +114,7 @@
 		return
 	}
 	if store.Dir == "" {
-		c.fail("store.dir", "a path expected")
+		c.fail("store.dir", "must be a path")
 	}
 	c.within("store.mb", store.MaxMB, 1, 1<<20)
 	c.within("store.segment_mb", store.SegmentMB, 0.1, 4096)
@@ -129,7 +131,7 @@
 		return
 	}
 	if trace.Path == "" {
-		c.fail("trace.path", "a path expected")
+		c.fail("trace.path", "must be a path")
 	}
 	c.within("trace.file_mb", trace.MaxFileMB, 0.1, 1<<20)
 	c.within("trace.files", float64(trace.MaxFiles), 1, 1000)
@@ -149,20 +151,20 @@
 func (c *checker) fleetAddresses(fleet *Fleet) {
 	c.address("fleet.listen", fleet.Listen)
 	if isAddress(fleet.Listen) && fleet.Advertise == "" && isUnspecified(fleet.Listen) {
-		c.fail("fleet.advertise", "it must be set where fleet.listen is no address that others can reach")
+		c.fail("fleet.advertise", "must be set, because other servers cannot reach the address in fleet.listen")
 	}
 	if fleet.Advertise != "" {
 		c.address("fleet.advertise", fleet.Advertise)
 	}
 	if len(fleet.Seeds) > maxSeeds {
-		c.fail("fleet.seeds", "at most %d addresses expected, %d there", maxSeeds, len(fleet.Seeds))
+		c.fail("fleet.seeds", "must be at most %d addresses, got %d", maxSeeds, len(fleet.Seeds))
 	}
 	for i, seed := range fleet.Seeds {
 		c.address(fmt.Sprintf("fleet.seeds[%d]", i), seed)
 	}
 	for i, server := range fleet.PermitServers {
 		if !isAddress(server) || i >= maxPermitServers {
-			c.fail(fmt.Sprintf("fleet.keepers[%d]", i), "an IP address and a port expected, at most %d; %.60q there", maxPermitServers, server)
+			c.fail(fmt.Sprintf("fleet.keepers[%d]", i), "must be an IP address and a port, with at most %d addresses in the list, got %.60q", maxPermitServers, server)
 		}
 	}
 }
@@ -171,15 +173,15 @@
 	front := c.file.UWSGI
 	if front == nil {
 		if len(c.file.Routes) > 0 {
-			c.fail("routes", "there is no front that they could serve: uwsgi is not set")
+			c.fail("routes", "there is no front to use them: uwsgi is not set")
 		}
 		return
 	}
 	if !isAddress(front.Listen) {
-		c.fail("uwsgi.listen", "an IP address and a port, as 10.0.0.4:3031, expected, %.60q there", front.Listen)
+		c.fail("uwsgi.listen", "must be an IP address and a port, such as 10.0.0.4:3031, got %.60q", front.Listen)
 	}
 	if !slices.Contains([]string{KeepAliveAsked, KeepAliveAlways, KeepAliveNever}, front.KeepAlive) {
-		c.fail("uwsgi.keep", "asked, always or never expected, %.40q there", front.KeepAlive)
+		c.fail("uwsgi.keep", "must be asked, always or never, got %.40q", front.KeepAlive)
 	}
 	c.within("uwsgi.block_bytes", float64(front.MaxHeaderBytes), 512, 65535)
 	c.within("uwsgi.variables", float64(front.MaxVariables), 8, 1024)
@@ -208,21 +210,21 @@
 		c.pool(path, &pool)
 		serves := func(method string) bool { return c.file.Methods[method].Pool == name }
 		if !slices.ContainsFunc(sortedKeys(c.file.Methods), serves) {
-			c.fail(path, "no method has its work done there")
+			c.fail(path, "no method uses this pool")
 		}
 	}
 }
 
 func (c *checker) members(path string, members []string) {
 	if len(members) == 0 || len(members) > maxMembers {
-		c.fail(path+".members", "1 to %d addresses expected, %d there", maxMembers, len(members))
+		c.fail(path+".members", "must be 1 to %d addresses, got %d", maxMembers, len(members))
 	}
 	for i, member := range members {
 		memberPath := fmt.Sprintf("%s.members[%d]", path, i)
 		if !isAddress(member) {
 			c.address(memberPath, member)
 		} else if first := slices.Index(members, member); first < i {
-			c.fail(memberPath, "%s is member %d already", member, first)
+			c.fail(memberPath, "address %s is already used by member %d", member, first)
 		}
 	}
 }
@@ -250,35 +252,36 @@
 	for _, name := range sortedKeys(c.file.Methods) {
 		method, path := c.file.Methods[name], entryPath("methods", name)
 		if c.known.Methods != nil && !slices.Contains(c.known.Methods, name) {
-			c.fail(path, "%q is no method of the settings", name)
+			c.fail(path, "no method of the settings is named %q", name)
 		}
-		if _, has := c.file.Pools[method.Pool]; !has {
-			c.fail(path+".pool", "%.40q is no pool of this file", method.Pool)
+		if _, ok := c.file.Pools[method.Pool]; !ok {
+			c.fail(path+".pool", "no pool of this file is named %.40q", method.Pool)
 		}
 		if !strings.HasPrefix(method.Path, "/") {
-			c.fail(path+".path", "a path that begins with a slash expected, %.40q there", method.Path)
+			c.fail(path+".path", "must be a path that begins with a slash, got %.40q", method.Path)
 		}
 		if !slices.Contains(route.Verbs, method.Verb) {
-			c.fail(path+".verb", "one of %s expected, %.40q there", strings.Join(route.Verbs, ", "), method.Verb)
+			c.fail(path+".verb", "must be one of %s, got %.40q", strings.Join(route.Verbs, ", "), method.Verb)
 		}
 	}
 }
 
-// expectations checks them only in a file that is sound else: a route that is wrong causes most that is not as expected.
+// expectations checks the expectations, but only in a file without other errors: an invalid route would make many expectations
+// fail.
 func (c *checker) expectations() {
 	if len(c.faults) > 0 || len(c.file.Expectations) == 0 {
 		return
 	}
 	for _, fault := range c.file.checkExpectations(c.known) {
-		kind := "it does not hold"
+		kind := "expectation failed"
 		if fault.Untestable {
-			kind = "it can never be tested"
+			kind = "expectation can never be tested"
 		}
 		c.fail(entryPath("expect", fault.Name), "%s: %s", kind, fault.Text)
 	}
 }
 
-// isAddress tells whether s is an IP address with a port that is not 0.
+// isAddress reports whether s is an IP address with a port other than 0.
 func isAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || net.ParseIP(host) == nil {
@@ -288,7 +291,7 @@
 	return err == nil && n > 0
 }
 
-// isUnspecified tells whether an address listens on all interfaces.
+// isUnspecified reports whether an address stands for all interfaces.
 func isUnspecified(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	return err == nil && net.ParseIP(host).IsUnspecified()
@@ -298,5 +301,5 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// entryPath is the path of an entry of a table, quoted as CUE reads it.
+// entryPath returns the path of an entry of a table, with the entry's name quoted as in CUE.
 func entryPath(table, name string) string { return table + "." + strconv.Quote(name) }
--- a/internal/operator/record.go
+++ b/internal/operator/record.go
@@ -13,48 +13,48 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Format is the format of the records that this build reads and writes.
+// Format is the version of the record format that this build reads and writes.
 const Format = 1
 
-// maxRecordBytes bounds a record: ten thousand routes take about 4 MB.
+// maxRecordBytes bounds the size of a record. Ten thousand routes take about 4 MB.
 const maxRecordBytes = 16 << 20
 
-// Errors of records that can't be read, beside those of encoding/json and FieldError.
+// Errors of Load and Parse, in addition to FormatError, TrailingDataError, FieldError and the errors of encoding/json.
 var (
 	ErrTooLarge = fmt.Errorf("a record of at most %d bytes expected", maxRecordBytes)
 	ErrHash     = errors.New("hash: it is not that of the file in the record; compile it again")
 )
 
-// FormatError says that a record has a format which this build does not read.
+// FormatError reports a record in a format that this build does not read.
 type FormatError struct{ Got int }
 
-// Error names both formats and what to do.
+// Error returns both formats and the remedy.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("format: %d expected, %d there; compile the file with the valvectl of this build", Format, e.Got)
 }
 
-// TrailingDataError says that a record goes on after its end.
-type TrailingDataError struct{ Offset int64 } // in bytes
+// TrailingDataError reports data after the JSON object of a record.
+type TrailingDataError struct{ Offset int64 } // of the end of the object, in bytes
 
-// Error tells where the record should have ended.
+// Error returns the offset at which the record should have ended.
 func (e *TrailingDataError) Error() string {
 	return fmt.Sprintf("one object expected, more there after byte %d", e.Offset)
 }
 
-// Record is a file as it was compiled.
+// Record is a compiled operator's file.
 type Record struct {
 	Hash string // SHA-256 of the file's compact JSON, 64 hex digits
 	File File
 }
 
-// envelope is the form of a record on disk.
+// envelope is the JSON form of a record.
 type envelope struct {
 	Format int             `json:"format"`
 	Hash   string          `json:"hash"`
 	File   json.RawMessage `json:"file"`
 }
 
-// Marshal returns the record of a file that has been checked.
+// Marshal returns the record of a file. The caller has checked the file.
 func Marshal(f *File) ([]byte, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return append(b, '\n'), err
 }
 
-// hashOf hashes the text without its white space, so that a record may be laid out freely.
+// hashOf hashes JSON without its insignificant white space, so that reformatting a record does not change its hash. It returns
+// "" for invalid JSON.
 func hashOf(text []byte) string {
 	var compact bytes.Buffer
 	if json.Compact(&compact, text) != nil {
@@ -74,8 +75,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Load reads the record at path and checks it against the settings. Errors name the record and the key; the first
-// FieldError of a file that is wrong can be had by errors.As.
+// Load reads the record at path and checks it against the settings. Errors name the path of the record and the key. If values
+// are invalid, errors.As returns the first FieldError.
 func Load(path string, settings *startup.Config) (*Record, error) {
 	b, err := readBounded(path)
 	if err != nil {
@@ -91,17 +92,17 @@
 	return r, nil
 }
 
-// readBounded reads a file, but no more than it takes to know that it is too large.
+// readBounded reads at most maxRecordBytes+1 bytes of a file, enough to detect a record that is too large.
 func readBounded(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read
+	defer func() { _ = f.Close() }() // opened for reading
 	return io.ReadAll(io.LimitReader(f, maxRecordBytes+1))
 }
 
-// Parse decodes a record strictly; it does not check the file's values.
+// Parse decodes a record strictly and verifies its hash. It does not check the values of the file.
 func Parse(b []byte) (*Record, error) {
 	if len(b) > maxRecordBytes {
 		return nil, ErrTooLarge
@@ -113,7 +114,7 @@
 	if e.Format != Format {
 		return nil, &FormatError{e.Format}
 	}
-	if got := hashOf(e.File); got != e.Hash || got == "" {
+	if hash := hashOf(e.File); hash != e.Hash || hash == "" {
 		return nil, ErrHash
 	}
 	r := &Record{Hash: e.Hash}
@@ -123,7 +124,7 @@
 	return r, nil
 }
 
-// decodeStrict decodes one JSON object with no unknown key and nothing behind it.
+// decodeStrict decodes one JSON value. Unknown keys and trailing data are errors.
 func decodeStrict(b []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -12,7 +12,7 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Expectation is what an operator expects of routing, or of the order in which methods are rejected.
+// Expectation is an operator's test of routing, or of the order in which methods are rejected.
 type Expectation struct {
 	Host      string            `json:"host,omitempty"`
 	Path      string            `json:"path,omitempty"`
@@ -22,17 +22,17 @@
 	Method    string            `json:"method,omitempty"`
 	Customer  string            `json:"customer,omitempty"`
 	Pool      string            `json:"pool,omitempty"`
-	None      bool              `json:"none,omitempty"`  // no route matches
-	First     string            `json:"first,omitempty"` // method that is rejected before Then
+	None      bool              `json:"none,omitempty"`  // no route matches the request
+	First     string            `json:"first,omitempty"` // method whose RPCs are rejected before those of Then
 	Then      string            `json:"then,omitempty"`
-	OverQuota bool              `json:"over_quota,omitempty"` // First is over its customer's quota
+	OverQuota bool              `json:"over_quota,omitempty"` // also if RPCs of Then are over their customer's quota
 }
 
-// checkExpectations checks them against the file's routes and what is known of the settings.
+// checkExpectations checks the file's expectations against its routes and the names in the settings.
 func (f *File) checkExpectations(known route.Catalog) []expect.Failure {
-	all := map[string]expect.Expectation{}
+	expectations := map[string]expect.Expectation{}
 	for name, x := range f.Expectations {
-		all[name] = expect.Expectation{
+		expectations[name] = expect.Expectation{
 			Host:      x.Host,
 			Path:      x.Path,
 			Verb:      x.Verb,
@@ -60,10 +60,10 @@
 	for name, method := range f.Methods {
 		settings.Pools[name] = method.Pool
 	}
-	return expect.Check(all, settings)
+	return expect.Check(expectations, settings)
 }
 
-// Apply puts the file's limits and queue over those of the settings.
+// Apply overrides the limits and the queue in the settings with those of the file.
 func (f *File) Apply(settings *startup.Config) {
 	settings.Limits.DisplaceableFor = f.Queue.SettledMs
 	if f.Limits.OverQuotaFraction != nil {
@@ -75,13 +75,13 @@
 	settings.Customers = slices.Clone(settings.Customers)
 	for i := range settings.Customers {
 		customer := &settings.Customers[i]
-		if quota, has := f.Limits.Quotas[customer.Name]; has {
+		if quota, ok := f.Limits.Quotas[customer.Name]; ok {
 			customer.Quota = quota
 		}
 	}
 }
 
-// KnownNames returns the names that a file may use, from the settings.
+// KnownNames returns the names of the settings that a file may refer to.
 func KnownNames(settings *startup.Config) route.Catalog {
 	known := route.Catalog{
 		RequireToken:      map[string]bool{},
@@ -99,7 +99,7 @@
 	return known
 }
 
-// Rules returns the routes for package route, in the order of their names.
+// Rules returns the routes for package route, sorted by name.
 func (f *File) Rules() []route.Rule {
 	var rules []route.Rule
 	for _, name := range sortedKeys(f.Routes) {
@@ -126,7 +126,7 @@
 	return rules
 }
 
-// source is s for package route; a nil one is the zero value, which reads nothing.
+// source converts s for package route. A nil s gives the zero value, which yields no value for the field.
 func (s *Source) source() route.Source {
 	if s == nil {
 		return route.Source{}
@@ -134,7 +134,7 @@
 	return route.Source{Fixed: s.Fixed, Variable: s.Variable, Segment: s.Segment, Query: s.Query, Names: s.Names}
 }
 
-// Rules returns the pool's rules for package pool.
+// Rules returns the pool's configuration for package pool.
 func (p *Pool) Rules() pool.Config {
 	return pool.Config{
 		MaxConnections:      p.MaxConnections,
@@ -150,16 +150,17 @@
 	}
 }
 
-// RetryRules returns the rules of the pool's retry budget.
+// RetryRules returns the configuration of the pool's retry budget for package retry.
 func (p *Pool) RetryRules() retry.Config {
 	return retry.Config{RetryRatio: p.Retry.Share, MinPerSecond: p.Retry.Floor, MaxAttempts: p.Retry.MaxAttempts}
 }
 
-// fleetDescriptors is what membership takes: two sockets that listen, 32 exchanges that come in, two that go out, the
-// operators' socket and its eight readers, with some to spare.
+// fleetDescriptors is the number of file descriptors for fleet membership: two listening sockets, 32 incoming and two outgoing
+// streams, the operators' socket and its eight connections, and a margin.
 const fleetDescriptors = 48
 
-// Descriptors returns how many file descriptors the file's parts may take at once, beside the connections of the fronts.
+// Descriptors returns the maximum number of file descriptors that the parts of the file use at the same time, excluding the
+// connections of the fronts.
 func (f *File) Descriptors() int {
 	n := 0
 	for _, pool := range f.Pools {
@@ -177,5 +178,5 @@
 	return n
 }
 
-// Milliseconds converts a time of the file.
+// Milliseconds converts a time of the file, which is in milliseconds.
 func Milliseconds(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
--- a/internal/operator/tree.go
+++ b/internal/operator/tree.go
@@ -8,21 +8,21 @@
 	"sorrelvalve/decision/configure"
 )
 
-// RestartOnly are the paths that only a restart can change: what the decisions are made from, where the front listens,
-// and the files that are held open.
+// RestartOnly lists the paths that only a restart can change: the controller's settings, the listening addresses, and the files
+// that stay open.
 var RestartOnly = []configure.Path{{"hold"}, {"limits"}, {"trace"}, {"store"}, {"uwsgi", "listen"}, {"fleet"}}
 
-// Tree returns a file as a tree for package configure, with all its keys.
+// Tree converts a file to a tree for package configure.
 func Tree(f *File) (configure.Tree, error) {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return nil, err
 	}
-	var t configure.Tree
-	return t, json.Unmarshal(b, &t)
+	var tree configure.Tree
+	return tree, json.Unmarshal(b, &tree)
 }
 
-// FromTree returns the file that a tree holds, decoded as strictly as a record.
+// FromTree converts a tree to a file. An unknown key is an error, as in a record.
 func FromTree(t configure.Tree) (*File, error) {
 	b, err := json.Marshal(t)
 	if err != nil {
@@ -34,27 +34,28 @@
 	return f, d.Decode(f)
 }
 
-// Overlay returns a version that is for a whole fleet laid over one server's own file: what only a restart can change
-// is as the own file has it where the version says nothing of it. The result shares its maps and pointers with both.
+// Overlay returns the settings of a server that runs a version which was released to the whole fleet. A part that only a
+// restart can change is taken from the server's own file if the version does not set it. The result shares maps and pointers
+// with both files.
 func (f *File) Overlay(own *File) File {
-	x := *f
-	if x.Queue == (Queue{}) {
-		x.Queue = own.Queue
+	merged := *f
+	if merged.Queue == (Queue{}) {
+		merged.Queue = own.Queue
 	}
-	if reflect.ValueOf(x.Limits).IsZero() {
-		x.Limits = own.Limits
+	if reflect.ValueOf(merged.Limits).IsZero() {
+		merged.Limits = own.Limits
 	}
-	if x.Trace == nil {
-		x.Trace = own.Trace
+	if merged.Trace == nil {
+		merged.Trace = own.Trace
 	}
-	if x.Store == nil {
-		x.Store = own.Store
+	if merged.Store == nil {
+		merged.Store = own.Store
 	}
-	if x.UWSGI == nil {
-		x.UWSGI = own.UWSGI
+	if merged.UWSGI == nil {
+		merged.UWSGI = own.UWSGI
 	}
-	if x.Fleet == nil {
-		x.Fleet = own.Fleet
+	if merged.Fleet == nil {
+		merged.Fleet = own.Fleet
 	}
-	return x
+	return merged
 }
