--- a/internal/permitclient/status.go
+++ b/internal/permitclient/status.go
@@ -1,6 +1,6 @@
 package permitclient
 
-// This file owns how the service's status is shown to an operator.
+// This file formats the status of the service for an operator.
 
 import (
 	"cmp"
@@ -13,34 +13,35 @@
 )
 
 const (
-	maxShownHistory = 20 // the latest steps
-	maxShownNames   = 8  // of a list of servers
+	maxShownHistory = 20 // commands
+	maxShownNames   = 8  // servers of a list
 )
 
-// WriteStatus writes the leader, halts, permits, drains of members, what is out of service, and the latest steps as tables.
+// WriteStatus writes the status as tables: the leader, halts, permits, drains of pool members, the servers and members that are
+// out of service, and the latest commands.
 func WriteStatus(to io.Writer, status Status) error {
 	var b strings.Builder
 	s := status.State
-	fmt.Fprintf(&b, "%s leads; %d servers, %d members of pools; %.3g of the RPCs of late pushed back\n", status.Leader, len(s.Servers), len(s.Members), status.RejectedShare)
+	fmt.Fprintf(&b, "leader: %s; %d servers, %d pool members; share of recent RPCs rejected: %.3g\n", status.Leader, len(s.Servers), len(s.Members), status.RejectedShare)
 	if s.HaltReason != "" {
 		fmt.Fprintf(&b, "halted by %s: %s\n", cmp.Or(s.HaltedBy, "somebody"), s.HaltReason)
 	}
 	if s.AutoHaltReason != "" {
-		fmt.Fprintf(&b, "halted by itself, until that ends: %s\n", s.AutoHaltReason)
+		fmt.Fprintf(&b, "halted automatically until the cause ends: %s\n", s.AutoHaltReason)
 	}
 	var tables strings.Builder
-	tables.WriteString("permit\tfor\theld by\twhy\tbegun\twanted back by\n")
+	tables.WriteString("permit\tsubject\theld by\treason\tbegun\trecalled by\n")
 	for _, p := range s.Granted() {
 		fmt.Fprintf(&tables, "%d\t%s\t%s\t%s\t%v\t%s\n", p.ID, p.Subject, p.Holder, p.Reason, p.Begun, p.RecalledBy)
 	}
 	for i := range status.Drains {
 		writeDrain(&tables, &status.Drains[i])
 	}
-	tables.WriteString("\nout, whyever\tpart\n")
-	for _, x := range status.Observations {
-		fmt.Fprintf(&tables, "%s\t%.2f\n", x.Name, x.OutOfService)
+	tables.WriteString("\nout of service\tshare\n")
+	for _, o := range status.Observations {
+		fmt.Fprintf(&tables, "%s\t%.2f\n", o.Name, o.OutOfService)
 	}
-	tables.WriteString("\nstep\twhat\tfor\tby\twhy\tdone\n")
+	tables.WriteString("\nindex\tcommand\tsubject\tby\treason\tOK\n")
 	for _, e := range s.History[max(0, len(s.History)-maxShownHistory):] {
 		fmt.Fprintf(&tables, "%d\t%s\t%s\t%s\t%s\t%v\n", e.Index, e.Kind, e.Subject, e.Actor, e.Reason, e.OK)
 	}
@@ -54,16 +55,17 @@
 	return w.Flush()
 }
 
+// writeDrain writes the row of one pool member that drains.
 func writeDrain(b *strings.Builder, d *permit.DrainStatus) {
-	state := "not yet"
+	state := "in progress"
 	if d.Done {
 		state = "done"
 	}
-	fmt.Fprintf(b, "drained\t%s\t%s\tin hand %d\twaits for %s\tcan't: %s\tnot heard: %s\n",
+	fmt.Fprintf(b, "drain\t%s\t%s\tin flight: %d\tpending: %s\tblocked: %s\tunreachable: %s\n",
 		d.Subject, state, d.InFlight, joinNames(d.Pending), joinNames(d.Blocked), joinNames(d.Unreachable))
 }
 
-// joinNames lists the first names and counts the others.
+// joinNames lists the first maxShownNames names and counts the others.
 func joinNames(names []string) string {
 	switch {
 	case len(names) == 0:
--- a/internal/permitserver/command/operate.go
+++ b/internal/permitserver/command/operate.go
@@ -1,6 +1,6 @@
 package command
 
-// This file owns the operators' commands, which any replica accepts.
+// This file implements the operators' commands. They can be sent to any replica.
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// requestTimeout bounds each command: two elections and the answer.
+// requestTimeout bounds each command. It covers two elections and the response.
 const requestTimeout = 10 * time.Second
 
-// cluster holds the flags of all operators' commands.
+// cluster holds the flags that all operators' commands share.
 type cluster struct {
-	Servers []string `name:"keepers" required:"" placeholder:"ADDRESS" help:"Where replicas take clients; any of them leads on to the leader."`
+	Servers []string `name:"keepers" required:"" placeholder:"ADDRESS" help:"Client addresses of replicas. Any replica redirects to the leader."`
 }
 
-// withClient calls f with a client of the cluster.
+// withClient calls f with a client of the cluster and a context that ends after requestTimeout.
 func (c cluster) withClient(f func(ctx context.Context, client *permitclient.Client) error) error {
 	client := permitclient.New(c.Servers)
 	defer client.Close()
@@ -34,7 +34,7 @@
 	return f(ctx, client)
 }
 
-// do sends one command, under an ID that stays the same over all attempts.
+// do sends one command. All attempts use the same command ID, so the command is applied at most once.
 func (c cluster) do(command permit.Command) error {
 	var id [12]byte
 	rand.Read(id[:]) // never fails
@@ -53,7 +53,7 @@
 
 type haltCommand struct {
 	cluster
-	Why string `required:"" help:"For other operators."`
+	Why string `required:"" help:"Reason, shown to other operators."`
 }
 
 // Run halts all new drains.
@@ -61,7 +61,7 @@
 
 type resumeCommand struct {
 	cluster
-	Why string `help:"For other operators."`
+	Why string `help:"Reason, shown to other operators."`
 }
 
 // Run ends a manual halt.
@@ -70,7 +70,7 @@
 type freeCommand struct {
 	cluster
 	Subject string `arg:"" help:"A server's name, or pool/member."`
-	Why     string `required:"" help:"What is known of it: it is recorded with who said so."`
+	Why     string `required:"" help:"What is known about the holder. It is recorded with your user name."`
 }
 
 // Run frees a permit.
@@ -80,30 +80,30 @@
 
 type replaceCommand struct {
 	cluster
-	Out string `arg:"" help:"The name of the replica that is lost. It never votes again under that name."`
-	In  string `arg:"" optional:"" placeholder:"NAME=RAFT" help:"The new one, which runs with --join."`
+	Out string `arg:"" help:"Name of the lost replica. It can never vote again under this name."`
+	In  string `arg:"" optional:"" placeholder:"NAME=RAFT" help:"The new replica, which must run with --join."`
 }
 
 // Run replaces a replica.
 func (c replaceCommand) Run() error {
-	x := permitclient.Replacement{Removed: c.Out}
+	replacement := permitclient.Replacement{Removed: c.Out}
 	if c.In != "" {
 		name, raft, ok := strings.Cut(c.In, "=")
 		if !ok || name == "" {
-			return fmt.Errorf("NAME=RAFT expected, %q there", c.In)
+			return fmt.Errorf("expected NAME=RAFT, got %q", c.In)
 		}
-		x.Added = name
-		x.AddedRaftAddr = raft
+		replacement.Added = name
+		replacement.AddedRaftAddr = raft
 	}
-	return c.withClient(func(ctx context.Context, client *permitclient.Client) error { return client.Replace(ctx, x) })
+	return c.withClient(func(ctx context.Context, client *permitclient.Client) error { return client.Replace(ctx, replacement) })
 }
 
 type setCommand struct {
 	cluster
-	File string `arg:"" type:"existingfile" help:"JSON: servers, members, limits (docs/operate/permit-service.md)."`
+	File string `arg:"" type:"existingfile" help:"JSON file with servers, members and limits (see docs/operate/permit-service.md)."`
 }
 
-// Run replaces the roster and the limits.
+// Run replaces the roster and the limits with those of the file.
 func (c setCommand) Run() error {
 	b, err := os.ReadFile(c.File)
 	if err != nil {
@@ -125,7 +125,7 @@
 
 type statusCommand struct {
 	cluster
-	JSON bool `help:"As the leader's API returns it."`
+	JSON bool `help:"Print the JSON that the leader's API returns."`
 }
 
 // Run prints the status.
--- a/internal/permitserver/command/serve.go
+++ b/internal/permitserver/command/serve.go
@@ -13,12 +13,12 @@
 )
 
 type serveCommand struct {
-	Name string   `required:"" help:"Of this replica, the same after a restart."`
-	Peer []string `required:"" placeholder:"NAME=RAFT,HTTP" sep:"none" help:"One of all replicas, this one included: its name, where the other replicas reach it, where clients do. Given once for each."`
-	Dir  string   `required:"" type:"path" help:"For the log and snapshots, on a disk that lasts."`
-	Bind string   `help:"Where to listen for other replicas, if not where they reach this one."`
-	New  bool     `help:"A new cluster: the folder may be empty."`
-	Join bool     `help:"In place of another replica: the folder may be empty, and replace adds this one."`
+	Name string   `required:"" help:"Name of this replica. It must not change on a restart."`
+	Peer []string `required:"" placeholder:"NAME=RAFT,HTTP" sep:"none" help:"A replica: its name, its address for other replicas and its address for clients. Repeat for each replica, including this one."`
+	Dir  string   `required:"" type:"path" help:"Directory for the log and snapshots, on a persistent disk."`
+	Bind string   `help:"Address to listen on for other replicas, if it differs from the one in --peer."`
+	New  bool     `help:"Start a new cluster: the directory may be empty."`
+	Join bool     `help:"Start in place of another replica: the directory may be empty. The replace command adds this replica."`
 }
 
 // Run serves until SIGTERM, SIGINT or an error.
@@ -68,13 +68,13 @@
 	}
 }
 
-// parsePeers reads the peers of the command line, each NAME=RAFT,HTTP.
+// parsePeers parses the --peer flags, each of the form NAME=RAFT,HTTP.
 func parsePeers(texts []string) (peers []permitserver.Peer, err error) {
 	for _, text := range texts {
 		name, addrs, hasName := strings.Cut(text, "=")
 		raft, http, hasBoth := strings.Cut(addrs, ",")
 		if !hasName || !hasBoth || name == "" {
-			return nil, fmt.Errorf("--peer: NAME=RAFT,HTTP expected, %q there", text)
+			return nil, fmt.Errorf("--peer: expected NAME=RAFT,HTTP, got %q", text)
 		}
 		peers = append(peers, permitserver.Peer{Name: name, RaftAddr: raft, HTTPAddr: http})
 	}
--- a/internal/permitserver/commands.go
+++ b/internal/permitserver/commands.go
@@ -1,6 +1,6 @@
 package permitserver
 
-// This file owns commands on their way through the log, and reads of the replicated state.
+// This file implements the replication of commands through the log, and reads of the replicated state.
 
 import (
 	"encoding/json"
@@ -14,8 +14,9 @@
 	"sorrelvalve/decision/release"
 )
 
-// Do carries a command through the log and returns its result once a majority has stored it. It fails with NotLeaderError on
-// a replica that is not the leader, and if a majority can't be reached in time: then the same command may be sent again.
+// Do replicates a command through the log and returns its result once a majority has stored it. It returns a NotLeaderError
+// on a replica that is not the leader, and an error if no majority stores the command in time. In either case the caller may
+// send the same command again.
 func (s *Server) Do(c permit.Command) (permit.Result, error) {
 	c.Observations = nil
 	if c.Kind == permit.Acquire || c.Kind == permit.Begin || c.Kind == permit.Observe {
@@ -36,7 +37,8 @@
 	return result, nil
 }
 
-// Release carries a command on versions and releases through the log, as Do does. A plan is for the roster as it stands.
+// Release replicates a command on versions and releases through the log, as Do does. A release is planned for the servers
+// that are in the roster when the leader receives the command.
 func (s *Server) Release(c release.Command) (release.Result, error) {
 	c.Servers = nil
 	if c.Kind == release.PlanRelease {
@@ -56,17 +58,17 @@
 	return result, nil
 }
 
-// roster returns the servers of the roster for a release.
+// roster returns the servers of the current roster, in the form that a release plan takes.
 func (s *Server) roster() (servers []release.Server) {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
-	for _, x := range s.machine.permits.Servers {
-		servers = append(servers, release.Server{Name: x.Name, Zone: x.Zone})
+	for _, server := range s.machine.permits.Servers {
+		servers = append(servers, release.Server{Name: server.Name, Zone: server.Zone})
 	}
 	return servers
 }
 
-// apply carries an entry through the log and returns the state machine's response.
+// apply replicates an entry through the log and returns the state machine's response.
 func (s *Server) apply(e *entry) (any, error) {
 	b, err := seal(e)
 	if err != nil {
@@ -85,8 +87,8 @@
 	return f.Response(), nil
 }
 
-// State returns a copy of the permits' state as of a moment after the call, and what this replica observes: it verifies with
-// a majority that it is the leader.
+// State returns a copy of the permit state and the observations of this replica. The read is linearizable: the replica
+// verifies with a majority that it is the leader, and waits until all earlier entries are applied.
 func (s *Server) State() (*permit.State, []permit.Observation, error) {
 	if err := s.raft.VerifyLeader().Error(); err != nil {
 		return nil, nil, s.notLeader()
@@ -104,7 +106,7 @@
 	return state, s.observations(), err
 }
 
-// version returns a copy of a stored version; nil if it is not stored.
+// version returns a copy of a stored version, or nil if the version is not stored.
 func (s *Server) version(track release.Track, number uint64) *release.Version {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
@@ -112,24 +114,25 @@
 	if v == nil {
 		return nil
 	}
-	x := *v
-	return &x
+	versionCopy := *v
+	return &versionCopy
 }
 
-// releaseState returns a copy of a track's state, without the bodies of settings and the results retained for retries.
+// releaseState returns a copy of a track's state, without the bodies of settings versions and without the results that are
+// retained for retried commands.
 func (s *Server) releaseState(track release.Track) (*release.State, error) {
 	s.machine.mu.Lock()
 	defer s.machine.mu.Unlock()
-	x := *s.machine.releases[track]
-	x.Versions = slices.Clone(x.Versions)
-	if track == release.Settings { // the body of a program's version is its name
-		for i := range x.Versions {
-			x.Versions[i].Body = nil
+	stateCopy := *s.machine.releases[track]
+	stateCopy.Versions = slices.Clone(stateCopy.Versions)
+	if track == release.Settings { // the body of a program version is only the program's name
+		for i := range stateCopy.Versions {
+			stateCopy.Versions[i].Body = nil
 		}
 	}
-	x.Results = nil
-	x.ResultOrder = nil
-	b, err := json.Marshal(x)
+	stateCopy.Results = nil
+	stateCopy.ResultOrder = nil
+	b, err := json.Marshal(stateCopy)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/permitserver/heartbeats.go
+++ b/internal/permitserver/heartbeats.go
@@ -1,7 +1,7 @@
 package permitserver
 
-// This file owns what the leader knows of the fleet: the heartbeats of its servers, and what follows from them. It must never
-// count on a heartbeat that it received before a stall of its own process.
+// This file implements the leader's table of server heartbeats, and the observations that follow from it. The leader must
+// never rely on a heartbeat that it received before its own process stalled.
 
 import (
 	"time"
@@ -12,12 +12,13 @@
 )
 
 const (
-	// heartbeatTimeout is for how long a server counts as reachable: three of its heartbeats, which come each second.
+	// heartbeatTimeout is how long a server counts as reachable after a heartbeat: three of its heartbeat intervals of one
+	// second.
 	heartbeatTimeout = 3 * time.Second
-	// stallThreshold is a gap between two ticks after which no earlier heartbeat counts: this process did not run, and can't
-	// know what it missed.
+	// stallThreshold is the gap between two ticks beyond which this process counts as stalled. Earlier heartbeats are
+	// then discarded, since the process may have missed changes while it did not run.
 	stallThreshold = time.Second
-	// maxHeartbeats bounds the table: twice the largest roster.
+	// maxHeartbeats bounds the heartbeat table to twice the size of the largest roster.
 	maxHeartbeats = 8192
 )
 
@@ -27,10 +28,10 @@
 	permitclient.Heartbeat
 }
 
-// live reports whether the server counts as reachable.
+// live reports whether the heartbeat is recent enough for the server to count as reachable.
 func (h *heartbeat) live(now time.Time) bool { return now.Sub(h.receivedAt) <= heartbeatTimeout }
 
-// detectStall forgets all heartbeats if this process did not run meanwhile. The caller holds the lock.
+// detectStall discards all heartbeats if this process did not run for longer than stallThreshold. The caller holds s.mu.
 func (s *Server) detectStall() {
 	now := time.Now()
 	if gap := now.Sub(s.lastTick); gap > stallThreshold {
@@ -40,15 +41,15 @@
 	s.lastTick = now
 }
 
-// Heartbeat takes in a server's heartbeat and returns its directives as far as this replica knows. What a server does by them
-// goes through the log once more where it matters.
+// Heartbeat records a server's heartbeat and returns the server's directives. The directives come from this replica's copy of
+// the state and may be stale, so actions that need consensus go through the log again.
 func (s *Server) Heartbeat(h permitclient.Heartbeat) permitclient.Directives {
 	d := s.directivesFor(h.Name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.detectStall()
 	last, known := s.heartbeats[h.Name]
-	if known && h.Incarnation < last.Incarnation { // of a former incarnation, late
+	if known && h.Incarnation < last.Incarnation { // delayed, from an earlier incarnation
 		return d
 	}
 	if known || len(s.heartbeats) < maxHeartbeats {
@@ -57,6 +58,7 @@
 	return d
 }
 
+// directivesFor returns the directives of a server from this replica's copy of the state.
 func (s *Server) directivesFor(name string) permitclient.Directives {
 	m := s.machine
 	m.mu.Lock()
@@ -73,8 +75,8 @@
 	return d
 }
 
-// drainReports returns what the reachable servers report on members that drain, by server and subject, and the share of their
-// RPCs that they reject together.
+// drainReports returns the reports of the reachable servers on draining pool members, keyed by server and subject, and the
+// share of RPCs that these servers reject, over all of them.
 func (s *Server) drainReports() (reports map[string]map[string]permit.MemberDrain, rejectedShare float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +97,9 @@
 	return reports, rejectedShare
 }
 
-// observations returns how much of each subject of the roster is out of service, as this replica sees it.
-func (s *Server) observations() (all []permit.Observation) {
+// observations returns, for each subject of the roster that is out of service, the share that is. It uses the heartbeats that
+// this replica received; a server without a recent heartbeat is fully out of service.
+func (s *Server) observations() (observed []permit.Observation) {
 	s.machine.mu.Lock()
 	servers, members := s.machine.permits.Servers, s.machine.permits.Members
 	s.machine.mu.Unlock()
@@ -108,26 +111,26 @@
 		h, known := s.heartbeats[server.Name]
 		switch {
 		case !known || !h.live(now):
-			all = append(all, permit.Observation{Name: server.Name, OutOfService: 1})
+			observed = append(observed, permit.Observation{Name: server.Name, OutOfService: 1})
 		case h.OutOfService > 0:
-			all = append(all, permit.Observation{Name: server.Name, OutOfService: h.OutOfService, Incarnation: h.Incarnation})
+			observed = append(observed, permit.Observation{Name: server.Name, OutOfService: h.OutOfService, Incarnation: h.Incarnation})
 		}
 	}
 	for _, m := range members {
 		if subject := m.Pool + "/" + m.Name; s.memberOut(subject, now) {
-			all = append(all, permit.Observation{Name: subject, OutOfService: 1})
+			observed = append(observed, permit.Observation{Name: subject, OutOfService: 1})
 		}
 	}
-	return all
+	return observed
 }
 
-// memberOut reports whether a pool member counts as out: at least half of the reachable servers that know it report so, or none
-// knows it. The caller holds the lock.
+// memberOut reports whether a pool member counts as out of service. This is so if at least half of the reachable servers that
+// know the member report it as out, or if no reachable server knows it. The caller holds s.mu.
 func (s *Server) memberOut(subject string, now time.Time) bool {
 	known, out := 0, 0
 	for _, h := range s.heartbeats {
-		isOut, knows := h.MembersOut[subject]
-		if !knows || !h.live(now) {
+		isOut, ok := h.MembersOut[subject]
+		if !ok || !h.live(now) {
 			continue
 		}
 		known++
--- a/internal/permitserver/http.go
+++ b/internal/permitserver/http.go
@@ -1,7 +1,7 @@
 package permitserver
 
-// This file owns the clients' API over HTTP with JSON: any replica accepts requests, and one that is not the leader names the
-// leader. It must never hold more than a bounded number of bounded bodies.
+// This file implements the client API, JSON over HTTP. Any replica accepts requests; a replica that is not the leader responds
+// with the leader's address. The number of concurrent requests and the size of their bodies are bounded.
 
 import (
 	"encoding/json"
@@ -20,12 +20,13 @@
 const (
 	maxBodyBytes   = 4 << 20 // a roster of 4,096 servers takes about 300 KB
 	maxHeaderBytes = 8 << 10
-	maxRequests    = 256 // at a time
+	maxRequests    = 256 // concurrent
 	requestTimeout = 5 * time.Second
-	idleTimeout    = time.Minute // of a connection
+	idleTimeout    = time.Minute // after which an idle connection is closed
 )
 
-// Serve serves clients on ln until it is closed or the replica closes: with ErrCorruptLog if it closed of its own.
+// Serve serves clients on ln until ln or the replica is closed. It returns ErrCorruptLog if the replica closed itself because
+// its log is corrupt.
 func (s *Server) Serve(ln net.Listener) error {
 	server := &http.Server{
 		Handler:        limitRequests(s.routes()),
@@ -39,7 +40,7 @@
 	closer.Go(func() {
 		select {
 		case <-s.closed:
-			_ = server.Close() // the listener may be closed already
+			_ = server.Close() // fails if the listener is closed already
 		case <-served:
 		}
 	})
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// limitRequests rejects requests beyond maxRequests at a time.
+// limitRequests rejects requests while maxRequests others are in progress.
 func limitRequests(next http.Handler) http.Handler {
 	slots := make(chan struct{}, maxRequests)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -80,7 +81,7 @@
 	return mux
 }
 
-// respond writes v as JSON, or the error with its status.
+// respond writes v as JSON, or err with the HTTP status that stands for it.
 func respond(w http.ResponseWriter, v any, err error) {
 	var notLeader *NotLeaderError
 	if errors.As(err, &notLeader) {
@@ -97,10 +98,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // a client that is gone retries
+	_, _ = w.Write(body) // a client that lost its connection retries
 }
 
-// decode reads the body's JSON into v. It reports whether it could; if not, it has responded.
+// decode decodes the JSON of a request's body into v and reports whether it succeeded. If not, it has written the error
+// response.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
@@ -155,7 +157,7 @@
 		http.Error(w, "number: one expected", http.StatusBadRequest)
 		return
 	}
-	if !s.IsLeader() { // a follower may not have it yet; what is stored under a number never changes
+	if !s.IsLeader() { // a follower may not have the version yet; a stored version never changes
 		respond(w, nil, s.notLeader())
 		return
 	}
@@ -168,9 +170,9 @@
 }
 
 func (s *Server) serveReplacement(w http.ResponseWriter, r *http.Request) {
-	var x permitclient.Replacement
-	if decode(w, r, &x) {
-		respond(w, struct{}{}, s.replacement(&x))
+	var replacement permitclient.Replacement
+	if decode(w, r, &replacement) {
+		respond(w, struct{}{}, s.applyReplacement(&replacement))
 	}
 }
 
@@ -179,21 +181,21 @@
 	respond(w, status, err)
 }
 
-// status returns all that the replica knows, for operators.
+// status returns the replicated state and the leader's observations, for operators.
 func (s *Server) status() (permitclient.Status, error) {
 	permits, observations, err := s.State()
 	if err != nil {
 		return permitclient.Status{}, err
 	}
-	x := permitclient.Status{Leader: s.options.Name, Observations: observations, State: permits}
-	if x.SettingsReleases, err = s.releaseState(release.Settings); err != nil {
+	status := permitclient.Status{Leader: s.options.Name, Observations: observations, State: permits}
+	if status.SettingsReleases, err = s.releaseState(release.Settings); err != nil {
 		return permitclient.Status{}, err
 	}
-	if x.ProgramReleases, err = s.releaseState(release.Program); err != nil {
+	if status.ProgramReleases, err = s.releaseState(release.Program); err != nil {
 		return permitclient.Status{}, err
 	}
 	reports, rejectedShare := s.drainReports()
-	x.RejectedShare = rejectedShare
-	x.Drains = permits.DrainProgress(reports)
-	return x, nil
+	status.RejectedShare = rejectedShare
+	status.Drains = permits.DrainProgress(reports)
+	return status, nil
 }
--- a/internal/permitserver/leader.go
+++ b/internal/permitserver/leader.go
@@ -1,7 +1,7 @@
 package permitserver
 
-// This file owns what a replica does of its own: it follows who leads, and as the leader begins and ends automatic halts and
-// advances releases.
+// This file implements the background loops of a replica: it watches for changes of leadership, and as the leader it starts and
+// ends automatic halts and advances releases.
 
 import (
 	"cmp"
@@ -15,14 +15,14 @@
 
 const (
 	tickInterval = 200 * time.Millisecond
-	// autoHaltInterval is how often the leader checks whether an automatic halt is to begin or end while nobody requests
-	// anything.
+	// autoHaltInterval is how often the leader checks whether an automatic halt must start or end, since no request may come
+	// that would check this.
 	autoHaltInterval = time.Second
 	// observeInterval is how often the leader sends its observations to an active release.
 	observeInterval = 1500 * time.Millisecond
 )
 
-// watchLeadership notes the beginnings and ends of leadership, and stalls of this process.
+// watchLeadership detects changes of leadership and stalls of this process. It closes the replica if its log is corrupt.
 func (s *Server) watchLeadership(corrupt <-chan struct{}) {
 	defer s.running.Done()
 	tick := time.NewTicker(tickInterval)
@@ -33,7 +33,7 @@
 			return
 		case <-corrupt:
 			s.options.Log.WithError(ErrCorruptLog).Error("permitserver.log_corrupt")
-			go s.Close() // which waits for this goroutine
+			go s.Close() // in a goroutine of its own, since Close waits for this one
 			return
 		case <-tick.C:
 		}
@@ -41,12 +41,13 @@
 	}
 }
 
+// updateLeadership logs a change of leadership. A new leader discards its heartbeats.
 func (s *Server) updateLeadership() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	leads := s.IsLeader()
 	if leads && !s.wasLeader {
-		clear(s.heartbeats) // servers count as out until they are heard by this leader
+		clear(s.heartbeats) // a server counts as out of service until this leader receives its heartbeat
 		s.options.Log.Info("permitserver.leadership_acquired")
 	} else if !leads && s.wasLeader {
 		s.options.Log.Warn("permitserver.leadership_lost")
@@ -55,7 +56,8 @@
 	s.detectStall()
 }
 
-// leaderLoop is what the leader does of its own, apart from watchLeadership since it may wait for the other replicas.
+// leaderLoop runs the periodic tasks of the leader. It is separate from watchLeadership because it may wait for other
+// replicas.
 func (s *Server) leaderLoop() {
 	defer s.running.Done()
 	tick := time.NewTicker(tickInterval)
@@ -81,8 +83,9 @@
 	}
 }
 
-// observeReleases sends observations to the release of each track and returns when it did; the zero time where a track could
-// not be reached. What passed in too long a gap since the last time is unknown, and does not count.
+// observeReleases applies observations to the release of each track and returns the time of the observations, or the zero time
+// if an observation could not be applied. If the gap since the last observations is too long, the time in between is unknown
+// and does not count as elapsed.
 func (s *Server) observeReleases(now, last time.Time) (observed time.Time) {
 	elapsed := time.Duration(0)
 	if !last.IsZero() && now.Sub(last) < 2*observeInterval+applyTimeout {
@@ -97,7 +100,7 @@
 	return observed
 }
 
-// updateAutoHalt has an automatic halt begin or end. Nothing goes into the log while nothing changes.
+// updateAutoHalt starts or ends an automatic halt. It writes to the log only if the cause changes.
 func (s *Server) updateAutoHalt() {
 	observations := s.observations()
 	_, rejectedShare := s.drainReports()
@@ -109,7 +112,7 @@
 		return
 	}
 	if _, err := s.Do(permit.Command{ID: s.newCommandID("note"), Kind: permit.Observe}); err != nil {
-		return // the next check tries again
+		return // retried by the next check
 	}
 	if cause == "" {
 		s.options.Log.WithField("reason", previous).Warn("permitserver.auto_halt_ended")
@@ -118,7 +121,7 @@
 	}
 }
 
-// newCommandID returns the ID of a command of this replica's own.
+// newCommandID returns an ID for a command that this replica issues itself.
 func (s *Server) newCommandID(kind string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +129,9 @@
 	return fmt.Sprintf("%s-%s-%d-%d", kind, s.options.Name, time.Now().UnixNano(), s.commandSeq)
 }
 
-// observeRelease sends what this leader observes to the active release of a track. elapsed is the time since its last
-// observation, 0 if there was none: what passed while another replica led, or while this process did not run, is unknown.
+// observeRelease applies this leader's observations to the active release of a track, if there is one. elapsed is the time
+// since this leader's last observation, or 0 if there was none: nothing is known about the time while another replica was the
+// leader or while this process did not run.
 func (s *Server) observeRelease(track release.Track, elapsed time.Duration) error {
 	s.machine.mu.Lock()
 	active := s.machine.releases[track].ActiveSummary() != ""
@@ -148,7 +152,7 @@
 	return err
 }
 
-// releaseReports returns the reports of the reachable servers on a track, sorted by name.
+// releaseReports returns the reports of the reachable servers on a track, sorted by server name.
 func (s *Server) releaseReports(track release.Track) (reports []release.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/permitserver/server.go
+++ b/internal/permitserver/server.go
@@ -1,8 +1,8 @@
-// Package permitserver is one replica of the permit service: it replicates the commands of decision/permit and
-// decision/release through a raft log (Ongaro and Ousterhout 2014, by hashicorp/raft), serves clients over HTTP, and as the
-// leader tracks which servers are reachable. What is granted is decided by decision/permit, who leads and what is committed
-// by raft. A replica must never answer from a copy that may be stale, nor count a server as in service that it has not heard
-// from since it became the leader.
+// Package permitserver implements one replica of the permit service. It replicates the commands of decision/permit and
+// decision/release through a raft log (Ongaro and Ousterhout 2014; the implementation is hashicorp/raft), serves clients over
+// HTTP, and as the leader tracks which servers are reachable. decision/permit decides on grants; raft elects the leader and
+// commits entries. A replica must never answer a read from state that may be stale, and a leader must never count a server as
+// in service before it has received a heartbeat from it.
 package permitserver
 
 import (
@@ -23,58 +23,58 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// Peer is one replica as all replicas are configured with it.
+// Peer is the address configuration of one replica. All replicas have the same list of peers.
 type Peer struct {
-	Name     string // the same after a restart
-	RaftAddr string // IP and port where the other replicas reach it
-	HTTPAddr string // IP and port where clients reach it
+	Name     string // unchanged by a restart
+	RaftAddr string // IP and port for the other replicas
+	HTTPAddr string // IP and port for clients
 }
 
 // Options configure one replica.
 type Options struct {
-	Name      string // of this replica, among Peers
-	Peers     []Peer // all replicas, this one included
-	Bind      string // where it listens for the other replicas; "" for its RaftAddr
-	DataDir   string // for the log and snapshots, on a disk that outlives the process
-	Bootstrap bool   // first start of a new cluster: DataDir may be empty. A replica that lost its disk must not vote under its old name
+	Name      string // of this replica; one of Peers
+	Peers     []Peer // all replicas, including this one
+	Bind      string // address to listen on for the other replicas; "" for the RaftAddr of this replica
+	DataDir   string // for the log and snapshots, on a persistent disk
+	Bootstrap bool   // first start of a new cluster: DataDir may be empty. Never set for a replica that lost its disk: it must not vote under its old name
 	Join      bool   // first start of a replica that Replace adds to an existing cluster: DataDir may be empty
 	Log       *logrus.Entry
 
 	snapshotThreshold uint64                            // log entries between two snapshots; 0 for the default
-	wrapLog           func(raft.LogStore) raft.LogStore // for tests; nil for the log as it is
+	wrapLog           func(raft.LogStore) raft.LogStore // wraps the log store, for tests; nil for no wrapper
 }
 
 const (
 	maxPeers = 7
-	// applyTimeout bounds the wait for a majority; a client retries with the same command ID.
+	// applyTimeout bounds the wait for a majority to store an entry. A client then retries with the same command ID.
 	applyTimeout = 2 * time.Second
-	// logName is the file in DataDir that holds the log.
-	logName = "raft.db"
-	// retainedSnapshots stay in DataDir.
-	retainedSnapshots        = 2
+	logName      = "raft.db" // file of the log in DataDir
+
+	retainedSnapshots        = 2    // in DataDir
 	defaultSnapshotThreshold = 4096 // log entries
-	// trailingLogs stay behind a snapshot for a replica that is a little late; one that is later gets the snapshot.
+	// trailingLogs is the number of log entries that are kept after a snapshot, for a replica that lags a little. A replica
+	// that lags more receives the snapshot.
 	trailingLogs = 1024
 )
 
-// The timing of raft: a lost leader is replaced within two seconds, and on one machine or between zones a heartbeat takes far
-// less than these.
+// Timing of raft. A failed leader is replaced within two seconds. A heartbeat on one machine or between zones takes far less
+// time than these timeouts.
 const (
 	raftHeartbeatTimeout = 600 * time.Millisecond
 	raftElectionTimeout  = 600 * time.Millisecond
 	raftLeaderLease      = 400 * time.Millisecond
 	raftCommitTimeout    = 20 * time.Millisecond
 	raftSnapshotInterval = 10 * time.Second
-	testSnapshotInterval = 200 * time.Millisecond // with a threshold of one's own
+	testSnapshotInterval = 200 * time.Millisecond // if Options.snapshotThreshold is set
 )
 
-// ErrCorruptLog is returned by a replica whose log is not what was written: it closes, and the others go on.
+// ErrCorruptLog is returned by a replica that finds a corrupt log entry. The replica closes; the other replicas continue.
 var ErrCorruptLog = errors.New("keeper: its log is not what was written; it ends, and the others go on")
 
-// errNoLog is a data directory without a log where one is expected.
+// errNoLog reports a data directory without a log, on a start with neither Bootstrap nor Join.
 var errNoLog = errors.New("the folder has no log: a new set of keepers begins with --new on each, and a keeper whose disk was lost comes back under a new name")
 
-// Server is one replica. It may be used by many goroutines.
+// Server is one replica. It is safe for concurrent use.
 type Server struct {
 	options   Options
 	raft      *raft.Raft
@@ -86,13 +86,14 @@
 	running   sync.WaitGroup
 
 	mu         sync.Mutex
-	heartbeats map[string]heartbeat // by server
+	heartbeats map[string]heartbeat // latest, by server name
 	wasLeader  bool
 	lastTick   time.Time
-	commandSeq int // numbers the commands that this replica sends of its own
+	commandSeq int // number of commands that this replica issued itself
 }
 
-// Start opens a replica. It fails if the options are wrong, an address is taken, or DataDir is empty where it must not be.
+// Start opens a replica. It fails if an option is invalid, an address is in use, the log is corrupt, or DataDir is empty while
+// neither Bootstrap nor Join is set.
 func Start(o Options) (*Server, error) {
 	own, err := o.validate()
 	if err != nil {
@@ -120,7 +121,7 @@
 	return s, nil
 }
 
-// validate returns the replica's own peer.
+// validate checks the options and returns the peer of this replica.
 func (o *Options) validate() (own *Peer, err error) {
 	for i := range o.Peers {
 		if o.Peers[i].Name == o.Name {
@@ -136,7 +137,7 @@
 	return own, nil
 }
 
-// open opens the log, the snapshots and the transport, and starts raft. What it opened before an error is closed by Close.
+// open opens the log, the snapshots and the transport, and starts raft. After an error, Close closes what was opened.
 func (s *Server) open(own *Peer) error {
 	o := &s.options
 	path := filepath.Join(o.DataDir, logName)
@@ -159,7 +160,8 @@
 	s.transport = &gatedTransport{NetworkTransport: raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:  stream,
 		MaxPool: 3,
-		// One call in flight to each: the library's pipeline may wait for ever, the shutdown included, for a stalled stream.
+		// One call in flight to each replica, which disables pipelining: the library's pipeline may wait forever for a stalled
+		// stream, also during shutdown.
 		MaxRPCsInFlight: 1,
 		Timeout:         time.Second,
 		Logger:          discard,
@@ -195,8 +197,8 @@
 	return c
 }
 
-// bootstrap writes the first configuration of a new cluster. A data directory without a log is an error without Bootstrap or
-// Join.
+// bootstrap writes the initial configuration of a new cluster. It returns errNoLog if the data directory has no log and neither
+// Bootstrap nor Join is set.
 func (s *Server) bootstrap(config *raft.Config, snapshots raft.SnapshotStore) error {
 	o := &s.options
 	exists, err := raft.HasExistingState(s.store, s.store, snapshots)
@@ -219,10 +221,10 @@
 	return nil
 }
 
-// IsLeader reports whether this replica takes itself for the leader, which it may be no longer.
+// IsLeader reports whether this replica considers itself the leader. Another replica may have been elected in the meantime.
 func (s *Server) IsLeader() bool { return s.raft.State() == raft.Leader }
 
-// Close stops the replica and waits for its goroutines; its log stays.
+// Close stops the replica and waits for its goroutines. The log and the snapshots remain on disk.
 func (s *Server) Close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
@@ -232,7 +234,7 @@
 		}
 		if s.transport != nil {
 			errs = append(errs, s.transport.Close())
-			s.transport.stopHeartbeats() // before the log is closed
+			s.transport.stopHeartbeats() // before the log is closed, which heartbeats write to
 		}
 		s.running.Wait()
 		if s.store != nil {
@@ -246,10 +248,10 @@
 
 // NotLeaderError is returned by a replica that is not the leader.
 type NotLeaderError struct {
-	Addr string // where the leader's clients connect; "" if it is unknown
+	Addr string // of the leader, for clients; "" if the leader is unknown
 }
 
-// Error names the leader, for clients.
+// Error returns the message for clients, with the leader's address.
 func (e *NotLeaderError) Error() string {
 	if e.Addr == "" {
 		return "no keeper leads just now: most of them are not in contact"
@@ -257,7 +259,7 @@
 	return "the keeper at " + e.Addr + " leads"
 }
 
-// notLeader returns the error that leads a client to the leader.
+// notLeader returns a NotLeaderError with the address of the leader, if it is known.
 func (s *Server) notLeader() error {
 	_, id := s.raft.LeaderWithID()
 	for _, p := range s.options.Peers {
@@ -268,8 +270,8 @@
 	return &NotLeaderError{}
 }
 
-// Replace removes a replica from the cluster and adds another, in that order; either may be empty. A replica whose disk or
-// machine is lost never votes again under its name. Only the leader can; the added replica is to run with Join.
+// Replace removes a replica from the cluster and then adds another; either may be empty. A replica whose disk or machine is
+// lost must never vote again under its name. Only the leader can replace a replica. The added replica must run with Join.
 func (s *Server) Replace(removed string, added Peer) error {
 	if !s.IsLeader() {
 		return s.notLeader()
@@ -291,7 +293,7 @@
 	return nil
 }
 
-// replacement is Replace as a client requests it.
-func (s *Server) replacement(x *permitclient.Replacement) error {
-	return s.Replace(x.Removed, Peer{Name: x.Added, RaftAddr: x.AddedRaftAddr})
+// applyReplacement calls Replace for a client's request.
+func (s *Server) applyReplacement(r *permitclient.Replacement) error {
+	return s.Replace(r.Removed, Peer{Name: r.Added, RaftAddr: r.AddedRaftAddr})
 }
--- a/internal/permitserver/statemachine.go
+++ b/internal/permitserver/statemachine.go
@@ -1,6 +1,6 @@
 package permitserver
 
-// This file owns the replicated state machine: raft applies the log's entries to it, and takes and restores its snapshots.
+// This file implements the replicated state machine. Raft applies log entries to it, and takes and restores its snapshots.
 
 import (
 	"encoding/json"
@@ -20,8 +20,8 @@
 	mu        sync.Mutex
 	permits   *permit.State
 	releases  map[release.Track]*release.State
-	index     uint64 // of the last entry
-	corrupt   bool   // an entry could not be read: this copy is not what the other replicas have
+	index     uint64 // raft log index of the last applied entry
+	corrupt   bool   // an entry could not be decoded: this copy may differ from those of the other replicas
 	onCorrupt func() // called once, with the lock held
 }
 
@@ -33,7 +33,7 @@
 	return map[release.Track]*release.State{release.Settings: release.New(), release.Program: release.New()}
 }
 
-// Apply carries out an entry of the log and returns a permit.Result, a release.Result or ErrCorruptLog.
+// Apply applies a log entry and returns a permit.Result, a release.Result or ErrCorruptLog.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,11 +52,11 @@
 	return m.permits.Apply(e.Command)
 }
 
-// applyRelease carries out a command on one track. A release is neither planned nor started while the other track's is
-// active.
+// applyRelease applies a command on one track. A release can be neither planned nor started while a release of the other track
+// is active.
 func (m *stateMachine) applyRelease(c *release.Command) release.Result {
-	state, known := m.releases[c.Track]
-	if !known {
+	state, ok := m.releases[c.Track]
+	if !ok {
 		return release.Result{Reason: fmt.Sprintf("%.20q is no track", string(c.Track))}
 	}
 	c.OtherRelease = ""
@@ -73,7 +73,7 @@
 	return state.Apply(*c)
 }
 
-// isCorrupt reports whether an entry could not be read.
+// isCorrupt reports whether an entry could not be decoded.
 func (m *stateMachine) isCorrupt() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,7 +87,7 @@
 	Index    uint64                           `json:"index"`
 }
 
-// Snapshot returns the state as it stands; the log goes on while it is written.
+// Snapshot returns a copy of the current state. Raft applies further entries while it writes the snapshot.
 func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,25 +98,25 @@
 	return snapshot(b), err
 }
 
-// Restore replaces the state by that of a snapshot.
+// Restore replaces the state with that of a snapshot.
 func (m *stateMachine) Restore(r io.ReadCloser) error {
-	defer func() { _ = r.Close() }() // it is only read
-	x := snapshotState{Permits: permit.New(), Releases: newReleases()}
-	if err := json.NewDecoder(r).Decode(&x); err != nil {
+	defer func() { _ = r.Close() }() // opened for reading
+	restored := snapshotState{Permits: permit.New(), Releases: newReleases()}
+	if err := json.NewDecoder(r).Decode(&restored); err != nil {
 		return err
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.permits = x.Permits
-	m.releases = x.Releases
-	m.index = x.Index
+	m.permits = restored.Permits
+	m.releases = restored.Releases
+	m.index = restored.Index
 	return nil
 }
 
-// snapshot implements raft.FSMSnapshot by the JSON of a snapshotState.
+// snapshot implements raft.FSMSnapshot. It is the JSON of a snapshotState.
 type snapshot []byte
 
-// Persist writes the snapshot.
+// Persist writes the snapshot to sink, or cancels sink if that fails.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
@@ -124,5 +124,5 @@
 	return sink.Close()
 }
 
-// Release is called by raft once the snapshot is written.
+// Release is called by raft when it no longer needs the snapshot. There is nothing to release.
 func (snapshot) Release() {}
--- a/internal/permitserver/stream.go
+++ b/internal/permitserver/stream.go
@@ -1,6 +1,6 @@
 package permitserver
 
-// This file owns the connections between replicas: where this one listens, and from which address it connects.
+// This file implements the connections between replicas: the listener, and the local address of outgoing connections.
 
 import (
 	"net"
@@ -9,15 +9,15 @@
 	"github.com/hashicorp/raft"
 )
 
-// streamLayer implements raft.StreamLayer. A replica that listens on another address than the others reach it at connects from
-// the address that it listens on, so that relays between them can tell whose connection it is.
+// streamLayer implements raft.StreamLayer. If the listen address differs from the advertised address, outgoing connections use
+// the IP address of the listener, so that a relay between replicas can identify the replica that connects.
 type streamLayer struct {
 	net.Listener
-	advertised net.Addr     // where the other replicas reach this one
-	dialFrom   *net.TCPAddr // nil: the system's choice
+	advertised net.Addr     // address of this replica for the others
+	dialFrom   *net.TCPAddr // local address of outgoing connections; nil for the system's choice
 }
 
-// listen opens a stream layer that listens on bind, or where it is empty on the advertised address.
+// listen opens a stream layer that listens on bind, or on the advertised address if bind is empty.
 func listen(bind, advertised string) (*streamLayer, error) {
 	l := &streamLayer{}
 	addr, err := net.ResolveTCPAddr("tcp", advertised)
@@ -38,7 +38,7 @@
 	return l, err
 }
 
-// Addr returns where the other replicas reach this one.
+// Addr returns the address of this replica for the others.
 func (l *streamLayer) Addr() net.Addr { return l.advertised }
 
 // Dial connects to another replica.
--- a/internal/permitserver/transport.go
+++ b/internal/permitserver/transport.go
@@ -1,7 +1,8 @@
 package permitserver
 
-// This file owns the transport's end. The library handles heartbeats on the connections' goroutines, which it does not wait for
-// at its shutdown; one that comes then would write its term to a log that is closed, which raft answers by a panic.
+// This file implements the shutdown of the transport. The library handles heartbeats on the goroutines of the connections and
+// does not wait for these at shutdown. A heartbeat during shutdown would write its term to a closed log, and raft panics if
+// that write fails.
 
 import (
 	"sync"
@@ -9,10 +10,10 @@
 	"github.com/hashicorp/raft"
 )
 
-// gatedTransport is a raft.Transport that takes no heartbeats after stopHeartbeats.
+// gatedTransport is a raft.Transport that rejects heartbeats after stopHeartbeats.
 type gatedTransport struct {
 	*raft.NetworkTransport
-	mu      sync.RWMutex // held for reading while a heartbeat is handled
+	mu      sync.RWMutex // read-locked while a heartbeat is handled
 	stopped bool
 }
 
@@ -29,7 +30,7 @@
 	})
 }
 
-// stopHeartbeats waits for the heartbeats that are handled; later ones are rejected.
+// stopHeartbeats waits for the heartbeats in progress and rejects all later ones.
 func (t *gatedTransport) stopHeartbeats() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
