--- a/internal/cuefile/cuefile_test.go
+++ b/internal/cuefile/cuefile_test.go
@@ -36,7 +36,7 @@
 }
 
 // Each error of an operator's file names the file, the line and the key.
-func TestFaults(t *testing.T) {
+func TestErrors(t *testing.T) {
 	b, err := os.ReadFile("../../deploy/operator.cue")
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 }
 
 // Several files are unified, and an error names the file that it is in.
-func TestSeveral(t *testing.T) {
+func TestSeveralFiles(t *testing.T) {
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a.cue"), filepath.Join(dir, "b.cue")
 	if err := os.WriteFile(a, []byte("version: \"1\"\nuwsgi: listen: \"127.0.0.1:1\"\n"), 0o600); err != nil {
--- a/internal/permitserver/close_test.go
+++ b/internal/permitserver/close_test.go
@@ -9,8 +9,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// Another replica's heartbeats of ever newer terms come while this one closes: none of them reaches the closed log, which raft
-// answers by a panic.
+// No heartbeat may reach the log after it is closed: raft panics if it can't store a new term. The test closes a replica while
+// four senders send it heartbeats of increasing terms.
 func TestHeartbeatsWhileClosing(t *testing.T) {
 	for range 20 {
 		address := freeAddress(t)
@@ -30,7 +30,7 @@
 	}
 }
 
-// sendRaftHeartbeats sends heartbeats of ever newer terms to a replica until it is stopped or the replica does not respond.
+// sendRaftHeartbeats sends heartbeats of increasing terms to a replica until stop is closed or the replica does not respond.
 func sendRaftHeartbeats(t *testing.T, address string, stop <-chan struct{}) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 		heartbeat := &raft.AppendEntriesRequest{RPCHeader: raft.RPCHeader{ProtocolVersion: raft.ProtocolVersionMax, ID: []byte("k1"), Addr: []byte(ln.Addr().String())}, Term: term}
 		var response raft.AppendEntriesResponse
 		if err := transport.AppendEntries("k0", raft.ServerAddress(address), heartbeat, &response); err != nil {
-			return // it has closed
+			return // the replica has closed
 		}
 	}
 }
--- a/internal/permitserver/compat_test.go
+++ b/internal/permitserver/compat_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// copyTree copies a folder of testdata to dst.
+// copyTree copies the directory src to dst.
 func copyTree(t *testing.T, src, dst string) {
 	t.Helper()
 	err := filepath.Walk(src, func(path string, info os.FileInfo, err error) error {
@@ -29,29 +29,30 @@
 	}
 }
 
-// A data directory written by version b631b89 of this code (testdata/b631b89: raft's log in raft.db, with entries compressed
-// and plain, and a snapshot) is read by this one: the state is that of the snapshot with the later entries applied.
+// A replica must start from a data directory of version b631b89, or an upgrade would lose the permits. testdata/b631b89 holds a
+// raft log with plain and compressed entries, and a snapshot. The expected state is that of the snapshot with the later entries
+// applied.
 func TestReadsDiskOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	copyTree(t, filepath.Join("testdata", "b631b89"), dir)
-	k, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", freeAddress(t), freeAddress(t)}}, DataDir: dir, Log: discardLog()})
+	replica, err := Start(Options{Name: "k0", Peers: []Peer{{"k0", freeAddress(t), freeAddress(t)}}, DataDir: dir, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer k.Close()
+	defer replica.Close()
 	for end := time.Now().Add(waitLimit); ; time.Sleep(10 * time.Millisecond) {
-		st, _, err := k.State()
+		state, _, err := replica.State()
 		if err == nil {
-			if st.HaltReason != "in the log after the snapshot" || st.HaltedBy != "op" || len(st.Servers) != 100 || st.Servers[7].Name != "n7" || st.Servers[7].Zone != "z1" {
-				t.Errorf("halted %q by %q, %d servers", st.HaltReason, st.HaltedBy, len(st.Servers))
+			if state.HaltReason != "in the log after the snapshot" || state.HaltedBy != "op" || len(state.Servers) != 100 || state.Servers[7].Name != "n7" || state.Servers[7].Zone != "z1" {
+				t.Errorf("state: halted %q by %q with %d servers, want the state of version b631b89", state.HaltReason, state.HaltedBy, len(state.Servers))
 			}
-			if st.Limits.Fleet.MaxCount != 2 {
-				t.Errorf("limits %+v", st.Limits)
+			if state.Limits.Fleet.MaxCount != 2 {
+				t.Errorf("limits: got %+v, want a maximum of 2 for the fleet", state.Limits)
 			}
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never leads")
+			t.Fatal("the replica has not become the leader in time")
 		}
 	}
 }
--- a/internal/permitserver/faults_test.go
+++ b/internal/permitserver/faults_test.go
@@ -19,56 +19,56 @@
 	"sorrelvalve/internal/testbed"
 )
 
-// localCluster is three replicas in this process with relays between them.
+// localCluster is a cluster of three replicas in this process, connected through relays.
 type localCluster struct {
 	*testing.T
 	network   *testbed.Network
 	peers     []Peer
 	servers   []*Server
 	dirs      []string
-	diskDelay time.Duration // of the first replica
+	diskDelay time.Duration // of each log write of the first replica
 }
 
-func newLocalCluster(t *testing.T, slow time.Duration) *localCluster {
+func newLocalCluster(t *testing.T, diskDelay time.Duration) *localCluster {
 	t.Helper()
 	names := []string{"k0", "k1", "k2"}
 	n, err := testbed.NewNetwork(1, names...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &localCluster{T: t, network: n, diskDelay: slow}
+	cluster := &localCluster{T: t, network: n, diskDelay: diskDelay}
 	for _, name := range names {
-		x.peers, x.dirs = append(x.peers, Peer{Name: name, RaftAddr: n.Endpoint(name).AdvertiseAddr()}), append(x.dirs, t.TempDir())
+		cluster.peers, cluster.dirs = append(cluster.peers, Peer{Name: name, RaftAddr: n.Endpoint(name).AdvertiseAddr()}), append(cluster.dirs, t.TempDir())
 	}
 	for i := range names {
-		x.servers = append(x.servers, nil)
-		if err := x.start(i, true, false); err != nil {
+		cluster.servers = append(cluster.servers, nil)
+		if err := cluster.start(i, true, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		for _, k := range x.servers {
-			if k != nil {
-				k.Close()
+		for _, replica := range cluster.servers {
+			if replica != nil {
+				replica.Close()
 			}
 		}
 		n.Close()
 	})
-	return x
+	return cluster
 }
 
-func (x *localCluster) start(i int, fresh, join bool) (err error) {
-	o := Options{Name: x.peers[i].Name, Peers: x.peers[:3], Bind: x.network.Endpoint(x.peers[i].Name).ListenAddr(), DataDir: x.dirs[i], Bootstrap: fresh, Join: join, Log: discardLog(), snapshotThreshold: 40}
-	if i == 0 && x.diskDelay > 0 {
-		o.wrapLog = func(l raft.LogStore) raft.LogStore { return delayedLog{LogStore: l, delay: x.diskDelay} }
+func (c *localCluster) start(i int, fresh, join bool) (err error) {
+	o := Options{Name: c.peers[i].Name, Peers: c.peers[:3], Bind: c.network.Endpoint(c.peers[i].Name).ListenAddr(), DataDir: c.dirs[i], Bootstrap: fresh, Join: join, Log: discardLog(), snapshotThreshold: 40}
+	if i == 0 && c.diskDelay > 0 {
+		o.wrapLog = func(l raft.LogStore) raft.LogStore { return delayedLog{LogStore: l, delay: c.diskDelay} }
 	}
-	if x.servers[i], err = Start(o); err != nil {
-		x.servers[i] = nil
+	if c.servers[i], err = Start(o); err != nil {
+		c.servers[i] = nil
 	}
 	return err
 }
 
-// delayedLog is a log on a slow disk: each write takes longer by delay.
+// delayedLog is a log on a slow disk: it delays each write.
 type delayedLog struct {
 	raft.LogStore
 	delay time.Duration
@@ -81,120 +81,123 @@
 	return l.LogStore.StoreLogs(e)
 }
 
-// leader waits until one of some replicas leads and can commit.
-func (x *localCluster) leader(among ...int) int {
-	x.Helper()
+// leader waits until one of the given replicas is the leader and can commit, and returns its index.
+func (c *localCluster) leader(among ...int) int {
+	c.Helper()
 	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, i := range among {
-			if k := x.servers[i]; k != nil && k.IsLeader() {
-				if _, _, err := k.State(); err == nil {
+			if replica := c.servers[i]; replica != nil && replica.IsLeader() {
+				if _, _, err := replica.State(); err == nil {
 					return i
 				}
 			}
 		}
 	}
-	x.Fatal("nobody leads")
+	c.Fatal("none of the replicas became the leader in time")
 	return 0
 }
 
-// sendHeartbeats has all servers report to a replica.
-func sendHeartbeats(k *Server, n int) {
+// sendHeartbeats sends one heartbeat from each of n servers to a replica.
+func sendHeartbeats(replica *Server, n int) {
 	for i := range n {
-		k.Heartbeat(permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
+		replica.Heartbeat(permitclient.Heartbeat{Name: fmt.Sprint("n", i), Incarnation: 1})
 	}
 }
 
-func (x *localCluster) roster(n int) {
-	x.Helper()
-	var all []permit.Server
+// setRoster configures a roster of n servers with a limit of one permit.
+func (c *localCluster) setRoster(n int) {
+	c.Helper()
+	var servers []permit.Server
 	for i := range n {
-		all = append(all, permit.Server{Name: fmt.Sprint("n", i)})
+		servers = append(servers, permit.Server{Name: fmt.Sprint("n", i)})
 	}
-	if a, err := x.servers[x.leader(0, 1, 2)].Do(permit.Command{ID: "set", Kind: permit.Configure, Servers: all, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); err != nil || !a.OK {
-		x.Fatalf("%+v %v", a, err)
+	if result, err := c.servers[c.leader(0, 1, 2)].Do(permit.Command{ID: "set", Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); err != nil || !result.OK {
+		c.Fatalf("configure the roster: result %+v, error %v", result, err)
 	}
 }
 
-// A partitioned leader, both ways or one way only, grants nothing from then on; the others grant the place once.
-func TestLeaderCutOff(t *testing.T) {
-	for _, way := range []string{"both", "out", "in"} {
-		t.Run(way, func(t *testing.T) {
+// A leader that is partitioned in one or both directions must not grant a permit that the new leader also grants. The old leader
+// gets a request while it still considers itself the leader, and only one of the two requests may be granted.
+func TestPartitionedLeader(t *testing.T) {
+	for _, direction := range []string{"both", "out", "in"} {
+		t.Run(direction, func(t *testing.T) {
 			t.Parallel()
-			x := newLocalCluster(t, 0)
-			x.roster(3)
-			was := x.leader(0, 1, 2)
-			sendHeartbeats(x.servers[was], 3)
+			cluster := newLocalCluster(t, 0)
+			cluster.setRoster(3)
+			oldLeader := cluster.leader(0, 1, 2)
+			sendHeartbeats(cluster.servers[oldLeader], 3)
 			var rest []int
-			name := x.peers[was].Name
-			for i := range x.servers {
-				if i != was {
+			name := cluster.peers[oldLeader].Name
+			for i := range cluster.servers {
+				if i != oldLeader {
 					rest = append(rest, i)
 				}
 			}
 			for _, i := range rest {
-				if way != "in" {
-					x.network.UpdateRules("cut", []string{name}, []string{x.peers[i].Name}, func(r *testbed.Rule) { r.Cut = true })
+				if direction != "in" {
+					cluster.network.UpdateRules("cut", []string{name}, []string{cluster.peers[i].Name}, func(r *testbed.Rule) { r.Cut = true })
 				}
-				if way != "out" {
-					x.network.UpdateRules("cut", []string{x.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
+				if direction != "out" {
+					cluster.network.UpdateRules("cut", []string{cluster.peers[i].Name}, []string{name}, func(r *testbed.Rule) { r.Cut = true })
 				}
 			}
-			old := make(chan permit.Result, 1)
-			go func() { // requested at once, while it takes itself for the leader
-				a, err := x.servers[was].Do(permit.Command{ID: "old", Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
+			oldResult := make(chan permit.Result, 1)
+			go func() { // sent at once, while the old leader still considers itself the leader
+				result, err := cluster.servers[oldLeader].Do(permit.Command{ID: "old", Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
 				if err != nil {
-					a = permit.Result{}
+					result = permit.Result{}
 				}
-				old <- a
+				oldResult <- result
 			}()
-			now := x.leader(rest...)
-			sendHeartbeats(x.servers[now], 3)
-			a, err := x.servers[now].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
+			newLeader := cluster.leader(rest...)
+			sendHeartbeats(cluster.servers[newLeader], 3)
+			result, err := cluster.servers[newLeader].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
 			for i := 0; err != nil && i < 50; i++ {
-				now = x.leader(rest...)
-				sendHeartbeats(x.servers[now], 3)
-				a, err = x.servers[now].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
+				newLeader = cluster.leader(rest...)
+				sendHeartbeats(cluster.servers[newLeader], 3)
+				result, err = cluster.servers[newLeader].Do(permit.Command{ID: "new", Kind: permit.Acquire, Subject: "n1", Actor: "y", Incarnation: 1})
 			}
-			if b := <-old; a.OK == b.OK && a.OK {
-				t.Errorf("two grants of one place: %+v and %+v", a, b)
+			if old := <-oldResult; result.OK == old.OK && result.OK {
+				t.Errorf("both leaders granted the only permit: %+v and %+v", result, old)
 			}
-			x.network.Heal()
-			st, _, err := x.servers[x.leader(0, 1, 2)].State()
-			if err != nil || len(st.Granted()) != 1 {
-				t.Errorf("%+v %v", st, err)
+			cluster.network.Heal()
+			state, _, err := cluster.servers[cluster.leader(0, 1, 2)].State()
+			if err != nil || len(state.Granted()) != 1 {
+				t.Errorf("permits after the partition: state %+v, error %v, want one permit", state, err)
 			}
 		})
 	}
 }
 
-// A replica whose log is torn does not start, and says so; the others go on; a new one under another name takes its place.
+// A replica with a torn log must not start, since it could vote on the basis of lost entries. The other replicas continue, and a
+// new replica under another name replaces it.
 func TestTornLogAndReplacement(t *testing.T) {
 	t.Parallel()
-	x := newLocalCluster(t, 0)
-	x.roster(3)
+	cluster := newLocalCluster(t, 0)
+	cluster.setRoster(3)
 	for i := range 30 {
-		k := x.servers[x.leader(0, 1, 2)]
-		sendHeartbeats(k, 3)
-		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
-		if err == nil && a.OK {
-			if _, err := k.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", PermitID: a.PermitID, Incarnation: 1}); err != nil {
-				t.Logf("permit %d is not returned: %v", a.PermitID, err)
+		replica := cluster.servers[cluster.leader(0, 1, 2)]
+		sendHeartbeats(replica, 3)
+		result, err := replica.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: "n0", Actor: "x", Incarnation: 1})
+		if err == nil && result.OK {
+			if _, err := replica.Do(permit.Command{ID: fmt.Sprint("r", i), Kind: permit.Return, Subject: "n0", PermitID: result.PermitID, Incarnation: 1}); err != nil {
+				t.Logf("permit %d was not returned: %v", result.PermitID, err)
 			}
 		}
 	}
-	lost := (x.leader(0, 1, 2) + 1) % 3
-	x.servers[lost].Close()
-	x.servers[lost] = nil
-	path := filepath.Join(x.dirs[lost], "raft.db")
+	lost := (cluster.leader(0, 1, 2) + 1) % 3
+	cluster.servers[lost].Close()
+	cluster.servers[lost] = nil
+	path := filepath.Join(cluster.dirs[lost], "raft.db")
 	good, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	torn, tried := 0, 0
 	for name, bad := range map[string]func() []byte{
-		"cut short":           func() []byte { return good[:4096*4] }, // half of a file may be pages that nothing uses
-		"cut within a page":   func() []byte { return good[:4096*3+100] },
-		"nothing but a start": func() []byte { return good[:100] },
+		"truncated":            func() []byte { return good[:4096*4] }, // cut early, because half of a file may be unused pages
+		"truncated in a page":  func() []byte { return good[:4096*3+100] },
+		"first 100 bytes only": func() []byte { return good[:100] },
 		"pages overwritten": func() []byte {
 			b := append([]byte(nil), good...)
 			for i := 4096 * 2; i < len(b); i++ {
@@ -202,7 +205,7 @@
 			}
 			return b
 		},
-		"both heads overwritten": func() []byte {
+		"both meta pages overwritten": func() []byte {
 			b := append([]byte(nil), good...)
 			for i := range 8192 {
 				b[i] = 0xff
@@ -214,82 +217,83 @@
 			t.Fatal(err)
 		}
 		tried++
-		if err := x.start(lost, false, false); err == nil {
-			t.Errorf("%s: it started", name)
-			x.servers[lost].Close()
-			x.servers[lost] = nil
+		if err := cluster.start(lost, false, false); err == nil {
+			t.Errorf("%s: replica started from a torn log", name)
+			cluster.servers[lost].Close()
+			cluster.servers[lost] = nil
 		} else {
 			torn++
 		}
 	}
 	if torn != tried {
-		t.Errorf("%d of %d torn logs found", torn, tried)
+		t.Errorf("torn logs detected: got %d, want %d", torn, tried)
 	}
-	// The others go on.
-	k := x.servers[x.leader((lost+1)%3, (lost+2)%3)]
-	sendHeartbeats(k, 3)
-	if a, err := k.Do(permit.Command{ID: "without", Kind: permit.Acquire, Subject: "n1", Actor: "x", Incarnation: 1}); err != nil || !a.OK {
-		t.Errorf("%+v %v", a, err)
+	// The other replicas continue.
+	replica := cluster.servers[cluster.leader((lost+1)%3, (lost+2)%3)]
+	sendHeartbeats(replica, 3)
+	if result, err := replica.Do(permit.Command{ID: "without", Kind: permit.Acquire, Subject: "n1", Actor: "x", Incarnation: 1}); err != nil || !result.OK {
+		t.Errorf("acquire without the lost replica: result %+v, error %v", result, err)
 	}
-	// A new replica in its place, with an empty disk.
+	// A new replica with an empty disk replaces the lost one.
 	dir := t.TempDir()
-	peer := Peer{Name: "k3", RaftAddr: x.peers[lost].RaftAddr}
-	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: x.network.Endpoint(x.peers[lost].Name).ListenAddr(), DataDir: dir, Join: true, Log: discardLog(), snapshotThreshold: 40})
+	peer := Peer{Name: "k3", RaftAddr: cluster.peers[lost].RaftAddr}
+	fresh, err := Start(Options{Name: "k3", Peers: []Peer{peer}, Bind: cluster.network.Endpoint(cluster.peers[lost].Name).ListenAddr(), DataDir: dir, Join: true, Log: discardLog(), snapshotThreshold: 40})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer fresh.Close()
-	if err := k.Replace(x.peers[lost].Name, peer); err != nil {
+	if err := replica.Replace(cluster.peers[lost].Name, peer); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(waitLimit); ; time.Sleep(20 * time.Millisecond) {
 		fresh.machine.mu.Lock()
-		_, has := fresh.machine.permits.Permits["n1"]
+		_, ok := fresh.machine.permits.Permits["n1"]
 		fresh.machine.mu.Unlock()
-		if has {
+		if ok {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the new keeper has not taken over what is agreed on")
+			t.Fatal("the new replica has not received the committed entries in time")
 		}
 	}
-	// With it, one of the old replicas may stop.
-	for i, old := range x.servers {
+	// The new replica and one old replica form a majority, so the third may stop.
+	for i, old := range cluster.servers {
 		if old != nil && !old.IsLeader() {
 			old.Close()
-			x.servers[i] = nil
+			cluster.servers[i] = nil
 			break
 		}
 	}
 	for end := time.Now().Add(waitLimit); ; time.Sleep(50 * time.Millisecond) {
-		for _, k := range append([]*Server{fresh}, x.servers...) {
-			if k != nil && k.IsLeader() {
-				if a, err := k.Do(permit.Command{ID: "unused", Kind: permit.Free, Subject: "n1", Actor: "x", Reason: "test"}); err == nil && a.OK {
+		for _, replica := range append([]*Server{fresh}, cluster.servers...) {
+			if replica != nil && replica.IsLeader() {
+				if result, err := replica.Do(permit.Command{ID: "unused", Kind: permit.Free, Subject: "n1", Actor: "x", Reason: "test"}); err == nil && result.OK {
 					return
 				}
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("the set with the new keeper does not agree on anything")
+			t.Fatal("the cluster with the new replica has not committed a command in time")
 		}
 	}
 }
 
-// One byte of one command changed in one replica's log: that replica closes, rather than diverge from the others.
-func TestWrongEntry(t *testing.T) {
+// A replica must close if an entry of its log was changed, or its state would diverge from that of the others. The test changes
+// one byte of a command in the log of one replica.
+func TestChangedEntry(t *testing.T) {
 	t.Parallel()
-	x := newLocalCluster(t, 0)
-	x.roster(3)
-	lead := x.leader(0, 1, 2)
-	lost := (lead + 1) % 3
-	for end := time.Now().Add(waitLimit); x.servers[lost].raft.LastIndex() < x.servers[lead].raft.AppliedIndex(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) { // two of three agree without it
-			t.Fatal("the keeper never gets the command that it is to have wrongly")
+	cluster := newLocalCluster(t, 0)
+	cluster.setRoster(3)
+	leader := cluster.leader(0, 1, 2)
+	lost := (leader + 1) % 3
+	for end := time.Now().Add(waitLimit); cluster.servers[lost].raft.LastIndex() < cluster.servers[leader].raft.AppliedIndex(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) { // the other two are a majority, so this replica may lag
+			t.Fatal("the replica has not received the command in time")
 		}
 	}
-	x.servers[lost].Close()
-	x.servers[lost] = nil
-	db, err := bbolt.Open(filepath.Join(x.dirs[lost], "raft.db"), 0o600, nil)
+	cluster.servers[lost].Close()
+	cluster.servers[lost] = nil
+	db, err := bbolt.Open(filepath.Join(cluster.dirs[lost], "raft.db"), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,93 +315,93 @@
 		err = db.Close()
 	}
 	if err != nil || changed == 0 {
-		t.Fatalf("%v, %d entries changed", err, changed)
+		t.Fatalf("change the log: error %v, %d entries changed", err, changed)
 	}
-	if err := x.start(lost, false, false); err != nil {
-		t.Fatal(err) // the file is complete, and the wrong entry is found when it is applied
+	if err := cluster.start(lost, false, false); err != nil {
+		t.Fatal(err) // the file itself is intact; the changed entry is detected when it is applied
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := make(chan error, 1)
-	go func() { over <- x.servers[lost].Serve(ln) }()
+	served := make(chan error, 1)
+	go func() { served <- cluster.servers[lost].Serve(ln) }()
 	select {
-	case err := <-over:
+	case err := <-served:
 		if !errors.Is(err, ErrCorruptLog) {
-			t.Errorf("error %v", err)
+			t.Errorf("serve: got error %v, want ErrCorruptLog", err)
 		}
 	case <-time.After(waitLimit):
-		t.Fatal("it goes on with an entry that is not what was written")
+		t.Fatal("the replica still serves with a changed entry in its log")
 	}
 }
 
-// A disk that takes a third of a second for each write: while its replica leads all is slow, nothing is granted twice, and clients
-// get a result or an error in bounded time.
+// A slow disk, with 300 ms for each write, must not cause a second grant of one permit, and each client must get a result or an
+// error in bounded time.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	x := newLocalCluster(t, 300*time.Millisecond)
-	x.roster(3)
+	cluster := newLocalCluster(t, 300*time.Millisecond)
+	cluster.setRoster(3)
 	granted := 0
 	for i := range 12 {
-		k := x.servers[x.leader(0, 1, 2)]
-		sendHeartbeats(k, 3)
-		began := time.Now()
-		a, err := k.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i%3), Actor: "x", Incarnation: 1})
-		if took := time.Since(began); took > applyTimeout+2*time.Second {
-			t.Errorf("an answer after %s", took)
+		replica := cluster.servers[cluster.leader(0, 1, 2)]
+		sendHeartbeats(replica, 3)
+		start := time.Now()
+		result, err := replica.Do(permit.Command{ID: fmt.Sprint("a", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i%3), Actor: "x", Incarnation: 1})
+		if elapsed := time.Since(start); elapsed > applyTimeout+2*time.Second {
+			t.Errorf("a request took %s", elapsed)
 		}
-		if err == nil && a.OK {
+		if err == nil && result.OK {
 			granted++
 		}
-		st, _, err := x.servers[x.leader(0, 1, 2)].State()
-		if err == nil && len(st.Granted()) > 1 {
-			t.Fatalf("%+v", st.Granted())
+		state, _, err := cluster.servers[cluster.leader(0, 1, 2)].State()
+		if err == nil && len(state.Granted()) > 1 {
+			t.Fatalf("granted permits: got %+v, want at most one", state.Granted())
 		}
 		if err == nil {
-			for _, p := range st.Granted() {
-				if _, err := k.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, PermitID: p.ID, Incarnation: 1}); err != nil {
-					t.Logf("permit %d is not returned: %v", p.ID, err)
+			for _, p := range state.Granted() {
+				if _, err := replica.Do(permit.Command{ID: fmt.Sprint("r", i, " ", p.ID), Kind: permit.Return, Subject: p.Subject, PermitID: p.ID, Incarnation: 1}); err != nil {
+					t.Logf("permit %d was not returned: %v", p.ID, err)
 				}
 			}
 		}
 	}
 	if granted == 0 {
-		t.Error("nothing was granted")
+		t.Error("no permit was granted")
 	}
 }
 
-// Three hundred servers request at once: one place, one grant, and all get a result.
-func TestAllAskAtOnce(t *testing.T) {
+// If 300 servers request the only permit at the same time, exactly one of them gets it and each gets a result.
+func TestConcurrentAcquire(t *testing.T) {
 	const servers = 300
 	s := startProcesses(t)
-	s.roster(servers, 1)
+	s.setRoster(servers, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
 	defer cancel()
-	end := s.sendHeartbeats(servers)
-	defer end()
+	stop := s.sendHeartbeats(servers)
+	defer stop()
 	for until := time.Now().Add(waitLimit); len(s.state().Observations) > 0; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("not all are heard")
+			t.Fatal("the leader has not received heartbeats from all servers in time")
 		}
 	}
-	answers := make(chan permit.Result, servers)
+	results := make(chan permit.Result, servers)
 	for i := range servers {
 		go func() {
-			a, err := s.Do(ctx, permit.Command{ID: fmt.Sprint("all", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i), Actor: "x", Incarnation: 1})
+			result, err := s.Do(ctx, permit.Command{ID: fmt.Sprint("all", i), Kind: permit.Acquire, Subject: fmt.Sprint("n", i), Actor: "x", Incarnation: 1})
 			if err != nil {
-				t.Errorf("n%d: %v", i, err)
+				t.Errorf("acquire for n%d: %v", i, err)
 			}
-			answers <- a
+			results <- result
 		}()
 	}
 	granted := 0
 	for range servers {
-		if a := <-answers; a.OK {
+		if result := <-results; result.OK {
 			granted++
 		}
 	}
 	if granted != 1 {
-		t.Errorf("%d grants of one place", granted)
+		t.Errorf("grants: got %d, want 1", granted)
 	}
 }
