--- a/internal/cuefile/schema.cue
+++ b/internal/cuefile/schema.cue
@@ -5,8 +5,8 @@
 version: string & =~"^[^\\n]{1,64}$"
 
 hold: {
-	// Queueing time after which an RPC is no longer rejected in favour of a more critical one, so that callers whose RPCs
-	// are rejected learn so early. 0 for no limit, which serves more RPCs during long bursts.
+	// Queueing time after which an RPC is no longer rejected in favour of a more critical one, so that a rejected
+	// caller gets its answer early. 0 for no limit, which serves more RPCs during long bursts.
 	settled_ms: *0 | number & >=0 & <=60000
 }
 
--- a/internal/operator/budgets.go
+++ b/internal/operator/budgets.go
@@ -125,6 +125,6 @@
 	case calls && budget.Bound < n:
 		c.fail(path+".bound", "must be at least one for each of %d servers, got %g", servers, budget.Bound)
 	case !calls && !validBurst:
-		c.fail(path+".burst", "must be at least one for each of %d servers, got %g: a server with less could never admit an RPC", servers, budget.Burst)
+		c.fail(path+".burst", "must be at least one for each of %d servers, got %g: a server with less could never admit one", servers, budget.Burst)
 	}
 }
