--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -74,10 +74,10 @@
 	r.in = bufio.NewReaderSize(in, readerBufferBytes)
 	magic := make([]byte, len(fileMagic))
 	if _, err := io.ReadFull(r.in, magic); err != nil {
-		return ErrNoTrace
+		return ErrNotTrace
 	}
 	if string(magic[:versionOffset]) != string(fileMagic[:versionOffset]) {
-		return ErrNoTrace
+		return ErrNotTrace
 	}
 	if magic[versionOffset] != Version {
 		return fmt.Errorf("%w: %d, this build reads %d", ErrVersion, magic[versionOffset], Version)
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -16,8 +16,8 @@
 
 // Errors of reading a trace; what was read before ErrTorn or ErrDamaged is complete.
 var (
-	// ErrNoTrace is a file of another kind.
-	ErrNoTrace = errors.New("no trace of sorrelvalve")
+	// ErrNotTrace is a file of another kind.
+	ErrNotTrace = errors.New("no trace of sorrelvalve")
 	// ErrVersion is a trace that another version of this code wrote.
 	ErrVersion = errors.New("a trace of another version")
 	// ErrTorn is a trace that ends within a block.
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -132,8 +132,8 @@
 		want   error // of reading on
 		least  int
 	}{
-		{"nothing there", func([]byte) []byte { return nil }, ErrNoTrace, nil, 0},
-		{"another file", func([]byte) []byte { return []byte("{\"name\":\"x\"}") }, ErrNoTrace, nil, 0},
+		{"nothing there", func([]byte) []byte { return nil }, ErrNotTrace, nil, 0},
+		{"another file", func([]byte) []byte { return []byte("{\"name\":\"x\"}") }, ErrNotTrace, nil, 0},
 		{"an older version", func(b []byte) []byte { b[7] = 0; return b }, ErrVersion, nil, 0},
 		{"cut within the header", func(b []byte) []byte { return b[:20] }, ErrTorn, nil, 0},
 		{"a header that is damaged", func(b []byte) []byte { b[40] ^= 1; return b }, ErrDamaged, nil, 0},
