--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -9,13 +9,13 @@
 	"syscall"
 )
 
-// FS is the folder of a store. Tests replace it by one that fails.
+// FS is the folder that holds a store. Tests replace it with one that injects faults.
 type FS interface {
-	Create(name string) (File, error) // an empty file for appending; the name must not exist
-	Open(name string) (File, error)   // for reading
+	Create(name string) (File, error) // creates an empty file for appending; the name must not exist
+	Open(name string) (File, error)   // opens a file for reading
 	List() ([]string, error)
 	Remove(name string) error
-	Sync() error // makes names that were created or removed durable
+	Sync() error // makes the creation and removal of names durable
 	Close() error
 }
 
@@ -23,24 +23,24 @@
 type File interface {
 	io.Writer
 	io.ReaderAt
-	Sync() error // makes what was written durable
+	Sync() error // makes earlier writes durable
 	Size() (int64, error)
 	Close() error
 }
 
-// ErrLocked is the error of OpenDir for a folder that another process uses.
-var ErrLocked = errors.New("store: another process uses the folder")
+// ErrLocked is returned by OpenDir if another process uses the folder.
+var ErrLocked = errors.New("store: folder is in use by another process")
 
-// lockName is the file whose lock marks a folder as used.
+// lockName is the file that a process locks while it uses the folder.
 const lockName = "LOCK"
 
-// osFolder is a folder of the file system, locked for this process.
+// osFolder is an FS on a folder of the file system that this process has locked.
 type osFolder struct {
 	path string
 	lock *os.File
 }
 
-// OpenDir locks a folder and creates it if it does not exist. Closing the folder unlocks it.
+// OpenDir creates the folder if it does not exist, and locks it. Closing the folder unlocks it.
 func OpenDir(path string) (FS, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was opened to be synced only
+	defer func() { _ = f.Close() }() // opened only for the sync
 	return f.Sync()
 }
 
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -3,20 +3,20 @@
 // slotBytes is the size of a slot.
 const slotBytes = 16
 
-// slot is one entry of an index: where the last record of a token stands. The segment 0 marks an empty slot.
+// slot is one entry of an index: the location of a token's last record. Segment 0 marks an empty slot.
 type slot struct {
-	fingerprint uint64 // the first half
+	fingerprint uint64 // the first half of the Fingerprint
 	segment     uint32
 	offset      uint32
 }
 
-// index maps the first halves of fingerprints to the places of records: a hash table with open addressing and linear
-// probing, the size of which is a power of two. It is not sufficient alone: the record holds the whole fingerprint. It is not
-// safe for concurrent use.
+// index maps the first half of a fingerprint to the location of a record. It is a hash table with open addressing and linear
+// probing, whose size is a power of two. Two tokens may share the first half, so the caller must compare the whole fingerprint
+// with the one in the record. An index is not safe for concurrent use.
 type index struct {
 	slots        []slot
-	used         int    // slots, with those of segments that are dropped
-	firstSegment uint32 // the segments before it are dropped
+	used         int    // occupied slots, including those of dropped segments
+	firstSegment uint32 // segments before it are dropped
 }
 
 // minSlots is the smallest size of an index.
@@ -24,12 +24,12 @@
 
 func newIndex() *index { return &index{slots: make([]slot, minSlots), firstSegment: 1} }
 
-// firstSlot returns the first slot for a fingerprint.
+// firstSlot returns the slot at which probing for a fingerprint begins.
 func (x *index) firstSlot(fingerprint uint64) int {
 	return int(fingerprint >> 20 & uint64(len(x.slots)-1))
 }
 
-// put sets the place of a fingerprint and replaces an earlier one.
+// put sets the location for a fingerprint and replaces an earlier one.
 func (x *index) put(fingerprint uint64, segment, offset uint32) {
 	if 4*x.used >= 3*len(x.slots) {
 		x.rebuild()
@@ -46,7 +46,7 @@
 	}
 }
 
-// get returns the place of a fingerprint; false if there is none, or its segment is dropped.
+// get returns the location for a fingerprint. ok is false if there is none or if its segment is dropped.
 func (x *index) get(fingerprint uint64) (segment, offset uint32, ok bool) {
 	for i := x.firstSlot(fingerprint); ; i = (i + 1) & (len(x.slots) - 1) {
 		s := &x.slots[i]
@@ -59,11 +59,11 @@
 	}
 }
 
-// dropBefore forgets the entries of all segments before one. Their slots are freed by the next rebuild.
+// dropBefore invalidates the entries of all segments before the given one. The next rebuild frees their slots.
 func (x *index) dropBefore(segment uint32) { x.firstSegment = max(x.firstSegment, segment) }
 
-// rebuild makes a new table without the entries of dropped segments: larger if it would still be more than five eighths
-// full, smaller if less than one eighth.
+// rebuild creates a new table without the entries of dropped segments. The table grows if it would be at least five eighths
+// full, and shrinks if it would be less than one eighth full.
 func (x *index) rebuild() {
 	live := 0
 	for i := range x.slots {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -13,23 +13,23 @@
 type SegmentInfo struct {
 	Name         string
 	Bytes        int64
-	Version      byte   // of the format
+	Version      byte   // version of the format
 	Owner        uint64 // hash of the server's name
 	Records      int
 	States       [recovery.NeverRan + 1]int // records by state
-	LastExpiryMs float64                    // the latest end of a window, in Unix ms
-	Err          error                      // what ended the reading early; nil if it came to the end
+	LastExpiryMs float64                    // latest end of a deduplication window, in Unix ms
+	Err          error                      // error offset which reading stopped; nil if the whole segment was read
 }
 
-// InspectSegments reads each record of all segments of a folder and writes nothing. The error tells that the folder can't
-// be read; one in a segment is in its SegmentInfo.
+// InspectSegments reads all records of all segments in a folder and writes nothing. It returns an error if the folder can't
+// be read; an error within a segment is reported in its SegmentInfo.
 func InspectSegments(folder FS) ([]SegmentInfo, error) {
 	names, err := folder.List()
 	if err != nil {
 		return nil, err
 	}
 	slices.Sort(names)
-	var all []SegmentInfo
+	var infos []SegmentInfo
 	for _, name := range names {
 		if len(name) != len(segmentName(1)) || !strings.HasSuffix(name, segmentSuffix) {
 			continue
@@ -40,13 +40,13 @@
 		}
 		info := SegmentInfo{Name: name}
 		info.Err = info.read(f)
-		_ = f.Close() // it was only read
-		all = append(all, info)
+		_ = f.Close() // only read
+		infos = append(infos, info)
 	}
-	return all, nil
+	return infos, nil
 }
 
-// read fills in what stands in a segment up to its end or the first error.
+// read fills in the contents of a segment up to its end or the first error.
 func (s *SegmentInfo) read(f File) (err error) {
 	if s.Bytes, err = f.Size(); err != nil {
 		return err
@@ -63,19 +63,19 @@
 	if s.Version != Version {
 		return ErrVersion
 	}
-	for at := int64(segmentHeaderSize); at < s.Bytes; {
-		r, err := readRecord(f, at)
+	for offset := int64(segmentHeaderSize); offset < s.Bytes; {
+		r, err := readRecord(f, offset)
 		if err != nil {
 			return err
 		}
-		size, err := recordSizeAt(f, at)
+		size, err := recordSizeAt(f, offset)
 		if err != nil {
 			return err
 		}
 		s.Records++
 		s.States[r.state]++
 		s.LastExpiryMs = max(s.LastExpiryMs, r.untilMs)
-		at += size
+		offset += size
 	}
 	return nil
 }
--- a/internal/store/lookup.go
+++ b/internal/store/lookup.go
@@ -14,8 +14,8 @@
 	Result []byte
 }
 
-// Lookup returns the entry of a token; false if there is none. It reads the disk. An error means that there is an entry
-// which can't be read: the token must not run.
+// Lookup returns the entry of a token, or false if there is none. It reads from the disk. An error means that the token has
+// an entry that can't be read; its RPC must not run, as it may have run before.
 func (s *Store) Lookup(token Fingerprint) (Entry, bool, error) {
 	s.mu.Lock()
 	n, offset, ok := s.index.get(token[0])
@@ -27,7 +27,7 @@
 	r, err := readRecord(seg.file, int64(offset))
 	if err != nil {
 		s.mu.Lock()
-		dropped := s.segments[n] == nil // meanwhile, as its windows are over
+		dropped := s.segments[n] == nil // since the index was read, because all its windows have ended
 		s.mu.Unlock()
 		if dropped {
 			return Entry{}, false, nil
@@ -35,17 +35,17 @@
 		s.log("store.record_unreadable", err)
 		return Entry{}, true, err
 	}
-	if r.fingerprint != token { // another token with the same first half: one in 2^64 for each pair
+	if r.fingerprint != token { // another token with the same first half; the probability is 2^-64 for each pair
 		return Entry{}, false, nil
 	}
 	e := recovery.Entry{State: r.state, BodyHash: r.bodyHash, UntilMs: r.untilMs, WrittenMs: r.writtenMs}
 	return Entry{Entry: e, Head: r.head, Result: r.result}, true, nil
 }
 
-// firstReadBytes is the size of the first read of a record, which most records fit into.
+// firstReadBytes is the size of the first read of a record. Most records fit into it.
 const firstReadBytes = 4 << 10
 
-// readRecord reads the record at an offset.
+// readRecord reads the record at an offset of a segment, with its head and result.
 func readRecord(f File, offset int64) (record, error) {
 	b := make([]byte, firstReadBytes)
 	for {
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -12,12 +12,13 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// Version is that of the format which this build writes and reads.
+// Version is the version of the format that this build writes and reads.
 const Version = 1
 
-// A segment begins with a header: magic, version, the owner and the segment's number. Its records follow without gaps, each
-// a header of magic, length and checksum, then the fixed fields, then head and result, which may be compressed together.
-// Numbers are little-endian. No length is used before the checksum has covered it.
+// A segment begins with a header of magic number, version, owner and the segment's number. Its records follow without gaps.
+// Each record consists of a header (magic number, length, checksum), the fixed fields, and head and result, which may be
+// compressed together. Numbers are little-endian. The lengths of head and result are used only after the checksum that covers
+// them has been verified.
 const (
 	segmentMagic      = "SVSTORE"
 	versionOffset     = 7
@@ -29,54 +30,55 @@
 	lengthOffset     = 4
 	checksumOffset   = 8
 
-	// The fixed fields of a record, from the end of its header.
+	// Offsets of the fixed fields of a record from the end of its header.
 	stateOffset       = 0
-	compressedOffset  = 1 // 1 if what follows the fixed fields is compressed by s2
+	compressedOffset  = 1 // 1 if head and result are compressed with s2
 	fingerprintOffset = 2
 	bodyHashOffset    = 18
 	untilOffset       = 26
 	writtenOffset     = 34
-	headLengthOffset  = 42 // of the head before compression
+	headLengthOffset  = 42 // length of the head before compression
 	recordFixedSize   = 46
 
-	// compressFrom is the length of head and result from which compression is worth while: below it s2 rarely saves a tenth.
+	// compressFrom is the combined length of head and result, in bytes, from which they are compressed. On shorter input s2
+	// rarely saves a tenth.
 	compressFrom = 256
-	// maxRecord is the largest length of a record, and of its head and result, that is taken to be sound.
+	// maxRecord is the largest length of a record, and of its head and result, that is accepted as valid, in bytes.
 	maxRecord = 32 << 20
 )
 
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Fingerprint identifies a token: two hashes of its key.
+// Fingerprint identifies a token by two hashes of its key.
 type Fingerprint [2]uint64
 
 // secondSeed is the seed of the second hash of a Fingerprint.
 const secondSeed = 0x5bd1e995
 
-// FingerprintOf returns the fingerprint of a token's key, the same in every process.
+// FingerprintOf returns the fingerprint of a token's key. It is the same in every process.
 func FingerprintOf(key string) Fingerprint {
 	second := xxhash.NewWithSeed(secondSeed)
-	_, _ = second.WriteString(key) // it never fails
+	_, _ = second.WriteString(key) // never fails
 	return Fingerprint{xxhash.Sum64String(key), second.Sum64()}
 }
 
-// record is the state of a token as it is written.
+// record is one state of a token as it is written to a segment.
 type record struct {
 	fingerprint Fingerprint
 	state       recovery.State
 	bodyHash    uint64
-	untilMs     float64 // end of its window, in Unix ms
+	untilMs     float64 // end of the deduplication window, in Unix ms
 	writtenMs   float64 // in Unix ms
 	head        []byte
 	result      []byte
 }
 
-// maxRecordSize returns the size that a record takes at most with a head and result of so many bytes.
+// maxRecordSize returns the maximum size of a record whose head and result have the given number of bytes in all.
 func maxRecordSize(bytes int) int {
 	return recordHeaderSize + recordFixedSize + s2.MaxEncodedLen(bytes)
 }
 
-// append appends the record to b.
+// append appends the encoded record to b.
 func (r *record) append(b []byte) []byte {
 	start := len(b)
 	b = append(b, make([]byte, recordHeaderSize+recordFixedSize)...)
@@ -106,13 +108,13 @@
 }
 
 var (
-	errNotSegment = errors.New("no segment of a store")
-	errTruncated  = errors.New("cut off")
+	errNotSegment = errors.New("not a segment of a store")
+	errTruncated  = errors.New("truncated")
 	errDamaged    = errors.New("damaged")
 )
 
-// parseRecord reads the record at the beginning of b and returns its size. The error is errTruncated if b ends before the
-// record does, or errDamaged. Head and result are left out unless payload is set; recovery needs only the rest.
+// parseRecord parses the record at the beginning of b and returns its size. The error is errTruncated if b ends before the
+// record does, or errDamaged. Head and result are parsed only if payload is set; recovery does not need them.
 func parseRecord(b []byte, payload bool) (r record, size int, err error) {
 	if len(b) < recordHeaderSize {
 		return r, 0, errTruncated
@@ -145,7 +147,7 @@
 	return r, size, nil
 }
 
-// parsePayload reads head and result, which follow the fixed fields.
+// parsePayload parses head and result, which follow the fixed fields.
 func (r *record) parsePayload(fields []byte) error {
 	payload := fields[recordFixedSize:]
 	if fields[compressedOffset] == 1 {
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// appendSegmentHeader appends the header of a segment of an owner.
+// appendSegmentHeader appends the header of the owner's segment with the given number.
 func appendSegmentHeader(b []byte, owner, number uint64) []byte {
 	b = append(b, segmentMagic...)
 	b = append(b, Version)
@@ -176,7 +178,7 @@
 
 func littleEndian64(b []byte) uint64 { return binary.LittleEndian.Uint64(b) }
 
-// recordSizeAt returns the size of the record at an offset.
+// recordSizeAt returns the size of the record at an offset, with its header.
 func recordSizeAt(f File, offset int64) (int64, error) {
 	var header [recordHeaderSize]byte
 	if _, err := f.ReadAt(header[:], offset); err != nil {
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -10,7 +10,7 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// recoverSegments reads all segments, the oldest first.
+// recoverSegments reads all segments into the index, the oldest first.
 func (s *Store) recoverSegments() error {
 	names, err := s.folder.List()
 	if err != nil {
@@ -33,7 +33,7 @@
 			return err
 		}
 		if err := s.recoverSegment(n, name, f, name == last); err != nil {
-			_ = f.Close() // it was only read
+			_ = f.Close() // only read
 			return fmt.Errorf("%s: %w", name, err)
 		}
 		s.current = max(s.current, n)
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// recoverSegment puts the records of one segment into the index. Damage is logged and noted; the error tells that the store
-// can't be used.
+// recoverSegment puts the records of one segment into the index. Damage within the segment is logged and noted; an error is
+// returned only if the store can't be used.
 func (s *Store) recoverSegment(n uint32, name string, f File, last bool) error {
 	length, err := f.Size()
 	if err != nil {
@@ -74,20 +74,20 @@
 			return nil
 		}
 		s.counts.Recovered++
-		seg.LastExpiryMs = max(seg.LastExpiryMs, r.untilMs, r.writtenMs+s.limits.MaxWindow) // windows may be longer now
+		seg.LastExpiryMs = max(seg.LastExpiryMs, r.untilMs, r.writtenMs+s.limits.MaxWindow) // windows may have been made longer by new settings
 		s.index.put(r.fingerprint[0], n, uint32(offset))
 	}
 }
 
-// checkHeader tells whether a segment has a complete header, and returns an error for one of another format or server. One
-// without a header was being created, and no run depends on anything in it.
+// checkHeader reports whether a segment has a complete header, and returns an error if it has another format or belongs to
+// another server. A segment without a complete header was still being created, so it has no record that a run depends on.
 func (s *Store) checkHeader(f File) (complete bool, err error) {
 	header := make([]byte, segmentHeaderSize)
-	got, err := f.ReadAt(header, 0)
+	n, err := f.ReadAt(header, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return false, err
 	}
-	if got < segmentHeaderSize {
+	if n < segmentHeaderSize {
 		return false, nil
 	}
 	if string(header[:len(segmentMagic)]) != segmentMagic {
@@ -102,21 +102,21 @@
 	return true, nil
 }
 
-// errEnd is the error of segmentReader.next at the end of a sound segment.
+// errEnd is returned by segmentReader.next at the end of a segment without damage.
 var errEnd = errors.New("end of the segment")
 
 // recoveryChunk is the number of bytes that recovery reads at a time.
 const recoveryChunk = 1 << 20
 
-// segmentReader reads the records of a segment one after the other, without their results.
+// segmentReader reads the records of a segment in order, without their heads and results.
 type segmentReader struct {
 	file   File
 	length int64
-	offset int64  // of the next record
-	buf    []byte // the bytes from there on that have been read
+	offset int64  // offset of the next record
+	buf    []byte // bytes from offset on that have been read
 }
 
-// next returns the next record and its offset. The error is errEnd, errTruncated or errDamaged, or that of a read.
+// next returns the next record and its offset. The error is errEnd, errTruncated, errDamaged or a read error.
 func (d *segmentReader) next() (record, int64, error) {
 	for {
 		offset := d.offset
@@ -140,6 +140,7 @@
 // unread returns the number of bytes of the segment that have not been read yet.
 func (d *segmentReader) unread() int64 { return d.length - d.offset - int64(len(d.buf)) }
 
+// fill reads the next chunk of the segment into the buffer.
 func (d *segmentReader) fill() error {
 	old := len(d.buf)
 	from := d.offset + int64(old)
@@ -155,18 +156,19 @@
 	return nil
 }
 
+// skip removes the given number of bytes from the beginning of the buffer.
 func (d *segmentReader) skip(bytes int) {
 	d.offset += int64(bytes)
 	d.buf = d.buf[bytes:]
-	if cap(d.buf) < recoveryChunk/2 { // the backing array is nearly used up
+	if cap(d.buf) < recoveryChunk/2 { // the backing array is nearly exhausted
 		d.buf = append(make([]byte, 0, recoveryChunk), d.buf...)
 	}
 }
 
-// validRecordFollows tells whether there is a valid record anywhere from an offset on.
+// validRecordFollows reports whether a valid record begins anywhere in f from an offset on.
 func validRecordFollows(f File, from, length int64) bool {
 	b := make([]byte, length-from)
-	n, _ := f.ReadAt(b, from) // what could be read is looked through
+	n, _ := f.ReadAt(b, from) // if the read fails, the bytes read before are searched
 	b = b[:n]
 	for i := 0; i+recordHeaderSize+recordFixedSize <= len(b); i++ {
 		if b[i] != recordMagic&0xff {
@@ -179,7 +181,8 @@
 	return false
 }
 
-// noteDamage notes that entries may be missing. They were written before this moment.
+// noteDamage records that entries may be missing from the index. All of them were written before now, which bounds the end
+// of their windows.
 func (s *Store) noteDamage(name string, err error) {
 	s.log("store.segment_damaged", fmt.Errorf("%s: %w", name, err))
 	s.counts.Failures++
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -11,7 +11,7 @@
 	recovery.Segment
 	file     File
 	name     string
-	openRuns map[Fingerprint]struct{} // tokens whose run this process started in it and has not ended
+	openRuns map[Fingerprint]struct{} // tokens whose start this process recorded in the segment and whose run has not ended
 }
 
 func newSegment(f File, name string, bytes float64) *segment {
@@ -23,13 +23,13 @@
 	}
 }
 
-// segmentSuffix ends the names of segments, and of nothing else in a folder.
+// segmentSuffix is the suffix of the file names of segments. No other file in the folder has it.
 const segmentSuffix = ".seg"
 
-// segmentName returns the name of the segment of a number.
+// segmentName returns the file name of the segment with number n.
 func segmentName(n uint32) string { return fmt.Sprintf("%08x"+segmentSuffix, n) }
 
-// segmentNumber returns the number of the segment of a name; false if it is none.
+// segmentNumber returns the number of the segment with the given file name, or false if it is not a segment's name.
 func segmentNumber(name string) (n uint32, ok bool) {
 	if _, err := fmt.Sscanf(name, "%08x"+segmentSuffix, &n); err != nil {
 		return 0, false
@@ -37,7 +37,7 @@
 	return n, n != 0 && name == segmentName(n)
 }
 
-// createSegment begins a segment that is written from here on. It is called by the writer, or before there is one.
+// createSegment creates a segment and makes it the current one. It is called by the writer, or before the writer has started.
 func (s *Store) createSegment() error {
 	n := s.current + 1
 	name := segmentName(n)
@@ -47,10 +47,10 @@
 	}
 	header := appendSegmentHeader(nil, s.owner, uint64(n))
 	if err := s.initSegment(f, header); err != nil {
-		_ = f.Close()             // it is not used
-		_ = s.folder.Remove(name) // recovery skips one without a header
+		_ = f.Close()             // the file is not used
+		_ = s.folder.Remove(name) // if this fails, recovery skips a segment without a header
 		s.mu.Lock()
-		s.current = n // the name is not used again
+		s.current = n // so that the name is not used again
 		s.mu.Unlock()
 		return err
 	}
@@ -75,7 +75,7 @@
 	return s.folder.Sync()
 }
 
-// dropSegments removes segments that are over, the oldest first. It is called with the lock held.
+// dropSegments removes segments whose windows have all ended, the oldest first. The caller holds the lock.
 func (s *Store) dropSegments() {
 	for n := s.oldest(); n < s.current; n = s.oldest() {
 		seg := s.segments[n]
@@ -86,7 +86,7 @@
 			s.log("store.segment_remove_failed", err)
 			return
 		}
-		_ = seg.file.Close() // it is gone
+		_ = seg.file.Close() // the file has been removed
 		delete(s.segments, n)
 		s.index.dropBefore(n + 1)
 		s.usedBytes -= seg.Bytes
@@ -103,7 +103,7 @@
 	return oldest
 }
 
-// freesAt returns when the oldest segment can be dropped, in Unix ms; 0 if a run in it has not ended.
+// freesAt returns the time at which the oldest segment can be dropped, in Unix ms, or 0 if a run in it has not ended.
 func (s *Store) freesAt() float64 {
 	if seg := s.segments[s.oldest()]; seg != nil && seg.OpenRuns == 0 {
 		return seg.LastExpiryMs + s.limits.ClockTolerance
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,10 @@
-// Package store keeps the state of idempotency tokens on disk, so that duplicates are recognised after a restart: that a run
-// has started, before it does, and how it ended, with its result, before the caller is answered.
+// Package store keeps the state of idempotency tokens on disk, so that duplicates are recognised after a restart. It records
+// that a run starts before the run does, and how the run ended, with its result, before the caller is answered.
 //
-// A store is a log of segments with an index in memory of where the last record of each token stands. A segment is dropped
-// once all windows in it are over. Records that are waiting share one write and one sync (group commit). What records mean,
-// and what may start, is for package decision/recovery. The store never reports a record as durable that has not been
-// synced, nor trusts a file again after a sync of it failed.
+// A store is a log of segments with an in-memory index of the location of each token's last record. A segment is dropped
+// once all deduplication windows in it have ended. Queued records share one write and one sync (group commit). Package
+// decision/recovery decides what records mean and which runs may start. The store never reports a record as durable before
+// it has been synced, and never writes to a file again after a failed write or sync.
 package store
 
 import (
@@ -20,17 +20,17 @@
 
 // Limits are the bounds of a store. Times are in ms.
 type Limits struct {
-	MaxBytes       float64 // on disk, over all segments
-	SegmentBytes   float64 // from which on the next segment is begun
-	MaxResultBytes int     // longest head and result that are recorded
-	MaxWindow      float64 // longest deduplication window of all methods, each with its deadline
-	ClockTolerance float64 // by which the wall clock may have stepped while the process was down
+	MaxBytes       float64 // total size of all segments on disk
+	SegmentBytes   float64 // size from which a segment is full and the next one is created
+	MaxResultBytes int     // largest combined size of head and result that is recorded
+	MaxWindow      float64 // longest deduplication window of all methods, each including the method's deadline
+	ClockTolerance float64 // amount by which the wall clock may have stepped while the process was down
 }
 
-// Log takes what was damaged or has failed. The event is a constant name of the form store.event_name; err may be nil.
+// Log receives damage, failures and other events. The event is a constant name of the form store.event_name; err may be nil.
 type Log func(event string, err error)
 
-// Store is an open store. Its methods may be called by many goroutines at once.
+// Store is an open store. Its methods are safe for concurrent use.
 type Store struct {
 	folder FS
 	limits Limits
@@ -39,45 +39,45 @@
 	log    Log
 
 	mu            sync.Mutex
-	queued        *sync.Cond // signalled when there is something in queue, or closed is set
+	queued        *sync.Cond // signalled when a record is added to queue, or closed is set
 	queue         []pendingRecord
 	closed        bool
-	writerDone    chan struct{} // closed once the writer has ended
+	writerDone    chan struct{} // closed once writeLoop has returned
 	index         *index
 	segments      map[uint32]*segment // by number
-	current       uint32              // number of the segment that is written
+	current       uint32              // number of the segment that records are appended to
 	health        recovery.Health
 	usedBytes     float64
-	reservedBytes float64 // for the records of runs that may start or have started
+	reservedBytes float64 // reserved for the records of runs that may start or have started
 	suspectUntil  float64 // Unix ms; see recovery.Disk
 	counts        Counts
 }
 
-// Counts are what a store has done since it was opened.
+// Counts are the operations of a store since it was opened.
 type Counts struct {
 	Records         uint64 // written
 	Syncs           uint64
 	SegmentsDropped uint64
-	Failures        uint64 // of writes, and segments found damaged
+	Failures        uint64 // failed writes and damaged segments
 	Bytes           uint64 // written
-	Recovered       int    // records read when it was opened
+	Recovered       int    // records read when the store was opened
 	RecoveryTime    time.Duration
 }
 
 var (
-	// ErrNotDurable is the error of a record that could not be made durable.
-	ErrNotDurable = errors.New("store: not kept")
-	// ErrVersion is the error of Open for a store that another version of the format has written.
-	ErrVersion = errors.New("store: written by another version of the format")
-	// ErrOwner is the error of Open for a store of another server.
-	ErrOwner = errors.New("store: it is that of another server")
+	// ErrNotDurable is returned for a record that could not be made durable.
+	ErrNotDurable = errors.New("store: record is not durable")
+	// ErrVersion is returned by Open if the store has another version of the format.
+	ErrVersion = errors.New("store: unsupported version of the format")
+	// ErrOwner is returned by Open if the store belongs to another server.
+	ErrOwner = errors.New("store: folder belongs to another server")
 
 	errClosed = errors.New("store: closed")
 )
 
-// Open reads the segments in a folder and begins a new one. The owner names the server: a store that was copied from another
-// server is an error, as is one of another version; neither is changed. now returns Unix ms. The caller closes the folder
-// if Open fails; else Close does.
+// Open reads the segments in a folder and creates a new one. The owner is the name of the server. If the store was copied from
+// another server or has another version of the format, Open returns ErrOwner or ErrVersion and does not change the store. now
+// returns Unix ms. If Open fails, the caller closes the folder; otherwise Close does.
 func Open(folder FS, limits Limits, owner string, now func() float64, log Log) (*Store, error) {
 	s := &Store{
 		folder:     folder,
@@ -102,8 +102,8 @@
 	return s, nil
 }
 
-// Reserve returns nil if a token may start a run now, and has then reserved space for its records, to be used by one
-// RecordStart. Else it returns why the token may not.
+// Reserve returns nil if a token may start a run now. It has then reserved space for the records of one run, which one call of
+// RecordStart uses. Otherwise it returns why the run may not start.
 func (s *Store) Reserve() *recovery.Rejection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,14 +124,15 @@
 	return nil
 }
 
-// startBytes is the space that is reserved for the record of a start.
+// startBytes is the space that is reserved for the record of a run's start.
 var startBytes = float64(maxRecordSize(0))
 
-// endBytes is the space that is reserved for the record of an end.
+// endBytes returns the space that is reserved for the record of a run's end.
 func (s *Store) endBytes() float64 { return float64(maxRecordSize(s.limits.MaxResultBytes)) }
 
-// RecordStart records that a run of a token is about to start. It does not block: done is called from another goroutine,
-// with nil once the record is durable. On an error nothing may run. Reserve must have allowed it.
+// RecordStart records that a run of a token is about to start. Reserve must have succeeded before. RecordStart does not block:
+// done is called from another goroutine, with nil once the record is durable. If done receives an error, the run must not
+// start.
 func (s *Store) RecordStart(token Fingerprint, bodyHash uint64, untilMs float64, done func(error)) {
 	s.enqueue(pendingRecord{
 		record:   record{fingerprint: token, state: recovery.Started, bodyHash: bodyHash, untilMs: untilMs},
@@ -145,8 +146,8 @@
 	})
 }
 
-// RecordEnd records how a run ended, under the terms of RecordStart. A result that is too long is left out. Each
-// RecordStart that succeeded must have one RecordEnd.
+// RecordEnd records how a run ended. done is called as in RecordStart. A head and result of more than MaxResultBytes are not
+// recorded. Each successful RecordStart must be followed by one RecordEnd.
 func (s *Store) RecordEnd(token Fingerprint, state recovery.State, bodyHash uint64, untilMs float64, head, result []byte, done func(error)) {
 	r := record{fingerprint: token, state: state, bodyHash: bodyHash, untilMs: untilMs}
 	if state == recovery.Succeeded {
@@ -160,6 +161,7 @@
 	s.enqueue(pendingRecord{record: r, reserved: s.endBytes(), done: done})
 }
 
+// unreserve releases reserved space.
 func (s *Store) unreserve(bytes float64) {
 	s.mu.Lock()
 	s.reservedBytes = max(0, s.reservedBytes-bytes)
@@ -170,12 +172,12 @@
 type Status struct {
 	Counts
 	Health         recovery.Health
-	UsedBytes      float64 // on disk
-	ReservedBytes  float64 // for the records of runs that may start or have started
+	UsedBytes      float64 // size on disk
+	ReservedBytes  float64 // reserved for the records of runs that may start or have started
 	Segments       int
-	Entries        int     // of the index, with those that are over
-	IndexKB        float64 // memory of the index
-	SuspectUntilMs float64 // until when entries may be missing as the store was damaged, in Unix ms
+	Entries        int     // entries of the index, including those whose windows have ended
+	IndexKB        float64 // memory that the index takes
+	SuspectUntilMs float64 // time until which entries may be missing because the store was damaged, in Unix ms
 }
 
 // Status returns the state of the store.
@@ -194,7 +196,7 @@
 	}
 }
 
-// Close writes the records that are queued, ends the writer and closes the folder. Later calls do nothing.
+// Close writes the queued records, stops the writer and closes the folder. Later calls do nothing.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	closed := s.closed
@@ -208,7 +210,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, seg := range s.segments {
-		_ = seg.file.Close() // what was reported as durable has been synced
+		_ = seg.file.Close() // records that were reported as durable have been synced
 	}
 	return s.folder.Close()
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -7,14 +7,14 @@
 	"sorrelvalve/decision/recovery"
 )
 
-// pendingRecord is a record on its way to the disk.
+// pendingRecord is a record that has yet to be written to the disk.
 type pendingRecord struct {
 	record   record
-	reserved float64     // bytes that are reserved for it
-	done     func(error) // called once it is durable or has failed
+	reserved float64     // bytes reserved for the record
+	done     func(error) // called once the record is durable or its write has failed
 }
 
-// enqueue hands a record to the writer.
+// enqueue queues a record for the writer.
 func (s *Store) enqueue(p pendingRecord) {
 	s.mu.Lock()
 	closed := s.closed
@@ -28,10 +28,11 @@
 	}
 }
 
-// recreatePeriod is the time between two attempts to create a segment after a failure.
+// recreatePeriod is the delay between attempts to create a segment after a failure.
 const recreatePeriod = 200 * time.Millisecond
 
-// writeLoop is the one goroutine that writes. The records that have gathered share one write and one sync.
+// writeLoop writes the queued records until the store is closed. It runs in the only goroutine that writes. All records that
+// are queued share one write and one sync.
 func (s *Store) writeLoop() {
 	defer close(s.writerDone)
 	w := writer{store: s}
@@ -40,7 +41,7 @@
 		if batch == nil {
 			return
 		}
-		if health == recovery.Broken { // nothing is written before a new segment has been created and synced
+		if health == recovery.Broken { // a new segment must be created and synced before the next write
 			if err := s.createSegment(); err != nil {
 				s.failBatch(batch, err)
 				time.Sleep(recreatePeriod)
@@ -53,7 +54,7 @@
 	}
 }
 
-// nextBatch waits for records and returns all that are queued; nil once the store is closed and there are none.
+// nextBatch waits for records and returns all queued ones, or nil once the store is closed and the queue is empty.
 func (s *Store) nextBatch() ([]pendingRecord, recovery.Health) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,10 +76,10 @@
 type writer struct {
 	store   *Store
 	buf     []byte
-	offsets []uint32 // of the records of a batch in their segment
+	offsets []uint32 // offsets of a batch's records in their segment
 }
 
-// write makes a batch durable in the current segment and calls back.
+// write makes a batch durable in the current segment and calls done for each of its records.
 func (w *writer) write(batch []pendingRecord) {
 	s := w.store
 	s.mu.Lock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// encode puts the records of a batch into the buffer, the first of them at an offset of the segment.
+// encode encodes the records of a batch into the buffer. The first record will be at the given offset of the segment.
 func (w *writer) encode(batch []pendingRecord, offset uint32) {
 	w.buf = w.buf[:0]
 	w.offsets = w.offsets[:0]
@@ -119,8 +120,8 @@
 	}
 }
 
-// noteFailedWrite marks the disk as broken. Some of what was written may be there all the same: the segment stays for as
-// long as it would with all of it.
+// noteFailedWrite marks the disk as broken. Part of the batch may have reached the disk, so the segment is retained for as
+// long as if all of it had.
 func (s *Store) noteFailedWrite(seg *segment, batch []pendingRecord, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,7 @@
 	}
 }
 
-// commit puts a batch that is durable into the index, and returns whether its segment is full.
+// commit puts a durable batch into the index and reports whether its segment is full.
 func (s *Store) commit(seg *segment, batch []pendingRecord, offsets []uint32, bytes int) (full bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +157,7 @@
 	return seg.Bytes >= s.limits.SegmentBytes
 }
 
-// closeRun notes that the run of a token has ended, in whatever segment it started.
+// closeRun marks the run of a token as ended in the segment that holds the record of its start. The caller holds the lock.
 func (s *Store) closeRun(token Fingerprint) {
 	for _, seg := range s.segments {
 		if _, open := seg.openRuns[token]; open {
@@ -166,7 +167,7 @@
 	}
 }
 
-// failBatch reports records that could not be made durable.
+// failBatch releases the space reserved for a batch and reports to each record that it could not be made durable.
 func (s *Store) failBatch(batch []pendingRecord, err error) {
 	s.mu.Lock()
 	s.counts.Failures++
--- a/internal/trace/block.go
+++ b/internal/trace/block.go
@@ -1,7 +1,7 @@
 package trace
 
-// This file owns the form of a file: a magic number with the version, then blocks of compressed messages, the first with the
-// header.
+// This file defines the file format: a magic number that includes the version, then blocks of compressed messages. The first
+// block holds the header.
 
 import (
 	"encoding/binary"
@@ -12,14 +12,14 @@
 	"github.com/klauspost/compress/s2"
 )
 
-// A block's header is a magic number, the sizes of the block compressed and decompressed, and the CRC-32C of the compressed
-// bytes, which follow: four little-endian numbers of 4 bytes.
+// A block's header consists of four little-endian numbers of 4 bytes: a magic number, the compressed and the decompressed size
+// of the block, and the CRC-32C of the compressed bytes. The compressed bytes follow the header.
 const (
 	blockHeaderBytes  = 16
-	maxBlockBytes     = 256 << 10         // decompressed: what a reader allocates for one
-	maxCompressed     = 2 * maxBlockBytes // what does not compress grows a little
+	maxBlockBytes     = 256 << 10         // maximum decompressed size, which bounds what a reader allocates
+	maxCompressed     = 2 * maxBlockBytes // incompressible data grows slightly
 	blockMagic        = uint32(0x5356424b)
-	versionOffset     = 7 // in fileMagic
+	versionOffset     = 7 // of the version in fileMagic
 	readerBufferBytes = 64 << 10
 )
 
@@ -28,7 +28,7 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// appendBlock appends a block with raw to b. buffer holds the compressed bytes and is used again.
+// appendBlock appends a block that contains raw to b. buffer holds the compressed bytes and is reused between calls.
 func appendBlock(b, raw []byte, buffer *[]byte) []byte {
 	compressed := s2.Encode((*buffer)[:cap(*buffer)], raw)
 	*buffer = compressed
@@ -39,8 +39,8 @@
 	return append(b, compressed...)
 }
 
-// readBlock reads one block, decompressed into a buffer that is used again. The error is io.EOF at the end, ErrTorn or
-// ErrDamaged.
+// readBlock reads one block and decompresses it into a buffer that is reused between calls. The error is io.EOF at the end of
+// the file, ErrTorn or ErrDamaged.
 func (r *Reader) readBlock() error {
 	head := make([]byte, blockHeaderBytes)
 	if _, err := io.ReadFull(r.in, head); errors.Is(err, io.EOF) {
--- a/internal/trace/encoding.go
+++ b/internal/trace/encoding.go
@@ -1,6 +1,6 @@
 package trace
 
-// This file owns the encoding of header and entries as protobuf messages. The field numbers are those of trace.proto and must
+// This file encodes and parses header and entries as protobuf messages. The field numbers are defined in trace.proto and must
 // never change.
 
 import (
@@ -54,7 +54,7 @@
 	fieldLast       = 4
 )
 
-// The append functions leave zero values out, as protobuf does.
+// As in proto3, the append functions omit zero values.
 
 func appendNumber(b []byte, field protowire.Number, v float64) []byte {
 	if v == 0 {
@@ -77,7 +77,7 @@
 	return appendUint(b, field, 1)
 }
 
-// appendEntry appends one entry as a message of the stream. scratch is a buffer for its parts that is used again.
+// appendEntry appends one entry as a message of the stream. scratch is a buffer that is reused between calls.
 func appendEntry(b []byte, e *Entry, scratch *[]byte) []byte {
 	m := appendNumber((*scratch)[:0], fieldNow, e.Now)
 	m = appendEvent(m, &e.Event)
@@ -94,9 +94,9 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, fieldEntry, protowire.BytesType), m)
 }
 
-// appendEvent appends the fields of an event up to fieldStale; the later ones stand behind the entry's own.
+// appendEvent appends the fields of an event up to fieldStale. appendEntry appends those with higher numbers.
 func appendEvent(m []byte, ev *control.Event) []byte {
-	m = appendUint(m, fieldKind, uint64(ev.Kind)+1) // so that the first kind is no zero value
+	m = appendUint(m, fieldKind, uint64(ev.Kind)+1) // plus 1 so that the first kind is not a zero value
 	m = appendUint(m, fieldRPC, uint64(ev.RPC))
 	m = appendUint(m, fieldMethod, uint64(ev.Method))
 	m = appendUint(m, fieldCustomer, uint64(ev.Customer))
@@ -118,11 +118,11 @@
 
 func appendAction(m []byte, a *control.Action) []byte {
 	var buffer [32]byte // the longest action takes 20 bytes
-	x := appendUint(buffer[:0], fieldDo, uint64(a.Kind)+1)
-	x = appendUint(x, fieldActionRPC, uint64(a.RPC))
-	x = appendNumber(x, fieldActionTime, a.Time)
-	x = appendBool(x, fieldLast, a.NoRetry)
-	return protowire.AppendBytes(protowire.AppendTag(m, fieldAction, protowire.BytesType), x)
+	encoded := appendUint(buffer[:0], fieldDo, uint64(a.Kind)+1)
+	encoded = appendUint(encoded, fieldActionRPC, uint64(a.RPC))
+	encoded = appendNumber(encoded, fieldActionTime, a.Time)
+	encoded = appendBool(encoded, fieldLast, a.NoRetry)
+	return protowire.AppendBytes(protowire.AppendTag(m, fieldAction, protowire.BytesType), encoded)
 }
 
 func appendHeader(b []byte, h *Header) ([]byte, error) {
@@ -130,7 +130,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, fieldHeader, protowire.BytesType), text), err
 }
 
-// fields calls each for every field of a message, with a number as it stands there or the bytes.
+// fields calls each for every field of a message, with the encoded number of a numeric field or the bytes of a bytes field.
 func fields(m []byte, each func(f protowire.Number, v uint64, b []byte) error) error {
 	for len(m) > 0 {
 		f, kind, n := protowire.ConsumeTag(m)
@@ -147,7 +147,7 @@
 			v, n = protowire.ConsumeFixed64(m)
 		case protowire.BytesType:
 			b, n = protowire.ConsumeBytes(m)
-		default: // of a later build
+		default: // a type that a later build writes
 			n = protowire.ConsumeFieldValue(f, kind, m)
 		}
 		if n < 0 {
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// parseEntry reads one entry. Its actions are appended to those given.
+// parseEntry parses one entry. Its actions are appended to the given slice, so that its memory can be reused.
 func parseEntry(m []byte, actions []control.Action) (e Entry, err error) {
 	e.Actions = actions
 	err = fields(m, func(f protowire.Number, v uint64, b []byte) error {
@@ -192,7 +192,7 @@
 	return e, err
 }
 
-// parseEventField sets one field of an event. Unknown fields, of a later build, are ignored.
+// parseEventField sets one field of an event. Unknown fields, which a later build may write, are ignored.
 func parseEventField(ev *control.Event, f protowire.Number, v uint64) error {
 	number := math.Float64frombits(v)
 	switch f {
--- a/internal/trace/reader.go
+++ b/internal/trace/reader.go
@@ -1,7 +1,7 @@
 package trace
 
-// This file owns the reading of traces, block by block, in bounded memory. It must never return an entry of a block whose
-// checksum does not fit.
+// This file reads traces block by block in bounded memory. It must never return an entry of a block whose checksum does not
+// match.
 
 import (
 	"bufio"
@@ -16,20 +16,20 @@
 	"sorrelvalve/control"
 )
 
-// Reader reads the files of one trace in their order. It is not safe for concurrent use.
+// Reader reads the files of one trace in order. It is not safe for concurrent use.
 type Reader struct {
-	Header Header // of the file that is read
+	Header Header // header of the file being read
 
 	in         *bufio.Reader
-	files      []string // not opened yet
+	files      []string // files that have not been opened yet
 	file       *os.File
 	compressed []byte
-	raw        []byte // the block, decompressed
-	unread     []byte // part of raw
+	raw        []byte // the decompressed block
+	unread     []byte // the part of raw that has not been parsed yet
 	actions    []control.Action
 }
 
-// Open reads the header of the first of a trace's files, the oldest first.
+// Open opens a trace that consists of the given files, the oldest first, and reads the header of the first one.
 func Open(files ...string) (*Reader, error) {
 	r := &Reader{files: files}
 	if err := r.openNext(); err != nil {
@@ -38,7 +38,7 @@
 	return r, nil
 }
 
-// Close closes the file that is read.
+// Close closes the file being read, if any.
 func (r *Reader) Close() error {
 	if r.file == nil {
 		return nil
@@ -48,7 +48,7 @@
 	return file.Close()
 }
 
-// openNext opens the next file; io.EOF if there is none.
+// openNext opens the next file and reads its header. The error is io.EOF if there are no more files.
 func (r *Reader) openNext() error {
 	if len(r.files) == 0 {
 		return io.EOF
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// Begin reads the beginning of a file and its header. Open does so; a Reader of another source begins with it.
+// Begin reads the magic number and the header of a file. Open calls it; a caller that reads from another source calls it
+// before Next.
 func (r *Reader) Begin(in io.Reader) error {
 	r.in = bufio.NewReaderSize(in, readerBufferBytes)
 	magic := make([]byte, len(fileMagic))
@@ -100,13 +101,13 @@
 	return err
 }
 
-// Next returns the next entry, whose actions are valid until the next call; io.EOF at the end. ErrTorn and ErrDamaged mean
-// that the trace ends early: what was returned before is complete.
+// Next returns the next entry, or io.EOF at the end of the trace. The entry's actions are valid until the next call. ErrTorn
+// and ErrDamaged mean that the trace can't be read further; all entries returned before are complete.
 func (r *Reader) Next() (Entry, error) {
 	for len(r.unread) == 0 {
 		err := r.readBlock()
 		if errors.Is(err, io.EOF) && len(r.files) > 0 {
-			err = r.openNext() // which reads the header's block
+			err = r.openNext() // also reads the block with the header
 		}
 		if err != nil {
 			return Entry{}, err
@@ -126,7 +127,7 @@
 	return e, err
 }
 
-// Files returns the files of the trace at path that exist, the oldest first.
+// Files returns the existing files of the trace at path, the oldest first.
 func Files(path string) []string {
 	files := []string{path}
 	for n := 1; ; n++ {
@@ -138,5 +139,5 @@
 	}
 }
 
-// rotatedName returns the name of the nth file before the one that is written.
+// rotatedName returns the name of the nth file before the current one.
 func rotatedName(path string, n int) string { return fmt.Sprintf("%s.%d", path, n) }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -1,7 +1,7 @@
 package trace
 
-// This file owns the recorder as the gate's tracer: it begins a trace when the decisions begin. It must never keep a gate from
-// deciding because a file can't be written.
+// This file contains the recorder, which the gate uses as its tracer. A file that can't be written must never keep a gate from
+// making decisions.
 
 import (
 	"sync"
@@ -11,7 +11,7 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Recorder implements gate.Tracer by a Writer.
+// Recorder implements gate.Tracer with a Writer.
 type Recorder struct {
 	path    string
 	limits  FileLimits
@@ -19,15 +19,15 @@
 	onError func(error)
 
 	mu     sync.Mutex
-	writer *Writer // nil before Begin, after Close, and where no file could be opened
+	writer *Writer // nil before Begin, after Close, and if no file could be created
 }
 
-// NewRecorder returns a recorder to path. onError is called once if the file can't be created.
+// NewRecorder returns a recorder that writes to path. If the file can't be created, onError is called once.
 func NewRecorder(path string, limits FileLimits, build string, onError func(error)) *Recorder {
 	return &Recorder{path: path, limits: limits, build: build, onError: onError}
 }
 
-// Begin creates the file. origin is the time at which the decisions' clock was 0.
+// Begin creates the file with its header. origin is the time at which the clock of the control decisions was 0.
 func (r *Recorder) Begin(config *startup.Config, slowStart bool, origin time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,14 +40,14 @@
 	r.writer = writer
 }
 
-// current returns the writer; nil if there is none.
+// current returns the writer, or nil if there is none.
 func (r *Recorder) current() *Writer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.writer
 }
 
-// Event records one event. It is called with the gate's lock held, hence by one goroutine at a time.
+// Event records one event. It is called with the gate's lock held, and so by one goroutine at a time.
 func (r *Recorder) Event(now float64, ev control.Event, actions []control.Action, token string) {
 	writer := r.current()
 	if writer == nil {
@@ -60,7 +60,7 @@
 	writer.Event(now, ev, actions, hash)
 }
 
-// Close writes the entries that are queued; later events are not recorded.
+// Close writes the queued entries and closes the file. Later events are not recorded.
 func (r *Recorder) Close() {
 	r.mu.Lock()
 	writer := r.writer
@@ -71,7 +71,7 @@
 	}
 }
 
-// Dropped returns the number of entries that were not written; 0 after Close.
+// Dropped returns the number of entries that were dropped because the disk was too slow. It returns 0 after Close.
 func (r *Recorder) Dropped() uint64 {
 	writer := r.current()
 	if writer == nil {
--- a/internal/trace/text.go
+++ b/internal/trace/text.go
@@ -1,6 +1,6 @@
 package trace
 
-// This file owns the text of an entry, for operators.
+// This file formats entries as text for operators.
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"sorrelvalve/control"
 )
 
-// eventNames are the names of the event kinds, in their order.
+// eventNames are the names of the event kinds in the text, in the order of the kinds.
 var eventNames = [...]string{"begin", "arrive", "left", "ended", "wait", "called", "notice", "timer", "stay"}
 
 // String returns the entry as one line.
@@ -23,7 +23,7 @@
 	return s
 }
 
-// eventText returns the fields of an event that its kind sets.
+// eventText formats the fields that are set for the event's kind.
 func eventText(ev *control.Event) string {
 	switch ev.Kind {
 	case control.Arrived:
@@ -48,7 +48,7 @@
 	return ""
 }
 
-// actionText returns a recorded action.
+// actionText formats a recorded action.
 func actionText(a *control.Action) string {
 	switch a.Kind {
 	case control.Run:
--- a/internal/trace/writer.go
+++ b/internal/trace/writer.go
@@ -1,7 +1,7 @@
 package trace
 
-// This file owns the writer: it gathers entries into blocks and writes these to rotated files beside the decisions. It must
-// never block the caller of Event.
+// This file contains the writer, which collects entries into blocks and writes the blocks to rotated files in the background.
+// It must never block the caller of Event.
 
 import (
 	"io"
@@ -13,20 +13,20 @@
 	"sorrelvalve/control"
 )
 
-// FileLimits bound the files of a trace.
+// FileLimits limit the size and number of a trace's files.
 type FileLimits struct {
-	MaxFileBytes int64 // a file is full then, and the next begins
-	MaxFiles     int   // that are retained, the one that is written included
+	MaxFileBytes int64 // size from which a file is full and the next one is created
+	MaxFiles     int   // number of files that are retained, including the current one
 }
 
 const (
-	targetBlockBytes = 64 << 10    // of entries: about a thousand; a block is compressed in some tens of microseconds
-	blockSpareBytes  = 4 << 10     // for the entry that completes a block
-	maxQueuedBlocks  = 8           // blocks that may wait for the disk; entries beyond are dropped
-	flushInterval    = time.Second // a block that is not full is written after that
+	targetBlockBytes = 64 << 10    // about a thousand entries; such a block is compressed in some tens of microseconds
+	blockSpareBytes  = 4 << 10     // space for the entry that completes a block
+	maxQueuedBlocks  = 8           // blocks that may wait for the disk; further ones are dropped
+	flushInterval    = time.Second // interval at which blocks that are not full are written
 )
 
-// File is what a writer writes to.
+// File is a file that a Writer writes to.
 type File interface{ io.WriteCloser }
 
 // entryBlock is a block of encoded entries.
@@ -35,16 +35,16 @@
 	entries int
 }
 
-// Writer records to files. Event may be called by one goroutine at a time; all else by any.
+// Writer writes a trace to files. Event may be called by one goroutine at a time, all other methods concurrently.
 type Writer struct {
 	path   string
 	limits FileLimits
 	header []byte
 
 	mu      sync.Mutex
-	block   *entryBlock // that is filled
+	block   *entryBlock // the block being filled
 	scratch []byte
-	dropped int // entries since the last that was taken
+	dropped int // entries dropped since the last one that was not
 	closed  bool
 
 	fullBlocks chan *entryBlock
@@ -52,16 +52,16 @@
 	running    sync.WaitGroup
 	stop       chan struct{}
 
-	Dropped      atomic.Uint64 // entries, in all
-	FailedBlocks atomic.Uint64 // blocks and files that the disk did not take
+	Dropped      atomic.Uint64 // total number of dropped entries
+	FailedBlocks atomic.Uint64 // writes of blocks, and creations and closings of files, that failed
 
-	// Of the goroutine that writes.
-	size int64 // of the file
-	file File  // nil where none could be opened
+	// Used only by writeBlocks, and by create before writeBlocks starts.
+	size int64 // size of the file
+	file File  // nil if none could be opened
 	open func(path string) (File, error)
 }
 
-// Create begins a trace at path; an earlier file there is retained as path.1 and so on, as far as the limits allow.
+// Create creates a trace at path. Earlier files are retained as path.1, path.2 and so on, as far as the limits allow.
 func Create(path string, h *Header, limits FileLimits) (*Writer, error) {
 	return create(path, h, limits, func(path string) (File, error) { return os.Create(path) })
 }
@@ -90,7 +90,7 @@
 	return w, nil
 }
 
-// emptyBlock returns a block of the pool.
+// emptyBlock returns an empty block from the pool.
 func (w *Writer) emptyBlock() *entryBlock {
 	block := w.blockPool.Get().(*entryBlock)
 	block.clear()
@@ -102,7 +102,7 @@
 	b.entries = 0
 }
 
-// Event records one entry. The actions are copied.
+// Event records one entry. It does not retain actions.
 func (w *Writer) Event(now float64, ev control.Event, actions []control.Action, token uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// enqueueBlock queues the block for the disk, or drops its entries if the disk does not keep up. The caller holds the lock.
+// enqueueBlock queues the block being filled for writing, or drops its entries if the queue is full. The caller holds the lock.
 func (w *Writer) enqueueBlock() {
 	if w.block.entries == 0 {
 		return
@@ -133,7 +133,7 @@
 	}
 }
 
-// flushPeriodically queues blocks that are not full.
+// flushPeriodically queues the block being filled at each flushInterval, even if it is not full.
 func (w *Writer) flushPeriodically() {
 	defer w.running.Done()
 	t := time.NewTicker(flushInterval)
@@ -167,8 +167,8 @@
 	w.closeFile()
 }
 
-// writeBlock writes one block. Nothing is written behind a torn block: the file ends there, and the next block begins a new
-// one.
+// writeBlock writes one block. After a failed write the file may end with a torn block, so nothing more is written to it and
+// the next block goes to a new file.
 func (w *Writer) writeBlock(block []byte) {
 	if w.file == nil {
 		w.FailedBlocks.Add(1)
@@ -183,7 +183,7 @@
 	}
 }
 
-// closeFile closes the file, if there is one.
+// closeFile closes the current file, if any.
 func (w *Writer) closeFile() {
 	if w.file == nil {
 		return
@@ -194,14 +194,14 @@
 	w.file = nil
 }
 
-// rotate begins the next file.
+// rotate renames the earlier files and creates the next one with its header.
 func (w *Writer) rotate() error {
 	w.closeFile()
 	if w.limits.MaxFiles > 1 {
 		for n := w.limits.MaxFiles - 1; n > 1; n-- {
-			_ = os.Rename(rotatedName(w.path, n-1), rotatedName(w.path, n)) // there may be fewer files yet
+			_ = os.Rename(rotatedName(w.path, n-1), rotatedName(w.path, n)) // fails if there are fewer files
 		}
-		_ = os.Rename(w.path, rotatedName(w.path, 1)) // it may be the first
+		_ = os.Rename(w.path, rotatedName(w.path, 1)) // fails for the first file
 	}
 	file, err := w.open(w.path)
 	if err != nil {
@@ -210,7 +210,7 @@
 	var buffer []byte
 	beginning := appendBlock(append([]byte(nil), fileMagic...), w.header, &buffer)
 	if _, err := file.Write(beginning); err != nil {
-		_ = file.Close() // the first error tells
+		_ = file.Close() // the error of the write is returned
 		return err
 	}
 	w.file = file
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// Close writes the entries that are queued and closes the file; later events are not recorded.
+// Close writes the queued entries and closes the file. Later events are not recorded.
 func (w *Writer) Close() {
 	w.mu.Lock()
 	if w.closed {
@@ -227,7 +227,7 @@
 	}
 	w.closed = true
 	if w.block.entries > 0 {
-		w.fullBlocks <- w.block // writeBlocks still runs
+		w.fullBlocks <- w.block // does not block for good, as writeBlocks is still running
 	}
 	w.mu.Unlock()
 	close(w.stop)
