--- a/internal/members/exchange.go
+++ b/internal/members/exchange.go
@@ -1,6 +1,6 @@
 package members
 
-// This file owns one report on the wire.
+// This file sends one report over HTTP and reads the response.
 
 import (
 	"bufio"
@@ -15,41 +15,42 @@
 )
 
 const (
-	maxHeadBytes = 8 << 10  // of an answer, interim ones included
-	maxBodyBytes = 64 << 10 // of an answer
-	bufferSize   = 1 << 10  // bounds a line of an answer's head
+	maxHeadBytes = 8 << 10  // of a response, including interim ones
+	maxBodyBytes = 64 << 10 // of a response
+	bufferSize   = 1 << 10  // bounds a line of a response's head
 )
 
-// The phases of a server, as the service knows them.
+// The phases of a server in the protocol of the membership service.
 const (
 	phaseServing    = "UP"
 	phaseNotServing = "OUT"
 )
 
-// cancelIO is a deadline in the past: it ends reads and writes that are in progress at once.
+// cancelIO is a deadline in the past. Setting it ends reads and writes in progress at once.
 var cancelIO = time.Unix(1, 0)
 
-// exchange is one report in flight, and its connection.
+// exchange is one report with its connection.
 type exchange struct {
 	addr     string
-	conn     net.Conn // nil for a new one
+	conn     net.Conn // nil if a new connection must be dialled
 	reader   *bufio.Reader
 	cancel   context.CancelFunc
-	sent     bool // completely: the service may have counted it
-	serving  bool // what it said
-	reusable bool // it was answered completely: the connection can carry another
+	sent     bool // the report was written completely, so the service may have processed it
+	serving  bool // the state that was reported
+	reusable bool // the response was read completely, so the connection can carry another report
 	err      error
 }
 
-// close closes the connection of an exchange, if there is one. The receiver may be nil.
+// close closes the connection of an exchange, if any. The receiver may be nil.
 func (x *exchange) close() {
 	if x != nil && x.conn != nil {
-		_ = x.conn.Close() // its report has been answered, or failed for a reason of its own
+		_ = x.conn.Close() // the report is over, and its error, if any, is in x.err
 		x.conn = nil
 	}
 }
 
-// report sends one report. A connection that was reused may have been closed meanwhile, so that is tried once more.
+// report sends one report. The service may have closed a reused connection in the meantime, so if the report fails on one, it
+// is sent once more on a new connection.
 func (r *Reporter) report(ctx context.Context, x *exchange) {
 	reused := x.conn != nil
 	code := r.send(ctx, x)
@@ -58,11 +59,11 @@
 		code = r.send(ctx, x)
 	}
 	if x.err == nil && (code < 200 || code > 299) {
-		x.err = fmt.Errorf("status %d", code)
+		x.err = fmt.Errorf("response status %d", code)
 	}
 }
 
-// send sends one report and returns the status of its answer. All of it ends with ctx.
+// send sends one report and returns the status of the response. It sets x.err on failure and stops when ctx ends.
 func (r *Reporter) send(ctx context.Context, x *exchange) (code int) {
 	x.sent = false
 	x.reusable = false
@@ -75,9 +76,9 @@
 		x.reader = bufio.NewReaderSize(x.conn, bufferSize)
 	}
 	conn := x.conn
-	_ = conn.SetDeadline(time.Time{}) // fails only once closed, and so does the write
+	_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection, on which the write fails as well
 	stop := context.AfterFunc(ctx, func() {
-		_ = conn.SetDeadline(cancelIO) // fails only once closed
+		_ = conn.SetDeadline(cancelIO) // fails only on a closed connection
 	})
 	defer stop()
 	x.err = r.writeRequest(ctx, x)
@@ -89,8 +90,8 @@
 	return code
 }
 
-// writeRequest writes what holds now. It does not wait: a connection that is new or was answered completely takes so
-// little at once.
+// writeRequest writes a report of the current state. It does not block in practice: the connection is new or its last
+// response was complete, so the small request fits into the send buffer.
 func (r *Reporter) writeRequest(ctx context.Context, x *exchange) error {
 	r.writeMu.Lock()
 	defer r.writeMu.Unlock()
@@ -108,24 +109,24 @@
 	return err
 }
 
-// errMalformed means that an answer is no HTTP/1.x response, or exceeds the bounds.
-var errMalformed = errors.New("not an HTTP/1.1 answer")
+// errMalformed means that a response is not valid HTTP/1.x or exceeds the size limits.
+var errMalformed = errors.New("malformed or too long HTTP/1.1 response")
 
-// readResponse reads one response with its body and returns whether the connection can be used again.
+// readResponse reads one response with its body. reusable reports whether the connection can be used for another request.
 func readResponse(in *bufio.Reader) (code int, reusable bool, err error) {
-	left := maxHeadBytes
+	remaining := maxHeadBytes
 	for {
-		h, err := readHead(in, &left)
+		h, err := readHead(in, &remaining)
 		if err != nil {
 			return 0, false, err
 		}
-		if h.code < 200 { // an interim one, before the response itself
+		if h.code < 200 { // an interim response, which precedes the final one
 			continue
 		}
 		switch {
 		case h.code == 204 || h.code == 304:
 			return h.code, h.keepAlive, nil
-		case h.chunked || h.length < 0: // finding its end costs more than a new connection
+		case h.chunked || h.length < 0: // finding the end of the body costs more than a new connection
 			return h.code, false, nil
 		}
 		if _, err := io.CopyN(io.Discard, in, int64(h.length)); err != nil {
@@ -135,17 +136,17 @@
 	}
 }
 
-// responseHead is what counts of the head of a response.
+// responseHead is the parsed head of a response.
 type responseHead struct {
 	code      int
 	keepAlive bool
-	length    int // of the body; -1 if not told
+	length    int // length of the body; -1 if there is no Content-Length field
 	chunked   bool
 }
 
-// readHead reads one head, of at most left bytes, which it reduces.
-func readHead(in *bufio.Reader, left *int) (h responseHead, err error) {
-	line, err := readLine(in, left)
+// readHead reads one head of at most remaining bytes, and subtracts its size from remaining.
+func readHead(in *bufio.Reader, remaining *int) (h responseHead, err error) {
+	line, err := readLine(in, remaining)
 	if err != nil {
 		return h, err
 	}
@@ -158,7 +159,7 @@
 	h.keepAlive = version != "HTTP/1.0"
 	h.length = -1
 	for {
-		line, err = readLine(in, left)
+		line, err = readLine(in, remaining)
 		if err != nil {
 			return h, err
 		}
@@ -171,6 +172,7 @@
 	}
 }
 
+// parseField parses one header field.
 func (h *responseHead) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok {
@@ -192,11 +194,11 @@
 	return nil
 }
 
-// readLine reads one line without its end, and reduces left by its length.
-func readLine(in *bufio.Reader, left *int) (string, error) {
+// readLine reads one line, without its line ending, and subtracts its length from remaining.
+func readLine(in *bufio.Reader, remaining *int) (string, error) {
 	line, err := in.ReadSlice('\n')
-	*left -= len(line)
-	if err == nil && *left < 0 || errors.Is(err, bufio.ErrBufferFull) {
+	*remaining -= len(line)
+	if err == nil && *remaining < 0 || errors.Is(err, bufio.ErrBufferFull) {
 		return "", errMalformed
 	}
 	if err != nil {
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,8 +1,8 @@
-// Package members reports to the membership service whether this server takes work. It speaks HTTP/1.1 over a connection
-// that it reuses, with a parser of its own for the little that it reads.
+// Package members reports to the membership service whether this server accepts RPCs. It sends HTTP/1.1 requests over a
+// reused connection, and has its own minimal parser for the responses.
 //
-// It must never hold up anything else: a service that is slow, wrong or gone costs nothing but log lines, and a report
-// without an answer delays neither the next one nor a change.
+// It must never block other parts of the server: a service that is slow, faulty or unreachable causes nothing but log lines,
+// and a report without a response delays neither the next periodic report nor the report of a change.
 package members
 
 import (
@@ -17,41 +17,43 @@
 )
 
 const (
-	// reportInterval gives three reports within the 3 s after which an entry expires.
+	// reportInterval is the time between periodic reports. It allows for three reports within the 3 s after which the service
+	// expires an entry.
 	reportInterval = 800 * time.Millisecond
-	// reportTimeout is for one report, dial and answer together. One that is written late still counts within the 3 s, so
-	// a service to which each dial takes seconds gets one report after the other.
+	// reportTimeout bounds one report from dialling to the response. A report that is written late still renews the entry within
+	// the 3 s, so a service to which dialling takes seconds still receives one report after the other.
 	reportTimeout = 3 * reportInterval
-	// maxScheduled reports are in flight at the usual interval if none is answered.
+	// maxScheduled is the number of periodic reports that are in flight if the service answers none of them.
 	maxScheduled = 3
-	// maxInFlight adds one for a change.
+	// maxInFlight is the maximum number of reports in flight. It leaves room for one report of a change.
 	maxInFlight = maxScheduled + 1
-	// minBackoff is waited after a failed report, doubling up to maxBackoff.
+	// minBackoff is the delay after a failed report. It doubles with each further failure, up to maxBackoff.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = reportInterval
 )
 
-// Reporter reports for one server.
+// Reporter reports the state of one server.
 type Reporter struct {
-	addr    string // of the service; Serve's own
+	addr    string // address of the service; used only by Serve
 	name    string
 	log     *logrus.Entry
-	serving func() bool     // what to report
-	ready   func() bool     // whether there is anything to report yet
-	changed <-chan struct{} // has a value after serving has changed
+	serving func() bool     // the state to report
+	ready   func() bool     // whether the state is known yet
+	changed <-chan struct{} // receives a value after the result of serving has changed
 	newAddr chan string
 
-	// A report says what holds as it is written, not as it was begun: between the two its dial may take seconds, and
-	// another report may have been written. The lock makes the order of writing that of what held.
+	// A report contains the state at the time at which it is written, not at which it was started: dialling may take seconds
+	// in between, and another report may have been written. The lock covers reading the state and writing the report, so that
+	// reports are written in the order of the states.
 	writeMu sync.Mutex
 
 	interval time.Duration
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// New returns a reporter to the service at addr for the server called name; Serve runs it. serving returns whether the
-// server takes work, ready whether that is known yet; both may be called from several goroutines. changed has a value
-// after serving has changed.
+// New returns a reporter to the service at addr for the server with the given name. Serve runs it. serving returns whether the
+// server accepts RPCs, and ready whether that is known yet; both must be safe for concurrent use. changed receives a value
+// after the result of serving has changed.
 func New(addr, name string, log *logrus.Entry, serving, ready func() bool, changed <-chan struct{}) *Reporter {
 	return &Reporter{
 		addr:     addr,
@@ -66,7 +68,7 @@
 	}
 }
 
-// SetAddr has all reports from now on sent to another address of the service. It waits for Serve or the end of ctx.
+// SetAddr sets the address of the service for all further reports. It blocks until Serve has received the address or ctx ends.
 func (r *Reporter) SetAddr(ctx context.Context, addr string) {
 	select {
 	case r.newAddr <- addr:
@@ -74,9 +76,10 @@
 	}
 }
 
-// Serve reports until ctx ends. Each report is an exchange of its own beside this loop, so that one without an answer
-// holds up neither the next nor a change. The service may handle reports in flight in another order than they were
-// written in: where one ends that said what holds no longer, what holds is reported once more.
+// Serve reports until ctx ends. Each report runs in its own goroutine, so that one without a response delays neither the next
+// periodic report nor the report of a change. The service may process concurrent reports in another order than the one in
+// which they were written. If a report ends whose state is outdated by then, the current state is therefore reported once
+// more.
 func (r *Reporter) Serve(ctx context.Context) {
 	l := &reportLoop{
 		reporter: r,
@@ -88,7 +91,7 @@
 	defer l.exchanges.Wait()
 	defer l.timer.Stop()
 	for {
-		change := l.owed
+		change := l.changePending
 		select {
 		case <-ctx.Done():
 			return
@@ -105,7 +108,7 @@
 		case <-l.timer.C:
 		case x := <-l.ended:
 			outdated := l.exchangeEnded(x)
-			if !outdated && !l.owed {
+			if !outdated && !l.changePending {
 				continue
 			}
 			change = true
@@ -116,17 +119,17 @@
 
 // reportLoop is the state of Serve.
 type reportLoop struct {
-	reporter  *Reporter
-	idle      *exchange      // whose connection can carry another report; nil for none
-	inFlight  []*exchange    // the oldest first
-	ended     chan *exchange // exchanges that have ended, while ctx has not
-	exchanges sync.WaitGroup
-	backoff   time.Duration
-	timer     *time.Timer // of the next report
-	owed      bool        // a change has yet to be reported
+	reporter      *Reporter
+	idle          *exchange      // a finished exchange whose connection can be reused; nil if there is none
+	inFlight      []*exchange    // the oldest first
+	ended         chan *exchange // receives exchanges that have ended, until ctx ends
+	exchanges     sync.WaitGroup
+	backoff       time.Duration
+	timer         *time.Timer // fires at the next periodic report
+	changePending bool        // a change has yet to be reported
 }
 
-// exchangeEnded takes an exchange out and reports whether it said what holds no longer.
+// exchangeEnded removes an exchange that has ended. outdated is true if the exchange reported a state that is no longer current.
 func (l *reportLoop) exchangeEnded(x *exchange) (outdated bool) {
 	r := l.reporter
 	l.inFlight = slices.DeleteFunc(l.inFlight, func(other *exchange) bool { return other == x })
@@ -139,16 +142,17 @@
 		l.backoff = minBackoff
 	} else {
 		r.log.WithError(x.err).Warn("members.report_failed")
-		if !x.sent && x.addr == r.addr { // one that was sent may have counted: the next comes at its time
-			halfToOneAndAHalf := l.backoff/2 + time.Duration(rand.Int63n(int64(l.backoff)))
-			l.timer.Reset(halfToOneAndAHalf)
+		if !x.sent && x.addr == r.addr { // a report that was sent may have been processed; the next one follows at the usual interval
+			// 0.5 to 1.5 times the backoff.
+			jitteredBackoff := l.backoff/2 + time.Duration(rand.Int63n(int64(l.backoff)))
+			l.timer.Reset(jitteredBackoff)
 			l.backoff = min(maxBackoff, 2*l.backoff)
 		}
 	}
 	return x.sent && x.serving != r.serving()
 }
 
-// report starts a report, unless enough are in flight. change means that something new is to be reported.
+// report starts a report unless enough are in flight. change means that there is a change to report.
 func (l *reportLoop) report(ctx context.Context, change bool) {
 	r := l.reporter
 	if !r.ready() {
@@ -156,11 +160,11 @@
 		return
 	}
 	l.timer.Reset(r.interval)
-	if len(l.inFlight) >= maxScheduled && !change { // each ends within its timeout, and the timer comes again
+	if len(l.inFlight) >= maxScheduled && !change { // each ends within its timeout, and the timer fires again
 		return
 	}
-	l.owed = len(l.inFlight) == maxInFlight
-	if l.owed { // the oldest makes way, and what is owed is reported once it has ended
+	l.changePending = len(l.inFlight) == maxInFlight
+	if l.changePending { // cancel the oldest report; the pending change is reported once it has ended
 		l.inFlight[0].cancel()
 		return
 	}
--- a/internal/startup/config.go
+++ b/internal/startup/config.go
@@ -1,7 +1,7 @@
-// Package startup reads the start-up configuration of a server: the variables of its environment, the configuration file
-// and the settings in it, which the simulator sends as lines of text. It is the one place where all that is read, checked
-// and given defaults, and each error names the key at fault. It must never decide anything, nor know what the values are
-// used for.
+// Package startup reads the start-up configuration of a server: its environment variables, and the configuration file with
+// the settings in it, which the simulator sends as lines of text. It is the only package that reads and checks these values
+// and sets their defaults, and each error names the faulty key. It must contain no logic beyond that, and must not depend on
+// what the values are used for.
 package startup
 
 import (
@@ -16,16 +16,16 @@
 	nsPerSec = 1e9
 )
 
-// Config is the start-up configuration of a controller and of what surrounds it. Traces store it as JSON: the fields of
-// the embedded struct stand beside the others, under the names in the tags.
+// Config is the start-up configuration of a controller and the server around it. Traces store it as JSON, in which the fields
+// of the embedded struct are inlined. Field names and tags must therefore not change.
 type Config struct {
 	control.Config
-	Gauges      []string // the names of the gauges, in their order
-	AnswerSlack float64  `json:"Slack"` // ms after its deadline that the answer to an RPC may come
+	Gauges      []string // names of the gauges, in order
+	AnswerSlack float64  `json:"Slack"` // time after the deadline of an RPC within which it may still be answered, in ms
 }
 
-// Parse reads the lines that the simulator sends. Unknown paths are ignored, missing ones have defaults. The error is the
-// first fault and names its path.
+// Parse parses the settings lines that the simulator sends. Unknown paths are ignored and missing ones have defaults. The error
+// is the first one found and names its path.
 func Parse(s string) (*Config, error) {
 	v, err := parseLines(s)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return c, v.err
 }
 
-// config reads all settings. Of several faults the first in this order is reported.
+// config reads all settings. If several are invalid, v.err is the first error in the order of reading.
 func (v *values) config() *Config {
 	c := &Config{
 		Config: control.Config{
@@ -54,7 +54,7 @@
 	if !v.boolean("limits.retry_after", true) {
 		c.Fleet.MaxRetryAfter = 0
 	}
-	if v.text("family_info.below") != "shared" { // the share counts only where the whole fleet shares the dependency
+	if v.text("family_info.below") != "shared" { // the share applies only if the whole fleet shares the dependency
 		c.Dependency.ConcurrencyShare = 0
 	}
 	for i := range v.listLength("classes") {
@@ -76,7 +76,7 @@
 	return c
 }
 
-// node reads the facts of the machine and the process. The seed does not stand among the settings.
+// node reads the properties of the machine and the process. The seed is not part of the settings.
 func (v *values) node() control.Node {
 	return control.Node{
 		WarmingUp:       v.boolean("family_info.cold", false),
@@ -90,7 +90,7 @@
 	}
 }
 
-// preemption reads what can be done with running RPCs.
+// preemption reads how running RPCs can be preempted.
 func (v *values) preemption() control.Preemption {
 	switch v.text("family_info.halt") {
 	case "abort":
@@ -101,7 +101,7 @@
 	return control.PreemptNone
 }
 
-// fleet reads the facts of the tier and its callers.
+// fleet reads the properties of the fleet and its callers.
 func (v *values) fleet() control.Fleet {
 	return control.Fleet{
 		Peers:              max(1, int(v.number("replicas_of_me", 1))),
@@ -128,7 +128,7 @@
 	return control.FeedbackNone
 }
 
-// dependency reads the facts of the service that RPCs call.
+// dependency reads the properties of the service that RPCs call.
 func (v *values) dependency() control.Dependency {
 	return control.Dependency{
 		ConcurrencyShare: v.number("family_info.call_share", 0),
@@ -137,7 +137,7 @@
 	}
 }
 
-// method reads the class at an index. Its deadline is twice its latency objective unless it is set.
+// method reads the method at an index of the list classes. The default of its deadline is twice its latency objective.
 func (v *values) method(i int) control.Method {
 	prefix := fmt.Sprintf("classes.%d.", i)
 	m := control.Method{
--- a/internal/startup/process.go
+++ b/internal/startup/process.go
@@ -12,25 +12,25 @@
 
 // Process is the configuration of one server process.
 type Process struct {
-	Name        string        // of the server; it can stand in a URL path
+	Name        string        // name of the server, which is valid in a URL path
 	Listen      string        // host:port for RPCs
-	Engine      string        // host:port of the engine that does the work
+	Engine      string        // host:port of the engine that executes RPCs
 	Members     string        // host:port of the membership service
-	StopTimeout time.Duration // from a signal to stop to the end of the process
+	StopTimeout time.Duration // time from a stop signal to the end of the process
 	Cores       float64
 	MemoryMB    int
-	Sockets     int // the most file descriptors that connections may take
+	Sockets     int // maximum number of file descriptors for connections
 	Settings    *Config
 
-	read map[string]value // all values that it was made of
+	read map[string]value // all values of the file, with the overrides, by path
 }
 
-// Load reads the environment and the file that EDGE_CONFIG names. EDGE_NAME and EDGE_LISTEN override what the file says.
-// Errors name the key at fault.
+// Load reads the environment and the configuration file at the path in EDGE_CONFIG. EDGE_NAME and EDGE_LISTEN override name
+// and listen of the file. Errors name the faulty key.
 func Load(env func(string) string) (*Process, error) {
 	file := env("EDGE_CONFIG")
 	if file == "" {
-		return nil, fmt.Errorf("EDGE_CONFIG: the path of a configuration file expected, nothing there")
+		return nil, fmt.Errorf("EDGE_CONFIG: must be the path of a configuration file, got nothing")
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return p, nil
 }
 
-// Bounds and defaults of the limits of a process.
+// Bounds and defaults of the numbers in a process's configuration.
 const (
 	defaultStopMs   = 3000
 	maxStopMs       = 3.6e6
@@ -57,7 +57,7 @@
 	maxSockets      = 1 << 20
 )
 
-// parseProcess reads a configuration file. name and listen override what it says unless they are empty.
+// parseProcess parses a configuration file. name and listen override the values of the file unless they are empty.
 func parseProcess(b []byte, name, listen string) (*Process, error) {
 	v, err := parseJSON(b)
 	if err != nil {
@@ -80,7 +80,7 @@
 		Sockets:     int(v.numberWithin("limits.sockets", defaultSockets, minSockets, maxSockets)),
 	}
 	if strings.ContainsAny(p.Name, "/ ?#%\r\n") {
-		v.fail("name", "a name that can stand in a path", p.Name)
+		v.fail("name", "a name that is valid in a URL path", p.Name)
 	}
 	seed, err := strconv.ParseUint(v.requiredText("seed"), 16, 64)
 	if err != nil {
@@ -95,30 +95,30 @@
 	return p, v.err
 }
 
-// address is host:port with an IP address.
+// address returns the value at a path, which must be host:port with an IP address as host.
 func (v *values) address(path string) string {
 	s := v.requiredText(path)
 	host, port, err := net.SplitHostPort(s)
 	n, portErr := strconv.ParseUint(port, 10, 16)
 	if err != nil || portErr != nil || n == 0 || net.ParseIP(host) == nil {
-		v.fail(path, "an IP address and a port, as 10.0.0.4:8080", s)
+		v.fail(path, "an IP address and a port such as 10.0.0.4:8080", s)
 	}
 	return s
 }
 
-// ReloadableKeys are the keys that a running process takes anew: the addresses of its partners and the time that it has
-// to stop. All others stay as they were when it started.
+// ReloadableKeys are the keys that a running process applies on reload: the addresses of the engine and the membership
+// service, and the stop timeout. Changes of all other keys take effect at the next start.
 var ReloadableKeys = []string{"engine", "members", "stop_ms"}
 
-// RestartOnlyChanges names the keys in which next differs and which only a new start can change, in their order.
+// RestartOnlyChanges returns the sorted keys whose values differ in next and that are applied only at a restart.
 func (p *Process) RestartOnlyChanges(next *Process) (keys []string) {
 	for key, v := range next.read {
-		if old, had := p.read[key]; (!had || old != v) && !slices.Contains(ReloadableKeys, key) {
+		if old, ok := p.read[key]; (!ok || old != v) && !slices.Contains(ReloadableKeys, key) {
 			keys = append(keys, key)
 		}
 	}
 	for key := range p.read {
-		if _, has := next.read[key]; !has && !slices.Contains(ReloadableKeys, key) {
+		if _, ok := next.read[key]; !ok && !slices.Contains(ReloadableKeys, key) {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/startup/values.go
+++ b/internal/startup/values.go
@@ -11,38 +11,39 @@
 	"strings"
 )
 
-// This file owns the values as they were read, by path, whether they came as lines of text or as nested JSON, and the
-// checks of single values. It must never know which paths there are.
+// This file parses lines of text and nested JSON into values by path, and checks single values. It must not depend on which
+// paths exist.
 
-// valueKind is the type that a value had where it was read.
+// valueKind is the type of a value in its source.
 type valueKind uint8
 
 const (
-	kindUntyped valueKind = iota // plain text: as its reader takes it
+	kindUntyped valueKind = iota // plain text, which is valid for any type
 	kindText                     // a JSON string
 	kindNumber                   // a JSON number
 	kindBool                     // a JSON true or false
-	kindGroup                    // a JSON object or list of objects: its values stand under longer paths
+	kindGroup                    // a JSON object, whose members are stored under longer paths
 )
 
-// value is one value with its type.
+// value is one value as text, with its type.
 type value struct {
 	text string
 	kind valueKind
 }
 
-// maxQuoted bounds what an error quotes of a wrong value, in bytes.
+// maxQuoted is the maximum length of an invalid value that is quoted in an error, in bytes.
 const maxQuoted = 60
 
-// values are the values of a configuration by path, and the first fault found in them. Readers of single values return
-// a default for a faulty one, so that a configuration is read to its end and the fault checked once.
+// values holds the values of a configuration by path, and the first error found in them. If a value is invalid, the method that
+// reads it sets err and returns a usable value, so that the caller reads the whole configuration and checks err once at the
+// end.
 type values struct {
 	byPath map[string]value
-	prefix string // put before each path
-	err    error  // the first fault
+	prefix string // prepended to each path
+	err    error  // the first error
 }
 
-// parseLines reads path=value pairs, one a line.
+// parseLines parses lines of the form path=value.
 func parseLines(s string) (*values, error) {
 	v := &values{byPath: map[string]value{}}
 	for i, line := range strings.Split(s, "\n") {
@@ -52,30 +53,31 @@
 		}
 		path, text, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, fmt.Errorf("settings line %d: path=value expected, %.*q there", i+1, maxQuoted, line)
+			return nil, fmt.Errorf("settings line %d: must be path=value, got %.*q", i+1, maxQuoted, line)
 		}
 		v.byPath[path] = value{text: text}
 	}
 	return v, nil
 }
 
-// parseJSON reads nested JSON. Lists of scalars are joined by commas, other lists become .count, .0, .1.
+// parseJSON parses nested JSON. The items of a list of scalars are joined by commas. Any other list becomes the paths .count,
+// .0, .1 and so on below the list's own path.
 func parseJSON(b []byte) (*values, error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.UseNumber()
 	var tree map[string]any
 	if err := d.Decode(&tree); err != nil {
-		return nil, fmt.Errorf("a JSON object expected: %w", err)
+		return nil, fmt.Errorf("must be a JSON object: %w", err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("one JSON object expected, more there after byte %d", d.InputOffset())
+		return nil, fmt.Errorf("must be one JSON object, got more data after byte %d", d.InputOffset())
 	}
 	v := &values{byPath: map[string]value{}}
 	v.flatten("", tree)
 	return v, nil
 }
 
-// flatten adds a node of JSON and all below it.
+// flatten adds a JSON node and all nodes below it.
 func (v *values) flatten(path string, node any) {
 	switch n := node.(type) {
 	case map[string]any:
@@ -94,6 +96,7 @@
 	}
 }
 
+// flattenList adds a JSON list and all nodes below it.
 func (v *values) flattenList(path string, list []any) {
 	if items, ok := scalars(list); ok {
 		v.byPath[path] = value{text: strings.Join(items, ",")}
@@ -107,7 +110,7 @@
 	}
 }
 
-// scalars are the items of a list that holds neither objects nor lists.
+// scalars returns the items of a list as text. ok is false if the list contains objects, lists or null.
 func scalars(list []any) (items []string, ok bool) {
 	for _, item := range list {
 		switch item.(type) {
@@ -119,7 +122,7 @@
 	return items, true
 }
 
-// join is the path of a key below path.
+// join returns the path of a key below path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -127,12 +130,13 @@
 	return path + "." + key
 }
 
+// get returns the value at a path below the prefix.
 func (v *values) get(path string) (value, bool) {
-	x, ok := v.byPath[v.prefix+path]
-	return x, ok
+	val, ok := v.byPath[v.prefix+path]
+	return val, ok
 }
 
-// fail records the first fault.
+// fail sets err unless it is already set.
 func (v *values) fail(path, want, got string) {
 	if v.err != nil {
 		return
@@ -142,83 +146,85 @@
 	} else {
 		got = fmt.Sprintf("%.*q", maxQuoted, got)
 	}
-	v.err = fmt.Errorf("%s%s: %s expected, %s there", v.prefix, path, want, got)
+	v.err = fmt.Errorf("%s%s: must be %s, got %s", v.prefix, path, want, got)
 }
 
-func (v *values) parseNumber(path string, x value) float64 {
-	number, err := strconv.ParseFloat(x.text, 64)
+// parseNumber parses a value that must be a number of at least 0.
+func (v *values) parseNumber(path string, val value) float64 {
+	number, err := strconv.ParseFloat(val.text, 64)
 	valid := err == nil && !math.IsNaN(number) && !math.IsInf(number, 0) && number >= 0
-	if !valid || x.kind != kindUntyped && x.kind != kindNumber {
-		v.fail(path, "a number from 0 up", x.text)
+	if !valid || val.kind != kindUntyped && val.kind != kindNumber {
+		v.fail(path, "a number of at least 0", val.text)
 		return 0
 	}
 	return number
 }
 
-// number is a number from 0 up.
-func (v *values) number(path string, missing float64) float64 {
-	if x, ok := v.get(path); ok {
-		return v.parseNumber(path, x)
+// number returns the number at a path, which must be at least 0, or the default if there is no value.
+func (v *values) number(path string, fallback float64) float64 {
+	if val, ok := v.get(path); ok {
+		return v.parseNumber(path, val)
 	}
-	return missing
+	return fallback
 }
 
-// numberWithin is a number that must lie in a range.
-func (v *values) numberWithin(path string, missing, low, high float64) float64 {
-	x := v.number(path, missing)
-	if x < low || x > high {
-		v.fail(path, fmt.Sprintf("a number from %g to %g", low, high), strconv.FormatFloat(x, 'g', -1, 64))
-		return missing
+// numberWithin returns the number at a path, which must be from low to high, or the default if there is no value.
+func (v *values) numberWithin(path string, fallback, low, high float64) float64 {
+	number := v.number(path, fallback)
+	if number < low || number > high {
+		v.fail(path, fmt.Sprintf("a number from %g to %g", low, high), strconv.FormatFloat(number, 'g', -1, 64))
+		return fallback
 	}
-	return x
+	return number
 }
 
-// milliseconds is a time that stands in nanoseconds.
-func (v *values) milliseconds(path string, missingNs float64) float64 {
-	return v.number(path, missingNs) / nsPerMs
+// milliseconds returns the time at a path, which is given in nanoseconds, in ms.
+func (v *values) milliseconds(path string, fallbackNs float64) float64 {
+	return v.number(path, fallbackNs) / nsPerMs
 }
 
-// text is a text; only a JSON value of another type is wrong.
+// text returns the string at a path, or "" if there is none. Only a JSON value of another type is invalid.
 func (v *values) text(path string) string {
-	x, ok := v.get(path)
-	if ok && x.kind != kindUntyped && x.kind != kindText {
-		v.fail(path, "a text", x.text)
+	val, ok := v.get(path)
+	if ok && val.kind != kindUntyped && val.kind != kindText {
+		v.fail(path, "a string", val.text)
 	}
-	return x.text
+	return val.text
 }
 
-// requiredText is a text that may not be missing.
+// requiredText returns the string at a path, which must not be missing or empty.
 func (v *values) requiredText(path string) string {
 	s := v.text(path)
 	if s == "" {
-		v.fail(path, "a text", s)
+		v.fail(path, "a string", s)
 	}
 	return s
 }
 
-// numberAt is the number at an index of a list of scalars, 0 if the list is shorter.
+// numberAt returns the number at an index of a list of scalars, or 0 if the list is shorter.
 func (v *values) numberAt(path string, index int) float64 {
-	x, _ := v.get(path)
-	items := strings.Split(x.text, ",")
+	val, _ := v.get(path)
+	items := strings.Split(val.text, ",")
 	if index < len(items) && items[index] != "" {
 		return v.parseNumber(path, value{text: items[index]})
 	}
 	return 0
 }
 
-// boolean is true or false.
-func (v *values) boolean(path string, missing bool) bool {
-	x, ok := v.get(path)
+// boolean returns the boolean at a path, or the default if there is no value.
+func (v *values) boolean(path string, fallback bool) bool {
+	val, ok := v.get(path)
 	if !ok {
-		return missing
+		return fallback
 	}
-	if x.kind != kindUntyped && x.kind != kindBool || x.text != "true" && x.text != "false" {
-		v.fail(path, "true or false", x.text)
+	if val.kind != kindUntyped && val.kind != kindBool || val.text != "true" && val.text != "false" {
+		v.fail(path, "true or false", val.text)
 	}
-	return x.text == "true"
+	return val.text == "true"
 }
 
-// listLength is the number of items of a list of objects; more items than there are values is a false length.
+// listLength returns the number of items in a list of objects. A length above the number of values is invalid, so that a wrong
+// length can't cause a large allocation.
 func (v *values) listLength(list string) int {
 	n := v.number(list+".count", 0)
 	if n > float64(len(v.byPath)) {
