--- a/internal/store/compare/compare_test.go
+++ b/internal/store/compare/compare_test.go
@@ -1,5 +1,5 @@
-// Package compare measures the store beside libraries that could have been it: each records a token that starts and
-// ends, durable both times, for many callers at once. It holds no code of the product.
+// Package compare benchmarks the store against libraries that could be used in its place. Each of them durably records the
+// start and the end of tokens for many concurrent callers. The package contains no production code.
 package compare
 
 import (
@@ -19,7 +19,7 @@
 	"sorrelvalve/internal/store"
 )
 
-// tokenLog is what each library must do.
+// tokenLog is the interface through which each library is measured.
 type tokenLog interface {
 	put(key uint64, value []byte) error // durable when it returns
 	close() error
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, err
 		}
-		db.MaxBatchDelay = time.Millisecond // the default of 10 ms is all latency here
+		db.MaxBatchDelay = time.Millisecond // the default of 10 ms would dominate the latency
 		return boltStore{db}, db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucketIfNotExists(bucket); return err })
 	}
 	db, err := pebble.Open(dir, &pebble.Options{Logger: quietLogger{}})
@@ -80,7 +80,7 @@
 func (quietLogger) Errorf(string, ...any)     {}
 func (quietLogger) Fatalf(f string, a ...any) { panic(fmt.Sprintf(f, a...)) }
 
-// sizeOf returns the bytes of all files in a folder. Those that go meanwhile are left out.
+// sizeOf returns the total size of all files in a folder. Files that are removed during the walk are left out.
 func sizeOf(dir string) (n int64, err error) {
 	err = filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && !i.IsDir() {
@@ -91,32 +91,33 @@
 	return n, err
 }
 
-// BenchmarkToken: a token is a record as it starts and one of 512 bytes as it ends; 32 callers at once.
+// BenchmarkToken measures one empty record at the start and one of 512 bytes at the end of each token, with 32 concurrent
+// callers.
 func BenchmarkToken(b *testing.B) {
 	for _, name := range []string{"log", "bbolt", "pebble"} {
 		b.Run(name, func(b *testing.B) {
 			dir := b.TempDir()
-			k, err := open(name, dir)
+			log, err := open(name, dir)
 			if err != nil {
 				b.Fatal(err)
 			}
 			var next atomic.Uint64
 			var wg sync.WaitGroup
-			left := atomic.Int64{}
-			left.Store(int64(b.N))
-			answer := make([]byte, 512)
-			for i := range answer {
-				answer[i] = byte(i * 31)
+			remaining := atomic.Int64{}
+			remaining.Store(int64(b.N))
+			result := make([]byte, 512)
+			for i := range result {
+				result[i] = byte(i * 31)
 			}
 			b.ResetTimer()
 			for range 32 {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					for left.Add(-1) >= 0 {
+					for remaining.Add(-1) >= 0 {
 						key := next.Add(1) * 0x9e3779b97f4a7c15
-						if k.put(key, nil) != nil || k.put(key, answer) != nil {
-							b.Error("not kept")
+						if log.put(key, nil) != nil || log.put(key, result) != nil {
+							b.Error("record was not written")
 							return
 						}
 					}
@@ -129,15 +130,15 @@
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(size)/float64(b.N), "disk-B/op")
-			if err := k.close(); err != nil {
+			if err := log.close(); err != nil {
 				b.Fatal(err)
 			}
 			began := time.Now()
-			if k, err = open(name, dir); err != nil {
+			if log, err = open(name, dir); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportMetric(float64(time.Since(began).Microseconds())/1000, "reopen-ms")
-			if err := k.close(); err != nil {
+			if err := log.close(); err != nil {
 				b.Fatal(err)
 			}
 		})
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -10,8 +10,8 @@
 	"sorrelvalve/internal/store"
 )
 
-// TestReadsStoreOfB631b89 reads a segment that version b631b89 of this code has written (testdata/b631b89): each entry is as
-// it was.
+// TestReadsStoreOfB631b89 checks that a segment written by version b631b89 of this code (testdata/b631b89) is read with all
+// entries unchanged.
 func TestReadsStoreOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	b, err := os.ReadFile(filepath.Join("testdata", "b631b89", "00000001.seg"))
@@ -25,9 +25,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: 10e3, ClockTolerance: 500}
-	at := 1.7e12 + 1000
-	s, err := store.Open(fs, bounds, "compat", func() float64 { return at }, func(string, error) {})
+	limits := store.Limits{MaxBytes: 1 << 20, SegmentBytes: 8 << 10, MaxResultBytes: 1 << 10, MaxWindow: 10e3, ClockTolerance: 500}
+	nowMs := 1.7e12 + 1000
+	s, err := store.Open(fs, limits, "compat", func() float64 { return nowMs }, func(string, error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,25 +49,25 @@
 		{"forgotten", recovery.NeverRan, ""},
 	}
 	for _, c := range cases {
-		f, has, err := s.Lookup(store.FingerprintOf(c.key))
-		if err != nil || !has {
-			t.Fatalf("%s: %v, %v", c.key, has, err)
+		entry, ok, err := s.Lookup(store.FingerprintOf(c.key))
+		if err != nil || !ok {
+			t.Fatalf("lookup of %s: found %v, error %v", c.key, ok, err)
 		}
-		if f.State != c.state || f.BodyHash != 7 || f.UntilMs != 1.7e12+10e3 || f.WrittenMs != 1.7e12 || string(f.Result) != c.result {
-			t.Errorf("%s: %+v, want state %v and result %q", c.key, f, c.state, c.result)
+		if entry.State != c.state || entry.BodyHash != 7 || entry.UntilMs != 1.7e12+10e3 || entry.WrittenMs != 1.7e12 || string(entry.Result) != c.result {
+			t.Errorf("entry of %s: got %+v, want state %v and result %q", c.key, entry, c.state, c.result)
 		}
-		if c.result != "" && string(f.Head) != "head" {
-			t.Errorf("%s: head %q", c.key, f.Head)
+		if c.result != "" && string(entry.Head) != "head" {
+			t.Errorf("entry of %s: got head %q", c.key, entry.Head)
 		}
 	}
-	if _, has, _ := s.Lookup(store.FingerprintOf("never")); has {
-		t.Error("a token that was never written is found")
+	if _, ok, _ := s.Lookup(store.FingerprintOf("never")); ok {
+		t.Error("lookup found a token that was never written")
 	}
-	if st := s.Status(); st.Recovered != 11 || st.Failures != 0 {
-		t.Errorf("%+v", st)
+	if status := s.Status(); status.Recovered != 11 || status.Failures != 0 {
+		t.Errorf("status: got %+v", status)
 	}
-	seen, err := store.InspectSegments(fs)
-	if err != nil || len(seen) < 1 || seen[0].Records != 11 || seen[0].Version != 1 || seen[0].Err != nil {
-		t.Fatalf("%+v %v", seen, err)
+	segments, err := store.InspectSegments(fs)
+	if err != nil || len(segments) < 1 || segments[0].Records != 11 || segments[0].Version != 1 || segments[0].Err != nil {
+		t.Fatalf("inspected segments: got %+v, error %v", segments, err)
 	}
 }
--- a/internal/store/index_test.go
+++ b/internal/store/index_test.go
@@ -8,36 +8,36 @@
 	"pgregory.net/rapid"
 )
 
-// TestIndex compares the index with a map, over puts and segments that are dropped.
+// TestIndex compares the index with a map over random puts and dropped segments.
 func TestIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, plain := newIndex(), map[uint64][2]uint32{}
+		x, reference := newIndex(), map[uint64][2]uint32{}
 		first := uint32(1)
 		for i := range rapid.IntRange(1, 4000).Draw(t, "steps") {
 			seg := first + uint32(i/200)
 			fingerprint := uint64(rapid.IntRange(0, 3000).Draw(t, "print")) * 0x9e3779b97f4a7c15
 			x.put(fingerprint, seg, uint32(i))
-			plain[fingerprint] = [2]uint32{seg, uint32(i)}
+			reference[fingerprint] = [2]uint32{seg, uint32(i)}
 			if i%1000 == 999 {
 				first += 2
 				x.dropBefore(first)
 			}
 		}
-		for fingerprint, want := range plain {
-			seg, off, has := x.get(fingerprint)
-			if has != (want[0] >= first) || has && (seg != want[0] || off != want[1]) {
-				t.Fatalf("%x: segment %d at %d, %v; want %v from %d on", fingerprint, seg, off, has, want, first)
+		for fingerprint, want := range reference {
+			segment, offset, ok := x.get(fingerprint)
+			if ok != (want[0] >= first) || ok && (segment != want[0] || offset != want[1]) {
+				t.Fatalf("location of %x: got segment %d, offset %d, found %v; want %v, found from segment %d on", fingerprint, segment, offset, ok, want, first)
 			}
 		}
 	})
 }
 
-// BenchmarkIndex measures the index beside a map from fingerprint to place: memory for each entry, and a lookup.
+// BenchmarkIndex compares the index with a map from fingerprint to location in memory per entry and time per lookup.
 func BenchmarkIndex(b *testing.B) {
 	const n = 1000000
-	prints := make([]uint64, n)
-	for i := range prints {
-		prints[i] = rand.Uint64()
+	fingerprints := make([]uint64, n)
+	for i := range fingerprints {
+		fingerprints[i] = rand.Uint64()
 	}
 	heap := func() float64 {
 		runtime.GC()
@@ -48,26 +48,26 @@
 	b.Run("table", func(b *testing.B) {
 		before := heap()
 		x := newIndex()
-		for i, p := range prints {
+		for i, p := range fingerprints {
 			x.put(p, 1, uint32(i))
 		}
-		took := heap() - before
+		heapGrowth := heap() - before
 		for i := 0; b.Loop(); i++ {
-			x.get(prints[i%n])
+			x.get(fingerprints[i%n])
 		}
-		b.ReportMetric(took/n, "B/entry")
+		b.ReportMetric(heapGrowth/n, "B/entry")
 	})
 	b.Run("map", func(b *testing.B) {
 		before := heap()
 		x := map[uint64][2]uint32{}
-		for i, p := range prints {
+		for i, p := range fingerprints {
 			x[p] = [2]uint32{1, uint32(i)}
 		}
-		took := heap() - before
+		heapGrowth := heap() - before
 		sum := uint32(0)
 		for i := 0; b.Loop(); i++ {
-			sum += x[prints[i%n]][0]
+			sum += x[fingerprints[i%n]][0]
 		}
-		b.ReportMetric(took/n, "B/entry")
+		b.ReportMetric(heapGrowth/n, "B/entry")
 	})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,37 +30,37 @@
 	Fatalf(string, ...any)
 }
 
-// rig is a store on a disk that can fail, with a clock that the test moves.
+// rig is a store on a simulated disk that injects faults, with a clock that the test advances.
 type rig struct {
-	t      failer
-	disk   *standin.Disk
-	b      store.Limits
-	s      *store.Store
-	mu     sync.Mutex
-	at     float64
-	window float64 // of the settings of now, where it is longer
-	lines  []string
+	t        failer
+	disk     *standin.Disk
+	limits   store.Limits
+	store    *store.Store
+	mu       sync.Mutex
+	nowMs    float64
+	window   float64 // deduplication window of the current settings, if longer than the one that records were written with
+	logLines []string
 }
 
 func (r *rig) now() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at
+	return r.nowMs
 }
 
 func (r *rig) advance(ms float64) {
 	r.mu.Lock()
-	r.at += ms
+	r.nowMs += ms
 	r.mu.Unlock()
 }
 
 func (r *rig) open() error {
-	s, err := store.Open(r.disk.Folder(), r.b, "n1", r.now, func(text string, err error) {
+	s, err := store.Open(r.disk.Folder(), r.limits, "n1", r.now, func(text string, err error) {
 		r.mu.Lock()
-		r.lines = append(r.lines, fmt.Sprint(text, " ", err))
+		r.logLines = append(r.logLines, fmt.Sprint(text, " ", err))
 		r.mu.Unlock()
 	})
-	r.s = s
+	r.store = s
 	return err
 }
 
@@ -70,71 +70,71 @@
 	}
 }
 
-func start(t failer, b store.Limits) *rig {
-	r := &rig{t: t, disk: standin.NewDisk(1), b: b, at: 1.7e12}
+func start(t failer, limits store.Limits) *rig {
+	r := &rig{t: t, disk: standin.NewDisk(1), limits: limits, nowMs: 1.7e12}
 	r.mustOpen()
 	return r
 }
 
-// close closes the store, which must succeed.
+// close closes the store and fails the test on an error.
 func (r *rig) close() {
-	if r.s == nil {
-		return // it could not be opened
+	if r.store == nil {
+		return // the store could not be opened
 	}
-	if err := r.s.Close(); err != nil {
+	if err := r.store.Close(); err != nil {
 		r.t.Errorf("close: %v", err)
 	}
 }
 
-// crash is a power loss: what is under way fails, and the store is opened again.
+// crash simulates a power loss: operations in progress fail, and the store is opened again.
 func (r *rig) crash() {
 	r.disk.PowerOff()
-	_ = r.s.Close() // the power is off
+	_ = r.store.Close() // fails, as the power is off
 	r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = 0 })
 	r.mustOpen()
 }
 
 func (r *rig) begin(key string, body uint64) error {
-	if x := r.s.Reserve(); x != nil {
-		return errors.New(x.Reason)
+	if rejection := r.store.Reserve(); rejection != nil {
+		return errors.New(rejection.Reason)
 	}
 	done := make(chan error, 1)
-	r.s.RecordStart(store.FingerprintOf(key), body, r.now()+window, func(err error) { done <- err })
+	r.store.RecordStart(store.FingerprintOf(key), body, r.now()+window, func(err error) { done <- err })
 	return <-done
 }
 
 func (r *rig) end(key string, state recovery.State, body uint64, result string) error {
 	done := make(chan error, 1)
-	r.s.RecordEnd(store.FingerprintOf(key), state, body, r.now()+window, []byte("head"), []byte(result), func(err error) { done <- err })
+	r.store.RecordEnd(store.FingerprintOf(key), state, body, r.now()+window, []byte("head"), []byte(result), func(err error) { done <- err })
 	return <-done
 }
 
-// mustBegin is begin, which must succeed.
+// mustBegin calls begin and fails the test on an error.
 func (r *rig) mustBegin(key string, body uint64) {
 	if err := r.begin(key, body); err != nil {
-		r.t.Fatalf("begin %s: %v", key, err)
+		r.t.Fatalf("record start of %s: %v", key, err)
 	}
 }
 
-// mustEnd is end, which must succeed.
+// mustEnd calls end and fails the test on an error.
 func (r *rig) mustEnd(key string, state recovery.State, body uint64, result string) {
 	if err := r.end(key, state, body, result); err != nil {
-		r.t.Fatalf("end %s: %v", key, err)
+		r.t.Fatalf("record end of %s: %v", key, err)
 	}
 }
 
-// resolution is how a duplicate is answered, in short.
+// resolution returns a short text for how a duplicate is answered.
 func (r *rig) resolution(key string, body uint64) string {
-	f, has, err := r.s.Lookup(store.FingerprintOf(key))
+	entry, ok, err := r.store.Lookup(store.FingerprintOf(key))
 	switch {
 	case err != nil:
 		return "unreadable"
-	case !has:
+	case !ok:
 		return "unknown"
 	}
-	switch recovery.Resolve(f.Entry, r.now(), body, r.window, r.b.ClockTolerance) {
+	switch recovery.Resolve(entry.Entry, r.now(), body, r.window, r.limits.ClockTolerance) {
 	case recovery.ReplayResult:
-		return "answer " + string(f.Result)
+		return "answer " + string(entry.Result)
 	case recovery.MayHaveRun:
 		return "may have run"
 	case recovery.HasRun:
@@ -147,93 +147,94 @@
 
 func (r *rig) expect(want, key string) {
 	if got := r.resolution(key, 7); got != want {
-		r.t.Fatalf("%s: %q, want %q; log %q", key, got, want, r.lines)
+		r.t.Fatalf("resolution of %s: got %q, want %q; log %q", key, got, want, r.logLines)
 	}
 }
 
+// segment returns the name of the nth segment; a negative n counts from the last one.
 func (r *rig) segment(n int) string {
-	var all []string
+	var segments []string
 	for _, name := range r.disk.Files() {
 		if strings.HasSuffix(name, ".seg") {
-			all = append(all, name)
+			segments = append(segments, name)
 		}
 	}
 	if n < 0 {
-		n += len(all)
+		n += len(segments)
 	}
-	return all[n]
+	return segments[n]
 }
 
-// TestModel compares the store with a model, with power losses at any step: what was confirmed is found, what was not is
-// found as it was written or not at all, and nothing is found that was never written.
+// TestModel compares the store with a model, with power losses at any step. A confirmed record must be found, an unconfirmed
+// one may be found as it was written or not at all, and nothing may be found that was never written.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := defaultLimits
-		b.SegmentBytes = 600
-		r := start(t, b)
+		limits := defaultLimits
+		limits.SegmentBytes = 600
+		r := start(t, limits)
 		defer r.close()
 		r.disk.Configure(func(*standin.Disk) {})
-		type known struct {
-			sure  string          // what it must say; "" if it is not sure
-			maybe map[string]bool // else one of these
+		type tokenState struct {
+			certain  string          // the only valid resolution; "" if there are several
+			possible map[string]bool // the valid resolutions if there are several
 		}
-		model := map[string]*known{}
-		get := func(key string) *known {
+		model := map[string]*tokenState{}
+		get := func(key string) *tokenState {
 			if model[key] == nil {
-				model[key] = &known{sure: "unknown"}
+				model[key] = &tokenState{certain: "unknown"}
 			}
 			return model[key]
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			key := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))
-			k := get(key)
+			state := get(key)
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
-				if k.sure != "unknown" {
+				if state.certain != "unknown" {
 					continue
 				}
 				if err := r.begin(key, 7); err == nil {
-					k.sure = "may have run"
+					state.certain = "may have run"
 				} else {
-					k.sure, k.maybe = "", map[string]bool{"unknown": true, "may have run": true}
+					state.certain, state.possible = "", map[string]bool{"unknown": true, "may have run": true}
 				}
 			case 2:
-				if k.sure != "may have run" {
+				if state.certain != "may have run" {
 					continue
 				}
 				if err := r.end(key, recovery.Succeeded, 7, key); err == nil {
-					k.sure = "answer " + key
+					state.certain = "answer " + key
 				} else {
-					k.sure, k.maybe = "", map[string]bool{"answer " + key: true, "may have run": true}
+					state.certain, state.possible = "", map[string]bool{"answer " + key: true, "may have run": true}
 				}
 			case 3:
 				r.crash()
-			case 4: // the power goes while records are on their way
-				if k.sure != "unknown" || r.s.Reserve() != nil {
+			case 4: // power loss while a record is queued
+				if state.certain != "unknown" || r.store.Reserve() != nil {
 					continue
 				}
 				done := make(chan error, 1)
-				r.s.RecordStart(store.FingerprintOf(key), 7, r.now()+window, func(err error) { done <- err })
+				r.store.RecordStart(store.FingerprintOf(key), 7, r.now()+window, func(err error) { done <- err })
 				r.crash()
 				if <-done == nil {
-					k.sure = "may have run"
+					state.certain = "may have run"
 				} else {
-					k.sure, k.maybe = "", map[string]bool{"unknown": true, "may have run": true}
+					state.certain, state.possible = "", map[string]bool{"unknown": true, "may have run": true}
 				}
 			case 5:
 				r.disk.Configure(func(d *standin.Disk) { d.FailSyncs = rapid.IntRange(0, 1).Draw(t, "syncs") })
 			}
-			for key, k := range model {
+			for key, state := range model {
 				got := r.resolution(key, 7)
-				if k.sure != "" && got != k.sure || k.sure == "" && !k.maybe[got] {
-					t.Fatalf("%s: %q, want %q or %v; log %q", key, got, k.sure, k.maybe, r.lines)
+				if state.certain != "" && got != state.certain || state.certain == "" && !state.possible[got] {
+					t.Fatalf("resolution of %s: got %q, want %q or one of %v; log %q", key, got, state.certain, state.possible, r.logLines)
 				}
 			}
 		}
 	})
 }
 
-// TestLock checks that two processes can't use one folder.
+// TestLock checks that a folder can't be opened twice, and can be opened again after it was closed.
 func TestLock(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	a, err := store.OpenDir(path)
@@ -250,7 +251,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = b.Close() }() // closed by the store already, unless that was not opened
+	defer func() { _ = b.Close() }() // already closed by the store unless the test failed before
 	s, err := store.Open(b, defaultLimits, "n", func() float64 { return 1e12 }, func(string, error) {})
 	if err != nil {
 		t.Fatal(err)
@@ -279,8 +280,8 @@
 		}()
 	}
 	wg.Wait()
-	if st := r.s.Status(); st.Syncs > 50 || st.Records != 200 {
-		t.Errorf("%+v", st)
+	if status := r.store.Status(); status.Syncs > 50 || status.Records != 200 {
+		t.Errorf("status: got %+v, want 200 records and at most 50 syncs", status)
 	}
 }
 
@@ -288,13 +289,13 @@
 	for _, n := range []int{100000, 1000000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			path := b.TempDir()
-			bounds := store.Limits{MaxBytes: 4 << 30, SegmentBytes: 16 << 20, MaxResultBytes: 1 << 10, MaxWindow: 1e9, ClockTolerance: 500}
+			limits := store.Limits{MaxBytes: 4 << 30, SegmentBytes: 16 << 20, MaxResultBytes: 1 << 10, MaxWindow: 1e9, ClockTolerance: 500}
 			open := func() *store.Store {
 				fs, err := store.OpenDir(path)
 				if err != nil {
 					b.Fatal(err)
 				}
-				s, err := store.Open(fs, bounds, "n", func() float64 { return 1e12 }, func(string, error) {})
+				s, err := store.Open(fs, limits, "n", func() float64 { return 1e12 }, func(string, error) {})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -310,16 +311,16 @@
 			if err := s.Close(); err != nil {
 				b.Fatal(err)
 			}
-			var st store.Status
+			var status store.Status
 			for b.Loop() {
 				s := open()
-				st = s.Status()
+				status = s.Status()
 				if err := s.Close(); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(st.IndexKB*1024/float64(n), "B/entry")
-			b.ReportMetric(st.RecoveryTime.Seconds(), "s")
+			b.ReportMetric(status.IndexKB*1024/float64(n), "B/entry")
+			b.ReportMetric(status.RecoveryTime.Seconds(), "s")
 		})
 	}
 }
