--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,13 +16,13 @@
 	"go.uber.org/goleak"
 )
 
-const soon = 10 * time.Second // bounds what must come at once
+const soon = 10 * time.Second // timeout for operations that must complete without delay
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func always() bool { return true }
 
-// noError fails the test on an error of what must work.
+// noError fails the test if err is not nil.
 func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -32,56 +32,56 @@
 
 func TestReadResponse(t *testing.T) {
 	cases := []struct {
-		name, in string
-		code     int
-		keep     bool
-		bad      bool
+		name, in  string
+		code      int
+		keepAlive bool
+		wantErr   bool
 	}{
 		{"no content", "HTTP/1.1 204 No Content\r\n\r\n", 204, true, false},
-		{"no words", "HTTP/1.1 204\r\n\r\n", 204, true, false},
-		{"a body", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", 200, true, false},
+		{"no reason phrase", "HTTP/1.1 204\r\n\r\n", 204, true, false},
+		{"with a body", "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok", 200, true, false},
 		{"bare line feeds", "HTTP/1.1 200 OK\nContent-Length: 0\n\n", 200, true, false},
-		{"to be closed", "HTTP/1.1 204 No Content\r\nConnection: Close\r\n\r\n", 204, false, false},
-		{"an old version", "HTTP/1.0 204 No Content\r\n\r\n", 204, false, false},
+		{"connection to be closed", "HTTP/1.1 204 No Content\r\nConnection: Close\r\n\r\n", 204, false, false},
+		{"HTTP/1.0", "HTTP/1.0 204 No Content\r\n\r\n", 204, false, false},
 		{"a body of unknown length", "HTTP/1.1 500 Oh\r\n\r\nx", 500, false, false},
-		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 200, false, false},
-		{"one that goes before", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", 204, true, false},
-		{"cut off in the head", "HTTP/1.1 204 No Content\r\nA: b", 0, false, true},
-		{"cut off in the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", 0, false, true},
+		{"chunked body", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 200, false, false},
+		{"interim response first", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", 204, true, false},
+		{"truncated head", "HTTP/1.1 204 No Content\r\nA: b", 0, false, true},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", 0, false, true},
 		{"another protocol", "SSH-2.0\r\n\r\n", 0, false, true},
-		{"no number", "HTTP/1.1 OK\r\n\r\n", 0, false, true},
-		{"a false length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", 0, false, true},
-		{"an endless body", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", 0, false, true},
-		{"an endless line", "HTTP/1.1 204 " + strings.Repeat("x", 5000), 0, false, true},
-		{"an endless head", "HTTP/1.1 204 X\r\n" + strings.Repeat("a: b\r\n", 5000), 0, false, true},
-		{"no colon", "HTTP/1.1 204 X\r\nab\r\n\r\n", 0, false, true},
-		{"nothing", "", 0, false, true},
+		{"no status code", "HTTP/1.1 OK\r\n\r\n", 0, false, true},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", 0, false, true},
+		{"body too long", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n", 0, false, true},
+		{"line too long", "HTTP/1.1 204 " + strings.Repeat("x", 5000), 0, false, true},
+		{"head too long", "HTTP/1.1 204 X\r\n" + strings.Repeat("a: b\r\n", 5000), 0, false, true},
+		{"header field without a colon", "HTTP/1.1 204 X\r\nab\r\n\r\n", 0, false, true},
+		{"empty", "", 0, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			code, keep, err := readResponse(bufio.NewReaderSize(strings.NewReader(c.in), 1<<10))
-			if (err != nil) != c.bad || code != c.code || keep != c.keep {
-				t.Errorf("got %d, %v, error %v", code, keep, err)
+			code, keepAlive, err := readResponse(bufio.NewReaderSize(strings.NewReader(c.in), 1<<10))
+			if (err != nil) != c.wantErr || code != c.code || keepAlive != c.keepAlive {
+				t.Errorf("response: got status %d, keep-alive %v, error %v", code, keepAlive, err)
 			}
 		})
 	}
 }
 
-// TestReports has a fake service answer one report after the other, on as many connections as it takes.
+// TestReports checks the reports and their connections against a fake service that gives a sequence of responses, good and bad.
 func TestReports(t *testing.T) {
 	const good = "HTTP/1.1 204 No Content\r\n\r\n"
 	cases := []struct {
 		name    string
-		answers []string // "" closes the connection without one
-		want    string   // what each report says, and on which connection it comes
+		answers []string // "" closes the connection without a response
+		want    string   // phase and connection number of each report
 	}{
-		{"kept connection", []string{good, good, good}, "UP0 OUT0 UP0"},
-		{"closed after each", []string{"HTTP/1.1 204 X\r\nConnection: close\r\n\r\n", good}, "UP0 OUT1"},
-		{"a kept one closed without an answer", []string{good, "", good}, "UP0 OUT0 UP1"},
-		{"a new one closed without an answer", []string{"", good}, "UP0 OUT1"},
-		{"another status", []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", good}, "UP0 OUT0"},
-		{"nonsense", []string{"what\r\n", good}, "UP0 OUT1"},
-		{"in pieces", []string{"HTTP/1.1 200 OK\r\nConte", "", good}, "UP0 OUT1 UP2"},
+		{"connection reused", []string{good, good, good}, "UP0 OUT0 UP0"},
+		{"closed after each response", []string{"HTTP/1.1 204 X\r\nConnection: close\r\n\r\n", good}, "UP0 OUT1"},
+		{"reused connection closed without a response", []string{good, "", good}, "UP0 OUT0 UP1"},
+		{"new connection closed without a response", []string{"", good}, "UP0 OUT1"},
+		{"error status", []string{"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", good}, "UP0 OUT0"},
+		{"malformed response", []string{"what\r\n", good}, "UP0 OUT1"},
+		{"truncated response", []string{"HTTP/1.1 200 OK\r\nConte", "", good}, "UP0 OUT1 UP2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -92,21 +92,21 @@
 			}
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			var reports atomic.Int32 // what holds changes with each that has been heard
+			var reports atomic.Int32 // reports received; the phase changes with each of them
 			up := func() bool { return reports.Load()%2 == 0 }
 			r := New(ln.Addr().String(), "n3", log.WithField("node", "n3"), up, always, nil)
 			ctx, end := context.WithCancel(context.Background())
-			reporting, serving, heard := make(chan struct{}), make(chan struct{}), make(chan string)
+			reporting, serving, received := make(chan struct{}), make(chan struct{}), make(chan string)
 			go func() { r.Serve(ctx); close(reporting) }()
-			go func() { fakeService(ln, c.answers, &reports, heard); close(serving) }()
+			go func() { fakeService(ln, c.answers, &reports, received); close(serving) }()
 			for _, want := range strings.Fields(c.want) {
 				select {
-				case got := <-heard:
+				case got := <-received:
 					if got != want {
-						t.Errorf("heard %s, want %s", got, want)
+						t.Errorf("received report %s, want %s", got, want)
 					}
 				case <-time.After(soon):
-					t.Fatalf("no report, want %s", want)
+					t.Fatalf("no report received, want %s", want)
 				}
 			}
 			end()
@@ -117,8 +117,8 @@
 	}
 }
 
-// fakeService answers reports on ln, one connection after the other, and passes on what they said.
-func fakeService(ln net.Listener, answers []string, reports *atomic.Int32, heard chan<- string) {
+// fakeService answers reports on ln, one connection after the other, and sends their phases and connection numbers to received.
+func fakeService(ln net.Listener, answers []string, reports *atomic.Int32, received chan<- string) {
 	for n := 0; len(answers) > 0; n++ {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -129,28 +129,29 @@
 			if conn.SetDeadline(time.Now().Add(soon)) != nil {
 				break
 			}
-			q, err := http.ReadRequest(in)
+			request, err := http.ReadRequest(in)
 			if err != nil {
 				break
 			}
-			body, _ := io.ReadAll(q.Body)
-			if q.Method != "PUT" || q.URL.Path != "/members/n3" {
-				body = []byte(q.Method + q.URL.Path)
+			body, _ := io.ReadAll(request.Body)
+			if request.Method != "PUT" || request.URL.Path != "/members/n3" {
+				body = []byte(request.Method + request.URL.Path)
 			}
 			reports.Add(1)
-			heard <- fmt.Sprint(strings.Trim(strings.TrimPrefix(string(body), `{"phase":"`), `"}`), n)
+			received <- fmt.Sprint(strings.Trim(strings.TrimPrefix(string(body), `{"phase":"`), `"}`), n)
 			answer := answers[0]
 			answers = answers[1:]
-			_, _ = io.WriteString(conn, answer) // the next report tells whether it came
+			_, _ = io.WriteString(conn, answer) // a failed write shows in the next report
 			if !strings.HasSuffix(answer, "\r\n\r\n") {
 				break
 			}
 		}
-		_ = conn.Close() // the reporter may have closed it
+		_ = conn.Close() // fails if the reporter has closed it
 	}
 }
 
-// A report without an answer delays neither a change nor the next report, and a new address takes effect at once.
+// TestUnanswered checks that a report without a response delays neither the report of a change nor the next periodic report,
+// and that a new address takes effect at once.
 func TestUnanswered(t *testing.T) {
 	listen := func() net.Listener {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -191,16 +192,16 @@
 	defer closeAll(accept(ln))
 	r.SetAddr(ctx, next.Addr().String())
 	defer closeAll(accept(next))
-	if gone := time.Since(began); gone > reportInterval {
-		t.Errorf("three reports without an answer took %v", gone)
+	if elapsed := time.Since(began); elapsed > reportInterval {
+		t.Errorf("time for three reports without a response: got %v", elapsed)
 	}
-	defer closeAll(accept(next)) // at its time, though none has had an answer
-	if gone := time.Since(began); gone < reportInterval {
-		t.Errorf("repeated after %v", gone)
+	defer closeAll(accept(next)) // the periodic report, although no report has had a response
+	if elapsed := time.Since(began); elapsed < reportInterval {
+		t.Errorf("periodic report too early: got it after %v", elapsed)
 	}
 }
 
-// changeRig is a reporter that reports at changes only, and a service that answers each report when the test says so.
+// changeRig is a reporter that reports only changes, and a service that answers each report when the test calls for it.
 type changeRig struct {
 	*testing.T
 	reporter *Reporter
@@ -216,93 +217,95 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	o := &changeRig{T: t, ln: ln, changed: make(chan struct{})}
-	o.serving.Store(true)
-	o.reporter = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), o.serving.Load, always, o.changed)
-	o.reporter.interval = time.Hour
-	return o
+	rig := &changeRig{T: t, ln: ln, changed: make(chan struct{})}
+	rig.serving.Store(true)
+	rig.reporter = New(ln.Addr().String(), "n3", log.WithField("node", "n3"), rig.serving.Load, always, rig.changed)
+	rig.reporter.interval = time.Hour
+	return rig
 }
 
-func (o *changeRig) serve() {
+// serve runs the reporter until the end of the test.
+func (rig *changeRig) serve() {
 	ctx, end := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { o.reporter.Serve(ctx); close(over) }()
-	o.Cleanup(func() {
+	done := make(chan struct{})
+	go func() { rig.reporter.Serve(ctx); close(done) }()
+	rig.Cleanup(func() {
 		end()
-		<-over
-		noError(o.T, o.ln.Close())
+		<-done
+		noError(rig.T, rig.ln.Close())
 	})
 }
 
-// next returns the next report, on a connection of its own, and a function that answers it.
-func (o *changeRig) next() (phase string, answer func()) {
-	o.Helper()
-	noError(o.T, o.ln.(*net.TCPListener).SetDeadline(time.Now().Add(soon)))
-	conn, err := o.ln.Accept()
+// next accepts a connection and returns the report on it, and a function that answers the report.
+func (rig *changeRig) next() (phase string, answer func()) {
+	rig.Helper()
+	noError(rig.T, rig.ln.(*net.TCPListener).SetDeadline(time.Now().Add(soon)))
+	conn, err := rig.ln.Accept()
 	if err != nil {
-		o.Fatalf("no report: %v", err)
+		rig.Fatalf("no report received: %v", err)
 	}
-	o.Cleanup(func() { noError(o.T, conn.Close()) })
-	noError(o.T, conn.SetDeadline(time.Now().Add(soon)))
-	q, err := http.ReadRequest(bufio.NewReader(conn))
+	rig.Cleanup(func() { noError(rig.T, conn.Close()) })
+	noError(rig.T, conn.SetDeadline(time.Now().Add(soon)))
+	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
-		o.Fatal(err)
+		rig.Fatal(err)
 	}
-	body, _ := io.ReadAll(q.Body)
+	body, _ := io.ReadAll(request.Body)
 	return string(body), func() {
-		// The reporter may have given up; the reports that follow are what is checked.
+		// Fails if the reporter has given up on the report. The test checks the following reports instead.
 		_, _ = io.WriteString(conn, "HTTP/1.1 204 X\r\nConnection: close\r\n\r\n")
 	}
 }
 
-func (o *changeRig) expect(phase string) (answer func()) {
-	o.Helper()
-	got, answer := o.next()
+// expect checks the phase of the next report and returns a function that answers it.
+func (rig *changeRig) expect(phase string) (answer func()) {
+	rig.Helper()
+	got, answer := rig.next()
 	if want := `{"phase":"` + phase + `"}`; got != want {
-		o.Fatalf("heard %s, want %s", got, want)
+		rig.Fatalf("received report %s, want %s", got, want)
 	}
 	return answer
 }
 
-// A drain that begins while a report is being dialled is what that report says.
+// TestDrainDuringDial checks that a report whose dial is in progress when a drain begins reports the drain.
 func TestDrainDuringDial(t *testing.T) {
-	o := startChangeRig(t)
+	rig := startChangeRig(t)
 	dialling, dialled := make(chan struct{}), make(chan struct{})
-	dial := o.reporter.dial
-	o.reporter.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := rig.reporter.dial
+	rig.reporter.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling <- struct{}{}
 		<-dialled
 		return dial(ctx, network, addr)
 	}
-	o.serve()
+	rig.serve()
 	<-dialling
-	o.serving.Store(false)
+	rig.serving.Store(false)
 	close(dialled)
-	o.expect("OUT")()
+	rig.expect("OUT")()
 }
 
-// A service that handles a report after the one that followed it gets another one that says what holds.
+// TestOvertaken checks that the current state is reported once more if the service processes two reports in reverse order.
 func TestOvertaken(t *testing.T) {
-	o := startChangeRig(t)
-	o.serve()
-	late := o.expect("UP")
-	o.serving.Store(false)
-	o.changed <- struct{}{}
-	o.expect("OUT")() // taken before the UP
+	rig := startChangeRig(t)
+	rig.serve()
+	late := rig.expect("UP")
+	rig.serving.Store(false)
+	rig.changed <- struct{}{}
+	rig.expect("OUT")() // processed before the UP
 	late()
-	o.expect("OUT")()
+	rig.expect("OUT")()
 }
 
-// Each change is reported, however many reports have no answer yet.
+// TestChangesUnanswered checks that each change is reported, however many reports have no response yet.
 func TestChangesUnanswered(t *testing.T) {
-	o := startChangeRig(t)
-	o.serve()
-	o.expect("UP")
+	rig := startChangeRig(t)
+	rig.serve()
+	rig.expect("UP")
 	for i := range 2 * maxInFlight {
 		up := i%2 == 1
-		o.serving.Store(up)
-		o.changed <- struct{}{}
-		o.expect(map[bool]string{true: "UP", false: "OUT"}[up])
+		rig.serving.Store(up)
+		rig.changed <- struct{}{}
+		rig.expect(map[bool]string{true: "UP", false: "OUT"}[up])
 	}
 }
 
@@ -310,7 +313,7 @@
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	f.Fuzz(func(t *testing.T, s string) {
 		if code, _, err := readResponse(bufio.NewReaderSize(strings.NewReader(s), 1<<10)); err == nil && (code < 200 || code > 999) {
-			t.Errorf("status %d", code)
+			t.Errorf("status of a valid response: got %d, want 200 to 999", code)
 		}
 	})
 }
--- a/internal/trace/compat_test.go
+++ b/internal/trace/compat_test.go
@@ -15,8 +15,8 @@
 	"sorrelvalve/decision/replay"
 )
 
-// The files of testdata/b631b89 were written by version b631b89 of this code. fields.trace has a header in which every field
-// is set, and entries of every kind with every field set; decisions.trace is seven seconds of decisions with events and
+// The files in testdata/b631b89 were written by version b631b89 of this code. fields.trace has a header with every field set,
+// and entries of every kind with every field set. decisions.trace contains seven seconds of control decisions with events and
 // actions of every kind.
 
 func openOld(t *testing.T, name string) *Reader {
@@ -33,7 +33,7 @@
 	return r
 }
 
-// The header of the former version is read completely: written again it says the same under the same names.
+// TestReadsHeaderOfB631b89 checks that the whole header of the earlier version is read: it is the same JSON when written again.
 func TestReadsHeaderOfB631b89(t *testing.T) {
 	r := openOld(t, "fields.trace")
 	var text []byte
@@ -45,31 +45,31 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(r.Header)
+	encoded, err := json.Marshal(r.Header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var was, is any
-	if err := json.Unmarshal(text, &was); err != nil {
+	var original, rewritten any
+	if err := json.Unmarshal(text, &original); err != nil {
 		t.Fatal(err)
 	}
-	if err := json.Unmarshal(again, &is); err != nil {
+	if err := json.Unmarshal(encoded, &rewritten); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(was, is) {
-		t.Errorf("the header was %s, is %s", text, again)
+	if !reflect.DeepEqual(original, rewritten) {
+		t.Errorf("header JSON: read %s, wrote %s", text, encoded)
 	}
 	if h := &r.Header; !h.SlowStart || h.OriginMS == 0 || h.Build == "" || h.Startup.Node.Seed == 0 || len(h.Startup.Methods) != 2 || h.Startup.Customers[1].Quota == 0 {
-		t.Errorf("header %+v", h)
+		t.Errorf("header: got %+v", h)
 	}
 }
 
-// Each entry of the former version is read as it was written.
+// TestReadsEntriesOfB631b89 checks that each entry of the earlier version is read as it was written.
 func TestReadsEntriesOfB631b89(t *testing.T) {
 	r := openOld(t, "fields.trace")
-	got, err := all(r)
+	got, err := readAll(r)
 	if !errors.Is(err, io.EOF) || len(got) != 36 {
-		t.Fatalf("%d entries, error %v", len(got), err)
+		t.Fatalf("read: got %d entries, error %v", len(got), err)
 	}
 	for i, e := range got {
 		x := float64(i)
@@ -85,12 +85,12 @@
 			want.Token = Hash(fmt.Sprint("token", i))
 		}
 		if !reflect.DeepEqual(e, want) {
-			t.Errorf("entry %d: %+v, want %+v", i, e, want)
+			t.Errorf("entry %d: got %+v, want %+v", i, e, want)
 		}
 	}
 }
 
-// The decisions of the former version are read and replayed: this version decides the same.
+// TestReplaysDecisionsOfB631b89 checks that this version makes the same decisions when it replays those of the earlier version.
 func TestReplaysDecisionsOfB631b89(t *testing.T) {
 	r := openOld(t, "decisions.trace")
 	c := &r.Header.Startup
@@ -108,20 +108,20 @@
 		return replay.Step{Now: e.Now, Event: e.Event, Token: e.Token, Actions: e.Actions}, err
 	}
 	var tally replay.Tally
-	steps, err := replay.Verify(s, next, func(d replay.Divergence) { t.Errorf("step %d diverges: %+v", d.Step, d) }, func(c replay.Completion) { tally.Add(c.Verdict) })
+	steps, err := replay.Verify(s, next, func(d replay.Divergence) { t.Errorf("replay diverges at step %d: %+v", d.Step, d) }, func(c replay.Completion) { tally.Add(c.Verdict) })
 	if err != nil || steps != 1170 {
-		t.Errorf("%d steps, error %v", steps, err)
+		t.Errorf("replay: got %d steps, error %v", steps, err)
 	}
 	wantEvents := map[control.EventKind]int{control.Started: 1, control.Arrived: 674, control.CallerGone: 16, control.Completed: 210, control.AwaitingCall: 42,
 		control.CallCompleted: 23, control.DrainNotice: 2, control.TimerFired: 201, control.DrainCancelled: 1}
 	if !reflect.DeepEqual(events, wantEvents) {
-		t.Errorf("events %v, want %v", events, wantEvents)
+		t.Errorf("events by kind: got %v, want %v", events, wantEvents)
 	}
 	wantActions := map[control.ActionKind]int{control.Run: 171, control.Reject: 434, control.Abort: 47, control.Join: 62}
 	if !reflect.DeepEqual(actions, wantActions) {
-		t.Errorf("actions %v, want %v", actions, wantActions)
+		t.Errorf("actions by kind: got %v, want %v", actions, wantActions)
 	}
 	if want := (replay.Tally{Total: 674, OK: 166, Late: 10, Rejected: 434, Aborted: 48, CallerLeft: 16}); tally != want {
-		t.Errorf("tally %+v, want %+v", tally, want)
+		t.Errorf("tally of verdicts: got %+v, want %+v", tally, want)
 	}
 }
