--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -37,7 +37,7 @@
 	}
 	w.disconnect()
 	w.awaitEnd()
-	for _, want := range []string{"seed: up to 16 hex digits", "keys=seed", `msg=reload.completed`} {
+	for _, want := range []string{"seed: must be up to 16 hex digits", "keys=seed", `msg=reload.completed`} {
 		if !strings.Contains(w.log.String(), want) {
 			t.Errorf("no %q in the log: %s", want, w.log.String())
 		}
