--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -28,10 +28,10 @@
 	// Phase tells which part of the warm-up is over, 1 when warm and 0 before an engine answers, and whether the server
 	// drains.
 	Phase func() (warmUp float64, draining bool)
-	// Leave has the server drain and end, as a signal to stop does, unless CancelDrain takes that back before its grace
+	// RequestDrain has the server drain and end, as a signal to stop does, unless CancelDrain takes that back before its grace
 	// is over. A signal to stop is obeyed at once in any case. code is what the process ends with, 0 for as usual.
-	Leave       func(code int)
-	CancelDrain func() error
+	RequestDrain func(code int)
+	CancelDrain  func() error
 	// Release puts a version of the fleet's settings in force, as a whole or not at all, or the own file again if it is
 	// nil. The version is laid over what only a start can change.
 	Release func(r *operator.Record, origin string) error
@@ -42,16 +42,16 @@
 // extend has the extension add its part.
 func (x *Server) extend(o *Options) error {
 	addition, err := o.Extension(Parts{
-		Config:      o.Config,
-		Log:         o.Log,
-		Build:       BuildVersion(),
-		Gate:        x.Gate,
-		Pools:       x.Pools(),
-		Phase:       x.lifecycle.phase,
-		Leave:       x.requestLeave,
-		CancelDrain: x.cancelDrain,
-		Release:     x.release,
-		SampleLoad:  x.sampleLoad,
+		Config:       o.Config,
+		Log:          o.Log,
+		Build:        BuildVersion(),
+		Gate:         x.Gate,
+		Pools:        x.Pools(),
+		Phase:        x.lifecycle.phase,
+		RequestDrain: x.requestLeave,
+		CancelDrain:  x.cancelDrain,
+		Release:      x.release,
+		SampleLoad:   x.sampleLoad,
 	})
 	x.addition = addition
 	if err != nil || addition == nil {
--- a/internal/fleet/daemon.go
+++ b/internal/fleet/daemon.go
@@ -123,7 +123,7 @@
 func drainHooks(parts *daemon.Parts) DrainHooks {
 	gate := parts.Gate
 	return DrainHooks{
-		StartDrain:        parts.Leave,
+		StartDrain:        parts.RequestDrain,
 		CancelDrain:       parts.CancelDrain,
 		SetDrainedMembers: parts.Pools.SetDraining,
 		MemberStates:      memberStates(parts.Pools),
