--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -10,10 +10,10 @@
 
 // Extension is what a command adds to the daemon. It is called once the other parts stand, before RPCs are admitted. The
 // Addition may be nil.
-type Extension func(p Parts) (Addition, error)
+type Extension func(p Parts) (ExtensionPart, error)
 
-// Addition is a part that an Extension put beside the others.
-type Addition interface {
+// ExtensionPart is a part that an Extension put beside the others.
+type ExtensionPart interface {
 	Set(f *operator.File) // puts a new operator's file in force
 	Close()               // ends the part in bounded time; all RPCs have been answered
 }
--- a/internal/fleet/daemon.go
+++ b/internal/fleet/daemon.go
@@ -37,7 +37,7 @@
 }
 
 // StartWithDaemon starts the membership in the fleet of the operator's file, if that has one. It is a daemon.Extension.
-func StartWithDaemon(parts daemon.Parts) (daemon.Addition, error) {
+func StartWithDaemon(parts daemon.Parts) (daemon.ExtensionPart, error) {
 	if parts.Config.Operator == nil || parts.Config.Operator.File.Fleet == nil {
 		return nil, nil
 	}
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -27,7 +27,7 @@
 		if os.Getenv("BED_PROGRAM") == "crashes" {
 			os.Exit(3)
 		}
-		if err := (daemon.Command{Operator: os.Args[3]}).Run(func(p daemon.Parts) (daemon.Addition, error) {
+		if err := (daemon.Command{Operator: os.Args[3]}).Run(func(p daemon.Parts) (daemon.ExtensionPart, error) {
 			if name := os.Getenv("BED_PROGRAM"); name != "" {
 				p.Build = name
 			}
