--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -58,7 +58,7 @@
 	reporter      *members.Reporter // nil without a membership service
 	operatorParts *operatorParts    // nil without an operator's file
 	tokenStore    *tokenStore       // nil without a durable store
-	addition      ExtensionPart          // nil if the command adds nothing
+	addition      ExtensionPart     // nil if the command adds nothing
 	lifecycle     lifecycle
 
 	leaveRequests  chan int        // exit codes with which an added part has the server leave
