--- a/cmd/sorrelvalve/main.go
+++ b/cmd/sorrelvalve/main.go
@@ -1,6 +1,6 @@
-// Command sorrelvalve is one application server of a fleet: it receives RPCs from routers, has package control decide on
-// each, has the engine do the work and responds. This package is the command line; package daemon puts the parts
-// together. It must never hold anything that a part could own.
+// Command sorrelvalve is one application server of a fleet: it receives RPCs from routers, lets package control decide on
+// each, runs the admitted ones in the engine and responds. This package is only the command line; package daemon assembles
+// the server.
 package main
 
 import (
@@ -16,9 +16,9 @@
 
 type command struct {
 	Serve   serveCmd        `cmd:"" help:"Serve RPCs until SIGTERM or SIGINT, then drain and exit."`
-	Check   checkCmd        `cmd:"" help:"Read the configuration, tell what is wrong with it, and start nothing."`
-	Trace   daemon.TraceCmd `cmd:"" help:"Record what the decisions are told and say; show, replay and compare it."`
-	Store   daemon.StoreCmd `cmd:"" help:"Look at the folder of a durable store."`
+	Check   checkCmd        `cmd:"" help:"Check the configuration and report errors without starting the server."`
+	Trace   daemon.TraceCmd `cmd:"" help:"Record, show, replay and compare traces of the admission decisions."`
+	Store   daemon.StoreCmd `cmd:"" help:"Inspect and maintain the folder of a durable token store."`
 	Version versionCmd      `cmd:"" help:"Print the version."`
 }
 
@@ -29,7 +29,7 @@
 
 type checkCmd struct{}
 
-// Run reads the configuration and prints its main figures.
+// Run reads the configuration and prints a summary.
 func (checkCmd) Run() error {
 	p, err := startup.Load(os.Getenv)
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	fmt.Printf("ok: %s listens on %s; %d methods, %d customers; %d MB, %d sockets, %g cores\n",
 		p.Name, p.Listen, len(p.Settings.Methods), len(p.Settings.Customers), p.MemoryMB, p.Sockets, p.Cores)
-	fmt.Printf("a running process takes %s anew on SIGHUP\n", strings.Join(startup.ReloadableKeys, ", "))
+	fmt.Printf("keys that a running process reloads on SIGHUP: %s\n", strings.Join(startup.ReloadableKeys, ", "))
 	return nil
 }
 
@@ -51,9 +51,9 @@
 func main() {
 	ctx := kong.Parse(&command{},
 		kong.Name("sorrelvalve"),
-		kong.Description("An app server with overload control.\n\n"+
-			"It is configured by the JSON file that EDGE_CONFIG names; EDGE_NAME and EDGE_LISTEN go before "+
-			"its name and listen."),
+		kong.Description("An application server with overload control.\n\n"+
+			"The configuration is the JSON file named by EDGE_CONFIG. EDGE_NAME and EDGE_LISTEN override the "+
+			"keys name and listen of that file."),
 		kong.UsageOnError(),
 	)
 	ctx.FatalIfErrorf(ctx.Run())
--- a/cmd/valvectl/main.go
+++ b/cmd/valvectl/main.go
@@ -1,6 +1,6 @@
 // Command valvectl is the operator's tool: it checks the operator's file (CUE), compiles it to the record that the daemon
-// reads, compares records, and plans settings over a recorded trace. It links what is too large for the daemon, and no
-// running server needs it.
+// reads, compares records, and searches for better settings using a recorded trace. It links dependencies that are too large
+// for the daemon; a running server does not need it.
 package main
 
 import (
@@ -19,20 +19,21 @@
 )
 
 type command struct {
-	Check   checkCmd   `cmd:"" help:"Read an operator's file and tell what is wrong with it, by file, line and key."`
-	Compile compileCmd `cmd:"" help:"Check it and write the record that serve --operator reads."`
-	Show    showCmd    `cmd:"" help:"Tell what a record is: version, hash and what it sets."`
-	Diff    diffCmd    `cmd:"" help:"Tell what differs from one record to another, and what of it needs a new start."`
+	Check   checkCmd   `cmd:"" help:"Check an operator's file and report each error with file, line and key."`
+	Compile compileCmd `cmd:"" help:"Check an operator's file and write the record that serve --operator reads."`
+	Show    showCmd    `cmd:"" help:"Print the version, hash and a summary of a record."`
+	Diff    diffCmd    `cmd:"" help:"Print the differences between two records, and which of them require a restart."`
 	Schema  schemaCmd  `cmd:"" help:"Print the schema of the operator's file."`
-	Plan    planCmd    `cmd:"" help:"Search settings that would have served more over a trace."`
+	Plan    planCmd    `cmd:"" help:"Search for settings that would have served more of the traffic in a trace."`
 }
 
-// source is the operator's file with the settings that it is checked against.
+// source holds the operator's files and the platform's configuration that they are checked against.
 type source struct {
-	Files    []string `arg:"" type:"existingfile" help:"The operator's file in CUE; several are taken together."`
-	Settings string   `type:"existingfile" help:"The platform's configuration, whose methods and customers the file may name; without it names are not checked."`
+	Files    []string `arg:"" type:"existingfile" help:"Operator's file in CUE; several files are merged."`
+	Settings string   `type:"existingfile" help:"Platform configuration with the methods and customers that the file may name. Without it, names are not checked."`
 }
 
+// read compiles the files. It prints each error to stderr and returns their number as an error.
 func (s *source) read() (*operator.File, error) {
 	var known route.Catalog
 	if s.Settings != "" {
@@ -49,7 +50,7 @@
 		fmt.Fprintln(os.Stderr, e)
 	}
 	if len(faults) > 0 {
-		return nil, fmt.Errorf("%d wrong", len(faults))
+		return nil, fmt.Errorf("operator's file: %d errors", len(faults))
 	}
 	return f, nil
 }
@@ -67,7 +68,7 @@
 
 type compileCmd struct {
 	source
-	Out string `short:"o" required:"" type:"path" help:"The record to write; it is replaced as a whole."`
+	Out string `short:"o" required:"" type:"path" help:"Record to write; an existing one is replaced atomically."`
 }
 
 func (c *compileCmd) Run() error {
@@ -140,21 +141,21 @@
 	for _, change := range configure.Diff(trees[0], trees[1]) {
 		fmt.Printf("%s: %s -> %s", change.Path, formatValue(change.Before), formatValue(change.After))
 		if needsRestart(change.Path) {
-			fmt.Print("  (needs a new start)")
+			fmt.Print("  (requires a restart)")
 		}
 		fmt.Println()
 	}
 	return nil
 }
 
-// needsRestart tells whether a running process can't take a change at path.
+// needsRestart reports whether a change at path takes effect only after a restart.
 func needsRestart(path configure.Path) bool {
 	return slices.ContainsFunc(operator.RestartOnly, func(top configure.Path) bool {
 		return len(path) >= len(top) && slices.Equal(path[:len(top)], top)
 	})
 }
 
-// formatValue prints one value of a tree as JSON.
+// formatValue returns a value of a tree as JSON, or "nothing" if it is nil.
 func formatValue(v any) string {
 	if v == nil {
 		return "nothing"
@@ -170,9 +171,9 @@
 
 func (schemaCmd) Run() error { fmt.Print(cuefile.Schema()); return nil }
 
-// summarize prints what a file sets, in one line.
+// summarize prints a one-line summary of a file.
 func summarize(f *operator.File) {
-	fmt.Printf("ok: version %s; %d routes, %d pools, %d methods beside the engine's; %d descriptors",
+	fmt.Printf("ok: version %s; %d routes, %d pools, %d methods served by pools; %d descriptors",
 		f.Version, len(f.Routes), len(f.Pools), len(f.Methods), f.Descriptors())
 	if f.UWSGI != nil {
 		fmt.Printf("; uwsgi on %s", f.UWSGI.Listen)
@@ -182,6 +183,6 @@
 
 func main() {
 	ctx := kong.Parse(&command{}, kong.Name("valvectl"), kong.UsageOnError(),
-		kong.Description("Checks and compiles the operator's file of sorrelvalve."))
+		kong.Description("Checks, compiles and compares the operator's files of sorrelvalve."))
 	ctx.FatalIfErrorf(ctx.Run())
 }
--- a/cmd/valvefleet/demo.go
+++ b/cmd/valvefleet/demo.go
@@ -11,21 +11,21 @@
 	"sorrelvalve/internal/testbed"
 )
 
-// Bounds of a demo's servers.
+// Bounds on the number of servers in a demonstration.
 const (
 	minDemoServers = 2
 	maxDemoServers = 30
 )
 
 type demoCommand struct {
-	Servers int    `default:"6" help:"From 2 to 30."`
-	Faults  string `type:"existingfile" placeholder:"SCRIPT" help:"Acts with their times, a line each, as: 5s split n0,n1|n2,n3. The demo ends with the last; without it acts are typed."`
+	Servers int    `default:"6" help:"Number of servers, from 2 to 30."`
+	Faults  string `type:"existingfile" placeholder:"SCRIPT" help:"File of timed faults, one per line, such as: 5s split n0,n1|n2,n3. The demo ends after the last one. Without a file, faults are read from standard input."`
 }
 
-// Run plays a script of faults, or those that are typed.
+// Run plays the faults of a script, or those typed on standard input.
 func (c demoCommand) Run() error {
 	if c.Servers < minDemoServers || c.Servers > maxDemoServers {
-		return fmt.Errorf("--servers: %d to %d expected, %d there", minDemoServers, maxDemoServers, c.Servers)
+		return fmt.Errorf("--servers: must be from %d to %d, got %d", minDemoServers, maxDemoServers, c.Servers)
 	}
 	var script string
 	var typed io.Reader = os.Stdin
--- a/cmd/valvefleet/drain.go
+++ b/cmd/valvefleet/drain.go
@@ -7,25 +7,25 @@
 )
 
 type removeCommand struct {
-	Socket string `arg:"" type:"path" help:"Of any server that hears the fleet."`
-	Name   string `arg:"" help:"Of the server that will not come back."`
-	Why    string `required:"" help:"For the others' logs."`
+	Socket string `arg:"" type:"path" help:"Status socket of any server that is connected to the fleet."`
+	Name   string `arg:"" help:"Name of the server that will not come back."`
+	Why    string `required:"" help:"Reason, written to the logs of the other servers."`
 }
 
-// Run declares at a server that another one will not come back.
+// Run asks a server to declare that another server will not come back.
 func (c removeCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	return fleet.RequestRemoval(ctx, c.Socket, fleet.Removal{Name: c.Name, Operator: currentUser(), Reason: c.Why})
 }
 
-// operation is common to all commands that go by way of a server's socket to the permit servers.
+// operation holds the arguments of commands that are forwarded to the permit servers through a server's status socket.
 type operation struct {
-	Socket string `arg:"" type:"path" help:"Of any server of the fleet that knows the keepers."`
-	Why    string `required:"" help:"It is recorded with who asked."`
+	Socket string `arg:"" type:"path" help:"Status socket of any server in the fleet that is connected to the permit servers."`
+	Why    string `required:"" help:"Reason, recorded together with the operator's name."`
 }
 
-// run sends the command.
+// run sends the command to the server.
 func (o operation) run(kind fleet.DrainOperation, subject string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
@@ -35,25 +35,25 @@
 
 type drainCommand struct {
 	operation
-	Subject string `arg:"" optional:"" help:"A server's name, or pool/member; without it, the server of the socket."`
+	Subject string `arg:"" optional:"" help:"Server name, or pool/member. Defaults to the server that owns the socket."`
 }
 
 type cancelCommand struct {
 	operation
-	Subject string `arg:"" optional:"" help:"A server's name, or pool/member; without it, the server of the socket."`
+	Subject string `arg:"" optional:"" help:"Server name, or pool/member. Defaults to the server that owns the socket."`
 }
 
 type haltCommand struct{ operation }
 
 type resumeCommand struct{ operation }
 
-// Run drains a server, or a member of a pool.
+// Run drains a server or a member of a pool.
 func (c drainCommand) Run() error { return c.run(fleet.OperationDrain, c.Subject) }
 
 // Run cancels a drain.
 func (c cancelCommand) Run() error { return c.run(fleet.OperationCancel, c.Subject) }
 
-// Run halts all new disruption.
+// Run halts the fleet: no new drain begins and a release in progress is paused.
 func (c haltCommand) Run() error { return c.run(fleet.OperationHalt, "") }
 
 // Run ends a halt.
--- a/cmd/valvefleet/main.go
+++ b/cmd/valvefleet/main.go
@@ -1,7 +1,7 @@
-// Command valvefleet is sorrelvalve's daemon with membership in a fleet, and the operators' commands over such a fleet. Without fleet in
-// the operator's file, serve is the same daemon as sorrelvalve serve.
+// Command valvefleet is sorrelvalve's daemon with fleet membership, and the operators' commands for such a fleet. If the
+// operator's file has no fleet section, valvefleet serve behaves like sorrelvalve serve.
 //
-// The names of commands, arguments and flags, and the texts that are printed, are an interface that does not change.
+// The names of commands, arguments and flags, and the printed texts, are an interface that operators rely on.
 package main
 
 import (
@@ -18,28 +18,28 @@
 )
 
 const (
-	statusTimeout = 3 * time.Second  // of a request to servers' status sockets
-	drainTimeout  = 30 * time.Second // of a request to permit servers; a drain that has begun goes on after it
+	statusTimeout = 3 * time.Second  // of a request to the status sockets of servers
+	drainTimeout  = 30 * time.Second // of a request to the permit servers; a drain that has begun continues after it
 )
 
 // commands are the subcommands; kong derives their names from the fields.
 type commands struct {
-	Serve   serveCommand   `cmd:"" help:"Serve RPCs until SIGTERM or SIGINT, as sorrelvalve serve does, with a part in the fleet that the operator's record names."`
-	Status  statusCommand  `cmd:"" help:"Tell what servers hear of their fleet, and where their views differ."`
-	Demo    demoCommand    `cmd:"" help:"Start servers with stand-in engines and callers on loopback, print who hears whom, and take faults."`
-	Gone    removeCommand  `cmd:"" help:"Declare that a silent server will not come back, so that it leaves the roster."`
-	Drain   drainCommand   `cmd:"" help:"Have a server leave by the keepers' permit, as by SIGTERM once it may; or a member of a pool left alone by all."`
-	Back    cancelCommand  `cmd:"" help:"Take a drain back: a server that has not closed stays, warm; a member returns by its ramp."`
-	Halt    haltCommand    `cmd:"" help:"Nothing new begins, over the whole fleet."`
-	Resume  resumeCommand  `cmd:"" help:"End a halt that was made by hand."`
-	Release releaseCommand `cmd:"" help:"A version of the settings to all servers, in waves that are judged."`
-	Permits permitsCommand `cmd:"" help:"Tell who may go, who holds a permit, how far members are drained, and why nothing begins."`
+	Serve   serveCommand   `cmd:"" help:"Serve RPCs until SIGTERM or SIGINT, like sorrelvalve serve, as a member of the fleet that the operator's record names."`
+	Status  statusCommand  `cmd:"" help:"Print each server's view of the fleet and where the views differ."`
+	Demo    demoCommand    `cmd:"" help:"Run servers with stub engines and callers on loopback, print which servers reach each other, and inject faults."`
+	Gone    removeCommand  `cmd:"" help:"Declare that an unreachable server will not come back, which removes it from the roster."`
+	Drain   drainCommand   `cmd:"" help:"Drain a server once the permit servers grant a permit, as SIGTERM would; or stop all new RPCs to a member of a pool."`
+	Back    cancelCommand  `cmd:"" help:"Cancel a drain. A server that still accepts RPCs stays in service and warm; a member returns through slow start."`
+	Halt    haltCommand    `cmd:"" help:"Halt the whole fleet: no new drain begins and a release in progress is paused."`
+	Resume  resumeCommand  `cmd:"" help:"End a halt that an operator requested."`
+	Release releaseCommand `cmd:"" help:"Release a version of the settings or the program to all servers in waves, with a health comparison per wave."`
+	Permits permitsCommand `cmd:"" help:"Print which servers may drain, who holds a permit, the progress of member drains, and what blocks new drains."`
 	Version versionCommand `cmd:"" help:"Print the version."`
 }
 
 type serveCommand struct{ daemon.Command }
 
-// Run serves until the process is told to stop.
+// Run serves until the process receives a signal to stop or drains with a permit.
 func (c serveCommand) Run() error { return c.Command.Run(fleet.StartWithDaemon) }
 
 type versionCommand struct{}
@@ -50,7 +50,7 @@
 	return err
 }
 
-// currentUser is who is recorded to have asked.
+// currentUser returns the user name that is recorded with a command.
 func currentUser() string {
 	u, err := user.Current()
 	if err != nil {
@@ -59,12 +59,12 @@
 	return u.Username
 }
 
-// newParser builds the command line's parser.
+// newParser builds the parser of the command line.
 func newParser(c *commands) (*kong.Kong, error) {
 	return kong.New(c,
 		kong.Name("valvefleet"),
-		kong.Description("The app server with a part in a fleet, and commands over the fleet.\n\nIt is configured as sorrelvalve is; "+
-			"fleet in the operator's file is what it has beside that."),
+		kong.Description("An application server that is a member of a fleet, and the commands for operating the fleet.\n\n"+
+			"It takes the configuration of sorrelvalve, with an additional fleet section in the operator's file."),
 		kong.UsageOnError(),
 	)
 }
@@ -72,7 +72,7 @@
 func main() {
 	parser, err := newParser(&commands{})
 	if err != nil {
-		panic(err) // the commands are declared wrongly
+		panic(err) // a struct tag of the commands is invalid
 	}
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
--- a/cmd/valvefleet/main_test.go
+++ b/cmd/valvefleet/main_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The command lines of docs/operate are parsed: commands, arguments and flags keep their names.
+// The command lines of docs/operate parse, so commands, arguments and flags keep their names.
 func TestCommandLines(t *testing.T) {
 	for _, line := range []string{
 		"status /a.sock /b.sock --json",
@@ -39,7 +39,7 @@
 	}
 }
 
-// The flags of a plan set the rules of its release, in ms.
+// The flags of release plan set the rules of the release. Durations are converted to milliseconds.
 func TestPlanFlags(t *testing.T) {
 	var c commands
 	parser, err := newParser(&c)
@@ -52,11 +52,11 @@
 	}
 	plan := c.Release.Plan
 	if len(plan.PermitServers) != 2 || plan.MaxWave != time.Hour {
-		t.Errorf("%+v", plan)
+		t.Errorf("parsed plan command: got %+v", plan)
 	}
 	r := plan.rules()
 	if r.CanaryServers != 2 || r.MaxGrowth != 3 || r.MaxWaveShare != 0.5 || r.BakeMS != 120e3 || r.MinRPCs != 7 || r.MaxWaveMS != 3600e3 ||
 		r.FalseAlarmRate != 0.1 || r.Margin != 0.2 || r.MaxUnreachable != 4 {
-		t.Errorf("%+v", r)
+		t.Errorf("release rules from flags: got %+v", r)
 	}
 }
--- a/cmd/valvefleet/release_status.go
+++ b/cmd/valvefleet/release_status.go
@@ -13,21 +13,21 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// How much of a release is printed.
+// Limits on the output.
 const (
 	maxPrintedPending     = 16 // servers
-	maxPrintedTransitions = 20 // the latest
-	printedHashLength     = 12
+	maxPrintedTransitions = 20 // the latest ones
+	printedHashLength     = 12 // hex digits
 	columnPadding         = 2
 )
 
 type releaseStatusCommand struct {
 	permitServersFlag
-	Of   string `enum:"settings,program" default:"settings" help:"Of which the release is."`
-	JSON bool   `help:"As the keepers tell it."`
+	Of   string `enum:"settings,program" default:"settings" help:"What the release changes: settings or program."`
+	JSON bool   `help:"Print the state of the permit servers as JSON."`
 }
 
-// Run prints where the release stands, the versions, and the latest transitions.
+// Run prints the phase of the release, the versions and the latest transitions.
 func (c releaseStatusCommand) Run() error {
 	client := permitclient.New(c.PermitServers)
 	defer client.Close()
@@ -77,16 +77,16 @@
 	out.printf("release %d of version %d: %s, wave %d of %d, for %.0f s: %s\n",
 		r.Number, r.Version, r.Phase, r.Wave+1, len(r.Waves), r.PhaseMS/1000, r.Reason)
 	if e := r.Evidence; e.LikelihoodRatio > 0 {
-		out.printf("against it: %s %s, by %.3g more than it may be, %.3g times likelier (taken back from %.3g)\n",
+		out.printf("evidence against the version: %s %s, exceeds the allowed share by %.3g, likelihood ratio %.3g (rolled back from %.3g)\n",
 			e.Signal, e.Zone, e.Excess, e.LikelihoodRatio, e.Threshold)
 	}
 	if len(r.Pending) > 0 {
 		pending := r.Pending[:min(maxPrintedPending, len(r.Pending))]
-		out.printf("not heard, or not yet what they are to be: %s\n", strings.Join(pending, " "))
+		out.printf("servers unreachable or not yet on their assigned version: %s\n", strings.Join(pending, " "))
 	}
 }
 
-// printer writes text and keeps the first error.
+// printer writes formatted text and keeps the first error.
 type printer struct {
 	to  io.Writer
 	err error
--- a/cmd/valvefleet/status.go
+++ b/cmd/valvefleet/status.go
@@ -12,17 +12,17 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// minWatchInterval bounds how often status --watch asks.
+// minWatchInterval is the shortest interval between two requests of status --watch.
 const minWatchInterval = 100 * time.Millisecond
 
 type statusCommand struct {
-	Sockets []string      `arg:"" type:"path" help:"The sockets of one server or several, as fleet.socket names them."`
-	JSON    bool          `help:"As the servers tell it."`
-	Watch   bool          `help:"Again and again until interrupted."`
-	Every   time.Duration `default:"1s" help:"With --watch."`
+	Sockets []string      `arg:"" type:"path" help:"Status sockets of one or more servers, as set by fleet.socket."`
+	JSON    bool          `help:"Print the status of the servers as JSON."`
+	Watch   bool          `help:"Print repeatedly until interrupted."`
+	Every   time.Duration `default:"1s" help:"Interval between two prints with --watch."`
 }
 
-// Run prints the servers' views once, or until it is interrupted.
+// Run prints the servers' views once, or with --watch until it is interrupted.
 func (c statusCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -33,7 +33,7 @@
 		}
 		if !c.Watch {
 			if failed > 0 {
-				return fmt.Errorf("%d of %d servers did not answer", failed, len(c.Sockets))
+				return fmt.Errorf("%d of %d servers did not respond", failed, len(c.Sockets))
 			}
 			return nil
 		}
@@ -48,7 +48,8 @@
 	}
 }
 
-// print prints the views, and to stderr the errors of the servers that did not answer, which it counts.
+// print prints the views, and to stderr the errors of the servers that did not respond. It returns the number of those
+// errors.
 func (c statusCommand) print(ctx context.Context) (failed int, err error) {
 	statuses, errs := fleet.FetchStatuses(ctx, c.Sockets, statusTimeout)
 	write := fleet.WriteViews
@@ -59,17 +60,17 @@
 		return 0, err
 	}
 	for _, err := range errs {
-		_, _ = fmt.Fprintln(os.Stderr, err) // there is nowhere else to report to
+		_, _ = fmt.Fprintln(os.Stderr, err) // a failed write to stderr can't be reported
 	}
 	return len(errs), nil
 }
 
 type permitsCommand struct {
-	Socket string `arg:"" type:"path" help:"Of any server of the fleet that knows the keepers."`
-	JSON   bool   `help:"As the keepers tell it."`
+	Socket string `arg:"" type:"path" help:"Status socket of any server in the fleet that is connected to the permit servers."`
+	JSON   bool   `help:"Print the state of the permit servers as JSON."`
 }
 
-// Run prints the permit servers' state.
+// Run prints the state of the permit servers.
 func (c permitsCommand) Run() error {
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
--- a/cmd/valvepermitd/main.go
+++ b/cmd/valvepermitd/main.go
@@ -1,5 +1,5 @@
-// Command valvepermitd runs one replica of the permit service, which agrees on drain permits, halts and releases, and holds
-// the operators' commands over it. It is a process of its own, so that the daemon links no raft.
+// Command valvepermitd runs one replica of the permit service, which manages drain permits, halts and releases, and has the
+// operators' commands for the service. It is a separate program so that the daemon does not link raft.
 package main
 
 import "sorrelvalve/internal/permitserver/command"
