--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -2,10 +2,10 @@
 
 import "runtime/debug"
 
-// version is set in release builds by -ldflags; otherwise the build's own record has it.
+// version is set in release builds by -ldflags. Other builds use the version in the build information.
 var version = ""
 
-// BuildVersion is the version of this build; "" if it is not known.
+// BuildVersion returns the version of this build, or "" if it is unknown.
 func BuildVersion() string {
 	if version != "" {
 		return version
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -10,34 +10,34 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Command is the sub-command that serves.
+// Command is the subcommand that serves RPCs.
 type Command struct {
-	Operator string `type:"path" placeholder:"RECORD" help:"The operator's record, as valvectl compile wrote it; it is taken anew on SIGHUP with the configuration."`
-	Trace    string `type:"path" placeholder:"FILE" hidden:"" help:"Record a trace there, whatever the record says."`
-	Demo     bool   `name:"stand-in" help:"Start a stand-in engine, and callers that ask for more than it can do, within this process, to see the main job run."`
+	Operator string `type:"path" placeholder:"RECORD" help:"Operator's record, written by valvectl compile. It is reloaded with the configuration on SIGHUP."`
+	Trace    string `type:"path" placeholder:"FILE" hidden:"" help:"Record a trace to this file, regardless of the operator's record."`
+	Demo     bool   `name:"stand-in" help:"Demonstration: start a stub engine, and callers that overload it, within this process."`
 }
 
-// Config is all that a process is configured with.
+// Config is the complete configuration of a process.
 type Config struct {
 	*startup.Process                  // the platform's configuration
 	Operator         *operator.Record // nil without an operator's record
 }
 
-// loader reads the configuration of a process, at its start and at each reload.
+// loader loads the configuration of a process, at its start and at each reload.
 type loader func() (Config, error)
 
-// Bounds of the trace that a command asks for, whatever the operator's record says.
+// Limits of a trace that is requested on the command line; they replace those of the operator's record.
 const (
 	commandTraceFileMB = 64
 	commandTraceFiles  = 4
 )
 
-// Run serves until a signal to stop comes. extension, which may be nil, adds what the command at hand has beside the
-// rest. The error is an ExitCode if a part had the server leave with one.
+// Run serves until the process receives a signal to stop. extension, which may be nil, adds a part that is specific to the
+// calling command. The error is an ExitCode if that part requested a drain with an exit code.
 func (s Command) Run(extension Extension) error {
 	stop := make(chan os.Signal, 1)
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before all else: unhandled, it would end the process
+	signal.Notify(reload, syscall.SIGHUP) // first, as an unhandled SIGHUP ends the process
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	load := loadFromEnvironment
 	if s.Demo {
@@ -63,12 +63,13 @@
 	return p.serve()
 }
 
+// loadFromEnvironment loads the configuration that the environment variables name.
 func loadFromEnvironment() (Config, error) {
 	process, err := startup.Load(os.Getenv)
 	return Config{Process: process}, err
 }
 
-// withOperator adds the operator's record, if the command names one.
+// withOperator returns a loader that also loads the operator's record, if the command line names one.
 func (s Command) withOperator(load loader) loader {
 	return func() (Config, error) {
 		config, err := load()
@@ -79,7 +80,7 @@
 	}
 }
 
-// withTrace adds the recording of a trace, with an empty operator's file if there is none.
+// withTrace returns a loader that also enables the recording of a trace. It adds an empty operator's file if there is none.
 func (s Command) withTrace(load loader) loader {
 	return func() (Config, error) {
 		config, err := load()
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -12,11 +12,11 @@
 	"sorrelvalve/internal/startup"
 )
 
-// This file owns the demonstration: a stub engine and callers beside the server, in one process, so that the main job can
-// be seen with nothing else at hand. It must never be part of a server that others use.
+// This file has the demonstration: a stub engine and callers in the same process as the server, which show the server under
+// overload without any other program. It must not be used in production.
 
-// demoConfig is the configuration of the demonstration: a machine of four cores, two idempotent methods and one with
-// idempotency tokens. Its verbs are the addresses to listen on, of the engine and of the membership service.
+// demoConfig is the configuration of the demonstration: a machine with four cores, two idempotent methods and one method
+// with idempotency tokens. Its format verbs are the addresses of the server, the engine and the membership service.
 const demoConfig = `{"name":"demo","listen":%q,"engine":%q,"members":%q,"seed":"1","stop_ms":3000,
 "limits":{"cores":1,"memory_mb":64,"sockets":512},"settings":{"classes":[
 {"name":"account-view","aim":500000000,"give_up":1500000000,"worth":1,"late_worth":0.2},
@@ -27,7 +27,7 @@
 "limits":{"retry_after":true,"max_retry_after":1000000000},"replicas_of_me":1,"tick":4000000,
 "rules":{"answer_slack":80000000,"cold":1000000000,"drain_grace":500000000,"tip_multiple":8}}}`
 
-// The load of the demonstration: 130% of what the stub engine can do.
+// The load of the demonstration is 130% of the capacity of the stub engine.
 const (
 	demoCores    = 4
 	demoMaxRuns  = 8     // per core
@@ -38,7 +38,7 @@
 	demoDelay    = 200 * time.Millisecond // until the server listens
 )
 
-// startDemo starts the stubs and returns how the server loads its configuration, and what ends them.
+// startDemo starts the stubs and callers. It returns the loader of the server's configuration and a function that ends them.
 func startDemo() (load loader, end func(), err error) {
 	cores := standin.NewCores(demoCores, demoMaxRuns)
 	checker := standin.NewInvariantChecker("topup-buy")
@@ -59,7 +59,7 @@
 		return nil, nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	go runDemoCallers(ctx, listen, checker) // ends with the process, soon after stop
+	go runDemoCallers(ctx, listen, checker) // ends shortly after stop, at the latest with the process
 	end = func() {
 		stop()
 		engine.Close()
@@ -73,7 +73,7 @@
 	return load, end, nil
 }
 
-// freeAddress is a loopback address that was free a moment ago.
+// freeAddress returns a loopback address that was free when it was checked.
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,7 @@
 	return ln.Addr().String(), ln.Close()
 }
 
-// writeDemoConfig writes the configuration to a temporary file.
+// writeDemoConfig writes the configuration to a temporary file and returns its path.
 func writeDemoConfig(listen, engine, members string) (path string, err error) {
 	file, err := os.CreateTemp("", "sorrelvalve-*.json")
 	if err != nil {
@@ -92,7 +92,7 @@
 	return file.Name(), errors.Join(err, file.Close())
 }
 
-// runDemoCallers sends more than the engine can do, and prints each second what came of it.
+// runDemoCallers sends more load than the engine can serve, and prints the outcomes of each second by method.
 func runDemoCallers(ctx context.Context, addr string, checker *standin.InvariantChecker) {
 	time.Sleep(demoDelay)
 	router := standin.NewRouter(addr)
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -14,88 +14,90 @@
 )
 
 const (
-	// stopMargin is left of the time to the stop when the process ends. The decisions answer the last RPCs two to one
-	// of their ticks of 40 ms before the stop, so it lies under one.
+	// stopMargin is the time between the end of the drain and the stop deadline. The controller answers the last RPCs one
+	// to two of its ticks of 40 ms before the deadline, so the margin is shorter than one tick.
 	stopMargin = 20 * time.Millisecond
-	// minCompletionTime is left of it at least when nothing more is admitted, if the grace is longer.
+	// minCompletionTime is the minimum time left before the stop deadline when admission ends; a longer grace is cut.
 	minCompletionTime = 240 * time.Millisecond
-	// cancelDrainTimeout is far above what a drain takes from its request to its select.
+	// cancelDrainTimeout is much longer than a drain takes from its request until it accepts a cancellation.
 	cancelDrainTimeout = 100 * time.Millisecond
 )
 
-// ExitCode is the code with which a process is to end after its drain; its supervisor acts on it. It is an error so that
-// commands can return it.
+// ExitCode is the exit code that a process returns to its supervisor after a drain. It is an error so that commands can
+// return it.
 type ExitCode int
 
-// Error names the code.
-func (e ExitCode) Error() string { return fmt.Sprintf("ends with code %d", int(e)) }
+// Error implements error.
+func (e ExitCode) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// errNoDrain is what cancelDrain returns if there is nothing to cancel, or no longer.
+// errNoDrain is returned by cancelDrain if no drain with a permit has begun, or its grace is over. The text is sent to
+// clients.
 var errNoDrain = errors.New("no drain that could be taken back goes on: none has begun by permit, or its grace is over")
 
-// drain goes on as before for the grace, then admits nothing more and waits for the RPCs in flight. If stop is not nil it
-// may be cancelled for as long as the grace lasts, and then returns false; a signal on stop begins it anew, for good.
-func (x *Server) drain(p *startup.Process, stop <-chan os.Signal) (completed bool) {
+// drain continues to admit RPCs for the grace, then stops admission and waits for the RPCs in flight. If stop is not nil,
+// the drain can be cancelled during the grace, in which case drain returns false; a signal on stop then restarts the drain
+// as one that can't be cancelled.
+func (s *Server) drain(p *startup.Process, stop <-chan os.Signal) (completed bool) {
 	startedAt := time.Now()
-	x.lifecycle.draining.Store(true)
-	x.Gate.Drain(p.StopTimeout)
-	x.log.WithField("stop_timeout_ms", p.StopTimeout.Milliseconds()).Info("drain.started")
+	s.lifecycle.draining.Store(true)
+	s.Gate.Drain(p.StopTimeout)
+	s.log.WithField("stop_timeout_ms", p.StopTimeout.Milliseconds()).Info("drain.started")
 	grace := time.Duration(p.Settings.Limits.DrainGrace * float64(time.Millisecond))
 	grace = max(0, min(grace, p.StopTimeout-minCompletionTime))
 	if stop == nil {
 		time.Sleep(grace)
 	} else {
-		wait := time.NewTimer(grace)
-		defer wait.Stop()
+		graceTimer := time.NewTimer(grace)
+		defer graceTimer.Stop()
 		select {
 		case <-stop:
-			return x.drain(p, nil)
-		case cancelled := <-x.cancelRequests:
-			x.Gate.CancelDrain()
-			x.lifecycle.draining.Store(false)
-			x.log.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("drain.cancelled")
+			return s.drain(p, nil)
+		case cancelled := <-s.cancelRequests:
+			s.Gate.CancelDrain()
+			s.lifecycle.draining.Store(false)
+			s.log.WithField("duration_ms", time.Since(startedAt).Milliseconds()).Info("drain.cancelled")
 			cancelled <- nil
 			return false
-		case <-wait.C:
+		case <-graceTimer.C:
 		}
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(p.StopTimeout-stopMargin))
 	defer cancel()
-	x.table.Shutdown(ctx)
-	x.log.WithFields(logrus.Fields{
+	s.table.Shutdown(ctx)
+	s.log.WithFields(logrus.Fields{
 		"duration_ms": time.Since(startedAt).Milliseconds(),
-		"in_flight":   x.Gate.InFlight(),
+		"in_flight":   s.Gate.InFlight(),
 	}).Info("drain.completed")
 	return true
 }
 
-// requestLeave is Parts.Leave.
-func (x *Server) requestLeave(code int) {
+// requestDrain implements Parts.RequestDrain.
+func (s *Server) requestDrain(code int) {
 	select {
-	case x.leaveRequests <- code:
-	default: // one is pending already
+	case s.drainRequests <- code:
+	default: // a request is already pending
 	}
 }
 
-// cancelDrain is Parts.CancelDrain.
-func (x *Server) cancelDrain() error {
+// cancelDrain implements Parts.CancelDrain.
+func (s *Server) cancelDrain() error {
 	cancelled := make(chan error, 1)
 	select {
-	case x.cancelRequests <- cancelled:
+	case s.cancelRequests <- cancelled:
 		return <-cancelled
 	case <-time.After(cancelDrainTimeout):
 		return errNoDrain
 	}
 }
 
-// lifecycle is how far a server is between its start and its end. It is safe for concurrent use.
+// lifecycle tracks the warm-up and drain of a server. It is safe for concurrent use.
 type lifecycle struct {
 	slowStartMs float64
-	startedAt   atomic.Pointer[time.Time] // nil before an engine answers; the zero time for a warm start
+	startedAt   atomic.Pointer[time.Time] // nil before an engine responds; the zero time after a warm start
 	draining    atomic.Bool
 }
 
-// start notes how and when the decisions began; only the first call counts.
+// start records when decisions began and whether the server warms up. Only the first call has an effect.
 func (l *lifecycle) start(warmingUp bool, ago time.Duration) {
 	at := time.Now().Add(-ago)
 	if !warmingUp {
@@ -104,7 +106,7 @@
 	l.startedAt.CompareAndSwap(nil, &at)
 }
 
-// phase is Parts.Phase.
+// phase implements Parts.Phase.
 func (l *lifecycle) phase() (warmUp float64, draining bool) {
 	at := l.startedAt.Load()
 	switch {
--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -8,58 +8,58 @@
 	"sorrelvalve/internal/operator"
 )
 
-// Extension is what a command adds to the daemon. It is called once the other parts stand, before RPCs are admitted. The
-// Addition may be nil.
+// Extension creates the part that a command adds to the daemon. It is called after the other parts have been created and
+// before RPCs are admitted. The returned part may be nil.
 type Extension func(p Parts) (ExtensionPart, error)
 
-// ExtensionPart is a part that an Extension put beside the others.
+// ExtensionPart is the part created by an Extension.
 type ExtensionPart interface {
-	Set(f *operator.File) // puts a new operator's file in force
-	Close()               // ends the part in bounded time; all RPCs have been answered
+	Set(f *operator.File) // applies a new operator's file
+	Close()               // ends the part in bounded time, after all RPCs have been answered
 }
 
-// Parts are what an Extension is given. Its functions are safe for concurrent use.
+// Parts are the parts and functions of the daemon that an Extension may use. The functions are safe for concurrent use.
 type Parts struct {
 	Config Config
 	Log    *logrus.Entry
 	Build  string // the version of this build
 	Gate   *gate.Gate
-	Pools  *pools.Backends // those of the operator's file; nil without one
-	// Phase tells which part of the warm-up is over, 1 when warm and 0 before an engine answers, and whether the server
-	// drains.
+	Pools  *pools.Backends // of the operator's file; nil without one
+	// Phase returns the completed fraction of the warm-up, which is 1 when warm and 0 before an engine responds, and whether
+	// the server is draining.
 	Phase func() (warmUp float64, draining bool)
-	// RequestDrain has the server drain and end, as a signal to stop does, unless CancelDrain takes that back before its grace
-	// is over. A signal to stop is obeyed at once in any case. code is what the process ends with, 0 for as usual.
+	// RequestDrain has the server drain and exit, as a signal to stop does, unless CancelDrain cancels the drain during its
+	// grace. A later signal to stop always drains the server. code is the exit code of the process; 0 is a normal exit.
 	RequestDrain func(code int)
 	CancelDrain  func() error
-	// Release puts a version of the fleet's settings in force, as a whole or not at all, or the own file again if it is
-	// nil. The version is laid over what only a start can change.
+	// Release atomically applies a version of the fleet's settings or, if r is nil, the server's own file again. Keys that
+	// require a restart and that the version does not set keep the values of the own file.
 	Release func(r *operator.Record, origin string) error
-	// SampleLoad is called repeatedly to sample the load of the last minutes.
+	// SampleLoad samples the recent load; it must be called periodically.
 	SampleLoad func()
 }
 
-// extend has the extension add its part.
-func (x *Server) extend(o *Options) error {
-	addition, err := o.Extension(Parts{
+// extend creates the part of the extension.
+func (s *Server) extend(o *Options) error {
+	part, err := o.Extension(Parts{
 		Config:       o.Config,
 		Log:          o.Log,
 		Build:        BuildVersion(),
-		Gate:         x.Gate,
-		Pools:        x.Pools(),
-		Phase:        x.lifecycle.phase,
-		RequestDrain: x.requestLeave,
-		CancelDrain:  x.cancelDrain,
-		Release:      x.release,
-		SampleLoad:   x.sampleLoad,
+		Gate:         s.Gate,
+		Pools:        s.Pools(),
+		Phase:        s.lifecycle.phase,
+		RequestDrain: s.requestDrain,
+		CancelDrain:  s.cancelDrain,
+		Release:      s.release,
+		SampleLoad:   s.sampleLoad,
 	})
-	x.addition = addition
-	if err != nil || addition == nil {
+	s.extensionPart = part
+	if err != nil || part == nil {
 		return err
 	}
-	if x.operatorParts != nil && x.operatorParts.effectiveFile != nil { // a retained version went in force before the part stood
-		addition.Set(x.operatorParts.effectiveFile)
+	if s.operatorParts != nil && s.operatorParts.effectiveFile != nil { // a stored version was applied before the part existed
+		part.Set(s.operatorParts.effectiveFile)
 	}
-	x.closers = append(x.closers, addition.Close)
+	s.closers = append(s.closers, part.Close)
 	return nil
 }
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// addressTimeout is how long an address may be held by another process: one that ends by SIGTERM has gone by its
-	// stop time at the latest, and a server that is not ready in half a minute has failed.
+	// addressTimeout is how long listen waits for an address held by another process: a process that received SIGTERM
+	// exits within its stop timeout, and a server that is not ready within half a minute is considered failed.
 	addressTimeout = 25 * time.Second
-	// addressRetryPeriod is the time between two attempts to take it.
+	// addressRetryPeriod is the time between two attempts to listen.
 	addressRetryPeriod = 20 * time.Millisecond
 )
 
-// errStopSignal tells that a signal to stop came first.
-var errStopSignal = errors.New("told to stop")
+// errStopSignal is returned by listen if a signal to stop ends the wait.
+var errStopSignal = errors.New("received a signal to stop")
 
-// listen takes the address. One that another process still holds, as an old copy that drains may, is waited for until a
-// signal to stop comes, which is errStopSignal, or addressTimeout is over; onWait is called once before that.
+// listen listens on addr. If another process holds the address, such as a previous instance that is draining, listen calls
+// onWait once and retries for addressTimeout. It returns errStopSignal if a signal to stop arrives meanwhile.
 func listen(addr string, stop <-chan os.Signal, onWait func()) (net.Listener, error) {
 	timeout := time.NewTimer(addressTimeout)
 	defer timeout.Stop()
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -11,41 +11,41 @@
 	"sorrelvalve/internal/startup"
 )
 
-// This file owns what the guard of new versions judges by: the load of the last minutes, and the limits of a file that
-// can starve a method. It must never make an RPC wait, nor count what came before the minutes that it names.
+// This file computes the inputs of configure.Guard, which rejects new versions that would starve a method: the load of the
+// last minutes, and the limits of a file. It must never delay an RPC, nor count load older than those minutes.
 
-// The load is that of the last three minutes, in steps fine enough that a version may be checked within one.
+// The samples span the last three minutes, at a period short enough that a version can be checked between two samples.
 const (
 	samplePeriod = 10 * time.Second
 	maxSamples   = 18
 )
 
-// minRateSpan is the shortest time over which a rate is measured.
+// minRateSpan is the minimum duration over which a rate is computed.
 const minRateSpan = time.Second
 
-// loadSample is what a gate had counted since its start at one moment, by method.
+// loadSample holds the counters of a gate at one time, by method. They count since the gate's start.
 type loadSample struct {
 	at      time.Time
 	methods []gate.MethodStats
 }
 
-// loadSampler samples what a gate counts. It is safe for concurrent use.
+// loadSampler samples the counters of a gate. It is safe for concurrent use.
 type loadSampler struct {
 	counters func() []gate.MethodStats
 	config   *startup.Config
 
 	mu      sync.Mutex
-	samples []loadSample // the oldest first, at least one
+	samples []loadSample // oldest first; at least one
 }
 
-// newLoadSampler makes a sampler with a first sample.
+// newLoadSampler creates a sampler and takes the first sample.
 func newLoadSampler(g *gate.Gate, config *startup.Config) *loadSampler {
 	s := &loadSampler{counters: g.MethodStats, config: config}
 	s.sample(time.Now())
 	return s
 }
 
-// sample is called repeatedly; calls within samplePeriod of a sample take none.
+// sample takes a sample unless the latest one is more recent than samplePeriod. It must be called periodically.
 func (s *loadSampler) sample(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,12 +53,12 @@
 		return
 	}
 	s.samples = append(s.samples, loadSample{now, s.counters()})
-	if over := len(s.samples) - maxSamples; over > 0 {
-		s.samples = append(s.samples[:0], s.samples[over:]...)
+	if excess := len(s.samples) - maxSamples; excess > 0 {
+		s.samples = append(s.samples[:0], s.samples[excess:]...)
 	}
 }
 
-// rates are the rates per second since the oldest sample; none if that is too recent.
+// rates returns the rates per second since the oldest sample. It is empty if that sample is more recent than minRateSpan.
 func (s *loadSampler) rates(now time.Time) *configure.Throughput {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	return t
 }
 
-// addCustomerRates adds the rates of the customers of one method between two counts.
+// addCustomerRates adds the customers' rates of one method between two readings of its counters.
 func (s *loadSampler) addCustomerRates(t *configure.Throughput, method string, seconds float64, from, to *gate.MethodStats) {
 	for i := range s.config.Customers {
 		count := to.Customers[i] - from.Customers[i]
@@ -104,7 +104,7 @@
 	}
 }
 
-// guardedLimits are the limits of a file that can starve a method.
+// guardedLimits returns the limits of a file that can starve a method.
 func guardedLimits(f *operator.File, cores float64) *configure.Limits {
 	l := &configure.Limits{Quotas: f.Limits.Quotas, Pools: map[string]configure.Pool{}, MaxRuns: f.Limits.RunsPerCore * cores}
 	for name, m := range f.Methods {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -8,9 +8,9 @@
 	"golang.org/x/time/rate"
 )
 
-// This file owns the form of the log and its limit in a flood. It must never hold up a caller that logs.
+// This file defines the format of the log and limits the rate of repeated events. It must never block the caller that logs.
 
-// The limit on lines of one event: the first few of a flood show what it is, and then two a second that it goes on.
+// The limits on lines of one event: the first lines of a flood show its cause, and two per second show that it continues.
 const (
 	logBurst = 20 // lines
 	logRate  = 2  // lines per second
@@ -21,7 +21,7 @@
 
 func init() { logrus.ErrorKey = "err" }
 
-// rateLimitedFormatter drops lines of an event that come too fast, and counts them on the next one that is written.
+// rateLimitedFormatter drops lines of an event beyond its rate limit, and adds their number to the next line it writes.
 type rateLimitedFormatter struct {
 	logrus.Formatter
 	mu       sync.Mutex
@@ -31,10 +31,10 @@
 // eventLimiter limits the lines of one event.
 type eventLimiter struct {
 	*rate.Limiter
-	dropped int // since the last line that was written
+	dropped int // number of lines since the last one written
 }
 
-// Format returns the bytes of one line, or none if the line is dropped.
+// Format returns the bytes of one line, or nil if the line is dropped.
 func (f *rateLimitedFormatter) Format(e *logrus.Entry) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,7 +58,7 @@
 	return f.Formatter.Format(e)
 }
 
-// NewLog returns a logger that writes lines as the daemon does, floods of one event limited.
+// NewLog returns a logger that writes in the format of the daemon and limits the rate of each event.
 func NewLog(out io.Writer) *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(out)
--- a/internal/daemon/operatorparts.go
+++ b/internal/daemon/operatorparts.go
@@ -20,13 +20,13 @@
 	"sorrelvalve/internal/operator"
 )
 
-// This file owns what an operator's file adds to the server: the front for uwsgi and the backend pools. Without such a
-// file none of it is made. It must never put a new file in force in part.
+// This file creates the parts that an operator's file adds to the server: the front for uwsgi and the backend pools. Without
+// such a file there are none. A new file must always be applied completely or not at all.
 
-// maxVersions are retained for rollbacks: a day's changes.
+// maxVersions is the number of versions retained for rollbacks: about the changes of one day.
 const maxVersions = 20
 
-// operatorParts are the parts that an operator's file sets.
+// operatorParts are the parts that an operator's file configures.
 type operatorParts struct {
 	pools    *pools.Backends
 	run      gate.Runner
@@ -35,30 +35,30 @@
 
 	mu             sync.Mutex // guards what follows
 	versions       *configure.Store
-	platformHash   string           // hash of the platform's file when it was last put in force
+	platformHash   string           // hash of the platform's file when it was last applied
 	ownFile        *operator.File   // the platform's file
-	releasedRecord *operator.Record // in force in place of ownFile, if it is not nil
-	effectiveFile  *operator.File   // the release as it was laid over ownFile
+	releasedRecord *operator.Record // if not nil, it applies instead of ownFile
+	effectiveFile  *operator.File   // the released version merged with ownFile
 	load           *loadSampler     // has its own lock
 }
 
-// newOperatorParts makes the parts. engine does the work of methods without a pool.
+// newOperatorParts creates the parts. engine runs the methods that have no pool.
 func newOperatorParts(
 	config Config, table *front.ConnTable, g *gate.Gate, engine gate.Runner, log *logrus.Entry,
 ) (*operatorParts, error) {
 	f := &config.Operator.File
-	x := &operatorParts{
+	p := &operatorParts{
 		pools:        pools.New(config.Settings.Node.Seed, log),
 		platformHash: config.Operator.Hash,
 		ownFile:      f,
 		load:         newLoadSampler(g, config.Settings),
 	}
-	if err := x.openVersions(&config); err != nil {
+	if err := p.openVersions(&config); err != nil {
 		return nil, err
 	}
-	x.pools.Set(f)
+	p.pools.Set(f)
 	methods := config.Settings.Methods
-	x.run = x.pools.Runner(engine, func(name string) bool {
+	p.run = p.pools.Runner(engine, func(name string) bool {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == name })
 		return i >= 0 && methods[i].Idempotency == control.Idempotent
 	})
@@ -67,14 +67,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("operator: uwsgi.listen: %w", err)
 		}
-		x.listener = ln.(*net.TCPListener)
-		x.web = uwsgi.New(table, g, x.run, f, config.Settings.Node.Seed, log)
+		p.listener = ln.(*net.TCPListener)
+		p.web = uwsgi.New(table, g, p.run, f, config.Settings.Node.Seed, log)
 	}
-	return x, nil
+	return p, nil
 }
 
-// openVersions makes the store of versions, of which the operator's file is the first.
-func (x *operatorParts) openVersions(config *Config) error {
+// openVersions creates the store of versions, with the operator's file as the first version.
+func (p *operatorParts) openVersions(config *Config) error {
 	f := &config.Operator.File
 	tree, err := operator.Tree(f)
 	if err != nil {
@@ -84,30 +84,31 @@
 	catalog := operator.KnownNames(config.Settings)
 	cores := float64(config.Settings.Node.Cores)
 	check := func(t configure.Tree) []configure.Violation { return validate(t, catalog, descriptors) }
-	guard := func(was, is configure.Tree) []string {
-		before, errBefore := operator.FromTree(was)
-		after, errAfter := operator.FromTree(is)
+	guard := func(oldTree, newTree configure.Tree) []string {
+		before, errBefore := operator.FromTree(oldTree)
+		after, errAfter := operator.FromTree(newTree)
 		if errBefore != nil || errAfter != nil {
-			return nil // check reports it
+			return nil // check reports the error
 		}
-		return configure.Guard(guardedLimits(before, cores), guardedLimits(after, cores), x.load.rates(time.Now()))
+		return configure.Guard(guardedLimits(before, cores), guardedLimits(after, cores), p.load.rates(time.Now()))
 	}
 	first := configure.Version{Number: 1, CommittedMS: float64(time.Now().UnixMilli()), Origin: "start", Tree: tree}
-	x.versions, err = configure.New(first, check, guard, operator.RestartOnly, maxVersions)
+	p.versions, err = configure.New(first, check, guard, operator.RestartOnly, maxVersions)
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
 	return nil
 }
 
-// listen lets the front accept connections.
-func (x *operatorParts) listen(table *front.ConnTable) {
-	if x.web != nil {
-		table.AddListener(x.listener, x.web.Open)
+// listen starts to accept connections at the front for uwsgi.
+func (p *operatorParts) listen(table *front.ConnTable) {
+	if p.web != nil {
+		table.AddListener(p.listener, p.web.Open)
 	}
 }
 
-// validate names the faults of settings for this process, which set aside so many descriptors at its start.
+// validate returns the errors in settings for this process, which reserved the given number of descriptors at its start. The
+// texts are reported to the permit servers if they reject a released version.
 func validate(t configure.Tree, catalog route.Catalog, descriptors int) (violations []configure.Violation) {
 	f, err := operator.FromTree(t)
 	if err != nil {
@@ -123,61 +124,61 @@
 	return violations
 }
 
-// errRecordGone tells that a reload found no operator's record where there was one.
+// errRecordGone is returned by a reload without an operator's record if the server started with one.
 var errRecordGone = errors.New("operator: the record is gone")
 
-// reload puts a new file in force, as a whole or not at all, and returns the number of the version that runs. A reload
-// that leaves the operator's file as it was does not end a release.
-func (x *operatorParts) reload(next Config) (version int, err error) {
+// reload atomically applies a new file and returns the number of the running version. A reload with an unchanged
+// operator's file does not replace a released version.
+func (p *operatorParts) reload(next Config) (version int, err error) {
 	if next.Operator == nil {
 		return 0, errRecordGone
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if next.Operator.Hash == x.platformHash && x.releasedRecord != nil {
-		return x.versions.Running().Number, nil
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if next.Operator.Hash == p.platformHash && p.releasedRecord != nil {
+		return p.versions.Running().Number, nil
 	}
-	number, err := x.commit(&next.Operator.File, "reload", true)
+	number, err := p.commit(&next.Operator.File, "reload", true)
 	if err != nil {
 		return number, err
 	}
-	x.platformHash = next.Operator.Hash
-	x.ownFile = &next.Operator.File
-	x.releasedRecord = nil
+	p.platformHash = next.Operator.Hash
+	p.ownFile = &next.Operator.File
+	p.releasedRecord = nil
 	return number, nil
 }
 
-// commit puts a file in force; the lock is held. An intended change is not checked against the recent load.
-func (x *operatorParts) commit(f *operator.File, origin string, intended bool) (int, error) {
+// commit applies a file. The caller holds mu. If force is set, the change is not checked against the recent load.
+func (p *operatorParts) commit(f *operator.File, origin string, force bool) (int, error) {
 	tree, err := operator.Tree(f)
 	if err != nil {
 		return 0, err
 	}
-	v, err := x.versions.Commit(tree, x.versions.Running().Number, float64(time.Now().UnixMilli()), origin, intended)
+	v, err := p.versions.Commit(tree, p.versions.Running().Number, float64(time.Now().UnixMilli()), origin, force)
 	if err != nil {
 		return v.Number, fmt.Errorf("operator: %w", err)
 	}
-	x.pools.Set(f)
-	if x.web != nil {
-		x.web.Set(f)
+	p.pools.Set(f)
+	if p.web != nil {
+		p.web.Set(f)
 	}
 	return v.Number, nil
 }
 
-// release puts a version of the fleet's settings in force, or the own file if r is nil, and returns the effective file.
-// What only a start can change stays as the own file has it, unless the version says otherwise: then it is rejected, as
-// is one that starves a method. The way back to the own file is always open.
-func (x *operatorParts) release(r *operator.Record, origin string) (*operator.File, error) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	f := *x.ownFile
+// release applies a version of the fleet's settings, or the own file if r is nil, and returns the effective file. Keys that
+// require a restart keep the values of the own file; a version that changes one of them, or that starves a method, is
+// rejected. Going back to the own file is never rejected for starving a method.
+func (p *operatorParts) release(r *operator.Record, origin string) (*operator.File, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f := *p.ownFile
 	if r != nil {
-		f = r.File.Overlay(x.ownFile)
+		f = r.File.Overlay(p.ownFile)
 	}
-	if _, err := x.commit(&f, origin, r == nil); err != nil {
+	if _, err := p.commit(&f, origin, r == nil); err != nil {
 		return nil, err
 	}
-	x.releasedRecord = r
-	x.effectiveFile = &f
+	p.releasedRecord = r
+	p.effectiveFile = &f
 	return &f, nil
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadOnSignal takes on each signal to reload what can change in a running process, until ctx ends.
+// reloadOnSignal reloads the configuration on each reload signal until ctx ends.
 func (p *process) reloadOnSignal(ctx context.Context) {
 	for {
 		select {
@@ -22,7 +22,7 @@
 	}
 }
 
-// reloadOnce loads the configuration and puts it in force as a whole. On an error the old one stays in force.
+// reloadOnce loads the configuration and applies it as a whole. On an error the old configuration remains in use.
 func (p *process) reloadOnce(ctx context.Context) error {
 	next, err := p.load()
 	if err != nil {
@@ -33,7 +33,7 @@
 		return err
 	}
 	if keys := p.config.RestartOnlyChanges(next.Process); len(keys) > 0 {
-		p.log.WithField("keys", summarize(keys)).Warn("reload.restart_required")
+		p.log.WithField("keys", summarizeKeys(keys)).Warn("reload.restart_required")
 	}
 	p.latest.Store(&next)
 	p.server.link.SetAddr(next.Engine)
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// summarize names the first few of many keys.
-func summarize(keys []string) string {
+// summarizeKeys returns the first maxLoggedKeys keys and the number of the others.
+func summarizeKeys(keys []string) string {
 	if len(keys) > maxLoggedKeys {
 		return fmt.Sprintf("%s and %d more", strings.Join(keys[:maxLoggedKeys], ", "), len(keys)-maxLoggedKeys)
 	}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -1,6 +1,6 @@
-// Package daemon puts the parts of a server together and manages their life cycle from the first log line to the exit. It
-// is what the commands that serve have in common, and has a place for what one of them adds; the servers of experiments
-// are put together by the same code. It must never hold anything that a part could own, nor know what a part does inside.
+// Package daemon assembles the parts of a server and manages their life cycle from the first log line to the exit. The
+// commands that serve RPCs share it, and one of them adds a part through an Extension; the servers of experiments are
+// assembled by the same code. It must never hold state that belongs to a part, nor depend on a part's internals.
 package daemon
 
 import (
@@ -20,13 +20,13 @@
 )
 
 const (
-	// heapFraction of the memory is the collector's limit; the rest is for stacks, the program itself and the kernel's
-	// buffers that count as ours.
+	// heapFraction is the share of the memory limit that the garbage collector may use. The rest is for stacks, the program
+	// itself and kernel buffers that are accounted to the process.
 	heapFraction = 0.6
 	bytesPerMB   = 1 << 20
-	// hashDigits of the hash of an operator's record are logged.
+	// hashDigits is the number of logged digits of the hash of an operator's record.
 	hashDigits = 12
-	// maxLoggedKeys are as many keys as fit a line of the log.
+	// maxLoggedKeys is the maximum number of keys on a log line.
 	maxLoggedKeys = 8
 )
 
@@ -34,16 +34,16 @@
 type process struct {
 	config    Config // at the start
 	log       *logrus.Entry
-	stop      <-chan os.Signal // has it drain and end
-	reload    <-chan os.Signal // has it load the configuration anew, during a drain as well
+	stop      <-chan os.Signal // signals to drain and exit
+	reload    <-chan os.Signal // signals to reload the configuration, also during a drain
 	load      loader
 	extension Extension // nil if the command adds nothing
 
 	server *Server
-	latest atomic.Pointer[Config] // the configuration in force
+	latest atomic.Pointer[Config] // the current configuration
 }
 
-// serve runs the server until a signal to stop comes, and drains it.
+// serve runs the server until a signal to stop arrives or a drain is requested, and drains it.
 func (p *process) serve() error {
 	runtime.GOMAXPROCS(int(math.Ceil(p.config.Cores)))
 	debug.SetMemoryLimit(int64(heapFraction * float64(p.config.MemoryMB) * bytesPerMB))
@@ -71,7 +71,7 @@
 	return p.runUntilStopped()
 }
 
-// runUntilStopped waits for the token store and then for the end of the server.
+// runUntilStopped waits until the token store is open, and then until the server has drained.
 func (p *process) runUntilStopped() error {
 	if tokens := p.server.tokenStore; tokens != nil {
 		select {
@@ -90,9 +90,9 @@
 		case <-p.stop:
 			p.server.drain(p.latest.Load().Process, nil)
 			return nil
-		case code := <-p.server.leaveRequests:
+		case code := <-p.server.drainRequests:
 			if !p.server.drain(p.latest.Load().Process, p.stop) {
-				continue // it was cancelled
+				continue // the drain was cancelled
 			}
 			if code != 0 {
 				return ExitCode(code)
@@ -102,7 +102,7 @@
 	}
 }
 
-// recordFields are the fields of the log that name an operator's record; none if it is nil.
+// recordFields returns the log fields that identify an operator's record; there are none if r is nil.
 func recordFields(r *operator.Record) logrus.Fields {
 	if r == nil {
 		return nil
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -22,111 +22,110 @@
 	"sorrelvalve/internal/trace"
 )
 
-// This file owns how the parts of one server are put together, and their end. It must never decide in what order anything
-// happens to an RPC.
+// This file assembles the parts of one server and ends them. It must never determine the order of the steps of an RPC.
 
 const (
-	// minSockets are left for the fronts beside what the operator's file may take: with the platform's minimum, 48, a
-	// dozen connections.
+	// minSockets is the minimum number of descriptors left for the fronts after those reserved by the operator's file. At
+	// the platform's minimum of 48 sockets, this is about a dozen connections.
 	minSockets = 40
-	// gaugeTimeout is how long a tick waits for its gauges: many times what the engine takes, a quarter of the time
-	// between two ticks.
+	// gaugeTimeout is how long a tick waits for the engine's gauges: many times the usual response time, and a quarter of
+	// the interval between two ticks.
 	gaugeTimeout = 10 * time.Millisecond
 )
 
-// Options are what a server is made from.
+// Options configure a server.
 type Options struct {
 	Config     Config
-	Listener   net.Listener    // for RPCs; a *net.TCPListener, which stays the caller's if New fails
+	Listener   net.Listener    // for RPCs; a *net.TCPListener, which the caller must close if New fails
 	Log        *logrus.Entry   // for the log of all parts
-	Extension  Extension       // nil if the command adds nothing
-	TokenStore gate.TokenStore // which its caller opened; nil to cache tokens as the operator's file says
+	Extension  Extension       // nil for none
+	TokenStore gate.TokenStore // opened by the caller; nil to use the store that the operator's file configures
 }
 
-// Server is a running server: its parts, put together.
+// Server is a running server.
 type Server struct {
 	Gate *gate.Gate
 
 	ctx           context.Context // ends with the server
-	closers       []func()        // called on Close, the last first
+	closers       []func()        // called by Close in reverse order
 	wg            sync.WaitGroup  // of the parts that run until ctx ends
 	log           *logrus.Entry
-	settings      startup.Config // of the controller, with what the operator's file sets
+	settings      startup.Config // of the controller, with those of the operator's file applied
 	sockets       int            // file descriptors left for the fronts
 	table         *front.ConnTable
 	link          *engine.Link
 	reporter      *members.Reporter // nil without a membership service
 	operatorParts *operatorParts    // nil without an operator's file
 	tokenStore    *tokenStore       // nil without a durable store
-	addition      ExtensionPart     // nil if the command adds nothing
+	extensionPart ExtensionPart     // nil for none
 	lifecycle     lifecycle
 
-	leaveRequests  chan int        // exit codes with which an added part has the server leave
-	cancelRequests chan chan error // requests of an added part to cancel that
+	drainRequests  chan int        // exit codes of drains requested by the extension part
+	cancelRequests chan chan error // requests of the extension part to cancel such a drain
 }
 
-// New puts a server together and starts it.
-func New(o Options) (x *Server, err error) {
-	x = &Server{
+// New assembles a server and starts it.
+func New(o Options) (s *Server, err error) {
+	s = &Server{
 		log: o.Log, settings: *o.Config.Settings, sockets: o.Config.Sockets,
-		leaveRequests: make(chan int, 1), cancelRequests: make(chan chan error),
+		drainRequests: make(chan int, 1), cancelRequests: make(chan chan error),
 	}
-	if err := x.applyOperatorFile(&o); err != nil {
+	if err := s.applyOperatorFile(&o); err != nil {
 		return nil, err
 	}
-	x.lifecycle.slowStartMs = x.settings.Node.WarmUpTime
+	s.lifecycle.slowStartMs = s.settings.Node.WarmUpTime
 	ctx, cancel := context.WithCancel(context.Background())
-	x.ctx = ctx
-	x.closers = append(x.closers, func() {
+	s.ctx = ctx
+	s.closers = append(s.closers, func() {
 		cancel()
-		x.wg.Wait()
+		s.wg.Wait()
 	})
 	defer func() {
 		if err != nil {
-			x.Close()
+			s.Close()
 		}
 	}()
-	x.makeGate(&o)
-	x.makeEngineLink(&o)
-	x.table = front.NewConnTable(x.sockets, x.Gate.IdleTimeout, o.Log)
-	run := x.link.Runner()
+	s.makeGate(&o)
+	s.makeEngineLink(&o)
+	s.table = front.NewConnTable(s.sockets, s.Gate.IdleTimeout, o.Log)
+	run := s.link.Runner()
 	if o.Config.Operator != nil {
-		if x.operatorParts, err = newOperatorParts(o.Config, x.table, x.Gate, run, o.Log); err != nil {
+		if s.operatorParts, err = newOperatorParts(o.Config, s.table, s.Gate, run, o.Log); err != nil {
 			return nil, err
 		}
-		x.runPart(x.operatorParts.pools.Serve)
-		run = x.operatorParts.run
+		s.runPart(s.operatorParts.pools.Serve)
+		run = s.operatorParts.run
 	}
 	if o.Extension != nil {
-		if err := x.extend(&o); err != nil {
+		if err := s.extend(&o); err != nil {
 			return nil, err
 		}
 	}
-	x.startParts(&o, run)
-	return x, nil
+	s.startParts(&o, run)
+	return s, nil
 }
 
-// applyOperatorFile lays the operator's file over the settings and checks that this process can do what it asks.
-func (x *Server) applyOperatorFile(o *Options) error {
+// applyOperatorFile applies the operator's file to the settings and checks that this process can support it.
+func (s *Server) applyOperatorFile(o *Options) error {
 	if o.Config.Operator == nil {
 		return nil
 	}
 	f := &o.Config.Operator.File
-	f.Apply(&x.settings)
-	x.sockets -= f.Descriptors()
-	if x.sockets < minSockets {
-		return fmt.Errorf("operator: the file's parts may take %d descriptors of limits.sockets, %d", f.Descriptors(), o.Config.Sockets)
+	f.Apply(&s.settings)
+	s.sockets -= f.Descriptors()
+	if s.sockets < minSockets {
+		return fmt.Errorf("operator: the file's parts need up to %d descriptors, which leaves too few of limits.sockets, %d", f.Descriptors(), o.Config.Sockets)
 	}
 	if f.Fleet != nil && o.Extension == nil {
-		return errors.New("operator: fleet: this command serves without one; valvefleet serve takes the same configuration")
+		return errors.New("operator: fleet: not supported by this command; use valvefleet serve with the same configuration")
 	}
 	return nil
 }
 
-// makeGate makes the gate, with its token store and its trace.
-func (x *Server) makeGate(o *Options) {
+// makeGate creates the gate with its token store and trace recorder.
+func (s *Server) makeGate(o *Options) {
 	log := o.Log
-	x.Gate = gate.New(&x.settings, o.Config.MemoryMB, func(event, detail string) {
+	s.Gate = gate.New(&s.settings, o.Config.MemoryMB, func(event, detail string) {
 		if detail == "" {
 			log.Info(event)
 		} else {
@@ -134,7 +133,7 @@
 		}
 	})
 	if o.TokenStore != nil {
-		x.Gate.UseTokenStore(o.TokenStore)
+		s.Gate.UseTokenStore(o.TokenStore)
 	}
 	if o.Config.Operator != nil && o.Config.Operator.File.Trace != nil {
 		t := o.Config.Operator.File.Trace
@@ -142,130 +141,130 @@
 		recorder := trace.NewRecorder(t.Path, limits, BuildVersion(), func(err error) {
 			log.WithError(err).Error("trace.record_failed")
 		})
-		x.closers = append(x.closers, recorder.Close)
-		x.Gate.UseTracer(recorder)
+		s.closers = append(s.closers, recorder.Close)
+		s.Gate.UseTracer(recorder)
 	}
 }
 
-// makeEngineLink makes the link to the engine, whose first answer starts the decisions, and opens the token store that
-// the operator's file names. Until that has been read, the server listens and rejects.
-func (x *Server) makeEngineLink(o *Options) {
-	startDecisions := x.Gate.Start
+// makeEngineLink creates the link to the engine, whose first response starts the decisions, and opens the token store that
+// the operator's file configures. Until the store has been read, the server listens and rejects RPCs.
+func (s *Server) makeEngineLink(o *Options) {
+	startDecisions := s.Gate.Start
 	if o.Config.Operator != nil && o.Config.Operator.File.Store != nil {
-		tokens := openTokenStore(o.Config.Operator.File.Store, &x.settings, o.Config.Name, o.Log)
-		x.tokenStore = tokens
-		x.closers = append(x.closers, func() { tokens.close(o.Log) }, func() { tokens.logStatus(o.Log) }) // as it stood at the end
-		x.runPart(func(ctx context.Context) { tokens.logPeriodically(ctx, o.Log) })
+		tokens := openTokenStore(o.Config.Operator.File.Store, &s.settings, o.Config.Name, o.Log)
+		s.tokenStore = tokens
+		s.closers = append(s.closers, func() { tokens.close(o.Log) }, func() { tokens.logStatus(o.Log) }) // final status
+		s.runPart(func(ctx context.Context) { tokens.logPeriodically(ctx, o.Log) })
 		startDecisions = func(warmingUp bool, ago time.Duration) {
-			since := time.Now()
+			waitStarted := time.Now()
 			<-tokens.ready
 			if tokens.err != nil {
 				return
 			}
-			if !x.Gate.Started() {
-				x.Gate.UseTokenStore(store.TokenStore{Store: tokens.store})
+			if !s.Gate.Started() {
+				s.Gate.UseTokenStore(store.TokenStore{Store: tokens.store})
 			}
-			x.Gate.Start(warmingUp, ago+time.Since(since))
+			s.Gate.Start(warmingUp, ago+time.Since(waitStarted))
 		}
 	}
-	x.link = engine.New(o.Config.Engine, o.Log, func(warmingUp bool, ago time.Duration) {
-		x.lifecycle.start(warmingUp, ago)
+	s.link = engine.New(o.Config.Engine, o.Log, func(warmingUp bool, ago time.Duration) {
+		s.lifecycle.start(warmingUp, ago)
 		startDecisions(warmingUp, ago)
 	})
 }
 
-// startParts starts what runs until the server's end, and then accepts connections. run does the work of RPCs.
-func (x *Server) startParts(o *Options, run gate.Runner) {
-	g := x.Gate
-	rpcServer := mprpc.New(x.table, g, run, o.Log)
-	x.runPart(x.link.Serve)
+// startParts starts the parts that run until the server ends, and then accepts connections. run runs the admitted RPCs.
+func (s *Server) startParts(o *Options, run gate.Runner) {
+	g := s.Gate
+	rpcServer := mprpc.New(s.table, g, run, o.Log)
+	s.runPart(s.link.Serve)
 	if o.Config.Members != "" {
-		x.reporter = members.New(o.Config.Members, o.Config.Name, o.Log, g.Healthy, g.Started, g.HealthChanged())
-		x.runPart(x.reporter.Serve)
+		s.reporter = members.New(o.Config.Members, o.Config.Name, o.Log, g.Healthy, g.Started, g.HealthChanged())
+		s.runPart(s.reporter.Serve)
 	}
-	x.runPart(func(ctx context.Context) { tick(ctx, g, x.link) })
-	x.table.AddListener(o.Listener.(*net.TCPListener), rpcServer.Open)
-	if x.operatorParts != nil {
-		x.operatorParts.listen(x.table)
+	s.runPart(func(ctx context.Context) { tick(ctx, g, s.link) })
+	s.table.AddListener(o.Listener.(*net.TCPListener), rpcServer.Open)
+	if s.operatorParts != nil {
+		s.operatorParts.listen(s.table)
 	}
 }
 
-// runPart runs a part beside the others; the end of the server waits for it.
-func (x *Server) runPart(part func(context.Context)) {
-	x.wg.Add(1)
+// runPart runs a part in its own goroutine, which Close waits for.
+func (s *Server) runPart(part func(context.Context)) {
+	s.wg.Add(1)
 	go func() {
-		defer x.wg.Done()
-		part(x.ctx)
+		defer s.wg.Done()
+		part(s.ctx)
 	}()
 }
 
-// tick moves the clock of the decisions, with fresh gauges if the engine gives them in time.
+// tick advances the controller's clock until ctx ends, with new gauges if the engine returns them within gaugeTimeout.
 func tick(ctx context.Context, g *gate.Gate, link *engine.Link) {
-	wait := time.NewTimer(0)
+	nextTick := time.NewTimer(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait.C:
+		case <-nextTick.C:
 		}
-		wait.Reset(g.Tick(link.Gauges(gaugeTimeout)))
+		nextTick.Reset(g.Tick(link.Gauges(gaugeTimeout)))
 	}
 }
 
-// Close ends all parts. It does not wait for RPCs in flight: Shutdown does.
-func (x *Server) Close() {
-	for i := len(x.closers) - 1; i >= 0; i-- {
-		x.closers[i]()
+// Close ends all parts. It does not wait for RPCs in flight; Shutdown does.
+func (s *Server) Close() {
+	for i := len(s.closers) - 1; i >= 0; i-- {
+		s.closers[i]()
 	}
-	x.closers = nil
+	s.closers = nil
 }
 
-// Shutdown admits nothing more and waits for RPCs in flight until ctx ends.
-func (x *Server) Shutdown(ctx context.Context) { x.table.Shutdown(ctx) }
+// Shutdown stops admission and waits for the RPCs in flight until ctx ends.
+func (s *Server) Shutdown(ctx context.Context) { s.table.Shutdown(ctx) }
 
-// Pools are the backend pools of the operator's file; nil without one.
-func (x *Server) Pools() *pools.Backends {
-	if x.operatorParts == nil {
+// Pools returns the backend pools of the operator's file; nil without one.
+func (s *Server) Pools() *pools.Backends {
+	if s.operatorParts == nil {
 		return nil
 	}
-	return x.operatorParts.pools
+	return s.operatorParts.pools
 }
 
-// WebAddress is where the front for uwsgi listens; "" without one.
-func (x *Server) WebAddress() string {
-	if x.operatorParts == nil || x.operatorParts.listener == nil {
+// WebAddress returns the address of the front for uwsgi; "" without one.
+func (s *Server) WebAddress() string {
+	if s.operatorParts == nil || s.operatorParts.listener == nil {
 		return ""
 	}
-	return x.operatorParts.listener.Addr().String()
+	return s.operatorParts.listener.Addr().String()
 }
 
-// reload puts a new operator's file in force, as a whole or not at all, and returns the number of the version that runs.
-func (x *Server) reload(next Config) (int, error) {
-	if x.operatorParts == nil {
+// reload atomically applies a new operator's file and returns the number of the running version.
+func (s *Server) reload(next Config) (int, error) {
+	if s.operatorParts == nil {
 		return 0, nil
 	}
-	number, err := x.operatorParts.reload(next)
-	if err == nil && x.addition != nil {
-		x.addition.Set(&next.Operator.File)
+	number, err := s.operatorParts.reload(next)
+	if err == nil && s.extensionPart != nil {
+		s.extensionPart.Set(&next.Operator.File)
 	}
 	return number, err
 }
 
-// release is Parts.Release.
-func (x *Server) release(r *operator.Record, origin string) error {
-	if x.operatorParts == nil {
+// release implements Parts.Release.
+func (s *Server) release(r *operator.Record, origin string) error {
+	if s.operatorParts == nil {
 		return errors.New("no operator's file: nothing of it can be released")
 	}
-	f, err := x.operatorParts.release(r, origin)
-	if err == nil && x.addition != nil {
-		x.addition.Set(f)
+	f, err := s.operatorParts.release(r, origin)
+	if err == nil && s.extensionPart != nil {
+		s.extensionPart.Set(f)
 	}
 	return err
 }
 
-// sampleLoad is Parts.SampleLoad.
-func (x *Server) sampleLoad() {
-	if x.operatorParts != nil {
-		x.operatorParts.load.sample(time.Now())
+// sampleLoad implements Parts.SampleLoad.
+func (s *Server) sampleLoad() {
+	if s.operatorParts != nil {
+		s.operatorParts.load.sample(time.Now())
 	}
 }
--- a/internal/daemon/storecmd.go
+++ b/internal/daemon/storecmd.go
@@ -11,11 +11,11 @@
 	"sorrelvalve/internal/store"
 )
 
-// StoreCmd are the commands over the folder of a store.
+// StoreCmd holds the commands for the folder of a token store.
 type StoreCmd struct {
-	Inspect inspectCmd `cmd:"" help:"Tell what stands in a store's folder."`
-	Verify  verifyCmd  `cmd:"" help:"Read every record of it; the exit code tells whether all is sound."`
-	Compact compactCmd `cmd:"" help:"Remove segments of which all windows are over, while no server uses the folder."`
+	Inspect inspectCmd `cmd:"" help:"List the segments of a store with their record counts."`
+	Verify  verifyCmd  `cmd:"" help:"Read every record of a store; the exit code is not 0 if a segment is damaged."`
+	Compact compactCmd `cmd:"" help:"Remove segments whose deduplication windows have all expired. No server may be using the folder."`
 }
 
 type inspectCmd struct {
@@ -32,22 +32,22 @@
 	Dir string `arg:"" type:"existingdir"`
 }
 
-// Run prints the segments that are damaged, and returns an error if there are any.
+// Run prints the damaged segments and returns an error if there are any.
 func (c verifyCmd) Run() error {
 	damaged, err := inspectStore(c.Dir, false)
 	if err == nil && damaged > 0 {
-		err = fmt.Errorf("%d segments are not sound to their end; a torn tail of the last one is what a crash leaves", damaged)
+		err = fmt.Errorf("%d segments are damaged; a torn tail of the last segment is normal after a crash", damaged)
 	}
 	return err
 }
 
-// inspectStore prints the segments of a store's folder, or only the damaged ones, and returns how many those are.
+// inspectStore prints all segments of a store's folder, or only the damaged ones, and returns the number of damaged ones.
 func inspectStore(path string, listAll bool) (damaged int, err error) {
 	dir, err := store.OpenDir(path)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = dir.Close() }() // it was only read
+	defer func() { _ = dir.Close() }() // opened only for reading
 	segments, err := store.InspectSegments(dir)
 	if err != nil {
 		return 0, err
@@ -72,17 +72,17 @@
 	if err := t.writeTo(os.Stdout); err != nil {
 		return damaged, err
 	}
-	fmt.Printf("%d segments, %d not sound to their end\n", len(segments), damaged)
+	fmt.Printf("%d segments, %d damaged\n", len(segments), damaged)
 	return damaged, nil
 }
 
 type compactCmd struct {
 	Dir       string        `arg:"" type:"existingdir"`
-	Tolerance time.Duration `default:"2s" help:"By which the clock may have stepped."`
+	Tolerance time.Duration `default:"2s" help:"Largest step that the clock may have made."`
 }
 
-// Run removes the oldest segments whose windows are over, up to the first one that has to stay: later records supersede
-// earlier ones, so none behind it may go.
+// Run removes the oldest segments whose windows have expired, up to the first one that must be retained. Later records
+// supersede earlier ones, so no segment after that one may be removed.
 func (c compactCmd) Run() error {
 	dir, err := store.OpenDir(c.Dir)
 	if err != nil {
@@ -106,19 +106,19 @@
 		}
 		removed++
 	}
-	fmt.Printf("%d segments removed, %d stay\n", removed, retained)
+	fmt.Printf("%d segments removed, %d retained\n", removed, retained)
 	if retained > 0 && segments[removed].Err != nil {
 		return fmt.Errorf("%s: %w", segments[removed].Name, segments[removed].Err)
 	}
 	return nil
 }
 
-// table is text in columns, which tabs separate. The zero value is empty.
+// table collects rows of tab-separated columns. The zero value is an empty table.
 type table struct{ text []byte }
 
 func (t *table) printf(format string, args ...any) { t.text = fmt.Appendf(t.text, format, args...) }
 
-// writeTo aligns the columns and writes the text.
+// writeTo writes the table with aligned columns.
 func (t *table) writeTo(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	if _, err := w.Write(t.text); err != nil {
--- a/internal/daemon/tokenstore.go
+++ b/internal/daemon/tokenstore.go
@@ -12,20 +12,21 @@
 	"sorrelvalve/internal/store"
 )
 
-// This file owns the durable token store of the daemon, which is opened beside the start of the rest. It must never let
-// an RPC in before recovery is over.
+// This file manages the durable token store of the daemon, which is opened concurrently with the start of the other parts.
+// No RPC may be admitted before recovery is complete.
 
-// statusPeriod is how often a store's status is logged: often enough to see it fill up within a window of minutes.
+// statusPeriod is the interval at which a store's status is logged, short enough to see the store fill up within a
+// deduplication window of minutes.
 const statusPeriod = time.Minute
 
-// tokenStore is a durable token store that is being opened, or was.
+// tokenStore is a durable token store that is being opened or has been opened.
 type tokenStore struct {
 	ready chan struct{} // closed once store and err are set
 	store *store.Store  // nil if it could not be opened
 	err   error
 }
 
-// openTokenStore starts to read what stands in the store's folder.
+// openTokenStore starts to open the store and returns without waiting for its recovery.
 func openTokenStore(o *operator.Store, config *startup.Config, server string, log *logrus.Entry) *tokenStore {
 	t := &tokenStore{ready: make(chan struct{})}
 	go func() {
@@ -35,6 +36,7 @@
 	return t
 }
 
+// open opens the store, recovers its entries and sets t.store or t.err.
 func (t *tokenStore) open(o *operator.Store, config *startup.Config, server string, log *logrus.Entry) {
 	dir, err := store.OpenDir(o.Dir)
 	if err != nil {
@@ -45,7 +47,7 @@
 	onError := func(event string, err error) { log.WithError(err).Error(event) }
 	t.store, t.err = store.Open(dir, storeLimits(o, config.Methods), server, now, onError)
 	if t.err != nil {
-		_ = dir.Close() // nothing was written, and why it could not be opened is reported
+		_ = dir.Close() // nothing was written, and t.err reports the failure
 		return
 	}
 	status := t.store.Status()
@@ -56,7 +58,7 @@
 	}).Info("store.recovered")
 }
 
-// storeLimits are the limits of the store that an operator's file sets, with the longest window of the methods.
+// storeLimits returns the limits that an operator's file sets for the store, with the longest window of the methods.
 func storeLimits(o *operator.Store, methods []control.Method) store.Limits {
 	l := store.Limits{
 		MaxBytes:       o.MaxMB * bytesPerMB,
@@ -72,7 +74,7 @@
 	return l
 }
 
-// logPeriodically logs the store's status until ctx ends.
+// logPeriodically logs the store's status every statusPeriod until ctx ends.
 func (t *tokenStore) logPeriodically(ctx context.Context, log *logrus.Entry) {
 	ticker := time.NewTicker(statusPeriod)
 	defer ticker.Stop()
@@ -86,7 +88,7 @@
 	}
 }
 
-// logStatus logs the store's status, once it is open.
+// logStatus logs the store's status if the store is open.
 func (t *tokenStore) logStatus(log *logrus.Entry) {
 	select {
 	case <-t.ready:
@@ -110,7 +112,7 @@
 	}).Info("store.status")
 }
 
-// close closes the store once nothing more can ask for it.
+// close waits until the store has been opened and closes it. The store must not be used any more.
 func (t *tokenStore) close(log *logrus.Entry) {
 	<-t.ready
 	if t.store == nil {
--- a/internal/daemon/tracecmd.go
+++ b/internal/daemon/tracecmd.go
@@ -12,22 +12,22 @@
 	"sorrelvalve/internal/trace"
 )
 
-// This file owns the commands over traces: they print what package replay finds. They must never write to a trace.
+// This file has the commands for traces, which print the results of package replay. They must never write to a trace.
 
-// TraceCmd are the commands over traces.
+// TraceCmd holds the commands for traces.
 type TraceCmd struct {
-	Record recordCmd `cmd:"" help:"Serve, and record a trace."`
-	Show   showCmd   `cmd:"" help:"Print what a trace holds, an event a line."`
-	Replay replayCmd `cmd:"" help:"Run this build's decisions over a trace: the same verdicts, or where they part."`
-	Diff   diffCmd   `cmd:"" help:"What other settings would have done with the same arrivals."`
+	Record recordCmd `cmd:"" help:"Serve RPCs and record a trace."`
+	Show   showCmd   `cmd:"" help:"Print the events of a trace, one per line."`
+	Replay replayCmd `cmd:"" help:"Replay a trace with this build and report the verdicts that differ from the recorded ones."`
+	Diff   diffCmd   `cmd:"" help:"Simulate the arrivals of a trace under other settings and compare the outcomes."`
 }
 
 type recordCmd struct {
-	File string `arg:"" type:"path" help:"The trace; older parts of it become FILE.1 and so on."`
+	File string `arg:"" type:"path" help:"Trace file to write; older files are renamed to FILE.1 and so on."`
 	Command
 }
 
-// Run serves as Command does.
+// Run serves like Command.
 func (c recordCmd) Run() error {
 	c.Trace = c.File
 	return c.Command.Run(nil)
@@ -35,7 +35,7 @@
 
 type showCmd struct {
 	File  string `arg:"" type:"path"`
-	Limit int    `default:"0" help:"Lines at the most; 0 for all."`
+	Limit int    `default:"0" help:"Maximum number of events to print; 0 for all."`
 }
 
 // Run prints the header and the entries of a trace.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = r.Close() }() // it was only read
+	defer func() { _ = r.Close() }() // opened only for reading
 	h := &r.Header
 	fmt.Printf("build %s, cold %v, %d methods, %d customers, %d cores\n",
 		h.Build, h.SlowStart, len(h.Startup.Methods), len(h.Startup.Customers), h.Startup.Node.Cores)
@@ -61,13 +61,14 @@
 	return nil
 }
 
-// traceSteps feeds a trace to a replay. A trace that ends early is replayed as far as it goes.
+// traceSteps reads a trace for a replay. A truncated or damaged trace is replayed up to the fault.
 type traceSteps struct {
 	*trace.Reader
-	truncation error // why it ended early; nil if it did not
-	dropped    int   // entries that were dropped when it was recorded
+	truncation error // why the trace ended early; nil if it is complete
+	dropped    int   // entries that were dropped during recording
 }
 
+// openTrace opens the files of a trace.
 func openTrace(file string) (*traceSteps, error) {
 	r, err := trace.Open(trace.Files(file)...)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return &traceSteps{Reader: r}, nil
 }
 
-// next returns the next step, io.EOF at the end.
+// next returns the next step, or io.EOF at the end.
 func (s *traceSteps) next() (replay.Step, error) {
 	e, err := s.Next()
 	s.dropped += e.Dropped
@@ -87,39 +88,40 @@
 	return replay.Step{Now: e.Now, Event: e.Event, Token: e.Token, Actions: e.Actions}, err
 }
 
-// settings are those that the trace was recorded with.
+// settings returns the settings that the trace was recorded with.
 func (s *traceSteps) settings() *replay.Settings {
 	return replaySettings(&s.Header.Startup, s.Header.SlowStart)
 }
 
+// replaySettings returns the settings for a replay of a controller that starts with or without a warm-up.
 func replaySettings(c *startup.Config, warmingUp bool) *replay.Settings {
 	s := replay.Settings(c.Config)
 	s.Node.WarmingUp = warmingUp
 	return &s
 }
 
-// close reports what the trace lacks.
+// close closes the trace and reports on stderr whether entries are missing.
 func (s *traceSteps) close() {
 	if s.truncation != nil {
-		fmt.Fprintf(os.Stderr, "the trace ends early: %v\n", s.truncation)
+		fmt.Fprintf(os.Stderr, "trace is truncated or damaged; later entries are ignored: %v\n", s.truncation)
 	}
 	if s.dropped > 0 {
-		fmt.Fprintf(os.Stderr, "%d entries were dropped when it was recorded\n", s.dropped)
+		fmt.Fprintf(os.Stderr, "%d entries were dropped while the trace was recorded\n", s.dropped)
 	}
-	_ = s.Close() // it was only read
+	_ = s.Close() // opened only for reading
 }
 
 type replayCmd struct {
 	File string `arg:"" type:"path"`
 }
 
-// maxPrintedDivergences are as many as a reader needs to see what is different.
+// maxPrintedDivergences limits the output to the first divergences, which suffice to find the difference.
 const maxPrintedDivergences = 20
 
-// errDiverged tells that a replay gave other verdicts than were recorded.
-var errDiverged = errors.New("the verdicts are not those of the trace")
+// errDiverged is returned if the verdicts of a replay differ from the recorded ones.
+var errDiverged = errors.New("replayed verdicts differ from the recorded ones")
 
-// Run prints where the verdicts diverge and a tally by method, and returns an error if any do.
+// Run prints the verdicts that diverge and a tally by method. It returns errDiverged if there is a divergence.
 func (c replayCmd) Run() error {
 	steps, err := openTrace(c.File)
 	if err != nil {
@@ -132,7 +134,7 @@
 	onDivergence := func(d replay.Divergence) {
 		divergences++
 		if divergences <= maxPrintedDivergences {
-			fmt.Printf("at %.3f ms (event %d): was %s, is %s\n", d.Now, d.Step, verdictName(d.Recorded), verdictName(d.Replayed))
+			fmt.Printf("at %.3f ms (event %d): recorded %s, replayed %s\n", d.Now, d.Step, verdictName(d.Recorded), verdictName(d.Replayed))
 		}
 	}
 	onCompletion := func(f replay.Completion) { tallies[min(f.Method, len(tallies)-1)].Add(f.Verdict) }
@@ -149,14 +151,14 @@
 	if err := t.writeTo(os.Stdout); err != nil {
 		return err
 	}
-	fmt.Printf("%d events, %d verdicts part\n", events, divergences)
+	fmt.Printf("%d events, %d verdicts differ\n", events, divergences)
 	if divergences > 0 {
 		return errDiverged
 	}
 	return nil
 }
 
-// verdictNames are the names that this command prints.
+// verdictNames are the printed names of the verdicts.
 var verdictNames = map[control.ActionKind]string{
 	control.Run:    "run",
 	control.Reject: "push back",
@@ -164,7 +166,7 @@
 	control.Join:   "join",
 }
 
-// verdictName names a verdict and its RPC.
+// verdictName returns the name of a verdict with its RPC, or "none".
 func verdictName(a control.Action) string {
 	if a.RPC == 0 {
 		return "none"
--- a/internal/daemon/tracediff.go
+++ b/internal/daemon/tracediff.go
@@ -13,13 +13,13 @@
 
 type diffCmd struct {
 	File     string `arg:"" type:"path"`
-	Settings string `type:"existingfile" help:"The platform's configuration that is asked about; that of the trace without it."`
-	Operator string `type:"existingfile" help:"The operator's record that is asked about."`
-	Seconds  int    `default:"20" help:"Seconds that are listed, those that part most first."`
+	Settings string `type:"existingfile" help:"Platform configuration to simulate; without it, the settings of the trace."`
+	Operator string `type:"existingfile" help:"Operator's record to simulate."`
+	Seconds  int    `default:"20" help:"Maximum number of seconds to list; those with the most differences come first."`
 }
 
-// Run simulates the arrivals of a trace under its own settings and under those that are asked about, and prints how the
-// outcomes differ.
+// Run simulates the arrivals of a trace under its recorded settings and under the settings of the command line, and prints
+// how the outcomes differ.
 func (c diffCmd) Run() error {
 	baseline, methods, err := c.simulate(nil)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return d.print(methods, c.Seconds)
 }
 
-// applySettings puts the settings that are asked about in place of those of the trace; the seed stays.
+// applySettings replaces the settings of the trace by those of the command line, except for the seed.
 func (c diffCmd) applySettings(config *startup.Config) error {
 	if c.Settings != "" {
 		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": c.Settings}[key] })
@@ -41,7 +41,7 @@
 			return err
 		}
 		if len(p.Settings.Methods) != len(config.Methods) {
-			return fmt.Errorf("%s: %d methods expected, as in the trace, %d there", c.Settings, len(config.Methods), len(p.Settings.Methods))
+			return fmt.Errorf("%s: want %d methods, as in the trace, got %d", c.Settings, len(config.Methods), len(p.Settings.Methods))
 		}
 		seed := config.Node.Seed
 		*config = *p.Settings
@@ -57,20 +57,21 @@
 	return nil
 }
 
-// outcome is the end of one arrival, kept small as a trace may hold millions.
+// outcome is the outcome of one arrival. It is small because a trace may have millions of arrivals.
 type outcome struct {
 	second  uint32 // of the arrival
 	verdict replay.Verdict
 	method  uint8
 }
 
-// methodInfo is what the table says of a method.
+// methodInfo is the part of a method's settings that the table shows.
 type methodInfo struct {
 	name        string
 	criticality float64
 }
 
-// simulate returns the outcomes by arrival under the settings of the trace, which change may alter.
+// simulate returns the outcomes by arrival index under the settings of the trace, after change has been applied to them.
+// change may be nil.
 func (c diffCmd) simulate(change func(*startup.Config) error) ([]outcome, []methodInfo, error) {
 	steps, err := openTrace(c.File)
 	if err != nil {
@@ -101,13 +102,13 @@
 // diffRow counts the RPCs of a method or a second.
 type diffRow struct {
 	total        int
-	okBaseline   int // answered, in time or late
+	okBaseline   int // completed ok, in time or late
 	okChanged    int
-	onlyBaseline int // answered without a result under the baseline only
-	onlyChanged  int // and under the changed settings only
+	onlyBaseline int // rejected or aborted under the baseline settings only
+	onlyChanged  int // rejected or aborted under the changed settings only
 }
 
-// add counts one RPC by its two verdicts.
+// add counts one RPC with its two verdicts.
 func (r *diffRow) add(baseline, changed replay.Verdict) {
 	r.total++
 	if baseline <= replay.Late {
@@ -123,7 +124,7 @@
 	}
 }
 
-// differences are the RPCs that one of the two answered and the other did not.
+// differences returns the number of RPCs that were rejected or aborted under only one of the two settings.
 func (r *diffRow) differences() int { return r.onlyBaseline + r.onlyChanged }
 
 // outcomeDiff compares the outcomes of the same arrivals under two settings.
@@ -132,22 +133,23 @@
 	seconds map[uint32]*diffRow
 }
 
+// newOutcomeDiff counts the outcomes by method and by second. Both slices are indexed by arrival.
 func newOutcomeDiff(baseline, changed []outcome, methods int) *outcomeDiff {
 	d := &outcomeDiff{methods: make([]diffRow, methods), seconds: map[uint32]*diffRow{}}
 	for i := range min(len(baseline), len(changed)) {
-		was, is := baseline[i], changed[i]
-		second := d.seconds[was.second]
+		before, after := baseline[i], changed[i]
+		second := d.seconds[before.second]
 		if second == nil {
 			second = &diffRow{}
-			d.seconds[was.second] = second
+			d.seconds[before.second] = second
 		}
-		second.add(was.verdict, is.verdict)
-		d.methods[min(int(was.method), methods-1)].add(was.verdict, is.verdict)
+		second.add(before.verdict, after.verdict)
+		d.methods[min(int(before.method), methods-1)].add(before.verdict, after.verdict)
 	}
 	return d
 }
 
-// print prints a table by method and the seconds that differ most, at most so many.
+// print prints a table by method and the maxSeconds seconds with the most differences.
 func (d *outcomeDiff) print(methods []methodInfo, maxSeconds int) error {
 	var t table
 	t.printf("method\tcriticality\tRPCs\tok as it was\tok then\tturned away only as it was\tonly then\n")
@@ -172,6 +174,6 @@
 		r := d.seconds[second]
 		fmt.Printf("second %d: %d RPCs, turned away only as it was %d, only then %d\n", second, r.total, r.onlyBaseline, r.onlyChanged)
 	}
-	fmt.Printf("%d seconds part of %d\n", len(different), len(d.seconds))
+	fmt.Printf("%d seconds differ of %d\n", len(different), len(d.seconds))
 	return nil
 }
