--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -12,7 +12,8 @@
 	"sorrelvalve/internal/operator"
 )
 
-func record(t *testing.T, f *operator.File) string {
+// writeRecordFile writes an operator's record to a temporary file and returns its path.
+func writeRecordFile(t *testing.T, f *operator.File) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.record")
 	b, err := operator.Marshal(f)
@@ -25,23 +26,24 @@
 	return path
 }
 
-// A record with a fleet is rejected by name where the command has none.
+// A command without an extension rejects a record with a fleet section. The error names the section and the command that
+// supports it.
 func TestFleetRefused(t *testing.T) {
-	r := record(t, &operator.File{Version: "t", Fleet: &operator.Fleet{Listen: "127.0.0.1:7946"}})
+	r := writeRecordFile(t, &operator.File{Version: "t", Fleet: &operator.Fleet{Listen: "127.0.0.1:7946"}})
 	err := Command{Demo: true, Operator: r}.Run(nil)
 	if err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), "valvefleet serve") {
-		t.Errorf("a fleet without valvefleet: %v", err)
+		t.Errorf("error for a record with a fleet: got %v", err)
 	}
 }
 
-// The stub engine of the demonstration and an operator's record work together: uwsgi in front of the stub.
+// The stub engine of the demonstration and an operator's record work together: the front for uwsgi listens beside the stub.
 func TestStandInWithRecord(t *testing.T) {
-	addr := freeLoopback(t)
+	addr := freeLoopbackAddress(t)
 	u := &operator.UWSGI{Listen: addr, KeepAlive: "asked", MaxHeaderBytes: 16384, MaxVariables: 128, MaxPathBytes: 4096, MaxBodyBytes: 65536, BodyMemoryKB: 8192, ReadTimeoutMs: 2000, BodyTimeoutMs: 5000, QueuedKB: 16}
-	r := record(t, &operator.File{Version: "t", UWSGI: u, Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "GET", Method: "account-view", Type: "text/plain"}}})
-	over := make(chan error, 1)
-	go func() { over <- Command{Demo: true, Operator: r}.Run(nil) }()
-	for end := time.Now().Add(soon); ; time.Sleep(10 * time.Millisecond) {
+	r := writeRecordFile(t, &operator.File{Version: "t", UWSGI: u, Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "GET", Method: "account-view", Type: "text/plain"}}})
+	done := make(chan error, 1)
+	go func() { done <- Command{Demo: true, Operator: r}.Run(nil) }()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			if err := c.Close(); err != nil {
@@ -50,18 +52,18 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the front does not listen: %v", err)
+			t.Fatalf("front for uwsgi does not accept connections: %v", err)
 		}
 	}
-	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // which Run is notified of
+	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil { // Run receives this signal
 		t.Fatal(err)
 	}
 	select {
-	case err := <-over:
+	case err := <-done:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(soon):
-		t.Fatal("it does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("server did not exit after SIGTERM")
 	}
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -24,11 +24,11 @@
 	"sorrelvalve/internal/startup"
 )
 
-const soon = 10 * time.Second // bounds what must come at once
+const testTimeout = 10 * time.Second // limit for events that normally happen at once
 
-// serveEngine is an engine that ends each run at once with its body as the result, but for bodies that say to wait:
-// these end when wait is closed.
-func serveEngine(ln net.Listener, wait <-chan struct{}) {
+// serveEngine serves a stub engine that completes each run at once with its body as the result. A run with the body "wait"
+// completes when unblock is closed. It returns when ln is closed.
+func serveEngine(ln net.Listener, unblock <-chan struct{}) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -36,12 +36,12 @@
 		}
 		go func() {
 			defer func() { _ = conn.Close() }() // the server may have closed it
-			no := 0
-			var ends sync.Mutex // errors of writes are not checked: the scan ends with the connection
+			no := 0                             // number of the last DONE message
+			var mu sync.Mutex                   // write errors are ignored: the scan ends with the connection
 			in := bufio.NewScanner(conn)
 			done := func(rid, b64 string) {
-				ends.Lock()
-				defer ends.Unlock()
+				mu.Lock()
+				defer mu.Unlock()
 				no++
 				_, _ = fmt.Fprintf(conn, `{"t":"DONE","no":%d,"rid":"%s","status":"success","time_ms":1,"b64":"%s"}`+"\n", no, rid, b64)
 			}
@@ -56,9 +56,9 @@
 				case "STAT":
 					_, _ = fmt.Fprintf(conn, `{"t":"STATS","mark":"%s","v":[0,0]}`+"\n", c.Mark)
 				case "RUN":
-					if c.B64 == "d2FpdA==" { // "wait"; all else goes on
+					if c.B64 == "d2FpdA==" { // "wait" in base64
 						go func() {
-							<-wait
+							<-unblock
 							done(c.Rid, c.B64)
 						}()
 						continue
@@ -70,35 +70,36 @@
 	}
 }
 
-func call(id uint64, method, body string) []byte {
-	f := []string{"txn", fmt.Sprintf("%016x", id), "ram", "1", "door", fmt.Sprint(time.Now().UnixMilli())}
+// encodeCall encodes an RPC as a router sends it.
+func encodeCall(id uint64, method, body string) []byte {
+	fields := []string{"txn", fmt.Sprintf("%016x", id), "ram", "1", "door", fmt.Sprint(time.Now().UnixMilli())}
 	b := msgpack.AppendString(msgpack.AppendUint(append(msgpack.AppendArray(nil, 4), 0), id), method)
-	b = msgpack.AppendMap(msgpack.AppendArray(b, 2), len(f)/2)
-	for _, s := range f {
+	b = msgpack.AppendMap(msgpack.AppendArray(b, 2), len(fields)/2)
+	for _, s := range fields {
 		b = msgpack.AppendString(b, s)
 	}
 	return append(msgpack.AppendBinHeader(b, len(body)), body...)
 }
 
-// testServer is a server with its stubs, and one connection to it.
+// testServer is a running server with its stubs and one client connection to it.
 type testServer struct {
 	*testing.T
-	wait       chan struct{} // closed: runs that wait go on
-	configPath string
-	recordPath string // the operator's; "" for none
-	webAddress string // where its front listens
-	engine     net.Listener
-	reread     chan os.Signal
-	loaded     chan struct{}
-	phases     chan string // as they were reported
-	lastPhase  string
-	conn       net.Conn
-	stop       chan os.Signal
-	done       chan error
-	log        buffer
+	unblock      chan struct{} // close it to complete blocked runs
+	configPath   string
+	recordPath   string // of the operator's record; "" for none
+	uwsgiAddress string // of the front for uwsgi
+	engine       net.Listener
+	reloadSignal chan os.Signal
+	loaded       chan struct{}
+	phases       chan string // reported to the membership service, in order
+	lastPhase    string
+	conn         net.Conn
+	stop         chan os.Signal
+	done         chan error
+	log          buffer
 }
 
-// buffer is a log that is read while it is written.
+// buffer is a log buffer for concurrent reads and writes.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -116,7 +117,8 @@
 	return b.b.String()
 }
 
-func loopback(t *testing.T) net.Listener {
+// listenLoopback listens on a free loopback address until the test ends.
+func listenLoopback(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,157 +127,163 @@
 	return ln
 }
 
-// freeLoopback is a loopback address that was free a moment ago.
-func freeLoopback(t *testing.T) string {
+// freeLoopbackAddress returns a loopback address that was free when it was checked.
+func freeLoopbackAddress(t *testing.T) string {
 	t.Helper()
-	ln := loopback(t)
+	ln := listenLoopback(t)
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return ln.Addr().String()
 }
 
-func start(t *testing.T, stopMs int, change ...func(w *testServer)) *testServer {
-	w := &testServer{
-		T: t, wait: make(chan struct{}), stop: make(chan os.Signal, 2), reread: make(chan os.Signal), loaded: make(chan struct{}, 100), done: make(chan error, 1),
-		configPath: filepath.Join(t.TempDir(), "config.json"), engine: loopback(t), phases: make(chan string, 100),
+// startServer starts a server and waits until it is up. change may alter the configuration before the start.
+func startServer(t *testing.T, stopMs int, change ...func(ts *testServer)) *testServer {
+	ts := &testServer{
+		T: t, unblock: make(chan struct{}), stop: make(chan os.Signal, 2), reloadSignal: make(chan os.Signal), loaded: make(chan struct{}, 100), done: make(chan error, 1),
+		configPath: filepath.Join(t.TempDir(), "config.json"), engine: listenLoopback(t), phases: make(chan string, 100),
 	}
-	addr := freeLoopback(t)
-	go serveEngine(w.engine, w.wait)
+	addr := freeLoopbackAddress(t)
+	go serveEngine(ts.engine, ts.unblock)
 	text := fmt.Sprintf(`{"name":"n0","listen":"%s","engine":"%s","members":"%s","seed":"1","stop_ms":%d,"settings":{
 		"classes":[{"name":"view","aim":1000000000,"give_up":5000000000}],"rules":{"drain_grace":300000000,"tip_multiple":8},
 		"family_info":{"cores":2,"ram_kb":100000,"below":"shared","call_share":2}}}`,
-		addr, w.engine.Addr(), w.membershipService("first "), stopMs)
-	if err := os.WriteFile(w.configPath, []byte(text), 0o600); err != nil {
+		addr, ts.engine.Addr(), ts.membershipService("first "), stopMs)
+	if err := os.WriteFile(ts.configPath, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	load := func() (Config, error) {
-		defer func() { w.loaded <- struct{}{} }()
-		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": w.configPath}[key] })
-		t := Config{Process: p}
-		if err == nil && w.recordPath != "" {
-			t.Operator, err = operator.Load(w.recordPath, p.Settings)
+		defer func() { ts.loaded <- struct{}{} }()
+		p, err := startup.Load(func(key string) string { return map[string]string{"EDGE_CONFIG": ts.configPath}[key] })
+		config := Config{Process: p}
+		if err == nil && ts.recordPath != "" {
+			config.Operator, err = operator.Load(ts.recordPath, p.Settings)
 		}
-		return t, err
+		return config, err
 	}
 	for _, c := range change {
-		c(w)
+		c(ts)
 	}
 	p, err := load()
-	<-w.loaded
+	<-ts.loaded
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &process{config: p, log: NewLog(&w.log).WithField("node", p.Name), stop: w.stop, reload: w.reread, load: load}
-	go func() { w.done <- server.serve() }()
-	w.awaitReport("first UP") // which says that it is up and started
-	if w.conn, err = net.Dial("tcp", addr); err != nil {
+	server := &process{config: p, log: NewLog(&ts.log).WithField("node", p.Name), stop: ts.stop, reload: ts.reloadSignal, load: load}
+	go func() { ts.done <- server.serve() }()
+	ts.awaitReport("first UP") // reported once the server is up
+	if ts.conn, err = net.Dial("tcp", addr); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.conn.SetDeadline(time.Now().Add(soon)); err != nil {
+	if err := ts.conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = w.conn.Close() }) // it may be closed already
-	return w
+	t.Cleanup(func() { _ = ts.conn.Close() }) // it may be closed already
+	return ts
 }
 
 // send writes to the server's connection.
-func (w *testServer) send(b []byte) {
-	w.Helper()
-	if _, err := w.conn.Write(b); err != nil {
-		w.Fatal(err)
+func (ts *testServer) send(b []byte) {
+	ts.Helper()
+	if _, err := ts.conn.Write(b); err != nil {
+		ts.Fatal(err)
 	}
 }
 
 // disconnect closes the connection to the server.
-func (w *testServer) disconnect() {
-	w.Helper()
-	if err := w.conn.Close(); err != nil {
-		w.Error(err)
+func (ts *testServer) disconnect() {
+	ts.Helper()
+	if err := ts.conn.Close(); err != nil {
+		ts.Error(err)
 	}
 }
 
-// membershipService is a stub that names itself with each phase that is reported to it; its address is returned.
-func (w *testServer) membershipService(name string) string {
-	s := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
+// membershipService starts a stub membership service and returns its address. The stub sends each reported phase, prefixed
+// with name, to ts.phases.
+func (ts *testServer) membershipService(name string) string {
+	service := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, q *http.Request) {
 		var report struct{ Phase string }
 		if json.NewDecoder(q.Body).Decode(&report) == nil && q.URL.Path == "/members/n0" {
-			w.phases <- name + report.Phase
+			ts.phases <- name + report.Phase
 		}
 		out.WriteHeader(http.StatusNoContent)
 	}))
-	w.Cleanup(s.Close)
-	return s.Listener.Addr().String()
+	ts.Cleanup(service.Close)
+	return service.Listener.Addr().String()
 }
 
-// reload puts text into the file in place of old, and has it read.
-func (w *testServer) reload(old, text string) {
-	w.Helper()
-	b, err := os.ReadFile(w.configPath)
+// reload replaces old by text in the configuration file and waits until the server has loaded it.
+func (ts *testServer) reload(old, text string) {
+	ts.Helper()
+	b, err := os.ReadFile(ts.configPath)
 	if err == nil {
-		err = os.WriteFile(w.configPath, bytes.Replace(b, []byte(old), []byte(text), 1), 0o600)
+		err = os.WriteFile(ts.configPath, bytes.Replace(b, []byte(old), []byte(text), 1), 0o600)
 	}
 	if err != nil {
-		w.Fatal(err)
+		ts.Fatal(err)
 	}
-	w.reread <- syscall.SIGHUP
-	<-w.loaded
+	ts.reloadSignal <- syscall.SIGHUP
+	<-ts.loaded
 }
 
-// awaitReport waits for the first report that differs from those before.
-func (w *testServer) awaitReport(want string) {
-	w.Helper()
-	for got := ""; got != want; w.lastPhase = got {
+// awaitReport waits for the first report that differs from the previous one, and fails if it is not want.
+func (ts *testServer) awaitReport(want string) {
+	ts.Helper()
+	for got := ""; got != want; ts.lastPhase = got {
 		select {
-		case got = <-w.phases:
-			if got != want && got != w.lastPhase {
-				w.Fatalf("report %q, want %q", got, want)
+		case got = <-ts.phases:
+			if got != want && got != ts.lastPhase {
+				ts.Fatalf("membership report: got %q, want %q", got, want)
 			}
-		case <-time.After(soon):
-			w.Fatalf("no report, want %q", want)
+		case <-time.After(testTimeout):
+			ts.Fatalf("membership report: timed out, want %q", want)
 		}
 	}
 }
 
-func (w *testServer) expectAnswer(want string) {
-	w.Helper()
+// expectAnswer reads from the connection and compares with want.
+func (ts *testServer) expectAnswer(want string) {
+	ts.Helper()
 	got := make([]byte, len(want))
-	if n, err := io.ReadFull(w.conn, got); err != nil || string(got) != want {
-		w.Fatalf("answer %q, error %v; want %q", got[:n], err, want)
+	if n, err := io.ReadFull(ts.conn, got); err != nil || string(got) != want {
+		ts.Fatalf("answer: got %q, error %v; want %q", got[:n], err, want)
 	}
 }
 
-func (w *testServer) awaitEnd() {
-	w.Helper()
+// awaitExit waits until the server has exited without an error, and checks its log.
+func (ts *testServer) awaitExit() {
+	ts.Helper()
 	select {
-	case err := <-w.done:
+	case err := <-ts.done:
 		if err != nil {
-			w.Error(err)
+			ts.Error(err)
 		}
-	case <-time.After(soon):
-		w.Fatal("not over")
+	case <-time.After(testTimeout):
+		ts.Fatal("server did not exit")
 	}
 	for _, want := range []string{`absent="calls below"`, `msg=drain.completed`} {
-		if !strings.Contains(w.log.String(), want) {
-			w.Errorf("logged %s", w.log.String())
+		if !strings.Contains(ts.log.String(), want) {
+			ts.Errorf("entry missing in the log: %s", ts.log.String())
 		}
 	}
 }
 
-// withOperatorRecord gives the server an operator's record with a front, and a pool for one of its methods where a member is named.
-func withOperatorRecord(members ...string) func(w *testServer) {
-	return func(w *testServer) {
-		w.webAddress = freeLoopback(w.T)
-		w.recordPath = filepath.Join(w.TempDir(), "operator.record")
-		w.writeRecord(members...)
+// withOperatorRecord returns a change for startServer that adds an operator's record with a front for uwsgi. If members are
+// given, the record also has a pool of them for a method.
+func withOperatorRecord(members ...string) func(ts *testServer) {
+	return func(ts *testServer) {
+		ts.uwsgiAddress = freeLoopbackAddress(ts.T)
+		ts.recordPath = filepath.Join(ts.TempDir(), "operator.record")
+		ts.writeRecord(members...)
 	}
 }
 
-func (w *testServer) writeRecord(members ...string) {
-	w.Helper()
+// writeRecord writes the operator's record, with a pool if members are given.
+func (ts *testServer) writeRecord(members ...string) {
+	ts.Helper()
 	f := &operator.File{
 		Version: fmt.Sprint("members ", len(members)),
-		UWSGI: &operator.UWSGI{Listen: w.webAddress, KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
+		UWSGI: &operator.UWSGI{Listen: ts.uwsgiAddress, KeepAlive: "asked", MaxHeaderBytes: 4096, MaxVariables: 64, MaxPathBytes: 1024, MaxBodyBytes: 1024, BodyMemoryKB: 64,
 			ReadTimeoutMs: 1000, BodyTimeoutMs: 1000, QueuedKB: 16},
 		Routes: map[string]operator.Route{"view": {Path: "/view", Verb: "POST", Method: "view", Type: "text/plain"}},
 	}
@@ -286,38 +294,38 @@
 	}
 	b, err := operator.Marshal(f)
 	if err == nil {
-		err = os.WriteFile(w.recordPath, b, 0o600)
+		err = os.WriteFile(ts.recordPath, b, 0o600)
 	}
 	if err != nil {
-		w.Fatal(err)
+		ts.Fatal(err)
 	}
 }
 
-// callWeb is the answer to one RPC by uwsgi.
-func (w *testServer) callWeb(body string) standin.Reply {
-	w.Helper()
-	web := standin.NewWebTier(w.webAddress, false)
+// callUWSGI sends one RPC over uwsgi and returns the reply.
+func (ts *testServer) callUWSGI(body string) standin.Reply {
+	ts.Helper()
+	web := standin.NewWebTier(ts.uwsgiAddress, false)
 	defer web.Close()
-	ctx, end := context.WithTimeout(context.Background(), soon)
+	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
 	return web.Call(ctx, standin.Call{Method: "view", Body: []byte(body)})
 }
 
-// awaitLog waits for all of these in the log.
-func (w *testServer) awaitLog(want ...string) {
-	w.Helper()
-	for end := time.Now().Add(soon); ; time.Sleep(time.Millisecond) {
-		left := 0
+// awaitLog waits until the log contains all strings of want.
+func (ts *testServer) awaitLog(want ...string) {
+	ts.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		missing := 0
 		for _, s := range want {
-			if !strings.Contains(w.log.String(), s) {
-				left++
+			if !strings.Contains(ts.log.String(), s) {
+				missing++
 			}
 		}
-		if left == 0 {
+		if missing == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			w.Fatalf("logged %s", w.log.String())
+			ts.Fatalf("expected entries missing in the log: %s", ts.log.String())
 		}
 	}
 }
--- a/internal/daemon/log_test.go
+++ b/internal/daemon/log_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A flood of one line is cut, and the next one that is written counts what was dropped.
+// A flood of one event is rate-limited, and the next line of that event reports how many lines were dropped.
 func TestLogFlood(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLog(&out)
@@ -21,6 +21,6 @@
 	s := out.String()
 	if n := strings.Count(s, "\n"); n != logBurst+2 || !strings.Contains(s, "msg=another") ||
 		!strings.Contains(s, fmt.Sprint("dropped=", 1000-logBurst)) {
-		t.Errorf("%d lines: %s", n, s)
+		t.Errorf("log after the flood: got %d lines: %s", n, s)
 	}
 }
--- a/internal/daemon/trace_test.go
+++ b/internal/daemon/trace_test.go
@@ -11,28 +11,28 @@
 	"sorrelvalve/internal/trace"
 )
 
-// What a complete server records is replayed to the same verdicts; other limits can be simulated; a torn tail is
-// reported and the rest replayed.
+// A trace recorded by a complete server replays to the same verdicts, and its arrivals can be simulated. A torn tail is
+// reported after the other entries have been printed.
 func TestTrace(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "trace")
-	w := start(t, 5000, func(w *testServer) {
-		w.recordPath = filepath.Join(w.TempDir(), "operator.record")
+	ts := startServer(t, 5000, func(ts *testServer) {
+		ts.recordPath = filepath.Join(ts.TempDir(), "operator.record")
 		b, err := operator.Marshal(&operator.File{Version: "t", Trace: &operator.Trace{Path: path, MaxFileMB: 1, MaxFiles: 2}})
 		if err == nil {
-			err = os.WriteFile(w.recordPath, b, 0o600)
+			err = os.WriteFile(ts.recordPath, b, 0o600)
 		}
 		if err != nil {
-			w.Fatal(err)
+			ts.Fatal(err)
 		}
 	})
-	defer close(w.wait)
+	defer close(ts.unblock)
 	for id := uint64(1); id <= 5; id++ {
-		w.send(call(id, "view", "a"))
-		w.expectAnswer("\x94\x01" + string(rune(id)) + "\xc0\x92\xc4\x01a\x80")
+		ts.send(encodeCall(id, "view", "a"))
+		ts.expectAnswer("\x94\x01" + string(rune(id)) + "\xc0\x92\xc4\x01a\x80")
 	}
-	w.stop <- syscall.SIGTERM
-	w.disconnect()
-	w.awaitEnd()
+	ts.stop <- syscall.SIGTERM
+	ts.disconnect()
+	ts.awaitExit()
 	if err := (replayCmd{File: path}).Run(); err != nil {
 		t.Error(err)
 	}
