--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -39,7 +39,7 @@
 	Listener   net.Listener    // for RPCs; a *net.TCPListener, which the caller must close if New fails
 	Log        *logrus.Entry   // for the log of all parts
 	Extension  Extension       // nil for none
-	TokenStore gate.TokenStore // opened by the caller; nil to use the store that the operator's file configures
+	TokenStore gate.TokenStore // opened by the caller; nil to cache tokens as the operator's file configures
 }
 
 // Server is a running server.
