--- a/internal/fleet/daemon.go
+++ b/internal/fleet/daemon.go
@@ -37,7 +37,7 @@
 }
 
 // StartWithDaemon starts the membership in the fleet of the operator's file, if that has one. It is a daemon.Extension.
-func StartWithDaemon(parts daemon.Parts) (daemon.Addition, error) {
+func StartWithDaemon(parts daemon.Parts) (daemon.ExtensionPart, error) {
 	if parts.Config.Operator == nil || parts.Config.Operator.File.Fleet == nil {
 		return nil, nil
 	}
@@ -123,7 +123,7 @@
 func drainHooks(parts *daemon.Parts) DrainHooks {
 	gate := parts.Gate
 	return DrainHooks{
-		StartDrain:        parts.Leave,
+		StartDrain:        parts.RequestDrain,
 		CancelDrain:       parts.CancelDrain,
 		SetDrainedMembers: parts.Pools.SetDraining,
 		MemberStates:      memberStates(parts.Pools),
