--- a/internal/front/evict.go
+++ b/internal/front/evict.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// MaxEvictions is how many unused connections one call of Evict closes: a crowd of them comes by hundreds, and going
-	// over all connections for each new one took a fifth of the server's time.
+	// MaxEvictions is how many unused connections one call of Evict closes. Unused connections can arrive by the hundred,
+	// and scanning the whole table for each new one took a fifth of the server's time.
 	MaxEvictions = 16
-	// maxClosingIdle is how many connections may be closing at once for an idle one to be evicted: each takes
-	// evictedLinger if its peer does not close, so eighty new ones a second get in however many are idle.
+	// maxClosingIdle is the number of closing connections at which no further idle connection is evicted. A closing
+	// connection takes evictedLinger if its peer does not close it, so 80 new connections a second are admitted however
+	// many are idle.
 	maxClosingIdle = 4
-	// evictionPause is waited for an evicted connection to close before the next eviction.
+	// evictionPause is the time between two evictions, in which the evicted connection can close.
 	evictionPause = 10 * time.Millisecond
-	// idleCheckInterval is how often connections are checked for idleness: a tenth of the shortest idle timeout in use.
+	// idleCheckInterval is the interval between checks for idle connections: a tenth of the shortest idle timeout in use.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
-// acquire waits for a permit for one more connection, and evicts others meanwhile.
+// acquire waits for a permit for one more connection, and evicts other connections until it has one.
 func (t *ConnTable) acquire() {
 	select {
 	case t.permits <- struct{}{}:
@@ -33,9 +34,10 @@
 	}
 }
 
-// withholdPermits lowers the limit for good to the connections open now less reservedDescriptors, and evicts down to
-// that. It guards against descriptors that run out before the limit is reached: without it accept would take each one
-// that comes free, and the membership reporter and the engine's link, which the server can't do without, would get none.
+// withholdPermits permanently lowers the connection limit to the number of open connections less reservedDescriptors,
+// and evicts connections until the limit is met. It is called when the process runs out of file descriptors before it
+// reaches the limit. Otherwise accept would take every descriptor that becomes free and leave none for the membership
+// reporter and the engine's link, which the server depends on.
 func (t *ConnTable) withholdPermits() {
 	withheld := int(t.withheldPermits.Load())
 	unused := cap(t.permits) - len(t.permits)
@@ -51,8 +53,9 @@
 	t.log.WithField("max_connections", limit).Warn("server.connection_limit_lowered")
 }
 
-// Evict closes the connections that are missed least. Unused ones go first, up to MaxEvictions: else a crowd of them
-// would keep sound peers out. Without any it closes the one that has been idle for longest.
+// Evict closes the connections that are least useful. It closes up to MaxEvictions unused connections, as many unused
+// connections would otherwise keep working peers out. If there are none, it closes the connection that has been idle the
+// longest, unless maxClosingIdle connections are closing already or one is waiting for its first message.
 func (t *ConnTable) Evict() {
 	var longestIdle Conn
 	var idleSince time.Time
@@ -77,7 +80,7 @@
 	}
 }
 
-// closeIdleConns closes connections that have carried nothing for the idle timeout, until nothing is accepted any more.
+// closeIdleConns closes connections that have been idle for the idle timeout. It returns when all accept loops have ended.
 func (t *ConnTable) closeIdleConns() {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,7 +1,7 @@
-// Package front holds what all fronts share, whatever protocol they speak: the accept loops, the table of connections
-// with one limit over all fronts, the eviction of connections at that limit, and the graceful shutdown.
+// Package front implements what the fronts of all protocols share: the accept loops, the table of connections with one
+// limit for all fronts, the eviction of connections at that limit, and the graceful shutdown.
 //
-// The package must never look at what passes on a connection, nor decide anything about an RPC.
+// The package must never inspect the data on a connection or make decisions about an RPC.
 package front
 
 import "time"
@@ -9,52 +9,55 @@
 // Conn is one connection of a front. Its methods may be called from any goroutine; all but Serve return without
 // waiting for the peer.
 type Conn interface {
-	// Serve reads until the connection ends, and closes it by ConnState.Finish.
+	// Serve reads until the connection ends, and closes it with ConnState.Finish.
 	Serve()
-	// EvictionPriority returns how readily the connection is closed for another, and when something last passed on it.
+	// EvictionPriority returns the connection's eviction class and the time of its last activity.
 	EvictionPriority(now time.Time) (class EvictionClass, last time.Time)
-	// Evict closes the connection unless something has passed on it since last.
+	// Evict closes the connection unless it has been active since last.
 	Evict(last time.Time)
-	// CloseIdle closes the connection in its protocol's way once nothing has passed on it for idle, and in any case
-	// once nothing has passed for linger after GoAway.
+	// CloseIdle closes the connection, in the way of its protocol, if it has been idle for at least idle. After GoAway
+	// it closes the connection if it has been idle for at least linger.
 	CloseIdle(idle, linger time.Duration)
-	// GoAway tells the peer that no more RPCs are wanted here.
+	// GoAway asks the peer to send no more RPCs on this connection.
 	GoAway()
 	// Abort ends all reading and writing on the connection at the deadline.
 	Abort(deadline time.Time)
 }
 
-// EvictionClass is how readily a connection is closed for another one.
+// EvictionClass states whether a connection may be evicted to make room for another one, and in which order.
 type EvictionClass int
 
-// The classes.
+// The eviction classes.
 const (
-	// Busy: something is in flight, or may be on its way. Never evicted.
+	// Busy means that an RPC is in flight or may be in transit. A busy connection is never evicted.
 	Busy EvictionClass = iota
-	// Idle: it has carried RPCs and nothing is in flight.
+	// Idle means that the connection has carried RPCs and none is in flight.
 	Idle
-	// AwaitingFirstMessage: its first message may be on its way. That is waited for before any idle one is evicted.
+	// AwaitingFirstMessage means that the connection's first message may be in transit. No idle connection is evicted
+	// while there is such a connection.
 	AwaitingFirstMessage
-	// Closing: evicted, and not closed yet.
+	// Closing means that the connection has been asked to close and is still open.
 	Closing
-	// Unused: it has carried nothing but silence, invalid messages or health checks. Evicted first.
+	// Unused means that the connection has carried no valid RPC: nothing at all, invalid messages or health checks.
+	// Unused connections are evicted first.
 	Unused
 )
 
 const (
-	// TransitTime is how long a connection with nothing in flight is kept at the limit, as an RPC may be on its way:
-	// twice the time in which a peer sends an RPC that crosses a close again, and enough for a first message.
+	// TransitTime is how long a connection without an RPC in flight is kept when the limit is reached, as an RPC may be
+	// in transit. It is twice the time within which a peer resends an RPC that crossed a close, and long enough for a
+	// first message to arrive.
 	TransitTime = 100 * time.Millisecond
-	// LingerTimeout is how long a connection stays open after its closing notice and its last response, for its peer to
-	// close it; far above the 50 ms in which an RPC may cross the notice.
+	// LingerTimeout is how long a connection stays open after the closing notice and the last response so that its peer
+	// can close it. It is far above the 50 ms in which an RPC may cross the notice.
 	LingerTimeout = 1500 * time.Millisecond
 
-	// MaxUndelayedFaults messages in a row without a valid RPC are taken at full speed from one connection: more than
-	// the cancels that cross responses.
+	// MaxUndelayedFaults is how many consecutive messages without a valid RPC a connection may send before its messages
+	// are delayed. It is above the number of cancels that can cross responses.
 	MaxUndelayedFaults = 40
-	// FaultDelay is waited before each message after those: fifty a second cost little.
+	// FaultDelay is the delay before each further message. The resulting 50 messages a second cost little.
 	FaultDelay = 20 * time.Millisecond
 )
 
-// CallerNumber folds a number or a hash that tells callers apart into 16 bits.
+// CallerNumber folds a number or hash that identifies a caller into 16 bits.
 func CallerNumber(n uint64) uint16 { return uint16(n ^ n>>16 ^ n>>32 ^ n>>48) }
--- a/internal/front/mprpc/conn.go
+++ b/internal/front/mprpc/conn.go
@@ -1,7 +1,7 @@
 package mprpc
 
-// This file owns the life of one connection: its state, its closing and its writes. It must never end a connection while
-// a message that came complete is unanswered.
+// This file implements the lifecycle of one connection: its state, its writes and its closing. It must never close a
+// connection while a completely received message is unanswered.
 
 import (
 	"errors"
@@ -14,18 +14,19 @@
 	"sorrelvalve/internal/gate"
 )
 
-// maxInFlight bounds the RPCs of one connection: twice what the protocol says, as responses may be on their way.
+// maxInFlight is the maximum number of RPCs in flight on one connection. It is twice the limit of the protocol, as
+// responses may be in transit.
 const maxInFlight = 64
 
 // conn is one connection of a router.
 type conn struct {
-	front.ConnState // its InFlight is the length of tickets
+	front.ConnState // its InFlight equals len(tickets)
 	server          *Server
-	handlers        sync.WaitGroup // goroutines beside the reader
+	handlers        sync.WaitGroup // goroutines other than the reader
 
-	tickets        map[uint64]*gate.Ticket // by message id; nil while a check or an error is answered; guarded by Mu
-	handlersClosed bool                    // no goroutine starts beside the reader any more; guarded by Mu
-	faults         int                     // messages in a row without a valid RPC; the reader's own
+	tickets        map[uint64]*gate.Ticket // keyed by message id; nil while a health check or an error is answered; guarded by Mu
+	handlersClosed bool                    // no further handler goroutine may start; guarded by Mu
+	faults         int                     // consecutive messages without a valid RPC; used only by the reader
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -37,18 +38,18 @@
 }
 
 var (
-	errDuplicateID      = errors.New("message id is open already")
-	errMessageTimeout   = errors.New("no message came whole in time")
-	errClosedHere       = errors.New("the connection is closed from here")
-	errTruncatedMessage = errors.New("the connection ended within a message")
+	errDuplicateID      = errors.New("message id is already in flight")
+	errMessageTimeout   = errors.New("message not received completely before the timeout")
+	errClosedHere       = errors.New("connection is closed by the server")
+	errTruncatedMessage = errors.New("connection ended within a message")
 )
 
-// Serve reads until the connection ends, waits for what is in flight, and closes the connection.
+// Serve reads until the connection ends, waits for the RPCs in flight, and closes the connection.
 func (c *conn) Serve() {
 	if c.server.table.ShuttingDown() {
 		c.GoAway()
 	}
-	c.ended(c.readMessages())
+	c.handleReadError(c.readMessages())
 	c.Mu.Lock()
 	c.handlersClosed = true
 	c.Mu.Unlock()
@@ -56,14 +57,14 @@
 	c.Finish()
 }
 
-// ended handles the error that ended reading.
-func (c *conn) ended(err error) {
-	var lost *net.OpError
+// handleReadError handles the error that ended reading.
+func (c *conn) handleReadError(err error) {
+	var opErr *net.OpError
 	switch {
-	case errors.Is(err, io.EOF): // the peer may still read: all that came complete is answered
-	case errors.As(err, &lost):
-		c.abandonAll() // nobody is left to answer
-	case errors.Is(err, errClosedHere): // what is in flight, as after a write that failed, has nobody to answer to
+	case errors.Is(err, io.EOF): // the peer may still read, so all complete messages are answered
+	case errors.As(err, &opErr):
+		c.abandonAll() // the peer can't receive responses any more
+	case errors.Is(err, errClosedHere): // as after a failed write, the callers of the RPCs in flight are gone
 		c.abandonAll()
 	case errors.Is(err, errMessageTimeout):
 		c.server.log.WithField("peer", c.RemoteAddr()).Info("server.silent_connection_closed")
@@ -72,7 +73,7 @@
 	}
 }
 
-// abandonAll tells the gate that the callers of all RPCs in flight are gone.
+// abandonAll notifies the gate that the callers of all RPCs in flight are gone.
 func (c *conn) abandonAll() {
 	c.Mu.Lock()
 	tickets := make([]*gate.Ticket, 0, len(c.tickets))
@@ -87,38 +88,39 @@
 	}
 }
 
-// write sends one message in parts. If that fails nobody is left to answer.
+// write sends one message, given in parts. If that fails, all RPCs in flight are abandoned, as the peer can't receive their
+// responses.
 func (c *conn) write(parts ...[]byte) {
 	if !c.Send(parts...) {
 		c.abandonAll()
 	}
 }
 
-// Abort implements front.Conn: what is unanswered by then has lost its caller.
+// Abort implements front.Conn. The callers of all unanswered RPCs count as gone.
 func (c *conn) Abort(deadline time.Time) {
 	c.ConnState.Abort(deadline)
 	c.abandonAll()
 }
 
-// GoAway implements front.Conn by a closing notification to the router.
+// GoAway implements front.Conn by sending a closing notification to the router.
 func (c *conn) GoAway() {
 	if !c.MarkGoAway() {
 		return
 	}
 	c.Mu.Lock()
 	defer c.Mu.Unlock()
-	if c.handlersClosed { // the connection is being closed
+	if c.handlersClosed { // the connection is closing
 		return
 	}
 	c.handlers.Add(1)
-	go func() { // a router that reads slowly must not hold up the caller of GoAway
+	go func() { // a slowly reading router must not block the caller of GoAway
 		defer c.handlers.Done()
 		c.write(closingNotification())
 	}()
 }
 
-// CloseIdle implements front.Conn: the router is told to go away and closes the connection; if it does not, the
-// connection is closed from here.
+// CloseIdle implements front.Conn. It asks the router of an idle connection to go away, after which the router closes the
+// connection. If the router does not, the server closes it.
 func (c *conn) CloseIdle(idle, linger time.Duration) {
 	c.Mu.Lock()
 	isIdle := len(c.tickets) == 0 && c.GoAwayAt.IsZero() && time.Since(c.LastActivity) > idle
--- a/internal/front/mprpc/handler.go
+++ b/internal/front/mprpc/handler.go
@@ -1,6 +1,6 @@
 package mprpc
 
-// This file owns the goroutines beside the reader, one for each RPC in flight. Each message id is answered once.
+// This file implements the handler goroutines, one for each RPC in flight. Each message id is answered exactly once.
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"sorrelvalve/internal/gate"
 )
 
-// startHandler runs handle, which answers the RPC of a message, in a goroutine of its own.
+// startHandler runs handle, which answers the RPC with the given message id, in a goroutine of its own.
 func (c *conn) startHandler(id uint64, t *gate.Ticket, handle func()) {
 	c.Mu.Lock()
 	c.tickets[id] = t
@@ -18,7 +18,7 @@
 	c.InFlight = len(c.tickets)
 	closing := c.CloseRequested
 	c.Mu.Unlock()
-	if closing { // abandonAll may have run before the ticket could be seen
+	if closing { // abandonAll may have run before the ticket was stored
 		t.ConnectionLost()
 	}
 	c.handlers.Add(1)
@@ -36,10 +36,10 @@
 	}()
 }
 
-// awaitVerdicts carries out the verdicts on an RPC, up to the final one.
+// awaitVerdicts carries out the verdicts on an RPC up to and including the final one.
 func (c *conn) awaitVerdicts(id uint64, t *gate.Ticket, rpc gate.RPC) {
 	for {
-		v := t.Wait(context.Background()) // the gate bounds the wait: each RPC gets a final verdict by its due time
+		v := t.Wait(context.Background()) // bounded by the gate: each RPC gets a final verdict by its due time
 		if v.Kind != gate.Run {
 			c.writeVerdict(id, &v)
 			return
@@ -54,7 +54,7 @@
 	}
 }
 
-// writeVerdict writes the response to a call that a final verdict asks for.
+// writeVerdict writes the response that a final verdict requires.
 func (c *conn) writeVerdict(id uint64, v *gate.Verdict) {
 	switch v.Kind {
 	case gate.OK:
@@ -63,12 +63,13 @@
 		c.write(rejection(id, v.RetryAfterMs, v.NoRetry))
 	case gate.Aborted:
 		c.write(errorResponse(id, "Aborted", v.Reason))
-	case gate.CallerGone: // not owed, but a router that cancelled all it sent would else read nothing until the idle limit
+	case gate.CallerGone:
+		// Not required, but a router that cancelled all its calls would otherwise read nothing until the idle timeout.
 		c.write(errorResponse(id, "Cancelled", "its caller no longer waits"))
 	}
 }
 
-// complete frees a message id that has been answered.
+// complete releases a message id that has been answered.
 func (c *conn) complete(id uint64) {
 	c.Mu.Lock()
 	delete(c.tickets, id)
--- a/internal/front/mprpc/message.go
+++ b/internal/front/mprpc/message.go
@@ -1,7 +1,7 @@
 package mprpc
 
-// This file owns the frames of the routers' protocol, which it parses in place. It must never touch a socket, nor trust a
-// length or a number that it has not checked.
+// This file parses the frames of the routers' protocol in place. It must never use a socket, or trust a length or a number
+// that it has not checked.
 
 import (
 	"errors"
@@ -10,17 +10,17 @@
 	"sorrelvalve/internal/msgpack"
 )
 
-// The types of message on the wire, as in MessagePack-RPC.
+// The message types on the wire, as in MessagePack-RPC.
 const (
 	typeCall         = 0
 	typeResponse     = 1
 	typeNotification = 2
 )
 
-// message is one frame, parsed in place: its parts are valid until the next read.
+// message is one frame, parsed in place. Its method and params are valid until the next read.
 type message struct {
 	kind   uint64
-	id     uint64 // of a call
+	id     uint64 // of a call; zero for a notification
 	method []byte
 	params []byte
 }
@@ -30,8 +30,8 @@
 	errFrameTooLong = fmt.Errorf("a message of more than %d bytes", maxFrame)
 )
 
-// parseMessage parses the first message of b and returns its size. While more of it is to come the error is
-// msgpack.ErrTruncated, and size is a lower bound. A message that claims to be longer than maxFrame is not waited for.
+// parseMessage parses the first message of b and returns its size. If b does not contain all of the message, the error is
+// msgpack.ErrTruncated and size is a lower bound. A message that announces more than maxFrame bytes fails at once.
 func parseMessage(b []byte) (m message, size int, err error) {
 	p := msgpack.Parse(b)
 	p.Skip()
@@ -62,7 +62,7 @@
 	return m, size, nil
 }
 
-// callID returns the message id of a call of which only the beginning can be parsed.
+// callID returns the message id of a call whose beginning can be parsed, even if the rest can't.
 func callID(b []byte) (id uint64, ok bool) {
 	p := msgpack.Parse(b)
 	if p.Array() != 4 || p.Uint() != typeCall {
@@ -72,7 +72,7 @@
 	return id, p.Err() == nil
 }
 
-// isHealthCheck reports whether the parameters of a health call are valid.
+// isHealthCheck reports whether params are valid parameters of a health call.
 func isHealthCheck(params []byte) bool {
 	p := msgpack.Parse(params)
 	n := p.Array()
@@ -80,7 +80,7 @@
 	return n == 1 && p.Err() == nil
 }
 
-// parseCancel returns the message ids in a cancel notification.
+// parseCancel returns the message ids in the parameters of a cancel notification.
 func parseCancel(params []byte) (ids []uint64) {
 	p := msgpack.Parse(params)
 	for n := p.Array(); n > 0 && p.Err() == nil; n-- {
--- a/internal/front/mprpc/read.go
+++ b/internal/front/mprpc/read.go
@@ -1,7 +1,7 @@
 package mprpc
 
-// This file owns the reader of a connection: it takes messages off the wire and dispatches them. It must never wait for
-// an RPC.
+// This file implements the reader of a connection, which reads messages and dispatches them. It must never wait for an
+// RPC.
 
 import (
 	"bufio"
@@ -16,16 +16,18 @@
 )
 
 const (
-	// maxFrame holds a body of 2 KiB and fields of some hundred bytes, with space for new ones.
+	// maxFrame is the size in bytes of the longest frame. It has room for a body of 2 KiB, the fields, which take some
+	// hundred bytes, and new fields.
 	maxFrame = 8 << 10
-	// tooManyRetryAfter in ms is the advice to an RPC beyond maxInFlight: the others are answered by then.
-	tooManyRetryAfter = 500
+	// inFlightLimitRetryAfterMs is the retry-after for an RPC beyond maxInFlight. The RPCs in flight are answered by then.
+	inFlightLimitRetryAfterMs = 500
 )
 
-// readMessages dispatches messages until an error; io.EOF is a clean end. Frames are parsed in the reader's buffer.
+// readMessages reads and dispatches messages until an error; io.EOF is a clean end. Frames are parsed in the reader's
+// buffer.
 //
-// A message that has begun must come complete within the message timeout, and so must the first one: a peer that sends
-// nothing, or never finishes, must not keep a descriptor.
+// The first message, and the rest of a message that has begun, must arrive within the message timeout, so that a peer that
+// sends nothing or never completes a message does not hold a descriptor.
 func (c *conn) readMessages() (err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -34,7 +36,7 @@
 		}
 	}()
 	in := bufio.NewReaderSize(c.Conn, maxFrame)
-	need := 1 // bytes that must be buffered before parsing again can succeed
+	need := 1 // bytes that must be buffered before parsing can make progress
 	timed := true
 	c.BoundReads(time.Now().Add(c.server.messageTimeout))
 	for {
@@ -54,7 +56,7 @@
 			}
 			_, _ = in.Discard(size) // size bytes are buffered
 			need = 1
-			if c.faults > front.MaxUndelayedFaults { // only this peer waits, and what it has in flight does not
+			if c.faults > front.MaxUndelayedFaults { // delays only this peer, and none of its RPCs in flight
 				time.Sleep(front.FaultDelay)
 			}
 		case errors.Is(err, msgpack.ErrTruncated):
@@ -65,13 +67,13 @@
 				c.BoundReads(time.Now().Add(c.server.messageTimeout))
 			}
 		default:
-			c.answerBroken(b, err.Error())
+			c.answerMalformed(b, err.Error())
 			return err
 		}
 	}
 }
 
-// fill waits until need bytes are buffered and returns all that are; they are valid until the next read.
+// fill waits until need bytes are buffered and returns all buffered bytes. They are valid until the next read.
 func (c *conn) fill(in *bufio.Reader, need int) ([]byte, error) {
 	_, err := in.Peek(need)
 	b, _ := in.Peek(in.Buffered()) // can't fail: they are buffered
@@ -88,8 +90,8 @@
 	return b, nil
 }
 
-// answerBroken answers a call that can't be parsed, if its id can and is not in flight.
-func (c *conn) answerBroken(b []byte, reason string) {
+// answerMalformed answers a call that can't be parsed, if its message id can be parsed and is not in flight.
+func (c *conn) answerMalformed(b []byte, reason string) {
 	id, ok := callID(b)
 	if !ok {
 		return
@@ -97,7 +99,7 @@
 	c.Mu.Lock()
 	_, inFlight := c.tickets[id]
 	answer := !inFlight && !c.CloseRequested
-	if answer { // an answer in flight keeps the connection from being evicted
+	if answer { // the reserved id keeps the connection from being evicted before the answer is written
 		c.reserve(id)
 	}
 	c.Mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// reserve marks a message id as in flight without a ticket. Mu is held.
+// reserve marks a message id as in flight without a ticket. The caller must hold Mu.
 func (c *conn) reserve(id uint64) {
 	c.tickets[id] = nil
 	c.InFlight = len(c.tickets)
@@ -134,10 +136,10 @@
 		if string(m.method) == "cancel" {
 			c.cancel(parseCancel(m.params))
 		}
-	case inFlight: // an answer to this id would be a second one to the first call's
+	case inFlight: // a second response with this id would be taken for the first call's
 		return errDuplicateID
-	case full: // the reader writes this itself: a peer that sends on without reading waits for it
-		c.write(rejection(m.id, c.server.gate.CapRetryAfter(tooManyRetryAfter), false))
+	case full: // written by the reader, so that a peer that sends without reading is slowed down
+		c.write(rejection(m.id, c.server.gate.CapRetryAfter(inFlightLimitRetryAfterMs), false))
 	case string(m.method) == "health" && isHealthCheck(m.params):
 		c.faults = 0
 		c.write(healthResponse(m.id, c.server.gate.Healthy()))
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// cancel tells the gate that the callers of these calls no longer wait.
+// cancel notifies the gate that the callers of the calls with these message ids no longer wait.
 func (c *conn) cancel(ids []uint64) {
 	for _, id := range ids {
 		c.Mu.Lock()
@@ -161,7 +163,7 @@
 	}
 }
 
-// submit passes the RPC of a call to the gate and starts its handler.
+// submit submits the RPC of a call to the gate and starts its handler.
 func (c *conn) submit(m message) {
 	rpc, err := parseRPC(m.method, m.params)
 	if err != nil {
--- a/internal/front/mprpc/response.go
+++ b/internal/front/mprpc/response.go
@@ -1,6 +1,6 @@
 package mprpc
 
-// This file owns the encoding of responses and notifications.
+// This file encodes responses and notifications.
 
 import (
 	"strconv"
@@ -10,14 +10,14 @@
 	"sorrelvalve/internal/uwsgi"
 )
 
-// appendResponseHeader begins a response; the error and the result follow.
+// appendResponseHeader appends the header of a response. The error and the result follow it.
 func appendResponseHeader(b []byte, id uint64) []byte {
 	b = msgpack.AppendArray(b, 4)
 	b = msgpack.AppendUint(b, typeResponse)
 	return msgpack.AppendUint(b, id)
 }
 
-// resultHeader encodes what precedes a result of n bytes; resultTrailer encodes what follows it.
+// resultHeader encodes the part of a response that precedes a result of n bytes. resultTrailer encodes the part after it.
 func resultHeader(id uint64, n int) []byte {
 	b := appendResponseHeader(make([]byte, 0, 24), id)
 	b = msgpack.AppendNil(b)
@@ -25,8 +25,8 @@
 	return msgpack.AppendBinHeader(b, n)
 }
 
-// resultTrailer encodes the fields behind a result. Of the HTTP head that a pool put before its result only a status
-// other than 200 and the content type cross over.
+// resultTrailer encodes the fields that follow a result. Of the HTTP head of a pool's response it passes on only a status
+// other than 200 and the content type.
 func resultTrailer(head []byte) []byte {
 	if len(head) == 0 {
 		return msgpack.AppendMap(nil, 0)
@@ -47,7 +47,7 @@
 	return b
 }
 
-// rejection encodes the response to an RPC that never ran. noRetry asks the router not to send it elsewhere.
+// rejection encodes the response to an RPC that never ran. noRetry asks the router not to retry it on another server.
 func rejection(id uint64, retryAfterMs float64, noRetry bool) []byte {
 	b := msgpack.AppendArray(appendResponseHeader(make([]byte, 0, 48), id), 2)
 	b = msgpack.AppendString(b, "Overloaded")
@@ -70,7 +70,7 @@
 	return msgpack.AppendNil(b)
 }
 
-// errorResponse encodes the response to an RPC that may have run, or that is invalid.
+// errorResponse encodes the response to an RPC that is invalid or may have run.
 func errorResponse(id uint64, code, reason string) []byte {
 	b := msgpack.AppendArray(appendResponseHeader(make([]byte, 0, 64), id), 2)
 	b = msgpack.AppendString(b, code)
@@ -89,7 +89,7 @@
 	return msgpack.AppendMap(b, 0)
 }
 
-// closingNotification encodes the request for no more RPCs on a connection.
+// closingNotification encodes the notification that asks the router to send no more RPCs on the connection.
 func closingNotification() []byte {
 	b := msgpack.AppendArray(nil, 3)
 	b = msgpack.AppendUint(b, typeNotification)
--- a/internal/front/mprpc/rpc.go
+++ b/internal/front/mprpc/rpc.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	maxBody      = 2 << 10 // bytes, as the protocol says
-	maxCostHint  = 3.6e6   // ms: an expected cost of over an hour is no hint
-	maxQueuedKB  = 2000.0  // as the protocol says
-	maxToken     = 64      // bytes: twice what the protocol shows
-	maxClockSkew = 10e3    // ms that an arrival may lie ahead of our clock: far above what clocks of one machine differ by
-	idDigits     = 16      // hex digits of an RPC's id
+	maxBody      = 2 << 10 // bytes; the protocol's limit
+	maxCostHint  = 3.6e6   // ms; an expected cost of more than an hour is not a meaningful hint
+	maxQueuedKB  = 2000.0  // the protocol's limit
+	maxToken     = 64      // bytes; twice the length of the tokens in the protocol's examples
+	maxClockSkew = 10e3    // ms that an arrival may be ahead of our clock; far above the clock differences on one machine
+	idDigits     = 16      // hex digits of an RPC id
 )
 
-// parseRPC parses the parameters of a call. The text of the error goes to the router.
+// parseRPC parses the parameters of a call. The text of its error is sent to the router.
 func parseRPC(method, params []byte) (rpc gate.RPC, err error) {
 	p := msgpack.Parse(params)
 	if n := p.Array(); p.Err() != nil || n != 2 {
@@ -60,7 +60,7 @@
 // fieldParser parses the fields of a call and keeps the first error.
 type fieldParser struct{ err error }
 
-// parse sets what one field says of the RPC. Unknown fields are ignored.
+// parse parses one field into rpc. Unknown fields are ignored.
 func (f *fieldParser) parse(rpc *gate.RPC, key, value []byte) {
 	switch string(key) {
 	case "txn":
@@ -71,7 +71,7 @@
 		f.unsigned("txn", value, 16)
 	case "door":
 		rpc.ArrivedMs = f.number("door", value, 1, float64(time.Now().UnixMilli())+maxClockSkew)
-	case "lb": // of any size: routers come with always new numbers
+	case "lb": // any value is valid, as new routers use new numbers
 		rpc.Caller = front.CallerNumber(f.unsigned("lb", value, 10))
 	case "team":
 		rpc.Customer = string(value)
@@ -84,7 +84,7 @@
 		if rpc.QueuedKB == 0 || rpc.QueuedKB == maxQueuedKB {
 			f.fail("ram", fmt.Sprintf("a number between 0 and %g", maxQueuedKB), value)
 		}
-	case "standing": // only validated: decisions go by criticality and quota
+	case "standing": // validated only; decisions depend on criticality and quota
 		if f.number("standing", value, 0, 1) == 1 {
 			f.fail("standing", "a number under 1", value)
 		}
--- a/internal/front/mprpc/server.go
+++ b/internal/front/mprpc/server.go
@@ -1,8 +1,8 @@
-// Package mprpc is the front for routers, which speak MessagePack-RPC. Each connection has one goroutine that always goes
-// on reading, and beside it one for each RPC in flight, which waits for the verdicts of the gate, has the work run and
-// writes the response. A fault of a connection ends there.
+// Package mprpc implements the front for routers, which speak MessagePack-RPC. Each connection has one goroutine that reads
+// continuously, and one for each RPC in flight, which waits for the verdicts of the gate, has the RPC run and writes the
+// response. A failure of one connection does not affect others.
 //
-// The package must never decide what is admitted or run, and never let a caller that reads slowly hold up another.
+// The package must never decide which RPCs are admitted or run, or let a slowly reading caller hold up another one.
 package mprpc
 
 import (
@@ -17,30 +17,30 @@
 	"sorrelvalve/internal/startup"
 )
 
-// defaultMessageTimeout is well above the stalls of machines, and well under the 3 s after which a connection that sends
-// nothing should be gone.
+// defaultMessageTimeout is well above the stalls of a busy machine, and well below the 3 s after which a connection that
+// sends nothing should be closed.
 const defaultMessageTimeout = 2 * time.Second
 
-// Server is the front on one table of connections. It is safe for concurrent use.
+// Server is the front for routers. Its connections are held in a front.ConnTable. It is safe for concurrent use.
 type Server struct {
 	gate  *gate.Gate
 	run   gate.Runner
 	table *front.ConnTable
 	log   *logrus.Entry
 
-	messageTimeout time.Duration // for a first message, and for the rest of one that has begun
+	messageTimeout time.Duration // for the first message, and for the rest of a message that has begun
 }
 
-// New returns the front. run has the work of an RPC run; the connections are made by Open.
+// New returns a front that submits RPCs to the gate and has admitted ones run by run. Open creates its connections.
 func New(table *front.ConnTable, g *gate.Gate, run gate.Runner, log *logrus.Entry) *Server {
 	return &Server{gate: g, run: run, table: table, log: log, messageTimeout: defaultMessageTimeout}
 }
 
-// Open makes a front.Conn of a connection that has just been accepted.
+// Open returns the front.Conn for a newly accepted connection.
 func (s *Server) Open(nc net.Conn) front.Conn { return newConn(s, nc) }
 
-// RemoveUnsupported disables in config what the protocols of the routers and of the engine can't carry, so that no
-// decision relies on it, and returns the names of what it disabled.
+// RemoveUnsupported disables the features in config that the protocols of the routers and the engine don't support, so that
+// no decision relies on them. It returns the names of the features that it disabled.
 func RemoveUnsupported(config *startup.Config) (names []string) {
 	if config.Dependency.ConcurrencyShare > 0 {
 		config.Dependency = control.Dependency{}
--- a/internal/front/shutdown.go
+++ b/internal/front/shutdown.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// drainPollInterval is how often a shutdown closes connections that are drained: a tenth of TransitTime.
+	// drainPollInterval is the interval at which a shutdown checks for drained connections: a tenth of TransitTime.
 	drainPollInterval = TransitTime / 10
-	// abortTimeout is how long connections have to close once the time of a shutdown is over: on one machine a peer's
-	// end comes back in well under a millisecond, and the process has to be gone 20 ms after that.
+	// abortTimeout is how long connections have to close after the shutdown's context has ended. On one machine a peer's
+	// close arrives in well under a millisecond, and the process must exit within 20 ms of the end of the context.
 	abortTimeout = 10 * time.Millisecond
-	// abortWait is how long the end of the aborted connections is waited for.
+	// abortWait is how long a shutdown waits for the aborted connections to close.
 	abortWait = abortTimeout + abortTimeout/2
 )
 
-// Shutdown stops accepting, tells all peers that no more RPCs are wanted, and returns once all that was read has been
-// answered and the connections are closed, or shortly after ctx ends. A peer that keeps its idle connection open has
-// half of the time to close it; then it is closed from here, so that there is time left to read what crosses that. What
-// is open as ctx ends is closed within abortTimeout.
+// Shutdown stops accepting connections and asks all peers to send no more RPCs. It returns when every message that was
+// read has been answered and all connections are closed, or shortly after ctx ends. A peer has half of the time to close
+// its idle connection. After that the server closes it, which leaves time to read messages that cross the close.
+// Connections that are open when ctx ends are closed within abortTimeout.
 func (t *ConnTable) Shutdown(ctx context.Context) {
 	t.shuttingDown.Store(true)
 	listening := t.stopListeners()
@@ -43,18 +43,18 @@
 	t.abort(closed)
 }
 
-// stopListeners gives the accept loops their last deadline and reports whether there are any.
+// stopListeners sets the final deadline of the accept loops and reports whether there are any.
 func (t *ConnTable) stopListeners() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, ln := range t.listeners {
-		_ = ln.SetDeadline(time.Now().Add(AcceptGrace)) // an error comes again from Accept
+		_ = ln.SetDeadline(time.Now().Add(AcceptGrace)) // Accept returns the same error
 	}
 	return len(t.listeners) > 0
 }
 
-// drain closes connections as they become idle, those whose peer does not close them from closeFrom on. It reports
-// whether all were closed before ctx ended.
+// drain closes connections as they become idle. Until closeFrom it allows the peers LingerTimeout to close them, and
+// TransitTime afterwards. It reports whether all connections were closed before ctx ended.
 func (t *ConnTable) drain(ctx context.Context, closeFrom time.Time, closed <-chan struct{}) bool {
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
@@ -76,7 +76,7 @@
 	}
 }
 
-// abort ends all connections within abortTimeout and waits for them.
+// abort closes all connections within abortTimeout and waits up to abortWait for their goroutines to end.
 func (t *ConnTable) abort(closed <-chan struct{}) {
 	deadline := time.Now().Add(abortTimeout)
 	for _, c := range t.Conns() {
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -1,7 +1,7 @@
 package front
 
-// This file owns the state of one connection, its writing side and its one closing path, whatever its protocol. It must
-// never know what passes on it, nor close a connection over bytes that nobody has read.
+// This file implements the protocol-independent state of one connection: its activity, its writes and its only closing
+// path. It must never inspect the data on the connection, or close the connection while received bytes are unread.
 
 import (
 	"io"
@@ -11,43 +11,44 @@
 )
 
 const (
-	// finishLinger is how long a peer has to read its last responses and to close: twice TransitTime, as what crossed the
-	// close must be read.
+	// finishLinger is how long a peer has to read its last responses and to close the connection. It is twice
+	// TransitTime, as messages that crossed the close must be read.
 	finishLinger = 2 * TransitTime
-	// evictedLinger is the same for an evicted connection: a crowd of such that never close must not keep others out for
-	// longer than an RPC may cross a close.
+	// evictedLinger is the same for an evicted connection. Many evicted connections whose peers never close them must not
+	// keep other peers out for longer than an RPC can take to cross a close.
 	evictedLinger = TransitTime / 2
-	// maxLingerBytes is how much a peer may send meanwhile.
+	// maxLingerBytes is how many bytes a peer may send during that time.
 	maxLingerBytes = 1 << 20
 )
 
-// wakeReader is a deadline in the past: it ends a read that is in progress at once.
+// wakeReader is a deadline in the past. Setting it ends a read in progress at once.
 var wakeReader = time.Unix(1, 0)
 
-// ConnState is the state of one connection, to be embedded. One goroutine owns it: the reader, which alone closes it, by
-// Finish. All others ask for that by RequestClose. The fields are guarded by Mu.
+// ConnState is the state of one connection. It is embedded in the connection type of each protocol. Its owner is the
+// reader's goroutine, which is the only one to close the connection, with Finish. Other goroutines ask it to do so with
+// RequestClose. The fields are guarded by Mu.
 //
-// Errors of the connection's Set…Deadline methods are dropped throughout: they come only from a closed connection, whose
-// reads and writes fail by themselves.
+// Errors of the connection's Set…Deadline methods are ignored throughout: only a closed connection returns them, and its
+// reads and writes fail as well.
 type ConnState struct {
 	net.Conn
-	WriteTimeout time.Duration // for one message: past the longest deadline known, so that only a dead peer meets it
+	WriteTimeout time.Duration // for one message; longer than the longest known deadline, so that only a dead peer exceeds it
 
 	Mu              sync.Mutex
-	InFlight        int       // RPCs in flight, and responses that are being written
-	LastActivity    time.Time // when something was last read or answered
-	ReceivedMessage bool      // a complete message has come
-	ReceivedRPC     bool      // and a valid RPC
-	PartialMessage  bool      // a part of the next message has come
-	GoAwayAt        time.Time // when the peer was told that no more RPCs are wanted; zero before
-	CloseRequested  bool      // nothing more is taken, as the peer may send it again elsewhere; set once, by requestClose
-
-	abortDeadline time.Time // if set, all reading and writing ends then
-	evicted       bool      // it is closed for another connection that waits
-	lingering     bool      // Finish reads on
+	InFlight        int       // RPCs in flight, including responses being written
+	LastActivity    time.Time // when a message was last read or answered
+	ReceivedMessage bool      // a complete message has been received
+	ReceivedRPC     bool      // a valid RPC has been received
+	PartialMessage  bool      // a part of the next message has been received
+	GoAwayAt        time.Time // when the peer was asked to send no more RPCs; zero before
+	CloseRequested  bool      // no further RPC is accepted, as the peer may resend it elsewhere; set once, by requestClose
+
+	abortDeadline time.Time // if set, the time at which all reading and writing ends
+	evicted       bool      // the connection is closed to make room for another one
+	lingering     bool      // Finish is reading and discarding the rest
 
 	writing      sync.Mutex // held while a message is written
-	writesClosed bool       // nothing more may be written; guarded by writing
+	writesClosed bool       // no further message may be written; guarded by writing
 }
 
 // EvictionPriority implements Conn.
@@ -62,7 +63,7 @@
 	switch {
 	case s.CloseRequested && s.ReceivedRPC:
 		return Closing
-	case s.CloseRequested: // its capacity is waited for before any idle one is evicted
+	case s.CloseRequested: // as with a first message, no idle connection is evicted until this one is closed
 		return AwaitingFirstMessage
 	case s.busy():
 		return Busy
@@ -76,10 +77,10 @@
 	return Busy
 }
 
-// busy reports whether something is in flight, or the rest of a message of a peer that has sent RPCs before.
+// busy reports whether an RPC is in flight, or a message is partly received from a peer that has sent RPCs before.
 func (s *ConnState) busy() bool { return s.InFlight > 0 || s.PartialMessage && s.ReceivedRPC }
 
-// MarkGoAway records that the peer is told that no more RPCs are wanted, and reports whether that is the first time.
+// MarkGoAway records that the peer is asked to send no more RPCs, and reports whether this is the first time.
 func (s *ConnState) MarkGoAway() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -90,7 +91,7 @@
 	return first
 }
 
-// Evict implements Conn. An RPC that crosses the close is not taken here, and its peer sends it again.
+// Evict implements Conn. An RPC that crosses the close is not accepted, and its peer resends it.
 func (s *ConnState) Evict(last time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -100,8 +101,8 @@
 	}
 }
 
-// BeginMessage records that a part of the next message has come. Its rest is waited for, for as long as the front lets a
-// message take.
+// BeginMessage records that a part of the next message has been received. The connection is then kept open for the rest
+// of the message, up to the message timeout of the front.
 func (s *ConnState) BeginMessage() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// CloseIfDrained closes the connection if its peer was told to go away and nothing has been in flight for linger.
+// CloseIfDrained closes the connection if its peer was asked to go away and no RPC has been in flight for linger.
 func (s *ConnState) CloseIfDrained(linger time.Duration) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -123,7 +124,7 @@
 	}
 }
 
-// RequestClose has the connection closed by its owner, whatever is in flight on it. It does not block.
+// RequestClose asks the owner to close the connection, whether or not RPCs are in flight. It does not block.
 func (s *ConnState) RequestClose() {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -131,21 +132,22 @@
 }
 
 func (s *ConnState) requestClose() {
-	if s.CloseRequested { // from then on the deadline is Finish's
+	if s.CloseRequested { // after the first request Finish sets the read deadline
 		return
 	}
 	s.CloseRequested = true
 	_ = s.SetReadDeadline(wakeReader) // see ConnState
 }
 
-// Ending reports whether the connection is to be closed: a deadline that its reader meets may then mean no silence.
+// Ending reports whether the connection is to be closed. If so, a reader whose deadline is exceeded must not conclude that
+// the peer was silent.
 func (s *ConnState) Ending() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
 	return s.CloseRequested
 }
 
-// Abort implements Conn: it bounds all that is still written on the connection and its closing.
+// Abort implements Conn. The deadline bounds all further writes on the connection and the time it takes to close.
 func (s *ConnState) Abort(deadline time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -157,8 +159,8 @@
 	}
 }
 
-// BoundReads sets the deadline of the owner's next reads, none for the zero time. Once the connection is to be closed it
-// changes nothing.
+// BoundReads sets the deadline of the owner's next reads; the zero time means no deadline. It has no effect once the
+// connection is to be closed.
 func (s *ConnState) BoundReads(deadline time.Time) {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -167,11 +169,11 @@
 	}
 }
 
-// WakeReader ends a read of the owner's that is in progress. Once the connection is to be closed it changes nothing.
+// WakeReader ends a read in progress by the owner. It has no effect once the connection is to be closed.
 func (s *ConnState) WakeReader() { s.BoundReads(wakeReader) }
 
-// Send writes one message in parts, complete or not at all as far as the peer reads it, and reports whether that went
-// well. After an error nothing more is written and the connection ends: nobody is left to answer.
+// Send writes one message, given in parts, and reports whether all of it was written. Messages are never interleaved, and
+// after an error no further message is written: the connection is closed, as its peer can no longer receive a response.
 func (s *ConnState) Send(parts ...[]byte) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -190,7 +192,7 @@
 	return true
 }
 
-// earliest returns the time after d, or the deadline of Abort if that is earlier. Mu is held.
+// earliest returns the time in d from now, or the deadline of Abort if that is earlier. The caller must hold Mu.
 func (s *ConnState) earliest(d time.Duration) time.Time {
 	t := time.Now().Add(d)
 	if !s.abortDeadline.IsZero() && s.abortDeadline.Before(t) {
@@ -199,17 +201,18 @@
 	return t
 }
 
-// Finish is the one closing path. The owner calls it once nothing is in flight any more: what is being written is
-// written to its end, the writing side is closed, and what the peer still sends is read and dropped until it closes, for a
-// bounded time. A close over unread bytes would reset the connection and take responses along that the peer has not read
-// yet; an RPC among them crossed the close, and its peer sends it again.
+// Finish closes the connection; there is no other way to close it. The owner calls it when no RPC is in flight any more.
+// Finish waits for a write in progress, closes the writing side, and then reads and discards what the peer sends until
+// the peer closes the connection or a time limit is reached. Closing the connection with unread bytes would reset it, and
+// the peer would lose responses that it has not read yet. An RPC among the discarded bytes crossed the close, and its
+// peer resends it.
 func (s *ConnState) Finish() {
 	s.RequestClose()
 	s.writing.Lock()
 	s.writesClosed = true
 	s.writing.Unlock()
 	if half, ok := s.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // fails only if the peer has gone, which the reads below meet as well
+		_ = half.CloseWrite() // fails only if the peer has left, in which case the reads below fail as well
 	}
 	s.Mu.Lock()
 	linger := finishLinger
@@ -219,6 +222,6 @@
 	s.lingering = true
 	_ = s.SetReadDeadline(s.earliest(linger)) // see ConnState
 	s.Mu.Unlock()
-	_, _ = io.CopyN(io.Discard, s.Conn, maxLingerBytes) // ends with the peer's close, the deadline or the bound
-	_ = s.Close()                                       // nothing is left to do about an error
+	_, _ = io.CopyN(io.Discard, s.Conn, maxLingerBytes) // ends at the peer's close, the deadline or the limit
+	_ = s.Close()                                       // an error can't be handled here
 }
--- a/internal/front/table.go
+++ b/internal/front/table.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// reservedDescriptors are not available to connections. The listener, the engine, the membership service, the three
-	// standard ones and what the runtime keeps make ten; the rest is for closed connections that are not gone yet, and
-	// for the listener of a second front.
+	// reservedDescriptors is the number of file descriptors that connections can't use. The listener, the engine, the
+	// membership service, the three standard streams and the runtime take ten. The rest is for connections whose
+	// descriptor is not released yet, and for the listener of a second front.
 	reservedDescriptors = 24
-	// minConnections are allowed, however few descriptors there are: fewer serve nobody.
+	// minConnections is the lowest connection limit, however few descriptors there are: a server with fewer connections
+	// is of no use.
 	minConnections = 8
-	// acceptBackoff follows an error of accept, which would else come again at once.
+	// acceptBackoff is the pause after an error of accept, which would otherwise recur at once.
 	acceptBackoff = 20 * time.Millisecond
-	// AcceptGrace is how long connections are still accepted after a shutdown began. The listening socket is closed
-	// right after an accept that found none: the kernel may have accepted a connection that this process has not yet,
-	// and what is written to that would be lost.
+	// AcceptGrace is how long connections are still accepted after the start of a shutdown. The listening socket is
+	// closed only right after an accept that found no connection: otherwise the kernel may have accepted a connection
+	// that this process has not, and data written to that connection would be lost.
 	AcceptGrace = 5 * time.Millisecond
 )
 
@@ -35,9 +36,9 @@
 	beforeLastAccept func() // test hook, called between the timeout of the last accept and acceptPending
 
 	permits         chan struct{} // semaphore: one token for each connection that may be open
-	withheldPermits atomic.Int32  // tokens that are never used again, as descriptors ran out
+	withheldPermits atomic.Int32  // tokens that are withheld for good, as descriptors ran out
 	shuttingDown    atomic.Bool
-	acceptorsDone   chan struct{} // closed once nothing is accepted any more
+	acceptorsDone   chan struct{} // closed when all accept loops have ended
 
 	mu        sync.Mutex
 	listeners []*net.TCPListener
@@ -46,8 +47,8 @@
 	serving   sync.WaitGroup // one for each connection
 }
 
-// NewConnTable returns a table for a process that may hold so many descriptors for sockets. idleTimeout returns how
-// long a connection may carry nothing; it is called from the table's own goroutine.
+// NewConnTable returns a table for a process that may use the given number of descriptors for sockets. idleTimeout
+// returns how long a connection may be idle; it is called from the table's own goroutine.
 func NewConnTable(sockets int, idleTimeout func() time.Duration, log *logrus.Entry) *ConnTable {
 	return &ConnTable{
 		idleTimeout:      idleTimeout,
@@ -59,7 +60,7 @@
 	}
 }
 
-// ShuttingDown reports whether no more RPCs are wanted.
+// ShuttingDown reports whether a shutdown has begun.
 func (t *ConnTable) ShuttingDown() bool { return t.shuttingDown.Load() }
 
 // Conns returns the connections that are open.
@@ -73,8 +74,8 @@
 	return conns
 }
 
-// AddListener accepts the connections of a front's listening socket, in a goroutine that ends with Shutdown; open makes
-// a Conn of each. It must not be called after Shutdown.
+// AddListener starts a goroutine that accepts connections from a front's listening socket until Shutdown. open returns
+// the Conn for an accepted connection. AddListener must not be called after Shutdown.
 func (t *ConnTable) AddListener(ln *net.TCPListener, open func(net.Conn) Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +91,8 @@
 	defer t.acceptorDone(ln)
 	for {
 		t.acquire()
-		if t.shuttingDown.Load() { // waiting for the permit may have used up the deadline that Shutdown set
-			_ = ln.SetDeadline(time.Now().Add(AcceptGrace)) // an error comes again from Accept
+		if t.shuttingDown.Load() { // the deadline set by Shutdown may have passed while waiting for the permit
+			_ = ln.SetDeadline(time.Now().Add(AcceptGrace)) // Accept returns the same error
 		}
 		nc, err := ln.Accept()
 		if err != nil {
@@ -112,7 +113,7 @@
 }
 
 func (t *ConnTable) acceptorDone(ln *net.TCPListener) {
-	_ = ln.Close() // nothing is accepted any more either way
+	_ = ln.Close() // an error changes nothing: no more connections are accepted
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.acceptors--
@@ -121,7 +122,7 @@
 	}
 }
 
-// acceptFailed logs an error of accept and pauses; fewer connections are allowed if it is for want of descriptors.
+// acceptFailed logs an error of accept and pauses. If descriptors have run out, it lowers the connection limit.
 func (t *ConnTable) acceptFailed(err error) {
 	t.log.WithError(err).Warn("server.accept_failed")
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
@@ -130,7 +131,7 @@
 	time.Sleep(acceptBackoff)
 }
 
-// serve runs a connection, for which a permit is held, in a goroutine of its own.
+// serve serves a connection in a goroutine of its own, which releases the connection's permit when it ends.
 func (t *ConnTable) serve(c Conn) {
 	t.mu.Lock()
 	t.conns[c] = struct{}{}
@@ -146,8 +147,9 @@
 	}()
 }
 
-// acceptPending accepts a connection that the kernel has accepted already, if there is one; nil otherwise. An Accept
-// that ends by its deadline has not looked: closing the socket then would reset a connection that came meanwhile.
+// acceptPending returns a connection that the kernel has already accepted, or nil if there is none. An Accept whose
+// deadline is exceeded has not checked for one, so closing the socket then would reset a connection that arrived
+// in the meantime.
 func acceptPending(ln *net.TCPListener) net.Conn {
 	raw, err := ln.SyscallConn()
 	if err != nil {
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -1,6 +1,6 @@
 package uwsgi
 
-// This file owns the life of one connection: its reader and its closing.
+// This file implements the lifecycle of one connection: its reader and its closing.
 
 import (
 	"bufio"
@@ -14,7 +14,8 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// bufferSize holds most blocks of a web tier, which have one to three KB; longer ones are read past the buffer.
+// bufferSize is the size in bytes of a connection's read buffer. Most blocks of a web tier have one to three KB and fit;
+// longer ones bypass the buffer.
 const bufferSize = 4 << 10
 
 // conn is one connection of a web tier. It carries one RPC at a time.
@@ -24,8 +25,8 @@
 	in        *bufio.Reader
 	variables wire.Variables
 	ticket    *gate.Ticket  // of the RPC in flight; guarded by Mu
-	handled   chan struct{} // has a value once the RPC beside the reader has been answered
-	faults    int           // messages in a row without a valid RPC
+	handled   chan struct{} // receives a value when the handler goroutine has answered its RPC
+	faults    int           // consecutive messages without a valid RPC
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
@@ -37,12 +38,13 @@
 }
 
 var (
-	errMessageTimeout = errors.New("no message came whole in time")
-	errClosedHere     = errors.New("the connection ends here") // the message was answered, and no more is wanted
-	errTruncated      = errors.New("the connection ended within a message")
+	errMessageTimeout = errors.New("message not received completely before the timeout")
+	// errClosedHere means that the message was answered and that no further message is accepted.
+	errClosedHere = errors.New("connection is closed by the server")
+	errTruncated  = errors.New("connection ended within a message")
 )
 
-// Serve handles messages, one after the other, until the connection ends.
+// Serve handles messages one at a time until the connection ends.
 func (c *conn) Serve() {
 	defer c.Finish()
 	defer func() {
@@ -65,7 +67,7 @@
 	}
 }
 
-// Abort implements front.Conn: an RPC that is unanswered by then has lost its caller.
+// Abort implements front.Conn. The caller of an unanswered RPC counts as gone.
 func (c *conn) Abort(deadline time.Time) {
 	c.ConnState.Abort(deadline)
 	c.Mu.Lock()
@@ -76,11 +78,11 @@
 	}
 }
 
-// GoAway implements front.Conn. The protocol has no message for it: the connection is closed after the response in
-// flight, or by CloseIdle once it has been idle for as long as an RPC may be on its way.
+// GoAway implements front.Conn. The protocol has no such message, so the connection is closed after the response in flight,
+// or by CloseIdle when it has been idle for as long as an RPC may be in transit.
 func (c *conn) GoAway() { c.MarkGoAway() }
 
-// CloseIdle implements front.Conn. It does not linger: a web tier takes the end of a connection without a notice.
+// CloseIdle implements front.Conn. It does not linger, as a web tier accepts that a connection closes without notice.
 func (c *conn) CloseIdle(idle, _ time.Duration) {
 	c.CloseIfDrained(front.TransitTime)
 	c.Mu.Lock()
--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -1,7 +1,7 @@
 package uwsgi
 
-// This file owns an RPC from its message to its response. It must never answer an RPC twice, nor keep one in flight whose
-// peer is known to have left.
+// This file handles an RPC from its message to its response. It must never answer an RPC twice, or keep an RPC in flight
+// whose peer is known to have left.
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"sorrelvalve/internal/gate"
 )
 
-// exchange is one RPC on a connection, whose message has been read completely.
+// exchange is one RPC on a connection. Its message has been read completely.
 type exchange struct {
 	conn     *conn
 	config   *config
@@ -26,15 +26,15 @@
 	resolved *route.Resolved
 	block    string // of variables
 	body     []byte
-	began    time.Time // when its first byte came
+	began    time.Time // when the first byte of the message arrived
 }
 
-// serve passes the RPC through the gate, has it run and answers it. A nil error means that the connection goes on.
+// serve submits the RPC to the gate, has it run and answers it. A nil error means that the connection is kept.
 func (x *exchange) serve() error {
 	c := x.conn
 	rpc := x.rpc()
 	if !x.begin() {
-		return net.ErrClosed // evicted just now: the peer sends the RPC again elsewhere, so it must not run here
+		return net.ErrClosed // evicted in the meantime: the peer resends the RPC elsewhere, so it must not run here
 	}
 	t, err := c.server.gate.Submit(rpc)
 	if err != nil {
@@ -53,12 +53,12 @@
 		Caller:    gate.CallerHash(&rpc),
 	}
 	verdict, decided := t.TryWait()
-	if decided && verdict.Kind != gate.Run { // decided at once, as most in overload: no goroutine is needed
+	if decided && verdict.Kind != gate.Run { // decided at once, like most RPCs in overload; no goroutine is needed
 		return c.complete(x.writeVerdict(&verdict))
 	}
 	keepAlive := false
 	go func() {
-		defer x.handled(t)
+		defer x.finishHandler(t)
 		keepAlive = x.awaitVerdicts(t, run, verdict, decided)
 	}()
 	c.watchPeer(t, x.config.limits.HalfClose)
@@ -67,7 +67,7 @@
 	return c.complete(keepAlive)
 }
 
-// rpc returns the RPC as the gate takes it.
+// rpc returns the RPC in the form that the gate expects.
 func (x *exchange) rpc() gate.RPC {
 	r := x.resolved
 	arrived := r.ArrivedMs
@@ -85,11 +85,11 @@
 		CostHintMs: r.CostHintMs,
 		QueuedKB:   x.config.limits.QueuedKB + float64(len(x.body))/1024,
 		Retry:      r.Retry,
-		Token:      strings.Clone(r.Token), // it may outlive the block
+		Token:      strings.Clone(r.Token), // the token may outlive the block
 	}
 }
 
-// begin marks the connection as busy. It reports false if the connection is to be closed.
+// begin marks the connection as busy. It returns false if the connection is to be closed.
 func (x *exchange) begin() bool {
 	c := x.conn
 	c.Mu.Lock()
@@ -104,7 +104,7 @@
 	return true
 }
 
-// track makes the ticket known to Abort.
+// track stores the ticket for Abort.
 func (x *exchange) track(t *gate.Ticket) {
 	c := x.conn
 	c.Mu.Lock()
@@ -112,26 +112,26 @@
 	c.ticket = t
 	closing := c.CloseRequested
 	c.Mu.Unlock()
-	if closing { // Abort may have run before the ticket could be seen
+	if closing { // Abort may have run before the ticket was stored
 		t.ConnectionLost()
 	}
 }
 
-// awaitVerdicts carries out the verdicts on an RPC up to the final one, the first of which may be decided already. It
-// reports whether the connection goes on.
+// awaitVerdicts carries out the verdicts on an RPC up to and including the final one. If decided is true, verdict is the
+// first of them. It reports whether the connection is kept.
 func (x *exchange) awaitVerdicts(t *gate.Ticket, run gate.RunRequest, verdict gate.Verdict, decided bool) (keepAlive bool) {
 	for !decided || verdict.Kind == gate.Run {
 		if decided {
 			x.conn.server.run(run, t.ReportWithHead)
 		}
-		verdict = t.Wait(context.Background()) // the gate bounds the wait: each RPC gets a final verdict by its due time
+		verdict = t.Wait(context.Background()) // bounded by the gate: each RPC gets a final verdict by its due time
 		decided = true
 	}
 	return x.writeVerdict(&verdict)
 }
 
-// handled ends the goroutine beside the reader, which it wakes. A panic is answered as a failed run.
-func (x *exchange) handled(t *gate.Ticket) {
+// finishHandler ends the handler goroutine and wakes the reader. A panic of the handler is answered like a failed run.
+func (x *exchange) finishHandler(t *gate.Ticket) {
 	c := x.conn
 	if v := recover(); v != nil {
 		c.server.log.WithField("panic", v).WithField("stack", string(debug.Stack())).Error("server.rpc_panic")
@@ -142,7 +142,7 @@
 	c.handled <- struct{}{}
 }
 
-// writeVerdict writes the response that a final verdict asks for and reports whether the connection goes on.
+// writeVerdict writes the response that a final verdict requires and reports whether the connection is kept.
 func (x *exchange) writeVerdict(v *gate.Verdict) (keepAlive bool) {
 	c := x.conn
 	keepAlive = x.request.keepAlive && !c.server.table.ShuttingDown()
@@ -150,14 +150,14 @@
 	case gate.OK:
 		head, body := resultResponse(v, x.request.Verb, x.config.contentTypes[x.resolved.Rule], keepAlive)
 		return c.Send(head, body) && keepAlive
-	case gate.CallerGone: // nothing is owed, and nobody reads
+	case gate.CallerGone: // no response is required, and the peer no longer reads
 		return false
 	}
 	return c.Send(failureHead(v, keepAlive)) && keepAlive
 }
 
-// watchPeer reads ahead while an RPC is in flight, so that a peer that leaves is noticed. It returns once the peer has
-// left, has sent as much ahead as the buffer holds, or the reader has been woken.
+// watchPeer reads ahead while an RPC is in flight, to detect that the peer leaves. It returns when the peer has left, when
+// the data read ahead fills the buffer, or when the reader is woken.
 func (c *conn) watchPeer(t *gate.Ticket, halfClose bool) {
 	for n := c.in.Buffered() + 1; n <= c.in.Size(); n++ {
 		_, err := c.in.Peek(n)
--- a/internal/front/uwsgi/message.go
+++ b/internal/front/uwsgi/message.go
@@ -1,7 +1,6 @@
 package uwsgi
 
-// This file owns the reading of one message and the answers to messages without an RPC. It must never trust a length
-// that it has not seen the bytes of.
+// This file reads messages and answers those without an RPC. It must never trust a length whose bytes it has not received.
 
 import (
 	"errors"
@@ -18,15 +17,15 @@
 )
 
 const (
-	// bodyMemoryRetryAfter in ms is the advice while all bodies together take more memory than they may: by then some
-	// RPCs are answered.
-	bodyMemoryRetryAfter = 250.0
-	// pingModifier is modifier1 of the protocol's ping, a packet without variables; its response has modifier2 set.
+	// bodyMemoryRetryAfterMs is the retry-after for an RPC whose body would exceed the memory limit of all bodies. Some of
+	// the RPCs in flight are answered by then.
+	bodyMemoryRetryAfterMs = 250.0
+	// pingModifier is modifier1 of the protocol's ping, a packet without variables. Its response has modifier2 set.
 	pingModifier = 100
 )
 
-// handleMessage reads one message and answers it. A nil error means that the connection goes on, io.EOF that the peer
-// has closed it between two messages.
+// handleMessage reads one message and answers it. A nil error means that the connection is kept, io.EOF that the peer has
+// closed it between two messages.
 func (c *conn) handleMessage(first bool) error {
 	config := c.server.config.Load()
 	limits := &config.limits
@@ -85,8 +84,8 @@
 	return x.serve()
 }
 
-// awaitMessage waits for the first byte of the next message, from which on the message has timeout to come complete. The
-// first message of a connection must begin within timeout as well.
+// awaitMessage waits for the first byte of the next message and returns its arrival time. The rest of the message must
+// arrive within timeout after that. The first message of a connection must also begin within timeout.
 func (c *conn) awaitMessage(first bool, timeout time.Duration) (began time.Time, err error) {
 	if first {
 		c.BoundReads(time.Now().Add(timeout))
@@ -103,7 +102,7 @@
 	return began, nil
 }
 
-// truncation returns what an error within a message means.
+// truncation maps an error of a read within a message to errMessageTimeout or errTruncated.
 func truncation(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return errMessageTimeout
@@ -111,7 +110,7 @@
 	return errTruncated
 }
 
-// readBlock reads the header, which is buffered, and the block of variables, and returns the block.
+// readBlock reads the header, which is already buffered, and the block of variables. It returns the block.
 func (c *conn) readBlock(size int) (string, error) {
 	if wire.HeaderSize+size <= c.in.Size() {
 		b, err := c.in.Peek(wire.HeaderSize + size)
@@ -128,7 +127,7 @@
 	return block.String(), err
 }
 
-// readBodyWithin reads a body whose length has been checked, and leaves later reads unbounded if it came in time.
+// readBodyWithin reads a body whose length has been checked. If it arrives within timeout, later reads have no deadline.
 func (c *conn) readBodyWithin(size int, timeout time.Duration) ([]byte, error) {
 	c.BoundReads(time.Now().Add(timeout))
 	body, err := wire.ReadBody(c.in, int64(size))
@@ -138,7 +137,7 @@
 	return body, err
 }
 
-// markReceived records a message that brought no RPC.
+// markReceived records a message without an RPC.
 func (c *conn) markReceived() {
 	c.Mu.Lock()
 	c.ReceivedMessage = true
@@ -147,7 +146,8 @@
 	c.Mu.Unlock()
 }
 
-// rejectInvalid answers an invalid message. The reader writes this itself: a peer that sends on without reading waits.
+// rejectInvalid answers an invalid message. The answer is written by the reader, so that a peer that sends without
+// reading is slowed down.
 func (c *conn) rejectInvalid(e *requestError) error {
 	c.markReceived()
 	c.server.log.WithField("peer", c.RemoteAddr()).WithError(e).Warn("server.invalid_rpc")
@@ -159,15 +159,16 @@
 	return c.complete(sent && e.keepAlive && !c.server.table.ShuttingDown())
 }
 
-// rejectForMemory answers a message whose body finds no memory.
+// rejectForMemory answers a message whose body would exceed the memory limit of all bodies.
 func (c *conn) rejectForMemory() error {
 	c.markReceived()
-	v := gate.Verdict{Kind: gate.Rejected, RetryAfterMs: c.server.gate.CapRetryAfter(bodyMemoryRetryAfter)}
+	v := gate.Verdict{Kind: gate.Rejected, RetryAfterMs: c.server.gate.CapRetryAfter(bodyMemoryRetryAfterMs)}
 	c.Send(failureHead(&v, false))
 	return errClosedHere
 }
 
-// answerPing answers a health check: by the protocol's own packet while the server is healthy, else by closing.
+// answerPing answers a health check. A healthy server sends the protocol's response and any other server none; the
+// connection is closed in both cases.
 func (c *conn) answerPing() error {
 	c.markReceived()
 	_, _ = c.in.Discard(wire.HeaderSize) // it is buffered
@@ -177,7 +178,7 @@
 	return errClosedHere
 }
 
-// complete records that a message has been answered and returns errClosedHere unless the connection goes on.
+// complete records that a message has been answered. It returns errClosedHere unless the connection is kept.
 func (c *conn) complete(keepAlive bool) error {
 	c.Mu.Lock()
 	c.InFlight = 0
--- a/internal/front/uwsgi/request.go
+++ b/internal/front/uwsgi/request.go
@@ -1,6 +1,6 @@
 package uwsgi
 
-// This file owns what the variables of a message say of it, before the routes identify its RPC.
+// This file parses the variables that describe a message itself, before the routes identify its RPC.
 
 import (
 	"errors"
@@ -13,25 +13,25 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// The values of operator.UWSGI.KeepAlive under which connections are kept.
+// The values of operator.UWSGI.KeepAlive that keep connections open.
 const (
 	keepAliveAlways  = "always"
 	keepAliveOnAsked = "asked" // if the message has VALVE_KEEP=1
 )
 
-// request is what a block of variables says.
+// request is a message as its block of variables describes it.
 type request struct {
 	route.Message
 	bodyLength int
 	keepAlive  bool
 }
 
-// requestError is a message that is invalid here, and how it is answered.
+// requestError states why a message is invalid and how it is answered.
 type requestError struct {
 	status    int
 	reason    string
-	allow     []string // with statusMethodNotAllowed
-	keepAlive bool     // the connection can go on
+	allow     []string // verbs for the Allow field of statusMethodNotAllowed
+	keepAlive bool     // whether the connection can be kept
 }
 
 func (e *requestError) Error() string { return e.reason }
@@ -40,7 +40,7 @@
 	return &requestError{status: statusBadRequest, reason: reason}
 }
 
-// checkHeader validates the header of a packet that is no ping.
+// checkHeader validates the header of a packet other than a ping.
 func checkHeader(h wire.Header, limits *operator.UWSGI) *requestError {
 	switch {
 	case h.Modifier1 != 0:
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// parseRequest reads the variables that say what a message is. What they say of the RPC is for the routes.
+// parseRequest parses the variables that describe the message. The routes evaluate those that describe the RPC.
 func (c *config) parseRequest(r *request) *requestError {
 	r.Verb = r.variable("REQUEST_METHOD")
 	if r.Verb == "" {
@@ -92,13 +92,13 @@
 	return nil
 }
 
-// variable returns the value of a variable, "" if it is not there.
+// variable returns the value of a variable, or "" if it is absent.
 func (r *request) variable(name string) string {
 	value, _ := r.Variables.Get(name)
 	return value
 }
 
-// parseTarget reads path and query: PATH_INFO and QUERY_STRING, or REQUEST_URI in their place.
+// parseTarget parses the path and query from PATH_INFO and QUERY_STRING, or from REQUEST_URI in their absence.
 func (c *config) parseTarget(r *request) *requestError {
 	target := r.variable("REQUEST_URI")
 	r.Path = r.variable("PATH_INFO")
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// parseBodyLength reads CONTENT_LENGTH, which verbs with a body must have.
+// parseBodyLength parses CONTENT_LENGTH, which is required for verbs with a body.
 func (c *config) parseBodyLength(r *request) *requestError {
 	hasBody := r.Verb == "POST" || r.Verb == "PUT" || r.Verb == "PATCH"
 	switch length := r.variable("CONTENT_LENGTH"); {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// resolve identifies the RPC in a request by the routes.
+// resolve identifies the RPC of a request with the routes.
 func (c *config) resolve(r *request) (route.Resolved, *requestError) {
 	resolved, err := c.routes.Resolve(&r.Message)
 	if err == nil {
@@ -165,7 +165,7 @@
 	return resolved, e
 }
 
-// isCleanPath reports whether a path means the same to every reader: no empty, . or .. segments and no NUL.
+// isCleanPath reports whether all readers interpret a path in the same way: it has no empty, . or .. segments and no NUL.
 func isCleanPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.IndexByte(p, 0) >= 0 {
 		return false
@@ -180,7 +180,7 @@
 	return true
 }
 
-// trimPort removes the port from a host; an IPv6 address without a port ends in a bracket.
+// trimPort removes the port from a host. An IPv6 address without a port ends in a bracket.
 func trimPort(host string) string {
 	i := strings.LastIndexByte(host, ':')
 	if i < 0 || strings.HasSuffix(host, "]") {
--- a/internal/front/uwsgi/response.go
+++ b/internal/front/uwsgi/response.go
@@ -1,7 +1,7 @@
 package uwsgi
 
-// This file owns the wire form of verdicts: the one table of statuses, and the heads of responses. It must never change a
-// result, nor pass on a field that is about the connection it came by.
+// This file encodes verdicts as HTTP responses: it defines the table of statuses and writes response heads. It must never
+// change a result, or pass on a header field that applies to the connection to the pool.
 
 import (
 	"bytes"
@@ -13,19 +13,19 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// The statuses that this server makes itself. The response of a pool has the pool's own.
+// The statuses of responses that this server generates. The response of a pool keeps the pool's status.
 const (
 	statusOK                   = 200
 	statusBadRequest           = 400 // invalid: verb missing, path, length, token
 	statusNotFound             = 404 // invalid: no route matches
-	statusMethodNotAllowed     = 405 // invalid: no route takes the verb; with Allow
+	statusMethodNotAllowed     = 405 // invalid: no route accepts the verb; sent with Allow
 	statusLengthRequired       = 411 // invalid: a body without a length
 	statusContentTooLarge      = 413 // invalid: body too long
 	statusURITooLong           = 414 // invalid: path too long
 	statusHeaderFieldsTooLarge = 431 // invalid: block too long, too many variables
 	statusInternalServerError  = 500 // aborted
-	statusServiceUnavailable   = 503 // rejected: it never ran; with Retry-After and the fields below
-	statusGatewayTimeout       = 504 // aborted as its response was due
+	statusServiceUnavailable   = 503 // rejected: the RPC never ran; sent with Retry-After and the fields below
+	statusGatewayTimeout       = 504 // aborted: its response was overdue
 )
 
 var reasonPhrases = map[int]string{
@@ -42,14 +42,14 @@
 	statusGatewayTimeout:       "Gateway Timeout",
 }
 
-// The header fields of our own.
+// The server's own header fields.
 const (
-	fieldRetryAfterMs = "Valve-Away-Ms" // the exact advice: Retry-After knows whole seconds only
-	fieldDoNotRetry   = "Valve-Last"    // 1 if other servers are full as well
+	fieldRetryAfterMs = "Valve-Away-Ms" // the exact retry-after; Retry-After has whole seconds only
+	fieldDoNotRetry   = "Valve-Last"    // 1 if other servers are overloaded as well
 	fieldReason       = "Valve-Why"
 )
 
-// headSize is the memory allocated for a head, which most need no more than.
+// headSize is the initial capacity of a head in bytes, which is enough for most.
 const headSize = 256
 
 func appendStatusLine[T string | []byte](b []byte, status int, reasonPhrase T) []byte {
@@ -67,7 +67,7 @@
 	return append(b, "\r\n"...)
 }
 
-// appendHeadEnd adds the fields that each head with a body length ends with, and the empty line.
+// appendHeadEnd appends the Content-Length and connection fields and the empty line.
 func appendHeadEnd(b []byte, bodyLength int, keepAlive bool) []byte {
 	b = appendIntField(b, "Content-Length", int64(bodyLength))
 	return appendConnectionEnd(b, keepAlive)
@@ -80,7 +80,7 @@
 	return append(b, "\r\n"...)
 }
 
-// resultResponse returns the head of a response with a result, and what of the result follows as its body.
+// resultResponse returns the head of a response with a result, and its body, which is nil if the response has none.
 func resultResponse(v *gate.Verdict, verb, contentType string, keepAlive bool) (head, body []byte) {
 	head = make([]byte, 0, headSize)
 	body = v.Result
@@ -98,7 +98,7 @@
 	return head, body
 }
 
-// appendPoolHead adds the head of a pool's response, without the fields that are about its connection.
+// appendPoolHead appends the head of a pool's response without the fields that apply to the pool's connection.
 func appendPoolHead(b []byte, r *wire.Response, bodyLength int, verb string, keepAlive bool) []byte {
 	b = appendStatusLine(b, r.Status, wire.ReasonPhrase(r.Head))
 	wire.EachField(r.Head, func(name, value []byte) {
@@ -118,7 +118,8 @@
 	return appendHeadEnd(b, bodyLength, keepAlive)
 }
 
-// hopByHopFields are about one connection only (RFC 9110, section 7.6.1), or the length, which is written anew.
+// hopByHopFields are the fields that apply to one connection only (RFC 9110, section 7.6.1), and Content-Length, which is
+// generated.
 var hopByHopFields = []string{
 	"connection", "keep-alive", "proxy-authenticate", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
 	"content-length",
@@ -133,7 +134,7 @@
 	return false
 }
 
-// failureHead returns the response without a result: rejected or aborted.
+// failureHead returns the response to a rejected or aborted RPC, which has no body.
 func failureHead(v *gate.Verdict, keepAlive bool) []byte {
 	status := statusInternalServerError
 	switch {
@@ -167,7 +168,7 @@
 	return appendHeadEnd(b, 0, keepAlive)
 }
 
-// printableASCII keeps what a peer wrote, and an error repeats, from ending the field.
+// printableASCII replaces all other characters with '?', so that text of a peer quoted in an error can't end the field.
 func printableASCII(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/internal/msgpack/append.go
+++ b/internal/msgpack/append.go
@@ -10,7 +10,7 @@
 	maxFixLength = 31 // bytes of a fixstr
 )
 
-// AppendArray begins an array of n items.
+// AppendArray appends the header of an array of n items.
 func AppendArray(b []byte, n int) []byte {
 	if n <= maxFixCount {
 		return append(b, fixarrayBase|byte(n))
@@ -18,7 +18,7 @@
 	return appendSize(b, codeArray16, n)
 }
 
-// AppendMap begins a map of n pairs.
+// AppendMap appends the header of a map of n pairs.
 func AppendMap(b []byte, n int) []byte {
 	if n <= maxFixCount {
 		return append(b, fixmapBase|byte(n))
@@ -26,10 +26,10 @@
 	return appendSize(b, codeMap16, n)
 }
 
-// AppendNil adds a nil.
+// AppendNil appends nil.
 func AppendNil(b []byte) []byte { return append(b, codeNil) }
 
-// AppendBool adds true or false.
+// AppendBool appends a boolean.
 func AppendBool(b []byte, v bool) []byte {
 	if v {
 		return append(b, codeTrue)
@@ -37,7 +37,7 @@
 	return append(b, codeFalse)
 }
 
-// AppendUint adds a number in its shortest form.
+// AppendUint appends an unsigned integer in its shortest form.
 func AppendUint(b []byte, v uint64) []byte {
 	switch {
 	case v <= maxPositiveFixint:
@@ -52,7 +52,7 @@
 	return binary.BigEndian.AppendUint64(append(b, codeUint64), v)
 }
 
-// AppendString adds a string.
+// AppendString appends a string.
 func AppendString(b []byte, s string) []byte {
 	n := len(s)
 	switch {
@@ -66,7 +66,7 @@
 	return append(b, s...)
 }
 
-// AppendBinHeader begins a binary of n bytes, which the caller adds behind it.
+// AppendBinHeader appends the header of a binary of n bytes. The caller appends the bytes.
 func AppendBinHeader(b []byte, n int) []byte {
 	if n <= math.MaxUint8 {
 		return append(b, codeBin8, byte(n))
@@ -74,7 +74,7 @@
 	return appendSize(b, codeBin16, n)
 }
 
-// appendSize adds a size of two bytes behind code16, or of four behind the code that follows it.
+// appendSize appends code16 and n as two bytes or, if n needs more, the code after code16 and n as four bytes.
 func appendSize(b []byte, code16 byte, n int) []byte {
 	if n <= math.MaxUint16 {
 		return binary.BigEndian.AppendUint16(append(b, code16), uint16(n))
--- a/internal/msgpack/parse.go
+++ b/internal/msgpack/parse.go
@@ -1,8 +1,8 @@
-// Package msgpack parses MessagePack in place and writes it, as its specification says
-// (https://github.com/msgpack/msgpack/blob/master/spec.md). A Parser never copies the bytes that it walks over, checks
-// every length against what is there before it goes on, and allocates nothing.
+// Package msgpack parses MessagePack in place and encodes it, following the specification
+// (https://github.com/msgpack/msgpack/blob/master/spec.md). A Parser does not copy its input, checks every length against
+// the available bytes before it proceeds, and allocates nothing.
 //
-// The package knows nothing of messages or sockets, and must never trust a length that it has not seen the bytes of.
+// The package is independent of messages and sockets, and must never trust a length whose bytes it has not received.
 package msgpack
 
 import (
@@ -10,22 +10,22 @@
 	"math"
 )
 
-// The errors of a Parser.
+// Errors of a Parser.
 var (
-	// ErrTruncated means that more bytes of the value are to come; see Parser.Missing.
-	ErrTruncated = errors.New("msgpack: the value is cut off")
-	// ErrInvalid means that the bytes are no MessagePack.
+	// ErrTruncated means that the input ends within the value; see Parser.Missing.
+	ErrTruncated = errors.New("msgpack: value is truncated")
+	// ErrInvalid means that the input is not MessagePack.
 	ErrInvalid = errors.New("msgpack: not MessagePack")
 	// ErrTooDeep means that arrays and maps are nested deeper than maxDepth.
 	ErrTooDeep = errors.New("msgpack: nested too deep")
-	// ErrUnexpectedType means that the value has another type than the one asked for.
+	// ErrUnexpectedType means that the value does not have the requested type.
 	ErrUnexpectedType = errors.New("msgpack: a value of another type expected")
 )
 
-// maxDepth bounds the nesting: the protocol's own messages are four deep.
+// maxDepth is the maximum nesting depth. The protocol's own messages are nested four deep.
 const maxDepth = 16
 
-// Parser reads one value after the other. The first error stays, and all that is read after it is zero.
+// Parser reads consecutive values. It keeps the first error; every value read after that is zero.
 type Parser struct {
 	data    []byte
 	offset  int
@@ -36,13 +36,13 @@
 // Parse returns a parser of b.
 func Parse(b []byte) Parser { return Parser{data: b} }
 
-// Err returns the first error met.
+// Err returns the first error.
 func (p *Parser) Err() error { return p.err }
 
-// Missing returns, after ErrTruncated, a lower bound of the bytes that are missing.
+// Missing returns a lower bound of the number of missing bytes after ErrTruncated.
 func (p *Parser) Missing() uint64 { return p.missing }
 
-// Offset returns the number of bytes read.
+// Offset returns the number of bytes read so far.
 func (p *Parser) Offset() int { return p.offset }
 
 func (p *Parser) fail(err error) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// has reports whether n more bytes are there.
-func (p *Parser) has(n uint64) bool {
+// require reports whether n more bytes are available, and fails with ErrTruncated if they are not.
+func (p *Parser) require(n uint64) bool {
 	left := uint64(len(p.data) - p.offset)
 	if p.err == nil && n > left {
 		p.err = ErrTruncated
@@ -63,7 +63,7 @@
 
 // take reads n bytes.
 func (p *Parser) take(n uint64) []byte {
-	if !p.has(n) {
+	if !p.require(n) {
 		return nil
 	}
 	b := p.data[p.offset : p.offset+int(n)]
@@ -73,13 +73,13 @@
 
 // peek returns the next byte without reading it.
 func (p *Parser) peek() byte {
-	if !p.has(1) {
+	if !p.require(1) {
 		return 0
 	}
 	return p.data[p.offset]
 }
 
-// uint reads an unsigned number of n bytes.
+// uint reads an unsigned integer of n bytes.
 func (p *Parser) uint(n int) (v uint64) {
 	for _, c := range p.take(uint64(n)) {
 		v = v<<8 | uint64(c)
@@ -87,7 +87,7 @@
 	return v
 }
 
-// kind is the type of a value, as its first byte tells.
+// kind is the type of a value, which its first byte determines.
 type kind uint8
 
 const (
@@ -104,8 +104,8 @@
 	mapKind
 )
 
-// The first bytes of values, as the specification names them. Those in the form of ranges hold a number or a length in
-// their low bits.
+// The first bytes of values, under the names of the specification. The first bytes that form a range hold a number or a
+// length in their low bits.
 const (
 	maxPositiveFixint = 0x7f
 	fixmapBase        = 0x80
@@ -148,8 +148,9 @@
 	minNegativeFixint = 0xe0
 )
 
-// head reads a value's first byte and the length or number behind it. For numbers v holds the bits, for strings and the
-// like the number of bytes that follow, for arrays the items and for maps the pairs.
+// head reads the first byte of a value and the length or number that follows it. For a number, v holds its bits; for a
+// string, binary or extension the number of bytes that follow; for an array the number of items; for a map the number of
+// pairs.
 func (p *Parser) head() (k kind, v uint64) {
 	c := p.peek()
 	if p.err != nil {
@@ -171,8 +172,8 @@
 	return p.codedHead(c)
 }
 
-// codedHead is head for a first byte that holds nothing but the type. The sizes of the numbers behind it double from one
-// code of a type to the next.
+// codedHead is head for a first byte that holds only the type. The size of the number that follows doubles from one code
+// of a type to the next.
 func (p *Parser) codedHead(c byte) (k kind, v uint64) {
 	switch c {
 	case codeNil:
@@ -182,7 +183,7 @@
 	case codeBin8, codeBin16, codeBin32:
 		return binKind, p.uint(1 << (c - codeBin8))
 	case codeExt8, codeExt16, codeExt32:
-		return extKind, p.uint(1<<(c-codeExt8)) + 1 // the type of the extension takes one
+		return extKind, p.uint(1<<(c-codeExt8)) + 1 // one more byte for the type of the extension
 	case codeFloat32:
 		return floatKind, math.Float64bits(float64(math.Float32frombits(uint32(p.uint(4)))))
 	case codeFloat64:
@@ -206,7 +207,7 @@
 	case codeMap16, codeMap32:
 		return mapKind, p.uint(2 << (c - codeMap16))
 	}
-	p.fail(ErrInvalid) // 0xc1 is never used
+	p.fail(ErrInvalid) // the specification never uses 0xc1
 	return noKind, 0
 }
 
@@ -221,22 +222,23 @@
 	return v
 }
 
-// Array reads the head of an array and returns how many items follow.
+// Array reads the header of an array and returns the number of its items.
 func (p *Parser) Array() int { return p.count(arrayKind, 1) }
 
-// Map reads the head of a map and returns how many pairs follow.
+// Map reads the header of a map and returns the number of its pairs.
 func (p *Parser) Map() int { return p.count(mapKind, 2) }
 
-// count returns a number of items; each takes minSize bytes at least, so a number beyond what is there is found here.
+// count reads the header of an array or a map. An item takes at least minSize bytes, so a count that exceeds the available
+// bytes fails here.
 func (p *Parser) count(k kind, minSize uint64) int {
 	n := p.expect(k)
-	if !p.has(n * minSize) {
+	if !p.require(n * minSize) {
 		return 0
 	}
 	return int(n)
 }
 
-// Uint reads an integer from 0 up, of any form.
+// Uint reads a non-negative integer in any of its forms.
 func (p *Parser) Uint() uint64 {
 	k, v := p.head()
 	if k != uintKind && (k != intKind || int64(v) < 0) {
@@ -248,13 +250,13 @@
 	return v
 }
 
-// Bool reads true or false.
+// Bool reads a boolean.
 func (p *Parser) Bool() bool { return p.expect(boolKind) == 1 }
 
-// Nil reads a nil.
+// Nil reads nil.
 func (p *Parser) Nil() { p.expect(nilKind) }
 
-// Bytes reads a string or binary. The bytes are those parsed, not a copy.
+// Bytes reads a string or binary. The result is part of the input, not a copy.
 func (p *Parser) Bytes() []byte {
 	k, n := p.head()
 	if k != strKind && k != binKind {
@@ -282,9 +284,9 @@
 	}
 }
 
-// skipItems skips n values that lie in one at depth, if there are bytes enough for the shortest such.
+// skipItems skips the n values contained in a value at depth. It fails if fewer than n bytes are available.
 func (p *Parser) skipItems(n uint64, depth int) {
-	p.has(n)
+	p.require(n)
 	for ; n > 0 && p.err == nil; n-- {
 		p.skip(depth + 1)
 	}
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -1,7 +1,8 @@
 package uwsgi
 
-// This file owns the head of an HTTP/1.x response, as an application server writes it (RFC 9112): status line, header
-// fields and the empty line. It must never trust a length that comes twice with two values or is no number.
+// This file parses the head of an HTTP/1.x response as an application server writes it (RFC 9112): the status line, the
+// header fields and the empty line. It must never trust a length that is not a number or is given twice with different
+// values.
 
 import (
 	"bytes"
@@ -12,33 +13,33 @@
 // Response is the head of a response, parsed in place.
 type Response struct {
 	Status  int
-	Head    []byte // status line and header fields, with the empty line
-	Length  int64  // of the body; -1 if it ends with the connection
-	Chunked bool   // the body has a transfer coding, which this protocol's peers need not know
+	Head    []byte // status line, header fields and the empty line
+	Length  int64  // of the body in bytes; -1 if the body ends with the connection
+	Chunked bool   // the body has a transfer coding, which peers of this protocol need not support
 }
 
-// HasNoBody reports whether a response of that status never has a body (RFC 9112, section 6.3).
+// HasNoBody reports whether a response with this status never has a body (RFC 9112, section 6.3).
 func (r *Response) HasNoBody() bool { return r.Status < 200 || r.Status == 204 || r.Status == 304 }
 
-// The errors of ParseResponse, beside ErrTruncated.
+// Errors of ParseResponse, in addition to ErrTruncated.
 var (
 	// ErrStatusLine means that the bytes do not begin with an HTTP/1.x status line.
 	ErrStatusLine = errors.New("uwsgi: no HTTP status line")
-	// ErrHeaderField means that a line is no header field.
+	// ErrHeaderField means that a line is not a valid header field.
 	ErrHeaderField = errors.New("uwsgi: a header field that can't be read")
-	// ErrContentLength means that a Content-Length is no number, or that two differ.
+	// ErrContentLength means that a Content-Length is not a number, or that two of them differ.
 	ErrContentLength = errors.New("uwsgi: a Content-Length that can't be")
 )
 
 const (
 	versionPrefix = "HTTP/1."
-	// shortestStatusLine is the form of the shortest status line; a reason phrase may follow it behind a space.
+	// shortestStatusLine is an example of the shortest status line. A space and a reason phrase may follow.
 	shortestStatusLine = "HTTP/1.1 200"
 	statusOffset       = len("HTTP/1.1 ")
 )
 
-// ParseResponse parses the head of a response at the beginning of b and returns its size. The error is ErrTruncated while
-// more of it is to come. A head that ends its lines with a bare newline is accepted as well, as CGI programs write it.
+// ParseResponse parses the head of a response at the beginning of b and returns the size of the head in bytes. The error
+// is ErrTruncated if b does not contain all of the head. Lines may end with a bare newline, as CGI programs write them.
 func ParseResponse(b []byte) (r Response, size int, err error) {
 	r.Status, err = parseStatus(b)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return status, nil
 }
 
-// parseField parses one header field, of which those that tell the length of the body are kept.
+// parseField parses one header field and records those that determine the length of the body.
 func (r *Response) parseField(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte{':'})
 	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t\r\x00") {
@@ -114,7 +115,7 @@
 	return len(name) == len(want) && bytes.EqualFold(name, []byte(want))
 }
 
-// EachField calls visit for each header field of a head that ParseResponse has accepted, without the status line.
+// EachField calls visit for each header field of a head that ParseResponse has accepted. The status line is skipped.
 func EachField(head []byte, visit func(name, value []byte)) {
 	for first := true; len(head) > 0; first = false {
 		line, rest, _ := bytes.Cut(head, []byte{'\n'})
@@ -126,14 +127,14 @@
 	}
 }
 
-// ReasonPhrase returns what follows the status in the first line of such a head.
+// ReasonPhrase returns the reason phrase in the status line of a head that ParseResponse has accepted.
 func ReasonPhrase(head []byte) []byte {
 	line, _, _ := bytes.Cut(head, []byte{'\n'})
 	line = bytes.TrimSuffix(line, []byte{'\r'})
 	return line[min(len(line), len(shortestStatusLine)+1):]
 }
 
-// AppendField adds a header field.
+// AppendField appends a header field.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
--- a/internal/uwsgi/variables.go
+++ b/internal/uwsgi/variables.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// The errors of Variables.Parse.
+// Errors of Variables.Parse.
 var (
-	// ErrLengthOutOfRange means that the length of a name or a value goes beyond the block.
+	// ErrLengthOutOfRange means that a name or a value extends beyond the end of the block.
 	ErrLengthOutOfRange = errors.New("uwsgi: a variable's length goes beyond the block")
-	// ErrTooManyVariables means that there are more variables than allowed.
+	// ErrTooManyVariables means that the block has more variables than allowed.
 	ErrTooManyVariables = errors.New("uwsgi: too many variables")
 	// ErrEmptyName means that a variable has no name.
 	ErrEmptyName = errors.New("uwsgi: a variable without a name")
-	// ErrDuplicate means that a variable comes twice with two values.
+	// ErrDuplicate means that a variable is given twice with different values.
 	ErrDuplicate = errors.New("uwsgi: a variable stands twice with two values")
 )
 
-// Variables are those of one block, in their order. They are parts of the text that was parsed. The zero value is empty
-// and ready to use; it is not safe for concurrent use.
+// Variables holds the variables of one block in their order. Names and values are substrings of the parsed block. The zero
+// value is empty and ready to use. Variables is not safe for concurrent use.
 type Variables struct {
 	pairs []variable
 }
 
 type variable struct{ name, value string }
 
-// Parse parses a complete block of at most maxCount variables. Of HTTP_ variables, which stand for header lines and may
-// come several times, the first counts; any other one, and HTTP_HOST, may come twice only with one value, as two readers
-// would else see two. The error wraps one of those above.
+// Parse parses a complete block of at most maxCount variables. HTTP_ variables represent header lines and may be repeated;
+// the first one is used. Any other variable, and HTTP_HOST, may be repeated only with the same value, as two readers might
+// otherwise use different values. The error wraps one of the errors above.
 func (v *Variables) Parse(block string, maxCount int) error {
 	v.pairs = v.pairs[:0]
 	for len(block) > 0 {
@@ -45,7 +45,7 @@
 			return ErrTooManyVariables
 		}
 		if !strings.HasPrefix(name, "HTTP_") || name == "HTTP_HOST" {
-			if earlier, has := v.Get(name); has && earlier != value {
+			if earlier, ok := v.Get(name); ok && earlier != value {
 				return fmt.Errorf("%w: %.40q", ErrDuplicate, name)
 			}
 		}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// cutVariable returns the first variable of a block and what follows it.
+// cutVariable returns the first variable of a block and the rest of the block.
 func cutVariable(block string) (name, value, rest string, ok bool) {
 	name, rest, ok = cutString(block)
 	if !ok {
@@ -64,7 +64,7 @@
 	return name, value, rest, ok
 }
 
-// cutString returns the string at the beginning of b, behind its length, and what follows it.
+// cutString returns the length-prefixed string at the beginning of b and the rest of b.
 func cutString(b string) (s, rest string, ok bool) {
 	const lengthSize = 2
 	if len(b) < lengthSize {
@@ -78,8 +78,8 @@
 	return b[:n], b[n:], true
 }
 
-// Get returns the first variable of a name.
-func (v *Variables) Get(name string) (value string, has bool) {
+// Get returns the value of the first variable with the given name.
+func (v *Variables) Get(name string) (value string, ok bool) {
 	for i := range v.pairs {
 		if v.pairs[i].name == name {
 			return v.pairs[i].value, true
@@ -88,8 +88,9 @@
 	return "", false
 }
 
-// Lookup finds a variable in a block that Parse has accepted, without parsing all of it again.
-func Lookup(block, name string) (value string, has bool) {
+// Lookup returns the value of the first variable with the given name in a block that Parse has accepted. It reads the block
+// only up to that variable.
+func Lookup(block, name string) (value string, ok bool) {
 	for len(block) > 0 {
 		n, value, rest, ok := cutVariable(block)
 		if !ok {
@@ -106,17 +107,17 @@
 // Len returns the number of variables.
 func (v *Variables) Len() int { return len(v.pairs) }
 
-// At returns the variable at an index from 0 to Len-1.
+// At returns the variable at index i, from 0 to Len-1.
 func (v *Variables) At(i int) (name, value string) { return v.pairs[i].name, v.pairs[i].value }
 
-// Reset drops the variables, and with them the text that they are parts of.
+// Reset removes all variables, so that the parsed block can be garbage-collected.
 func (v *Variables) Reset() {
 	clear(v.pairs)
 	v.pairs = v.pairs[:0]
 }
 
-// AppendVariable adds one variable to a block. A name or value longer than MaxBlockSize is cut, which none that was parsed
-// is.
+// AppendVariable appends a variable to a block. A name or value longer than MaxBlockSize is truncated; a parsed one is never
+// that long.
 func AppendVariable(b []byte, name, value string) []byte {
 	return appendString(appendString(b, name), value)
 }
