--- a/internal/front/evict.go
+++ b/internal/front/evict.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// MaxEvictions is how many unused connections one call of Evict closes. Unused connections can arrive by the hundred,
-	// and scanning the whole table for each new one took a fifth of the server's time.
+	// MaxEvictions is how many unused connections one call of Evict closes. Unused connections can arrive by the
+	// hundred, and scanning the whole table for each new one took a fifth of the server's time.
 	MaxEvictions = 16
 	// maxClosingIdle is the number of closing connections at which no further idle connection is evicted. A closing
 	// connection takes evictedLinger if its peer does not close it, so 80 new connections a second are admitted however
@@ -12,7 +12,8 @@
 	maxClosingIdle = 4
 	// evictionPause is the time between two evictions, in which the evicted connection can close.
 	evictionPause = 10 * time.Millisecond
-	// idleCheckInterval is the interval between checks for idle connections: a tenth of the shortest idle timeout in use.
+	// idleCheckInterval is the interval between checks for idle connections: a tenth of the shortest idle timeout in
+	// use.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
@@ -54,8 +55,8 @@
 }
 
 // Evict closes the connections that are least useful. It closes up to MaxEvictions unused connections, as many unused
-// connections would otherwise keep working peers out. If there are none, it closes the connection that has been idle the
-// longest, unless maxClosingIdle connections are closing already or one is waiting for its first message.
+// connections would otherwise keep working peers out. If there are none, it closes the connection that has been idle
+// the longest, unless maxClosingIdle connections are closing already or one is waiting for its first message.
 func (t *ConnTable) Evict() {
 	var longestIdle Conn
 	var idleSince time.Time
@@ -80,7 +81,8 @@
 	}
 }
 
-// closeIdleConns closes connections that have been idle for the idle timeout. It returns when all accept loops have ended.
+// closeIdleConns closes connections that have been idle for the idle timeout. It returns when all accept loops have
+// ended.
 func (t *ConnTable) closeIdleConns() {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -18,9 +18,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const soon = 10 * time.Second // bounds what must come at once
+const testTimeout = 10 * time.Second // upper bound for operations that normally complete at once
 
-// noError fails the test on an error of what must work.
+// noError fails the test if err is not nil.
 func noError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
@@ -28,13 +28,13 @@
 	}
 }
 
-// lines is a connection that answers each line by the same line.
-type lines struct {
+// echoConn is a connection that answers each line with the same line.
+type echoConn struct {
 	ConnState
 	table *ConnTable
 }
 
-func (c *lines) Serve() {
+func (c *echoConn) Serve() {
 	defer c.Finish()
 	in := bufio.NewReader(c.Conn)
 	for {
@@ -51,8 +51,8 @@
 	}
 }
 
-func (c *lines) CloseIdle(_, lingers time.Duration) { c.CloseIfDrained(lingers) }
-func (c *lines) GoAway()                            { c.MarkGoAway() }
+func (c *echoConn) CloseIdle(_, linger time.Duration) { c.CloseIfDrained(linger) }
+func (c *echoConn) GoAway()                           { c.MarkGoAway() }
 
 func quietLog() *logrus.Entry {
 	log := logrus.New()
@@ -60,8 +60,8 @@
 	return log.WithField("node", "n0")
 }
 
-// serve returns a table that serves lines, and its address.
-func serve(t *testing.T, sockets int) (*ConnTable, string) {
+// startEcho returns a table that serves echoConn connections, and the address that it listens on.
+func startEcho(t *testing.T, sockets int) (*ConnTable, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,22 +69,22 @@
 	}
 	table := NewConnTable(sockets, func() time.Duration { return time.Hour }, quietLog())
 	table.AddListener(ln.(*net.TCPListener), func(nc net.Conn) Conn {
-		return &lines{ConnState: ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}, table: table}
+		return &echoConn{ConnState: ConnState{Conn: nc, WriteTimeout: testTimeout, LastActivity: time.Now()}, table: table}
 	})
 	t.Cleanup(func() { shutdown(t, table, 100*time.Millisecond) })
 	return table, ln.Addr().String()
 }
 
-func shutdown(t *testing.T, table *ConnTable, within time.Duration) {
+func shutdown(t *testing.T, table *ConnTable, timeout time.Duration) {
 	t.Helper()
-	ctx, end := context.WithTimeout(context.Background(), within)
+	ctx, end := context.WithTimeout(context.Background(), timeout)
 	defer end()
-	over := make(chan struct{})
-	go func() { table.Shutdown(ctx); close(over) }()
+	done := make(chan struct{})
+	go func() { table.Shutdown(ctx); close(done) }()
 	select {
-	case <-over:
-	case <-time.After(soon):
-		t.Error("the shutdown does not end")
+	case <-done:
+	case <-time.After(testTimeout):
+		t.Error("shutdown did not end in time")
 	}
 }
 
@@ -94,13 +94,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	noError(t, conn.SetDeadline(time.Now().Add(soon)))
+	noError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	return conn
 }
 
-// pair returns the two ends of a connection, the second one accepted.
-func pair(t *testing.T) (peer net.Conn, own *net.TCPConn) {
+// connPair returns the dialled and the accepted end of a connection.
+func connPair(t *testing.T) (peer net.Conn, accepted *net.TCPConn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,12 +116,12 @@
 	return peer, nc.(*net.TCPConn)
 }
 
-// arrived waits until there are unread bytes at one end, without reading them.
-func arrived(t *testing.T, c *net.TCPConn) {
+// waitForData waits until a connection has unread bytes, without reading them.
+func waitForData(t *testing.T, c *net.TCPConn) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err == nil {
-		noError(t, c.SetReadDeadline(time.Now().Add(soon)))
+		noError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 		err = raw.Read(func(fd uintptr) bool {
 			n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK)
 			return n > 0 || err != syscall.EAGAIN
@@ -133,107 +133,109 @@
 	}
 }
 
-// Bytes that are unread as a connection is closed, for whatever reason, reset nothing: the peer reads its responses and
-// then the end.
+// Closing a connection that has unread bytes must not reset it, whatever the reason for the close. The peer must read
+// all of its responses and then EOF.
 func TestBytesCrossClose(t *testing.T) {
 	cases := []struct {
-		name string
-		ends func(s *ConnState)
+		name      string
+		closeConn func(s *ConnState)
 	}{
 		{"evicted", func(s *ConnState) { s.Evict(s.LastActivity) }},
-		{"rested", func(s *ConnState) {
+		{"drained", func(s *ConnState) {
 			s.GoAwayAt, s.LastActivity = time.Unix(1, 0), time.Unix(1, 0)
 			s.CloseIfDrained(TransitTime)
 		}},
-		{"ended", func(s *ConnState) { s.RequestClose() }},
-		{"cut", func(s *ConnState) { s.Abort(time.Now().Add(soon)) }},
-		{"served to its end", func(*ConnState) {}},
+		{"close requested", func(s *ConnState) { s.RequestClose() }},
+		{"aborted", func(s *ConnState) { s.Abort(time.Now().Add(testTimeout)) }},
+		{"finished by the owner", func(*ConnState) {}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			peer, nc := pair(t)
-			s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now(), ReceivedRPC: true}
+			peer, nc := connPair(t)
+			s := &ConnState{Conn: nc, WriteTimeout: testTimeout, LastActivity: time.Now(), ReceivedRPC: true}
 			if _, err := io.WriteString(peer, "half a li"); err != nil {
 				t.Fatal(err)
 			}
-			arrived(t, nc)
+			waitForData(t, nc)
 			if !s.Send([]byte("an ans"), []byte("wer\n")) {
-				t.Fatal("not sent")
+				t.Fatal("Send failed")
 			}
-			c.ends(s)
-			over := make(chan struct{})
-			go func() { s.Finish(); close(over) }()
+			c.closeConn(s)
+			done := make(chan struct{})
+			go func() { s.Finish(); close(done) }()
 			b, err := io.ReadAll(peer)
 			if string(b) != "an answer\n" || err != nil {
-				t.Errorf("read %q, error %v", b, err)
+				t.Errorf("response: got %q, error %v", b, err)
 			}
 			noError(t, peer.Close())
 			select {
-			case <-over:
-			case <-time.After(soon):
-				t.Error("the owner waits for a peer that has closed")
+			case <-done:
+			case <-time.After(testTimeout):
+				t.Error("Finish did not return after the peer closed the connection")
 			}
 			if s.Send([]byte("more")) {
-				t.Error("written after the end")
+				t.Error("Send succeeded after Finish")
 			}
 		})
 	}
 }
 
-// Neither a reader's own deadline nor a second request to close changes how long a closing connection is read on.
+// Neither the reader's own deadline nor a repeated close request may change how long Finish reads from a closing
+// connection.
 func TestCloseRequestedOnce(t *testing.T) {
-	_, nc := pair(t)
-	s := &ConnState{Conn: nc, WriteTimeout: soon, LastActivity: time.Now()}
+	_, nc := connPair(t)
+	s := &ConnState{Conn: nc, WriteTimeout: testTimeout, LastActivity: time.Now()}
 	s.RequestClose()
-	s.BoundReads(time.Time{}) // as a reader that was between two lines when the end was decided
-	began := time.Now()
+	s.BoundReads(time.Time{}) // like a reader that was between two lines when the close was requested
+	start := time.Now()
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || !s.Ending() {
-		t.Fatalf("the owner is not woken: %v", err)
+		t.Fatalf("owner was not woken: %v", err)
 	}
-	over := make(chan struct{})
-	go func() { s.Finish(); close(over) }()
+	done := make(chan struct{})
+	go func() { s.Finish(); close(done) }()
 	for open := true; open; {
 		s.RequestClose()
 		s.Evict(s.LastActivity)
 		select {
-		case <-over:
+		case <-done:
 			open = false
 		default:
 		}
 	}
-	if gone := time.Since(began); gone < finishLinger {
-		t.Errorf("read on for %v only", gone)
+	if elapsed := time.Since(start); elapsed < finishLinger {
+		t.Errorf("Finish returned after %v, before finishLinger", elapsed)
 	}
 }
 
-// A connection that the kernel accepts between the last accept and the close of the listening socket is served.
+// A connection that the kernel accepts between the last accept and the close of the listening socket must be served.
 func TestAcceptPending(t *testing.T) {
-	table, addr := serve(t, 1024)
-	got := make(chan string, 1)
+	table, addr := startEcho(t, 1024)
+	result := make(chan string, 1)
 	table.beforeLastAccept = func() {
 		table.beforeLastAccept = func() {}
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
-			got <- err.Error()
+			result <- err.Error()
 			return
 		}
 		go func() {
 			defer func() { _ = conn.Close() }() // the test may have ended
-			noError(t, conn.SetDeadline(time.Now().Add(soon)))
-			_, _ = fmt.Fprintln(conn, "late") // the read below tells whether it came
+			noError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
+			_, _ = fmt.Fprintln(conn, "late") // the read below shows whether it arrived
 			line, err := bufio.NewReader(conn).ReadString('\n')
-			got <- fmt.Sprint(line, err)
+			result <- fmt.Sprint(line, err)
 		}()
 	}
-	shutdown(t, table, soon)
-	if s := <-got; s != "late\n<nil>" {
-		t.Errorf("the caller heard %q", s)
+	shutdown(t, table, testTimeout)
+	if s := <-result; s != "late\n<nil>" {
+		t.Errorf("response to the pending connection: got %q", s)
 	}
 }
 
-// The connection of an idle peer is closed early enough to read what crosses that, and a shutdown waits no longer.
+// A shutdown must close the connection of an idle peer early enough to read messages that cross the close, and must
+// then end.
 func TestIdlePeerAtShutdown(t *testing.T) {
-	table, addr := serve(t, 1024)
+	table, addr := startEcho(t, 1024)
 	conn := dial(t, addr)
 	if _, err := fmt.Fprintln(conn, "a"); err != nil {
 		t.Fatal(err)
@@ -242,59 +244,60 @@
 	if line, err := in.ReadString('\n'); line != "a\n" {
 		t.Fatal(line, err)
 	}
-	began, within := time.Now(), 8*time.Second
+	start, timeout := time.Now(), 8*time.Second
 	go func() {
 		if b, err := io.ReadAll(in); len(b) > 0 || err != nil {
-			t.Errorf("read %q, error %v", b, err)
+			t.Errorf("data after the response: got %q, error %v", b, err)
 		}
 		_ = conn.Close() // the test may have ended
 	}()
-	shutdown(t, table, within)
-	if gone := time.Since(began); gone > within-abortTimeout {
-		t.Errorf("over after %v", gone)
+	shutdown(t, table, timeout)
+	if elapsed := time.Since(start); elapsed > timeout-abortTimeout {
+		t.Errorf("shutdown took %v", elapsed)
 	}
 }
 
-// A peer that reads nothing holds up a shutdown no longer than that may last.
+// A peer that reads nothing must not delay a shutdown beyond its context.
 func TestPeerThatNeverReads(t *testing.T) {
-	table, addr := serve(t, 1024)
+	table, addr := startEcho(t, 1024)
 	conn := dial(t, addr)
 	line := append(make([]byte, 1<<16), '\n')
-	for sent := 0; ; sent++ { // until both ways are full
+	for sent := 0; ; sent++ { // until the buffers of both directions are full
 		noError(t, conn.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
 		if _, err := conn.Write(line); err != nil {
 			break
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	shutdown(t, table, 50*time.Millisecond)
-	if gone := time.Since(began); gone > soon/2 {
-		t.Errorf("over after %v", gone)
+	if elapsed := time.Since(start); elapsed > testTimeout/2 {
+		t.Errorf("shutdown took %v", elapsed)
 	}
-	for len(table.Conns()) > 0 && time.Since(began) < soon {
+	for len(table.Conns()) > 0 && time.Since(start) < testTimeout {
 		time.Sleep(time.Millisecond)
 	}
 	if n := len(table.Conns()); n > 0 {
-		t.Errorf("%d connections left", n)
+		t.Errorf("open connections after the shutdown: %d", n)
 	}
 }
 
-// Where descriptors run out before the limit, idle connections are evicted, and the server's own dials get theirs.
+// If descriptors run out before the connection limit is reached, idle connections must be evicted so that the server's
+// own dials get descriptors.
 func TestDescriptorsRunOut(t *testing.T) {
-	table, addr := serve(t, 1024)
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+	table, addr := startEcho(t, 1024)
+	var oldLimit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &oldLimit); err != nil {
 		t.Fatal(err)
 	}
 	const idle = 60
-	limit := was
-	limit.Cur = 2*idle + 2*reservedDescriptors // each connection has both ends here
+	limit := oldLimit
+	limit.Cur = 2*idle + 2*reservedDescriptors // both ends of each connection are in this process
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { noError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)) }()
-	answered := func(conn net.Conn) error {
-		if err := conn.SetDeadline(time.Now().Add(soon)); err != nil {
+	defer func() { noError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &oldLimit)) }()
+	echo := func(conn net.Conn) error {
+		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintln(conn, "a"); err != nil {
@@ -309,39 +312,39 @@
 			noError(t, c.Close())
 		}
 	}()
-	ran := false
-	for n := 0; n < 3*idle && !ran; n++ { // until the server has none for the next one
+	exhausted := false
+	for n := 0; n < 3*idle && !exhausted; n++ { // until the server has no descriptor for the next connection
 		conn, err := net.Dial("tcp", addr)
-		if err != nil { // this side, which stands for the server's own dials, met the end first
-			ran = errors.Is(err, syscall.EMFILE)
+		if err != nil { // the dialling side, which represents the server's own dials, ran out first
+			exhausted = errors.Is(err, syscall.EMFILE)
 			break
 		}
 		conns = append(conns, conn)
-		for len(table.Conns()) < len(conns)-int(table.withheldPermits.Load()) && !ran {
-			ran = table.withheldPermits.Load() > 0
+		for len(table.Conns()) < len(conns)-int(table.withheldPermits.Load()) && !exhausted {
+			exhausted = table.withheldPermits.Load() > 0
 			time.Sleep(time.Millisecond)
 		}
-		if !ran {
-			if err := answered(conn); err != nil {
+		if !exhausted {
+			if err := echo(conn); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if !ran {
-		t.Fatal("descriptors have not run out")
+	if !exhausted {
+		t.Fatal("descriptors did not run out")
 	}
-	deadline := time.Now().Add(soon)
-	for { // as the reporter does: again and again until it has one
+	deadline := time.Now().Add(testTimeout)
+	for { // retries until it gets a descriptor, like the reporter
 		conn, err := net.Dial("tcp", addr)
 		if err == nil {
-			err = answered(conn)
-			_ = conn.Close() // the next dial is what counts
+			err = echo(conn)
+			_ = conn.Close() // an error here does not matter for the next dial
 		}
 		if err == nil {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("no descriptor for an own dial: %v", err)
+			t.Fatalf("no descriptor for the server's own dial: %v", err)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/front/mprpc/conn.go
+++ b/internal/front/mprpc/conn.go
@@ -24,7 +24,7 @@
 	server          *Server
 	handlers        sync.WaitGroup // goroutines other than the reader
 
-	tickets        map[uint64]*gate.Ticket // keyed by message id; nil while a health check or an error is answered; guarded by Mu
+	tickets        map[uint64]*gate.Ticket // by message id; nil while a health check or an error is answered; guarded by Mu
 	handlersClosed bool                    // no further handler goroutine may start; guarded by Mu
 	faults         int                     // consecutive messages without a valid RPC; used only by the reader
 }
@@ -88,8 +88,8 @@
 	}
 }
 
-// write sends one message, given in parts. If that fails, all RPCs in flight are abandoned, as the peer can't receive their
-// responses.
+// write sends one message, given in parts. If that fails, all RPCs in flight are abandoned, as the peer can't receive
+// their responses.
 func (c *conn) write(parts ...[]byte) {
 	if !c.Send(parts...) {
 		c.abandonAll()
@@ -119,8 +119,8 @@
 	}()
 }
 
-// CloseIdle implements front.Conn. It asks the router of an idle connection to go away, after which the router closes the
-// connection. If the router does not, the server closes it.
+// CloseIdle implements front.Conn. It asks the router of an idle connection to go away, after which the router closes
+// the connection. If the router does not, the server closes it.
 func (c *conn) CloseIdle(idle, linger time.Duration) {
 	c.Mu.Lock()
 	isIdle := len(c.tickets) == 0 && c.GoAwayAt.IsZero() && time.Since(c.LastActivity) > idle
--- a/internal/front/mprpc/lifecycle_test.go
+++ b/internal/front/mprpc/lifecycle_test.go
@@ -12,14 +12,15 @@
 	"sorrelvalve/internal/gate"
 )
 
-// A peer that sends nothing, or never finishes a message, is closed in time; what came complete before is answered.
+// The connection of a peer that sends nothing or never completes a message must be closed after the message timeout.
+// Messages that were complete before must be answered.
 func TestMessageTimeout(t *testing.T) {
 	cases := []struct {
 		name, first, then string
 	}{
 		{"nothing", "", ""},
 		{"half a message", "", "\x94\x00"},
-		{"half a message behind a whole one", rpc(1, "view", "a"), "\x94\x00\x02\xc4\x09x"},
+		{"half a message after a complete one", rpc(1, "view", "a"), "\x94\x00\x02\xc4\x09x"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -35,12 +36,13 @@
 	}
 }
 
-// At the limit a crowd of unused connections is evicted at once and before any other, and keeps no sound peer out.
+// At the connection limit, a large number of unused connections must be evicted promptly and before all others. They
+// must not keep working peers out.
 func TestUnusedCrowd(t *testing.T) {
 	cases := []struct{ name, each string }{
 		{"silent", ""},
-		{"checks on connections that stay", "\x94\x00\x63\xa6health\x91\x80"},
-		{"nonsense", "\x94\x00\x09\xa4view\x91\x80"},
+		{"health checks on connections that stay open", "\x94\x00\x63\xa6health\x91\x80"},
+		{"invalid calls", "\x94\x00\x09\xa4view\x91\x80"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,8 +61,8 @@
 			r.write(rpc(1, "view", "b"))
 			r.completeRun("b")
 			r.expect("1 ok r-b")
-			if gone := time.Since(began); gone > 100/7*2*front.TransitTime+soon/10 {
-				t.Errorf("kept out for %v", gone)
+			if gone := time.Since(began); gone > 100/7*2*front.TransitTime+testTimeout/10 {
+				t.Errorf("new connection was served only after %v", gone)
 			}
 			r.conn, r.buf = sound, nil
 			r.write(rpc(2, "view", "c"))
@@ -70,7 +72,8 @@
 	}
 }
 
-// One eviction closes many unused connections, and then none that has carried RPCs.
+// One call of Evict must close many unused connections. As long as there are any, it must not close one that has
+// carried RPCs.
 func TestEvictUnused(t *testing.T) {
 	r := start(t, 1024)
 	r.write(rpc(1, "view", "a"))
@@ -82,7 +85,7 @@
 		r.write("\x94\x00\x63\xa6health\x91\x80")
 		r.expect("99 health true")
 	}
-	for _, c := range r.table.Conns() { // a response is read before its server has recorded it: the connection is busy until then
+	for _, c := range r.table.Conns() { // busy until the server has recorded the response, which the client may read earlier
 		for busy := true; busy; runtime.Gosched() {
 			class, _ := c.EvictionPriority(time.Now().Add(2 * front.TransitTime))
 			busy = class == front.Busy
@@ -91,7 +94,7 @@
 	for range 2 {
 		left := len(r.table.Conns()) - front.MaxEvictions
 		for r.table.Evict(); len(r.table.Conns()) > max(1, left); {
-			runtime.Gosched() // until they have ended
+			runtime.Gosched() // until they are closed
 		}
 	}
 	r.conn, r.buf = sound, nil
@@ -100,7 +103,7 @@
 	r.expect("2 ok r-b")
 }
 
-// At the limit of connections the one that is idle for longest is evicted.
+// At the connection limit, the connection that has been idle the longest must be evicted.
 func TestConnectionLimit(t *testing.T) {
 	r := start(t, 0) // the minimum: 8 connections
 	r.write(rpc(1, "view", "a"))
@@ -110,13 +113,13 @@
 		r.conn = r.dial()
 		r.write("\x94\x00\x63\xa6health\x91\x80")
 	}
-	r.expect("99 health true") // the tenth is served, too
+	r.expect("99 health true") // the tenth connection is served as well
 	r.conn = busy
 	run.done(gate.Succeeded, 1, []byte("r"))
 	r.expect("1 ok r")
 }
 
-// At a shutdown what the kernel has accepted is served as well, even if it still waits for a permit.
+// A shutdown must also serve connections that the kernel has accepted, even if they still wait for a permit.
 func TestShutdownAtLimit(t *testing.T) {
 	r := start(t, 0)
 	var conns []net.Conn
@@ -125,11 +128,11 @@
 		r.write(rpc(1, "view", "a"))
 		conns = append(conns, r.conn)
 	}
-	ctx, end := context.WithTimeout(context.Background(), soon)
+	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
 	go r.table.Shutdown(ctx)
 	go func() {
-		time.Sleep(4 * front.AcceptGrace) // the first deadline must be past while eight connections take all places
+		time.Sleep(4 * front.AcceptGrace) // the first accept deadline must pass while eight connections hold all permits
 		for range conns {
 			run := <-r.runs
 			run.done(gate.Succeeded, 1, nil)
@@ -138,15 +141,15 @@
 	for _, r.conn = range conns {
 		for got := ""; got != "1 ok "; {
 			if got = r.next(); got != "closing" && got != "1 ok " {
-				t.Fatalf("read %q", got)
+				t.Fatalf("message during the shutdown: got %q", got)
 			}
 		}
 		r.noError(r.conn.Close())
 	}
 }
 
-// What comes once a connection is to be closed from here is not run and resets nothing: its caller reads the responses
-// sent before, and then the end.
+// Calls that arrive after the server has decided to close a connection must not run and must not reset the connection.
+// The caller must read the responses sent before and then EOF.
 func TestCrossingClose(t *testing.T) {
 	r := start(t, 1024)
 	r.write(rpc(1, "view", "a"))
@@ -154,15 +157,15 @@
 	r.expect("1 ok r-a")
 	c := r.table.Conns()[0].(*conn)
 	c.Mu.Lock()
-	c.CloseRequested = true // decided, and its reader has yet to be woken
+	c.CloseRequested = true // the close is decided, but the reader is not woken yet
 	c.Mu.Unlock()
 	crossing := ""
-	for id := range uint64(40) { // more than one read takes
+	for id := range uint64(40) { // more than fits into one read
 		crossing += rpc(2+id, "view", strings.Repeat("b", maxBody))
 	}
 	r.write(crossing)
 	if got := r.next(); got != "" {
-		t.Errorf("read %q", got)
+		t.Errorf("message after the close was decided: got %q", got)
 	}
 	r.noError(r.conn.Close())
 	for len(r.table.Conns()) > 0 {
@@ -170,12 +173,12 @@
 	}
 	select {
 	case run := <-r.runs:
-		t.Errorf("%s was run", run.id)
+		t.Errorf("RPC %s ran after the close was decided", run.id)
 	default:
 	}
 }
 
-// A connection on which part of an RPC has come is neither evicted nor closed as drained.
+// A connection on which a part of an RPC has been received must not be evicted or closed as drained.
 func TestPartialMessage(t *testing.T) {
 	r := start(t, 0)
 	r.write(rpc(1, "view", "a"))
@@ -190,7 +193,7 @@
 		c.Mu.Unlock()
 	}
 	c.Mu.Lock()
-	c.LastActivity = c.LastActivity.Add(-front.LingerTimeout) // it takes its time
+	c.LastActivity = c.LastActivity.Add(-front.LingerTimeout) // the rest of the message is slow to arrive
 	c.Mu.Unlock()
 	c.GoAway()
 	r.expect("closing")
@@ -201,7 +204,7 @@
 	r.expect("2 ok r-b")
 	c.Mu.Lock()
 	if c.PartialMessage {
-		t.Error("still taken for begun")
+		t.Error("PartialMessage is still set after the complete message")
 	}
 	c.Mu.Unlock()
 }
--- a/internal/front/mprpc/message.go
+++ b/internal/front/mprpc/message.go
@@ -1,7 +1,7 @@
 package mprpc
 
-// This file parses the frames of the routers' protocol in place. It must never use a socket, or trust a length or a number
-// that it has not checked.
+// This file parses the frames of the routers' protocol in place. It must never use a socket, or trust a length or a
+// number that it has not checked.
 
 import (
 	"errors"
@@ -30,8 +30,8 @@
 	errFrameTooLong = fmt.Errorf("a message of more than %d bytes", maxFrame)
 )
 
-// parseMessage parses the first message of b and returns its size. If b does not contain all of the message, the error is
-// msgpack.ErrTruncated and size is a lower bound. A message that announces more than maxFrame bytes fails at once.
+// parseMessage parses the first message of b and returns its size. If b does not contain all of the message, the error
+// is msgpack.ErrTruncated and size is a lower bound. A message that announces more than maxFrame bytes fails at once.
 func parseMessage(b []byte) (m message, size int, err error) {
 	p := msgpack.Parse(b)
 	p.Skip()
--- a/internal/front/mprpc/read.go
+++ b/internal/front/mprpc/read.go
@@ -19,15 +19,16 @@
 	// maxFrame is the size in bytes of the longest frame. It has room for a body of 2 KiB, the fields, which take some
 	// hundred bytes, and new fields.
 	maxFrame = 8 << 10
-	// inFlightLimitRetryAfterMs is the retry-after for an RPC beyond maxInFlight. The RPCs in flight are answered by then.
+	// inFlightLimitRetryAfterMs is the retry-after for an RPC beyond maxInFlight. The RPCs in flight are answered by
+	// then.
 	inFlightLimitRetryAfterMs = 500
 )
 
 // readMessages reads and dispatches messages until an error; io.EOF is a clean end. Frames are parsed in the reader's
 // buffer.
 //
-// The first message, and the rest of a message that has begun, must arrive within the message timeout, so that a peer that
-// sends nothing or never completes a message does not hold a descriptor.
+// The first message, and the rest of a message that has begun, must arrive within the message timeout, so that a peer
+// that sends nothing or never completes a message does not hold a descriptor.
 func (c *conn) readMessages() (err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/internal/front/mprpc/response.go
+++ b/internal/front/mprpc/response.go
@@ -17,7 +17,8 @@
 	return msgpack.AppendUint(b, id)
 }
 
-// resultHeader encodes the part of a response that precedes a result of n bytes. resultTrailer encodes the part after it.
+// resultHeader encodes the part of a response that precedes a result of n bytes. resultTrailer encodes the part after
+// it.
 func resultHeader(id uint64, n int) []byte {
 	b := appendResponseHeader(make([]byte, 0, 24), id)
 	b = msgpack.AppendNil(b)
@@ -25,8 +26,8 @@
 	return msgpack.AppendBinHeader(b, n)
 }
 
-// resultTrailer encodes the fields that follow a result. Of the HTTP head of a pool's response it passes on only a status
-// other than 200 and the content type.
+// resultTrailer encodes the fields that follow a result. Of the HTTP head of a pool's response it passes on only a
+// status other than 200 and the content type.
 func resultTrailer(head []byte) []byte {
 	if len(head) == 0 {
 		return msgpack.AppendMap(nil, 0)
--- a/internal/front/mprpc/server.go
+++ b/internal/front/mprpc/server.go
@@ -1,6 +1,6 @@
-// Package mprpc implements the front for routers, which speak MessagePack-RPC. Each connection has one goroutine that reads
-// continuously, and one for each RPC in flight, which waits for the verdicts of the gate, has the RPC run and writes the
-// response. A failure of one connection does not affect others.
+// Package mprpc implements the front for routers, which speak MessagePack-RPC. Each connection has one goroutine that
+// reads continuously, and one for each RPC in flight, which waits for the verdicts of the gate, has the RPC run and
+// writes the response. A failure of one connection does not affect others.
 //
 // The package must never decide which RPCs are admitted or run, or let a slowly reading caller hold up another one.
 package mprpc
@@ -17,8 +17,8 @@
 	"sorrelvalve/internal/startup"
 )
 
-// defaultMessageTimeout is well above the stalls of a busy machine, and well below the 3 s after which a connection that
-// sends nothing should be closed.
+// defaultMessageTimeout is well above the stalls of a busy machine, and well below the 3 s after which a connection
+// that sends nothing should be closed.
 const defaultMessageTimeout = 2 * time.Second
 
 // Server is the front for routers. Its connections are held in a front.ConnTable. It is safe for concurrent use.
@@ -39,8 +39,8 @@
 // Open returns the front.Conn for a newly accepted connection.
 func (s *Server) Open(nc net.Conn) front.Conn { return newConn(s, nc) }
 
-// RemoveUnsupported disables the features in config that the protocols of the routers and the engine don't support, so that
-// no decision relies on them. It returns the names of the features that it disabled.
+// RemoveUnsupported disables the features in config that the protocols of the routers and the engine don't support, so
+// that no decision relies on them. It returns the names of the features that it disabled.
 func RemoveUnsupported(config *startup.Config) (names []string) {
 	if config.Dependency.ConcurrencyShare > 0 {
 		config.Dependency = control.Dependency{}
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -30,7 +30,7 @@
 		{"one RPC", func(r *rig) {
 			r.write(rpc(1, "view", "\x00\xff"))
 			if run := r.completeRun("\x00\xff"); len(run.id) != 16 || run.method != "view" {
-				r.Errorf("ran %+v", run)
+				r.Errorf("run: got %+v", run)
 			}
 			r.expect("1 ok r-\x00\xff")
 		}},
@@ -41,7 +41,7 @@
 			r.completeRun("a")
 			r.expect("1 ok r-a")
 		}},
-		{"many in one segment, answered in any order", func(r *rig) {
+		{"many RPCs in one segment, answered in any order", func(r *rig) {
 			s := ""
 			for id := uint64(1); id <= 32; id++ {
 				s += rpc(id, "view", "b")
@@ -53,34 +53,34 @@
 			}
 			for range 32 {
 				if got := r.next(); !strings.HasSuffix(got, " ok r-b") {
-					r.Fatalf("read %q", got)
+					r.Fatalf("message: got %q", got)
 				}
 			}
 		}},
-		{"a body and a result of the largest size", func(r *rig) {
+		{"a body and a result of the maximum size", func(r *rig) {
 			r.write(rpc(1, "view", strings.Repeat("x", maxBody)))
 			run := <-r.runs
 			run.done(gate.Succeeded, 1, []byte(strings.Repeat("y", 4096)))
 			r.expect("1 ok " + strings.Repeat("y", 4096))
 		}},
-		{"a run that failed", func(r *rig) {
+		{"a failed run", func(r *rig) {
 			r.write(rpc(1, "view", ""))
 			run := <-r.runs
 			run.done(gate.Failed, 1, nil)
 			r.expect("1 Aborted")
 		}},
-		{"hundreds withdrawn at once: each hears of it, and all is free again", func(r *rig) {
+		{"many RPCs cancelled at once are all answered and released", func(r *rig) {
 			s := cancel(77) + "\x93\x02\xa4sing\x90"
 			for id := uint64(1); id <= maxInFlight; id++ {
 				s += rpc(id, "view", "a")
 			}
-			for id := uint64(1); id <= maxInFlight+front.MaxUndelayedFaults/2; id++ { // some cross their answers
+			for id := uint64(1); id <= maxInFlight+front.MaxUndelayedFaults/2; id++ { // some cancels cross responses
 				s += cancel(id)
 			}
 			r.write(s)
 			for range maxInFlight {
 				if got := r.next(); !strings.HasSuffix(got, " Cancelled") {
-					r.Fatalf("read %q", got)
+					r.Fatalf("message: got %q", got)
 				}
 			}
 			go func() {
@@ -88,36 +88,36 @@
 					select {
 					case run := <-r.runs:
 						run.done(gate.Succeeded, 1, []byte("r-"+run.body))
-					case <-r.over:
+					case <-r.testDone:
 						return
 					}
 				}
 			}()
 			r.write(rpc(400, "view", "b"))
-			r.expect("400 ok r-b") // in spite of runs that have yet to end
+			r.expect("400 ok r-b") // although runs of cancelled RPCs have not ended
 			for r.gate.InFlight() > 0 {
 				runtime.Gosched()
 			}
 		}},
-		{"a repeat is joined", func(r *rig) {
+		{"a duplicate is joined", func(r *rig) {
 			r.write(rpc(1, "buy", "a", "unique", "u") + rpc(2, "buy", "a", "unique", "u", "second", "1"))
 			r.completeRun("a")
 			for range 2 {
 				if got := r.next(); !strings.HasSuffix(got, " ok r-a") {
-					r.Fatalf("read %q", got)
+					r.Fatalf("message: got %q", got)
 				}
 			}
 		}},
-		{"past the drain's grace it is pushed back", func(r *rig) {
+		{"an RPC after the drain grace is rejected", func(r *rig) {
 			r.gate.Drain(time.Millisecond)
 			r.write(rpc(1, "view", "") + health)
 			for range 2 {
 				if got := r.next(); got != "1 Overloaded" && got != "99 health false" {
-					r.Errorf("read %q", got)
+					r.Errorf("message: got %q", got)
 				}
 			}
 		}},
-		{"senseless RPCs, and the connection goes on", func(r *rig) {
+		{"the connection is kept after invalid RPCs", func(r *rig) {
 			for i, s := range []string{
 				rpc(1, "sell", ""), rpc(2, "view", "", "door", "soon"), rpc(3, "view", "", "cpu", "NaN"),
 				rpc(4, "view", "", "lb", "-4"), rpc(5, "view", "", "item", "xyz"), rpc(6, "buy", ""),
@@ -140,7 +140,7 @@
 			r.completeRun("a")
 			r.expect("9223372036854775808 ok r-a")
 		}},
-		{"the txn of an open RPC, and a token with another body: the first goes on", func(r *rig) {
+		{"a duplicate txn or a token with another body is invalid and does not affect the first RPC", func(r *rig) {
 			r.write(rpc(1, "view", "a", "txn", "00000000000000ff"))
 			first := <-r.runs
 			r.write(rpc(2, "view", "b", "txn", "00000000000000ff") + rpc(3, "buy", "c", "unique", "v"))
@@ -154,11 +154,11 @@
 			r.expect("5 Invalid")
 			first.done(gate.Succeeded, 1, []byte("r-a"))
 			r.expect("1 ok r-a")
-			r.write(rpc(6, "view", "e", "txn", "00000000000000ff")) // over, so it may come again
+			r.write(rpc(6, "view", "e", "txn", "00000000000000ff")) // the first RPC has ended, so its txn may be reused
 			r.completeRun("e")
 			r.expect("6 ok r-e")
 		}},
-		{"hundreds at once: those past the bound are pushed back", func(r *rig) {
+		{"RPCs beyond the in-flight limit are rejected", func(r *rig) {
 			s := ""
 			for id := uint64(1); id <= 300; id++ {
 				s += rpc(id, "view", "b")
@@ -172,27 +172,27 @@
 			}
 			for range maxInFlight {
 				if got := r.next(); !strings.HasSuffix(got, " ok r-b") {
-					r.Fatalf("read %q", got)
+					r.Fatalf("message: got %q", got)
 				}
 			}
 		}},
-		{"a peer that never makes sense is slowed down, and still answered", func(r *rig) {
+		{"a peer that sends only invalid RPCs is slowed down and answered", func(r *rig) {
 			began := time.Now()
 			for id := uint64(1); id <= front.MaxUndelayedFaults+5; id++ {
 				r.write(rpc(id, "sell", ""))
 				r.expect(fmt.Sprint(id, " Invalid"))
 			}
 			if gone := time.Since(began); gone < 4*front.FaultDelay {
-				r.Errorf("%d answers in %v", front.MaxUndelayedFaults+5, gone)
+				r.Errorf("%d responses took only %v", front.MaxUndelayedFaults+5, gone)
 			}
 		}},
-		{"a half-closed connection gets its answers", func(r *rig) {
+		{"a half-closed connection gets its responses", func(r *rig) {
 			r.write(rpc(1, "view", "a"))
 			r.noError(r.conn.(*net.TCPConn).CloseWrite())
 			r.completeRun("a")
 			r.expect("1 ok r-a", "")
 		}},
-		{"a reset connection takes nothing with it", func(r *rig) {
+		{"a reset connection does not affect others", func(r *rig) {
 			r.write(rpc(1, "view", "a"))
 			run := <-r.runs
 			r.noError(r.conn.(*net.TCPConn).SetLinger(0))
@@ -203,7 +203,7 @@
 			r.expect("1 ok r-b")
 			run.done(gate.Succeeded, 1, nil)
 		}},
-		{"a caller found gone by an answer: what it still waits for is not run", func(r *rig) {
+		{"queued RPCs of a caller that a failed response shows to be gone do not run", func(r *rig) {
 			many := func(body string) (s string) {
 				for id := uint64(1); id <= 60; id++ {
 					s += rpc(id, "view", body)
@@ -218,11 +218,11 @@
 			if _, err := io.WriteString(gone, many("b")); err != nil {
 				r.Fatal(err)
 			}
-			// four of them run beside the others
+			// four of these run alongside the first 60
 			for r.gate.InFlight() < 120 {
 				runtime.Gosched()
 			}
-			open := func() (n int) {
+			inFlight := func() (n int) {
 				for _, c := range r.table.Conns() {
 					c := c.(*conn)
 					c.Mu.Lock()
@@ -233,33 +233,33 @@
 				}
 				return n
 			}
-			r.noError(gone.Close()) // looks half-closed until something is written
+			r.noError(gone.Close()) // the server sees a half-closed connection until it writes
 			ran := 0
-			for end := time.Now().Add(soon); r.gate.InFlight() > 60 && time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); r.gate.InFlight() > 60 && time.Now().Before(end); {
 				select {
 				case run := <-r.runs:
-					left := open()
+					left := inFlight()
 					run.done(gate.Succeeded, 1, nil)
 					ran++
-					for open() >= left && left > 0 {
-						runtime.Gosched() // its answer has not been tried yet
+					for inFlight() >= left && left > 0 {
+						runtime.Gosched() // its response has not been written yet
 					}
 				default:
 					runtime.Gosched()
 				}
 			}
 			if ran > 30 || r.gate.InFlight() != 60 {
-				r.Errorf("%d ran, %d in hand", ran, r.gate.InFlight())
+				r.Errorf("%d RPCs of the lost caller ran, %d RPCs in flight", ran, r.gate.InFlight())
 			}
 		}},
-		{"a panic on an RPC", func(r *rig) {
+		{"a panic while handling an RPC", func(r *rig) {
 			r.write(rpc(1, "view", "panic"))
 			r.expect("1 Internal")
 			r.write(rpc(2, "view", "a"))
 			r.completeRun("a")
 			r.expect("2 ok r-a")
 		}},
-		{"a caller that reads nothing holds up no other", func(r *rig) {
+		{"a caller that reads nothing does not block another one", func(r *rig) {
 			big := []byte(strings.Repeat("z", 4<<20))
 			r.write(rpc(1, "view", "slow"))
 			run := <-r.runs
@@ -272,12 +272,12 @@
 			r.conn = slow
 			r.expect("1 ok " + string(big))
 		}},
-		{"an idle connection is told, and closed", func(r *rig) {
+		{"an idle connection is sent a closing notice and closed", func(r *rig) {
 			r.write(health)
 			r.expect("99 health true")
 			for _, c := range r.table.Conns() {
 				c := c.(*conn)
-				for recorded := false; !recorded; runtime.Gosched() { // a response is read before its server has recorded it
+				for recorded := false; !recorded; runtime.Gosched() { // the client may read the response earlier
 					c.Mu.Lock()
 					recorded = c.InFlight == 0
 					if recorded {
@@ -288,7 +288,7 @@
 			}
 			r.expect("closing", "")
 		}},
-		{"what crosses a close from here is not run, as it is sent again", func(r *rig) {
+		{"an RPC that crosses a close does not run, as it is resent", func(r *rig) {
 			r.write(health)
 			r.expect("99 health true")
 			c := r.table.Conns()[0].(*conn)
@@ -298,26 +298,26 @@
 			r.write(rpc(1, "view", "a"))
 			r.expect("")
 			if n := r.gate.InFlight(); n != 0 {
-				r.Errorf("%d in hand", n)
+				r.Errorf("RPCs in flight: got %d, want 0", n)
 			}
 		}},
-		{"at the end what is in hand is answered, then all is closed", func(r *rig) {
+		{"a shutdown answers the RPCs in flight and then closes connections", func(r *rig) {
 			r.write(rpc(1, "view", "a"))
 			run := <-r.runs
-			ctx, end := context.WithTimeout(context.Background(), soon)
+			ctx, end := context.WithTimeout(context.Background(), testTimeout)
 			defer end()
-			over := make(chan struct{})
-			go func() { r.table.Shutdown(ctx); close(over) }()
+			done := make(chan struct{})
+			go func() { r.table.Shutdown(ctx); close(done) }()
 			r.expect("closing")
-			r.write(rpc(2, "view", "b")) // it crosses the notice
+			r.write(rpc(2, "view", "b")) // crosses the closing notice
 			run.done(gate.Succeeded, 1, []byte("r"))
 			r.expect("1 ok r")
 			r.completeRun("b")
 			r.expect("2 ok r-b")
 			r.noError(r.conn.Close())
-			<-over
+			<-done
 			if _, err := net.Dial("tcp", r.addr); err == nil {
-				r.Error("still listening")
+				r.Error("server is still listening after the shutdown")
 			}
 		}},
 	}
@@ -329,27 +329,27 @@
 	}
 }
 
-// A broken frame ends the connection once what came complete before it has been answered.
+// An invalid frame must close the connection after the complete messages before it have been answered.
 func TestBrokenFrames(t *testing.T) {
 	cases := []struct {
 		name, in string
-		answered bool // an id can be read
+		answered bool // whether the message id can be parsed
 	}{
 		{"not MessagePack", "\xc1", false},
 		{"not a message", "\x07", false},
-		{"an unknown type", "\x94\x05\x01\xa1m\x90", false},
-		{"an answer", "\x94\x01\x01\xc0\xc0", false},
+		{"an unknown message type", "\x94\x05\x01\xa1m\x90", false},
+		{"a response", "\x94\x01\x01\xc0\xc0", false},
 		{"a call with too few parts", "\x93\x00\x01\xa1m", false},
-		{"a method that is no text", "\x94\x00\x02\x07\x90", true},
-		{"too deep", strings.Repeat("\x91", 100), false},
-		{"too deep behind an id", "\x94\x00\x02\xa4view" + strings.Repeat("\x91", 100), true},
+		{"a method that is not a string", "\x94\x00\x02\x07\x90", true},
+		{"nested too deep", strings.Repeat("\x91", 100), false},
+		{"nested too deep after an id", "\x94\x00\x02\xa4view" + strings.Repeat("\x91", 100), true},
 		{"too long", rpc(2, "view", strings.Repeat("x", maxFrame)), true},
-		{"the claim of 60 MB, of which nothing has come", "\x94\x00\x02\xa4view\x92\x80\xc6\x03\x93\x87\x00", true},
-		{"the claim of four billion items", "\x94\x00\x02\xa4view\xdd\xff\xff\xff\xff", true},
-		{"a length beyond all bounds", "\x94\x00\x02\xdb\xff\xff\xff\xff" + strings.Repeat("x", maxFrame), true},
-		{"an id that is open", rpc(1, "view", ""), false},
-		{"a length that is wrong under an id that is open", "\x94\x00\x01\xc1", false},
-		{"the end within a message", "", false},
+		{"an announced body of 60 MB without data", "\x94\x00\x02\xa4view\x92\x80\xc6\x03\x93\x87\x00", true},
+		{"an announced array of four billion items", "\x94\x00\x02\xa4view\xdd\xff\xff\xff\xff", true},
+		{"a method with an excessive length", "\x94\x00\x02\xdb\xff\xff\xff\xff" + strings.Repeat("x", maxFrame), true},
+		{"an id that is in flight", rpc(1, "view", ""), false},
+		{"an invalid message with an id that is in flight", "\x94\x00\x01\xc1", false},
+		{"the connection ends within a message", "", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -370,14 +370,14 @@
 }
 
 func TestRemoveUnsupported(t *testing.T) {
-	o := &startup.Config{}
-	if names := RemoveUnsupported(o); names != nil {
-		t.Errorf("absent %q of nothing", names)
+	config := &startup.Config{}
+	if names := RemoveUnsupported(config); names != nil {
+		t.Errorf("unsupported features of an empty config: got %q", names)
 	}
-	o.Dependency.ConcurrencyShare, o.Node.Preemption, o.Fleet.Feedback, o.Fleet.PropagatesDeadline = 2, control.PreemptAbort, control.FeedbackLevel, true
-	if names := RemoveUnsupported(o); len(names) != 4 || o.Dependency.ConcurrencyShare != 0 || o.Node.Preemption != control.PreemptNone ||
-		o.Fleet.Feedback != control.FeedbackNone || o.Fleet.PropagatesDeadline {
-		t.Errorf("absent %q, told %+v", names, o)
+	config.Dependency.ConcurrencyShare, config.Node.Preemption, config.Fleet.Feedback, config.Fleet.PropagatesDeadline = 2, control.PreemptAbort, control.FeedbackLevel, true
+	if names := RemoveUnsupported(config); len(names) != 4 || config.Dependency.ConcurrencyShare != 0 || config.Node.Preemption != control.PreemptNone ||
+		config.Fleet.Feedback != control.FeedbackNone || config.Fleet.PropagatesDeadline {
+		t.Errorf("unsupported features: got %q, config %+v", names, config)
 	}
 }
 
@@ -390,12 +390,12 @@
 			return
 		}
 		if size < 1 || size > len(b) {
-			t.Fatalf("message of %d bytes in %d", size, len(b))
+			t.Fatalf("message size: got %d bytes of an input of %d", size, len(b))
 		}
 		parseCancel(m.params)
 		if rpc, err := parseRPC(m.method, m.params); err == nil &&
 			(len(rpc.ID) != 16 || len(rpc.Body) > maxBody || !(rpc.ArrivedMs > 0) || !(rpc.CostHintMs >= 0 && rpc.QueuedKB > 0)) {
-			t.Errorf("took %+v", rpc)
+			t.Errorf("invalid RPC was accepted: %+v", rpc)
 		}
 	})
 }
--- a/internal/front/shutdown.go
+++ b/internal/front/shutdown.go
@@ -16,8 +16,9 @@
 )
 
 // Shutdown stops accepting connections and asks all peers to send no more RPCs. It returns when every message that was
-// read has been answered and all connections are closed, or shortly after ctx ends. A peer has half of the time to close
-// its idle connection. After that the server closes it, which leaves time to read messages that cross the close.
+// read has been answered and all connections are closed, or shortly after ctx ends. A peer has half of the time, at
+// most LingerTimeout, to close its idle connection. After that the server closes it, which leaves time to read messages
+// that cross the close.
 // Connections that are open when ctx ends are closed within abortTimeout.
 func (t *ConnTable) Shutdown(ctx context.Context) {
 	t.shuttingDown.Store(true)
--- a/internal/front/state.go
+++ b/internal/front/state.go
@@ -14,8 +14,8 @@
 	// finishLinger is how long a peer has to read its last responses and to close the connection. It is twice
 	// TransitTime, as messages that crossed the close must be read.
 	finishLinger = 2 * TransitTime
-	// evictedLinger is the same for an evicted connection. Many evicted connections whose peers never close them must not
-	// keep other peers out for longer than an RPC can take to cross a close.
+	// evictedLinger is the same for an evicted connection. Many evicted connections whose peers never close them must
+	// not keep other peers out for longer than an RPC can take to cross a close.
 	evictedLinger = TransitTime / 2
 	// maxLingerBytes is how many bytes a peer may send during that time.
 	maxLingerBytes = 1 << 20
@@ -28,11 +28,11 @@
 // reader's goroutine, which is the only one to close the connection, with Finish. Other goroutines ask it to do so with
 // RequestClose. The fields are guarded by Mu.
 //
-// Errors of the connection's Set…Deadline methods are ignored throughout: only a closed connection returns them, and its
-// reads and writes fail as well.
+// Errors of the connection's Set…Deadline methods are ignored throughout: only a closed connection returns them, and
+// its reads and writes fail as well.
 type ConnState struct {
 	net.Conn
-	WriteTimeout time.Duration // for one message; longer than the longest known deadline, so that only a dead peer exceeds it
+	WriteTimeout time.Duration // for one message; above the longest known deadline, so that only a dead peer exceeds it
 
 	Mu              sync.Mutex
 	InFlight        int       // RPCs in flight, including responses being written
@@ -139,8 +139,8 @@
 	_ = s.SetReadDeadline(wakeReader) // see ConnState
 }
 
-// Ending reports whether the connection is to be closed. If so, a reader whose deadline is exceeded must not conclude that
-// the peer was silent.
+// Ending reports whether the connection is to be closed. If so, a reader whose deadline is exceeded must not conclude
+// that the peer was silent.
 func (s *ConnState) Ending() bool {
 	s.Mu.Lock()
 	defer s.Mu.Unlock()
@@ -172,8 +172,9 @@
 // WakeReader ends a read in progress by the owner. It has no effect once the connection is to be closed.
 func (s *ConnState) WakeReader() { s.BoundReads(wakeReader) }
 
-// Send writes one message, given in parts, and reports whether all of it was written. Messages are never interleaved, and
-// after an error no further message is written: the connection is closed, as its peer can no longer receive a response.
+// Send writes one message, given in parts, and reports whether all of it was written. Messages are never interleaved,
+// and after an error no further message is written: the connection is closed, as its peer can no longer receive a
+// response.
 func (s *ConnState) Send(parts ...[]byte) bool {
 	s.writing.Lock()
 	defer s.writing.Unlock()
@@ -201,11 +202,11 @@
 	return t
 }
 
-// Finish closes the connection; there is no other way to close it. The owner calls it when no RPC is in flight any more.
-// Finish waits for a write in progress, closes the writing side, and then reads and discards what the peer sends until
-// the peer closes the connection or a time limit is reached. Closing the connection with unread bytes would reset it, and
-// the peer would lose responses that it has not read yet. An RPC among the discarded bytes crossed the close, and its
-// peer resends it.
+// Finish closes the connection; there is no other way to close it. The owner calls it when no RPC is in flight any
+// more. Finish waits for a write in progress, closes the writing side, and then reads and discards what the peer sends
+// until the peer closes the connection or a time limit is reached. Closing the connection with unread bytes would reset
+// it, and the peer would lose responses that it has not read yet. An RPC among the discarded bytes crossed the close,
+// and its peer resends it.
 func (s *ConnState) Finish() {
 	s.RequestClose()
 	s.writing.Lock()
--- a/internal/front/uwsgi/bench_test.go
+++ b/internal/front/uwsgi/bench_test.go
@@ -20,10 +20,10 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// One RPC after another on one kept connection over loopback, run at once: the cost of each front with the same gate.
-// With -cpu 1 it is RPCs a second on one core, the peer's part included.
+// BenchmarkRPC measures the cost of each front with the same gate: consecutive RPCs on one kept connection over
+// loopback, which run at once. With -cpu 1 the result is the RPC rate on one core, including the work of the peer.
 func BenchmarkRPC(b *testing.B) {
-	o, err := startup.Parse("classes.count=1\nclasses.0.name=view\nclasses.0.aim=9000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
+	config, err := startup.Parse("classes.count=1\nclasses.0.name=view\nclasses.0.aim=9000000000\nfamily_info.cores=64\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\n")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	}
 	for _, protocol := range []string{"uwsgi", "msgpack"} {
 		b.Run(protocol, func(b *testing.B) {
-			g := gate.New(o, 64, func(string, string) {})
+			g := gate.New(config, 64, func(string, string) {})
 			g.Start(false, 0)
 			table := front.NewConnTable(1024, g.IdleTimeout, log)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,15 +77,15 @@
 						if err != nil {
 							b.Fatal(err)
 						}
-						if v := len("Content-Length: "); len(line) > v && string(line[:v]) == "Content-Length: " {
-							size, _ = strconv.Atoi(string(line[v : len(line)-2]))
+						if prefix := len("Content-Length: "); len(line) > prefix && string(line[:prefix]) == "Content-Length: " {
+							size, _ = strconv.Atoi(string(line[prefix : len(line)-2]))
 						}
 						if len(line) == 2 {
 							break
 						}
 					}
 					if size != len(result) {
-						b.Fatalf("a body of %d bytes", size)
+						b.Fatalf("body of the response has %d bytes", size)
 					}
 					if _, err := in.Discard(size); err != nil {
 						b.Fatal(err)
@@ -122,12 +122,12 @@
 	}
 }
 
-// The cost of the block's parser and of the routes by themselves.
+// BenchmarkParseRequest measures the cost of parsing the block of variables and matching the routes.
 func BenchmarkParseRequest(b *testing.B) {
 	f := file()
 	s := &Server{}
 	s.Set(f)
-	v := s.config.Load()
+	config := s.config.Load()
 	block := post("/view/7", "", "HTTP_HOST", "portal.example", "REMOTE_ADDR", "10.0.0.1", "HTTP_USER_AGENT", "Mozilla/5.0 (X11; Linux x86_64)")[wire.HeaderSize:]
 	var vars wire.Variables
 	b.ReportAllocs()
@@ -137,10 +137,10 @@
 		}
 		var m request
 		m.Variables = &vars
-		if w := v.parseRequest(&m); w != nil {
-			b.Fatal(w)
+		if err := config.parseRequest(&m); err != nil {
+			b.Fatal(err)
 		}
-		if _, err := v.routes.Resolve(&m.Message); err != nil {
+		if _, err := config.routes.Resolve(&m.Message); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/front/uwsgi/conn.go
+++ b/internal/front/uwsgi/conn.go
@@ -14,8 +14,8 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// bufferSize is the size in bytes of a connection's read buffer. Most blocks of a web tier have one to three KB and fit;
-// longer ones bypass the buffer.
+// bufferSize is the size in bytes of a connection's read buffer. Most blocks of a web tier have one to three KB and
+// fit; longer ones bypass the buffer.
 const bufferSize = 4 << 10
 
 // conn is one connection of a web tier. It carries one RPC at a time.
@@ -78,8 +78,8 @@
 	}
 }
 
-// GoAway implements front.Conn. The protocol has no such message, so the connection is closed after the response in flight,
-// or by CloseIdle when it has been idle for as long as an RPC may be in transit.
+// GoAway implements front.Conn. The protocol has no such message, so the connection is closed after the response in
+// flight, or by CloseIdle when it has been idle for as long as an RPC may be in transit.
 func (c *conn) GoAway() { c.MarkGoAway() }
 
 // CloseIdle implements front.Conn. It does not linger, as a web tier accepts that a connection closes without notice.
--- a/internal/front/uwsgi/exchange.go
+++ b/internal/front/uwsgi/exchange.go
@@ -1,7 +1,7 @@
 package uwsgi
 
-// This file handles an RPC from its message to its response. It must never answer an RPC twice, or keep an RPC in flight
-// whose peer is known to have left.
+// This file handles an RPC from its message to its response. It must never answer an RPC twice, or keep an RPC in
+// flight whose peer is known to have left.
 
 import (
 	"context"
@@ -117,8 +117,8 @@
 	}
 }
 
-// awaitVerdicts carries out the verdicts on an RPC up to and including the final one. If decided is true, verdict is the
-// first of them. It reports whether the connection is kept.
+// awaitVerdicts carries out the verdicts on an RPC up to and including the final one. If decided is true, verdict is
+// the first of them. It reports whether the connection is kept.
 func (x *exchange) awaitVerdicts(t *gate.Ticket, run gate.RunRequest, verdict gate.Verdict, decided bool) (keepAlive bool) {
 	for !decided || verdict.Kind == gate.Run {
 		if decided {
@@ -156,8 +156,8 @@
 	return c.Send(failureHead(v, keepAlive)) && keepAlive
 }
 
-// watchPeer reads ahead while an RPC is in flight, to detect that the peer leaves. It returns when the peer has left, when
-// the data read ahead fills the buffer, or when the reader is woken.
+// watchPeer reads ahead while an RPC is in flight, to detect that the peer leaves. It returns when the peer has left,
+// when the data read ahead fills the buffer, or when the reader is woken.
 func (c *conn) watchPeer(t *gate.Ticket, halfClose bool) {
 	for n := c.in.Buffered() + 1; n <= c.in.Size(); n++ {
 		_, err := c.in.Peek(n)
--- a/internal/front/uwsgi/lifecycle_test.go
+++ b/internal/front/uwsgi/lifecycle_test.go
@@ -13,15 +13,16 @@
 	"sorrelvalve/internal/standin"
 )
 
-// At the limit that both fronts share, a crowd on one keeps no sound peer out of the other.
+// At the connection limit that both fronts share, a large number of unused connections to one front must not keep
+// working peers out of either front.
 func TestSharedLimit(t *testing.T) {
 	for _, crowd := range []string{"uwsgi", "msgpack"} {
-		t.Run("a crowd by "+crowd, func(t *testing.T) {
+		t.Run("unused connections by "+crowd, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 0) // the minimum: 8 connections
-			addr := r.web
+			addr := r.webAddr
 			if crowd == "msgpack" {
-				addr = r.rpc
+				addr = r.rpcAddr
 			}
 			for range 60 {
 				c, err := net.Dial("tcp", addr)
@@ -34,58 +35,60 @@
 				got := r.topup(protocol, protocol, "x")
 				r.run().succeed("done")
 				if got := <-got; got.Outcome != standin.OK {
-					t.Errorf("%s: %+v", protocol, got)
+					t.Errorf("%s: reply: got %+v", protocol, got)
 				}
 			}
 			if n := len(r.table.Conns()); n > 8 {
-				t.Errorf("%d connections", n)
+				t.Errorf("open connections: got %d, want at most 8", n)
 			}
 		})
 	}
 }
 
-// A shutdown with connections in every state: what was read is answered, the rest is closed, and it ends in time.
+// A shutdown with connections in every state must answer all messages that were read, close the other connections and
+// end in time.
 func TestShutdown(t *testing.T) {
 	r := start(t, 1024, func(f *operator.File) { f.UWSGI.ReadTimeoutMs = 100 })
 	kept := r.conn
 	r.write(get("/view", "VALVE_KEEP", "1"))
 	r.run().succeed("a")
 	r.expect("200 a")
-	r.dial() // says nothing
+	r.dial() // sends nothing
 	r.dial()
 	r.write(get("/view")[:10]) // half a message
 	r.dial()
 	r.write(get("/view", "VALVE_KEEP", "1"))
-	run := r.run() // runs
+	run := r.run() // an RPC in flight
 	running, in := r.conn, r.in
 	r.dial()
-	late := r.conn
+	lateConn := r.conn
 	began := time.Now()
-	over := make(chan struct{})
-	ctx, end := context.WithTimeout(context.Background(), soon)
+	done := make(chan struct{})
+	ctx, end := context.WithTimeout(context.Background(), testTimeout)
 	defer end()
-	go func() { r.table.Shutdown(ctx); close(over) }()
-	r.until("it is over", r.table.ShuttingDown)
-	r.conn, r.in = late, bufio.NewReader(late)
-	r.write(get("/view", "VALVE_KEEP", "1")) // read after it has begun
+	go func() { r.table.Shutdown(ctx); close(done) }()
+	r.waitUntil("the shutdown has begun", r.table.ShuttingDown)
+	r.conn, r.in = lateConn, bufio.NewReader(lateConn)
+	r.write(get("/view", "VALVE_KEEP", "1")) // read after the shutdown has begun
 	second := r.run()
 	r.conn, r.in = kept, bufio.NewReader(kept)
 	r.expect("") // idle
 	run.succeed("b")
 	r.conn, r.in = running, in
 	if head := r.expect("200 b", ""); head != "" {
-		t.Error("the connection goes on")
+		t.Error("connection was kept")
 	}
 	second.succeed("c")
-	r.conn, r.in = late, bufio.NewReader(late)
+	r.conn, r.in = lateConn, bufio.NewReader(lateConn)
 	r.expect("200 c", "")
-	<-over
-	if gone := time.Since(began); gone > soon/2 {
-		t.Errorf("it took %v", gone)
+	<-done
+	if elapsed := time.Since(began); elapsed > testTimeout/2 {
+		t.Errorf("shutdown took %v", elapsed)
 	}
 }
 
-// Each RPC gets exactly one response while peers of both kinds come, go and leave within a response.
+// Each RPC must get exactly one response while peers with and without kept connections connect, disconnect and leave
+// before they are answered.
 func TestChurn(t *testing.T) {
 	r := start(t, 1024)
 	go func() {
@@ -93,38 +96,38 @@
 			select {
 			case run := <-r.runs:
 				go run.succeed(string(run.Body))
-			case <-r.over:
+			case <-r.testDone:
 				return
 			}
 		}
 	}()
 	var wg sync.WaitGroup
-	rules := standin.NewInvariantChecker()
-	for w := range 8 {
+	checker := standin.NewInvariantChecker()
+	for worker := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			web := standin.NewWebTier(r.web, w%2 == 0)
-			defer web.Close()
+			webTier := standin.NewWebTier(r.webAddr, worker%2 == 0)
+			defer webTier.Close()
 			for i := range 50 {
-				id := uint64(w*1000 + i)
-				ctx, end := context.WithTimeout(context.Background(), soon)
+				id := uint64(worker*1000 + i)
+				ctx, end := context.WithTimeout(context.Background(), testTimeout)
 				if i%5 == 4 {
-					end() // leaves at once
+					end() // the peer leaves at once
 				} else {
-					rules.RecordRequest(id)
+					checker.RecordRequest(id)
 				}
-				got := web.Call(ctx, standin.Call{Method: "topup-buy", Token: fmt.Sprint(id), Body: []byte("b")})
+				got := webTier.Call(ctx, standin.Call{Method: "topup-buy", Token: fmt.Sprint(id), Body: []byte("b")})
 				if i%5 != 4 && got.Outcome == standin.OK {
-					rules.RecordResponse(id)
+					checker.RecordResponse(id)
 				}
 				end()
 			}
 		}()
 	}
 	wg.Wait()
-	if v := rules.Report(); v.Unanswered > 0 || v.RPCs != 8*40 {
-		t.Errorf("verdict %+v", v)
+	if v := checker.Report(); v.Unanswered > 0 || v.RPCs != 8*40 {
+		t.Errorf("invariant report: got %+v", v)
 	}
-	r.quiet()
+	r.waitIdle()
 }
--- a/internal/front/uwsgi/message.go
+++ b/internal/front/uwsgi/message.go
@@ -1,6 +1,7 @@
 package uwsgi
 
-// This file reads messages and answers those without an RPC. It must never trust a length whose bytes it has not received.
+// This file reads messages and answers those without an RPC. It must never trust a length whose bytes it has not
+// received.
 
 import (
 	"errors"
@@ -17,15 +18,15 @@
 )
 
 const (
-	// bodyMemoryRetryAfterMs is the retry-after for an RPC whose body would exceed the memory limit of all bodies. Some of
-	// the RPCs in flight are answered by then.
+	// bodyMemoryRetryAfterMs is the retry-after for an RPC whose body would exceed the memory limit of all bodies. Some
+	// of the RPCs in flight are answered by then.
 	bodyMemoryRetryAfterMs = 250.0
 	// pingModifier is modifier1 of the protocol's ping, a packet without variables. Its response has modifier2 set.
 	pingModifier = 100
 )
 
-// handleMessage reads one message and answers it. A nil error means that the connection is kept, io.EOF that the peer has
-// closed it between two messages.
+// handleMessage reads one message and answers it. A nil error means that the connection is kept, io.EOF that the peer
+// has closed it between two messages.
 func (c *conn) handleMessage(first bool) error {
 	config := c.server.config.Load()
 	limits := &config.limits
@@ -127,7 +128,8 @@
 	return block.String(), err
 }
 
-// readBodyWithin reads a body whose length has been checked. If it arrives within timeout, later reads have no deadline.
+// readBodyWithin reads a body whose length has been checked. If it arrives within timeout, later reads have no
+// deadline.
 func (c *conn) readBodyWithin(size int, timeout time.Duration) ([]byte, error) {
 	c.BoundReads(time.Now().Add(timeout))
 	body, err := wire.ReadBody(c.in, int64(size))
--- a/internal/front/uwsgi/request.go
+++ b/internal/front/uwsgi/request.go
@@ -165,7 +165,8 @@
 	return resolved, e
 }
 
-// isCleanPath reports whether all readers interpret a path in the same way: it has no empty, . or .. segments and no NUL.
+// isCleanPath reports whether all readers interpret a path in the same way: it has no empty, . or .. segments and no
+// NUL.
 func isCleanPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.IndexByte(p, 0) >= 0 {
 		return false
--- a/internal/front/uwsgi/response.go
+++ b/internal/front/uwsgi/response.go
@@ -1,7 +1,7 @@
 package uwsgi
 
-// This file encodes verdicts as HTTP responses: it defines the table of statuses and writes response heads. It must never
-// change a result, or pass on a header field that applies to the connection to the pool.
+// This file encodes verdicts as HTTP responses: it defines the table of statuses and writes response heads. It must
+// never change a result, or pass on a header field that applies to the connection to the pool.
 
 import (
 	"bytes"
@@ -118,8 +118,8 @@
 	return appendHeadEnd(b, bodyLength, keepAlive)
 }
 
-// hopByHopFields are the fields that apply to one connection only (RFC 9110, section 7.6.1), and Content-Length, which is
-// generated.
+// hopByHopFields are the fields that apply to one connection only (RFC 9110, section 7.6.1), and Content-Length, which
+// is generated.
 var hopByHopFields = []string{
 	"connection", "keep-alive", "proxy-authenticate", "proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
 	"content-length",
--- a/internal/front/uwsgi/rig_test.go
+++ b/internal/front/uwsgi/rig_test.go
@@ -24,29 +24,30 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// soon bounds what must come at once; it is long only so that a busy machine fails no test.
-const soon = 10 * time.Second
+// testTimeout is the upper bound for operations that normally complete at once. It is long so that tests pass on a busy
+// machine.
+const testTimeout = 10 * time.Second
 
-// rig is a gate behind both fronts, whose runs end when the test says so, with one connection to the uwsgi one.
+// rig is a gate with both fronts whose runs are completed by the test, with one connection to the uwsgi front.
 type rig struct {
 	*testing.T
-	server *Server
-	table  *front.ConnTable
-	gate   *gate.Gate
-	web    string
-	rpc    string
-	conn   net.Conn
-	in     *bufio.Reader
-	runs   chan running
-	over   chan struct{} // closed at the end of the test
-}
-
-type running struct {
+	server   *Server
+	table    *front.ConnTable
+	gate     *gate.Gate
+	webAddr  string
+	rpcAddr  string
+	conn     net.Conn
+	in       *bufio.Reader
+	runs     chan pendingRun
+	testDone chan struct{} // closed at the end of the test
+}
+
+type pendingRun struct {
 	gate.RunRequest
 	done func(gate.Outcome, float64, []byte, []byte)
 }
 
-func (r running) succeed(result string) { r.done(gate.Succeeded, 1, nil, []byte(result)) }
+func (r pendingRun) succeed(result string) { r.done(gate.Succeeded, 1, nil, []byte(result)) }
 
 func file() *operator.File {
 	return &operator.File{
@@ -66,7 +67,7 @@
 }
 
 func startOn(t *testing.T, cores, sockets int, change ...func(*operator.File)) *rig {
-	o, err := startup.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
+	config, err := startup.Parse("classes.count=2\nclasses.0.name=view\nclasses.0.aim=9000000000\n" +
 		"classes.1.name=buy\nclasses.1.aim=9000000000\nclasses.1.idempotency=idempotency_key\n" +
 		"classes.1.window=8000000000\nfamily_info.cores=" + fmt.Sprint(cores) + "\nfamily_info.ram_kb=1000000\nrules.tip_multiple=8\nlimits.max_retry_after=1500000000\n")
 	if err != nil {
@@ -79,15 +80,15 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	log := logger.WithField("node", "n0")
-	r := &rig{T: t, runs: make(chan running, 1000), over: make(chan struct{})}
-	r.gate = gate.New(o, 64, func(string, string) {})
+	r := &rig{T: t, runs: make(chan pendingRun, 1000), testDone: make(chan struct{})}
+	r.gate = gate.New(config, 64, func(string, string) {})
 	r.gate.Start(false, 0)
 	r.table = front.NewConnTable(sockets, r.gate.IdleTimeout, log)
-	run := func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
-		if string(w.Body) == "panic" {
-			panic("the runner")
+	run := func(request gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
+		if string(request.Body) == "panic" {
+			panic("panic of the runner")
 		}
-		r.runs <- running{w, done}
+		r.runs <- pendingRun{request, done}
 	}
 	r.server = New(r.table, r.gate, run, f, 7, log)
 	listen := func(open func(net.Conn) front.Conn) string {
@@ -98,20 +99,20 @@
 		r.table.AddListener(ln.(*net.TCPListener), open)
 		return ln.Addr().String()
 	}
-	r.web = listen(r.server.Open)
-	r.rpc = listen(mprpc.New(r.table, r.gate, run, log).Open)
+	r.webAddr = listen(r.server.Open)
+	r.rpcAddr = listen(mprpc.New(r.table, r.gate, run, log).Open)
 	t.Cleanup(func() {
 		ctx, end := context.WithTimeout(context.Background(), time.Second)
 		defer end()
 		_ = r.conn.Close() // the test may have closed it
 		r.table.Shutdown(ctx)
-		close(r.over)
+		close(r.testDone)
 	})
 	r.dial()
 	return r
 }
 
-// noError fails the test on an error of what must work.
+// noError fails the test if err is not nil.
 func (r *rig) noError(err error) {
 	r.Helper()
 	if err != nil {
@@ -120,17 +121,17 @@
 }
 
 func (r *rig) dial() net.Conn {
-	conn, err := net.Dial("tcp", r.web)
+	conn, err := net.Dial("tcp", r.webAddr)
 	if err != nil {
 		r.Fatal(err)
 	}
-	r.noError(conn.SetDeadline(time.Now().Add(soon)))
+	r.noError(conn.SetDeadline(time.Now().Add(testTimeout)))
 	r.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	r.conn, r.in = conn, bufio.NewReader(conn)
 	return conn
 }
 
-// packet returns a message with these variables.
+// packet returns a message with the given variables and body.
 func packet(body string, pairs ...string) string {
 	var b []byte
 	for i := 0; i < len(pairs); i += 2 {
@@ -154,7 +155,7 @@
 	}
 }
 
-// next reads one response and returns its status and body, and its head.
+// next reads one response. It returns the status and body as one string, and the head; both are "" at EOF.
 func (r *rig) next() (string, string) {
 	r.Helper()
 	var head strings.Builder
@@ -164,21 +165,21 @@
 		if errors.Is(err, io.EOF) && head.Len() == 0 {
 			return "", ""
 		} else if err != nil {
-			r.Fatalf("read %q, error %v", head.String(), err)
+			r.Fatalf("head of the response: got %q, error %v", head.String(), err)
 		}
 		if line == "\r\n" {
 			break
 		}
 	}
-	a, _, err := wire.ParseResponse([]byte(head.String()))
+	response, _, err := wire.ParseResponse([]byte(head.String()))
 	if err != nil {
 		r.Fatal(err)
 	}
-	body := make([]byte, max(0, a.Length))
+	body := make([]byte, max(0, response.Length))
 	if _, err := io.ReadFull(r.in, body); err != nil {
 		r.Fatal(err)
 	}
-	return strings.TrimSuffix(fmt.Sprintf("%d %s", a.Status, body), " "), head.String()
+	return strings.TrimSuffix(fmt.Sprintf("%d %s", response.Status, body), " "), head.String()
 }
 
 func (r *rig) expect(want ...string) (head string) {
@@ -186,44 +187,44 @@
 	for _, w := range want {
 		var got string
 		if got, head = r.next(); got != w {
-			r.Fatalf("read %q, want %q; head %q", got, w, head)
+			r.Fatalf("response: got %q, want %q; head %q", got, w, head)
 		}
 	}
 	return head
 }
 
-// run returns the next run that the gate asked for.
-func (r *rig) run() running {
+// run returns the next run that the gate requests.
+func (r *rig) run() pendingRun {
 	r.Helper()
 	select {
 	case run := <-r.runs:
 		return run
-	case <-time.After(soon):
-		r.Fatal("nothing runs")
+	case <-time.After(testTimeout):
+		r.Fatal("no run was requested")
 	}
-	return running{}
+	return pendingRun{}
 }
 
-// quiet waits until nothing is in flight.
-func (r *rig) quiet() { r.Helper(); r.inFlight(0) }
+// waitIdle waits until no RPC is in flight.
+func (r *rig) waitIdle() { r.Helper(); r.waitInFlight(0) }
 
-// inFlight waits until n RPCs are in flight.
-func (r *rig) inFlight(n int) {
+// waitInFlight waits until n RPCs are in flight.
+func (r *rig) waitInFlight(n int) {
 	r.Helper()
-	r.until("RPCs in hand", func() bool { return r.gate.InFlight() == n })
+	r.waitUntil("expected number of RPCs in flight", func() bool { return r.gate.InFlight() == n })
 }
 
-// gone waits until there are no connections.
-func (r *rig) gone() {
+// waitNoConns waits until all connections are closed.
+func (r *rig) waitNoConns() {
 	r.Helper()
-	r.until("no connection", func() bool { return len(r.table.Conns()) == 0 })
+	r.waitUntil("all connections are closed", func() bool { return len(r.table.Conns()) == 0 })
 }
 
-func (r *rig) until(what string, holds func() bool) {
+func (r *rig) waitUntil(condition string, holds func() bool) {
 	r.Helper()
-	for end := time.Now().Add(soon); !holds(); time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			r.Fatalf("never: %s; %d in hand, %d connections", what, r.gate.InFlight(), len(r.table.Conns()))
+			r.Fatalf("condition not met in time: %s; %d RPCs in flight, %d connections", condition, r.gate.InFlight(), len(r.table.Conns()))
 		}
 	}
 }
--- a/internal/front/uwsgi/server.go
+++ b/internal/front/uwsgi/server.go
@@ -1,7 +1,7 @@
 // Package uwsgi implements the front for web tiers that speak uwsgi. It identifies the RPC in each message with the
 // operator's routes, submits it to the gate that all fronts share, and writes the verdict as an HTTP/1.x response. Each
-// connection has one goroutine that reads and detects when the peer leaves. While an RPC is in flight, a second goroutine
-// waits for its verdicts.
+// connection has one goroutine that reads and detects when the peer leaves. While an RPC is in flight, a second
+// goroutine waits for its verdicts.
 //
 // The package must never decide which RPCs are admitted or run, or pass on an RPC whose method it can't identify.
 package uwsgi
@@ -32,24 +32,24 @@
 	lastID    atomic.Uint64
 }
 
-// config is the part of the operator's file that this front uses. It is immutable. An RPC keeps the config with which its
-// message was read.
+// config is the part of the operator's file that this front uses. It is immutable. An RPC keeps the config with which
+// its message was read.
 type config struct {
 	routes       *route.Table
 	contentTypes []string // of engine results, indexed by rule
 	limits       operator.UWSGI
 }
 
-// New returns a front that submits RPCs to the gate and has admitted ones run by run. The operator's file must have been
-// checked and have a UWSGI part. Open creates the connections. RPC ids are hashes of the seed and a counter.
+// New returns a front that submits RPCs to the gate and has admitted ones run by run. The operator's file must have
+// been checked and have a UWSGI part. Open creates the connections. RPC ids are hashes of the seed and a counter.
 func New(table *front.ConnTable, g *gate.Gate, run gate.Runner, f *operator.File, seed uint64, log *logrus.Entry) *Server {
 	s := &Server{gate: g, run: run, table: table, log: log, idSeed: seed}
 	s.Set(f)
 	return s
 }
 
-// Set replaces the operator's file with another one that has been checked. RPCs that have been read already continue with
-// the old one.
+// Set replaces the operator's file with another one that has been checked. RPCs that have been read already continue
+// with the old one.
 func (s *Server) Set(f *operator.File) {
 	c := &config{limits: *f.UWSGI}
 	rules := f.Rules()
@@ -72,8 +72,8 @@
 	return "0000000000000000"[len(id):] + id
 }
 
-// reserveBody reserves n bytes of the memory for bodies. All connections together may hold limit bytes. If that would be
-// exceeded, it reserves nothing and returns false.
+// reserveBody reserves n bytes of the memory for bodies. All connections together may hold limit bytes. If that would
+// be exceeded, it reserves nothing and returns false.
 func (s *Server) reserveBody(n, limit int64) bool {
 	if s.bodyBytes.Add(n) > limit {
 		s.bodyBytes.Add(-n)
--- a/internal/front/uwsgi/token_test.go
+++ b/internal/front/uwsgi/token_test.go
@@ -9,24 +9,25 @@
 	"sorrelvalve/internal/standin"
 )
 
-// topup sends an RPC with a token by either protocol.
+// topup sends an RPC with a token over the given protocol and returns the channel of its reply.
 func (r *rig) topup(protocol, token, body string) <-chan standin.Reply {
-	var caller standin.Caller = standin.NewRouter(r.rpc)
+	var caller standin.Caller = standin.NewRouter(r.rpcAddr)
 	method := "buy"
 	if protocol == "uwsgi" {
-		caller, method = standin.NewWebTier(r.web, false), "topup-buy"
+		caller, method = standin.NewWebTier(r.webAddr, false), "topup-buy"
 	}
-	got := make(chan standin.Reply, 1)
+	reply := make(chan standin.Reply, 1)
 	r.Cleanup(caller.Close)
 	go func() {
-		ctx, end := context.WithTimeout(context.Background(), soon)
+		ctx, end := context.WithTimeout(context.Background(), testTimeout)
 		defer end()
-		got <- caller.Call(ctx, standin.Call{Method: method, Token: token, Body: []byte(body), Caller: 1})
+		reply <- caller.Call(ctx, standin.Call{Method: method, Token: token, Body: []byte(body), Caller: 1})
 	}()
-	return got
+	return reply
 }
 
-// A token belongs to its method, whatever protocol its attempts come by: it runs once, and both get the same result.
+// A token identifies an RPC of a method across protocols. Attempts with one token over both protocols must run once and
+// get the same result.
 func TestTokenAcrossProtocols(t *testing.T) {
 	other := map[string]string{"uwsgi": "msgpack", "msgpack": "uwsgi"}
 	for first, second := range other {
@@ -34,67 +35,67 @@
 			name string
 			do   func(r *rig)
 		}{
-			{"at the same moment", func(r *rig) {
+			{"both attempts at once", func(r *rig) {
 				a, b := r.topup(first, "k", "x"), r.topup(second, "k", "x")
 				r.run().succeed("done")
 				for _, got := range []standin.Reply{<-a, <-b} {
 					if got.Outcome != standin.OK || string(got.Body) != "done" {
-						r.Errorf("got %+v", got)
+						r.Errorf("reply: got %+v", got)
 					}
 				}
 			}},
-			{"the second while the first runs", func(r *rig) {
+			{"second attempt while the first runs", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				run := r.run()
 				b := r.topup(second, "k", "x")
-				r.inFlight(2)
+				r.waitInFlight(2)
 				run.succeed("done")
-				if x, y := <-a, <-b; string(x.Body) != "done" || string(y.Body) != "done" {
-					r.Errorf("got %+v and %+v", x, y)
+				if replyA, replyB := <-a, <-b; string(replyA.Body) != "done" || string(replyB.Body) != "done" {
+					r.Errorf("replies: got %+v and %+v", replyA, replyB)
 				}
 			}},
-			{"the second while the first is held", func(r *rig) {
+			{"second attempt while the first is queued", func(r *rig) {
 				r.topup(first, "busy", "y")
-				busy := r.run() // on the one core
+				busy := r.run() // takes the only core
 				a := r.topup(first, "k", "x")
-				r.inFlight(2)
+				r.waitInFlight(2)
 				b := r.topup(second, "k", "x")
-				r.inFlight(3)
+				r.waitInFlight(3)
 				if len(r.runs) > 0 {
-					r.Fatal("none is held")
+					r.Fatal("first attempt runs, want it queued")
 				}
 				busy.succeed("y")
 				r.run().succeed("done")
-				if x, y := <-a, <-b; string(x.Body) != "done" || string(y.Body) != "done" {
-					r.Errorf("got %+v and %+v", x, y)
+				if replyA, replyB := <-a, <-b; string(replyA.Body) != "done" || string(replyB.Body) != "done" {
+					r.Errorf("replies: got %+v and %+v", replyA, replyB)
 				}
 			}},
-			{"the second after the first has ended", func(r *rig) {
+			{"second attempt after the first has ended", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				r.run().succeed("done")
 				<-a
 				if got := <-r.topup(second, "k", "x"); string(got.Body) != "done" {
-					r.Errorf("got %+v", got)
+					r.Errorf("reply: got %+v", got)
 				}
 			}},
-			{"the second after the first has failed", func(r *rig) {
+			{"second attempt after the first has failed", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				r.run().done(gate.Failed, 1, nil, nil)
 				for _, got := range []standin.Reply{<-a, <-r.topup(second, "k", "x")} {
 					if got.Outcome != standin.Aborted {
-						r.Errorf("got %+v", got)
+						r.Errorf("reply: got %+v", got)
 					}
 				}
 			}},
-			{"the second with another body", func(r *rig) {
+			{"second attempt with another body", func(r *rig) {
 				a := r.topup(first, "k", "x")
 				run := r.run()
 				if got := <-r.topup(second, "k", "z"); got.Outcome != standin.Invalid {
-					r.Errorf("got %+v", got)
+					r.Errorf("reply: got %+v", got)
 				}
 				run.succeed("done")
 				if got := <-a; got.Outcome != standin.OK {
-					r.Errorf("got %+v", got)
+					r.Errorf("reply: got %+v", got)
 				}
 			}},
 		}
@@ -102,14 +103,14 @@
 			t.Run(first+" first: "+c.name, func(t *testing.T) {
 				t.Parallel()
 				cores := 64
-				if strings.Contains(c.name, "held") {
+				if strings.Contains(c.name, "queued") {
 					cores = 1
 				}
 				r := startOn(t, cores, 1024)
 				c.do(r)
 				select {
 				case <-r.runs:
-					t.Error("it ran twice")
+					t.Error("RPC ran twice")
 				default:
 				}
 			})
@@ -117,17 +118,17 @@
 	}
 }
 
-// A first attempt whose connection is lost while it runs is answered to its retry by the other protocol.
+// If the connection of a first attempt is lost during its run, a retry over the other protocol must get the result.
 func TestTokenOfLostFront(t *testing.T) {
 	r := start(t, 1024)
 	r.write(post("/topup-buy", "x", "HTTP_IDEMPOTENCY_KEY", "k"))
 	run := r.run()
 	r.noError(r.conn.Close())
-	r.gone()
-	got := r.topup("msgpack", "k", "x")
-	r.inFlight(2)
+	r.waitNoConns()
+	reply := r.topup("msgpack", "k", "x")
+	r.waitInFlight(2)
 	run.succeed("done")
-	if got := <-got; got.Outcome != standin.OK || string(got.Body) != "done" {
-		t.Errorf("got %+v", got)
+	if got := <-reply; got.Outcome != standin.OK || string(got.Body) != "done" {
+		t.Errorf("reply: got %+v", got)
 	}
 }
--- a/internal/msgpack/parse.go
+++ b/internal/msgpack/parse.go
@@ -1,6 +1,6 @@
 // Package msgpack parses MessagePack in place and encodes it, following the specification
-// (https://github.com/msgpack/msgpack/blob/master/spec.md). A Parser does not copy its input, checks every length against
-// the available bytes before it proceeds, and allocates nothing.
+// (https://github.com/msgpack/msgpack/blob/master/spec.md). A Parser does not copy its input, checks every length
+// against the available bytes before it proceeds, and allocates nothing.
 //
 // The package is independent of messages and sockets, and must never trust a length whose bytes it has not received.
 package msgpack
@@ -149,8 +149,8 @@
 )
 
 // head reads the first byte of a value and the length or number that follows it. For a number, v holds its bits; for a
-// string, binary or extension the number of bytes that follow; for an array the number of items; for a map the number of
-// pairs.
+// string, binary or extension the number of bytes that follow; for an array the number of items; for a map the number
+// of pairs.
 func (p *Parser) head() (k kind, v uint64) {
 	c := p.peek()
 	if p.err != nil {
@@ -172,8 +172,8 @@
 	return p.codedHead(c)
 }
 
-// codedHead is head for a first byte that holds only the type. The size of the number that follows doubles from one code
-// of a type to the next.
+// codedHead is head for a first byte that holds only the type. The size of the number that follows doubles from one
+// code of a type to the next.
 func (p *Parser) codedHead(c byte) (k kind, v uint64) {
 	switch c {
 	case codeNil:
@@ -228,8 +228,8 @@
 // Map reads the header of a map and returns the number of its pairs.
 func (p *Parser) Map() int { return p.count(mapKind, 2) }
 
-// count reads the header of an array or a map. An item takes at least minSize bytes, so a count that exceeds the available
-// bytes fails here.
+// count reads the header of an array or a map. An item takes at least minSize bytes, so a count that exceeds the
+// available bytes fails here.
 func (p *Parser) count(k kind, minSize uint64) int {
 	n := p.expect(k)
 	if !p.require(n * minSize) {
--- a/internal/uwsgi/body_test.go
+++ b/internal/uwsgi/body_test.go
@@ -12,14 +12,14 @@
 		want := bytes.Repeat([]byte{7}, size)
 		got, err := ReadBody(bytes.NewReader(append(bytes.Clone(want), 8)), int64(size))
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%d bytes of %d, error %v", len(got), size, err)
+			t.Errorf("body: got %d bytes, want %d, error %v", len(got), size, err)
 		}
 		if size == 0 {
 			continue
 		}
 		got, err = ReadBody(bytes.NewReader(want[:size-1]), int64(size))
 		if got != nil || !errors.Is(err, io.ErrUnexpectedEOF) && !errors.Is(err, io.EOF) {
-			t.Errorf("cut by one byte of %d: %d bytes, error %v", size, len(got), err)
+			t.Errorf("body of %d bytes truncated by one: got %d bytes, error %v", size, len(got), err)
 		}
 	}
 }
--- a/internal/uwsgi/packet_test.go
+++ b/internal/uwsgi/packet_test.go
@@ -20,18 +20,18 @@
 		name, block string
 		want        error
 	}{
-		{"none", "", nil},
-		{"some, one of them empty", block("REQUEST_METHOD", "GET", "CONTENT_LENGTH", "", "PATH_INFO", "/a"), nil},
-		{"twice with one value", block("PATH_INFO", "/a", "PATH_INFO", "/a"), nil},
-		{"a header line twice", block("HTTP_COOKIE", "a", "HTTP_COOKIE", "b", "PATH_INFO", "/a"), nil},
-		{"twice with two values", block("PATH_INFO", "/a", "PATH_INFO", "/b"), ErrDuplicate},
-		{"two lengths", block("CONTENT_LENGTH", "1", "CONTENT_LENGTH", "2"), ErrDuplicate},
-		{"two hosts", block("HTTP_HOST", "a", "HTTP_HOST", "b"), ErrDuplicate},
-		{"no name", block("", "x"), ErrEmptyName},
-		{"a length beyond the block", block("A", "x") + "\x05\x00ab", ErrLengthOutOfRange},
+		{"no variables", "", nil},
+		{"several variables, one of them empty", block("REQUEST_METHOD", "GET", "CONTENT_LENGTH", "", "PATH_INFO", "/a"), nil},
+		{"duplicate with the same value", block("PATH_INFO", "/a", "PATH_INFO", "/a"), nil},
+		{"duplicate header line", block("HTTP_COOKIE", "a", "HTTP_COOKIE", "b", "PATH_INFO", "/a"), nil},
+		{"duplicate with another value", block("PATH_INFO", "/a", "PATH_INFO", "/b"), ErrDuplicate},
+		{"two different lengths", block("CONTENT_LENGTH", "1", "CONTENT_LENGTH", "2"), ErrDuplicate},
+		{"two different hosts", block("HTTP_HOST", "a", "HTTP_HOST", "b"), ErrDuplicate},
+		{"empty name", block("", "x"), ErrEmptyName},
+		{"a length beyond the end of the block", block("A", "x") + "\x05\x00ab", ErrLengthOutOfRange},
 		{"a name without a value", "\x01\x00A", ErrLengthOutOfRange},
 		{"half a length", block("A", "x") + "\x01", ErrLengthOutOfRange},
-		{"too many", block("A", "", "B", "", "C", "", "D", ""), ErrTooManyVariables},
+		{"too many variables", block("A", "", "B", "", "C", "", "D", ""), ErrTooManyVariables},
 		{"the longest value", block("A", strings.Repeat("x", MaxBlockSize)), nil},
 	}
 	for _, c := range cases {
@@ -41,8 +41,8 @@
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
 			if c.want == nil && strings.Contains(c.block, "PATH_INFO") {
-				if got, has := v.Get("PATH_INFO"); got != "/a" || !has {
-					t.Errorf("got %q", got)
+				if got, ok := v.Get("PATH_INFO"); got != "/a" || !ok {
+					t.Errorf("PATH_INFO: got %q", got)
 				}
 			}
 		})
@@ -58,13 +58,13 @@
 	}{
 		{"plain", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", 200, 38, 3, nil},
 		{"bare newlines, no reason", "HTTP/1.0 404\nA: b\n\n", 404, 19, -1, nil},
-		{"one length twice", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\ncontent-length: 3\r\n\r\n", 200, 57, 3, nil},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 0, 0, 0, ErrContentLength},
+		{"duplicate length", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\ncontent-length: 3\r\n\r\n", 200, 57, 3, nil},
+		{"two different lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n", 0, 0, 0, ErrContentLength},
 		{"a negative length", "HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\n", 0, 0, 0, ErrContentLength},
-		{"a length beyond all bounds", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n", 0, 0, 0, ErrContentLength},
-		{"cut off in the status", "HTTP/1.", 0, 0, 0, ErrTruncated},
-		{"cut off in a field", "HTTP/1.1 200 OK\r\nConte", 0, 0, 0, ErrTruncated},
-		{"another version", "HTTP/2 200 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
+		{"a length out of range", "HTTP/1.1 200 OK\r\nContent-Length: 99999999999999999999\r\n\r\n", 0, 0, 0, ErrContentLength},
+		{"truncated in the status line", "HTTP/1.", 0, 0, 0, ErrTruncated},
+		{"truncated in a header field", "HTTP/1.1 200 OK\r\nConte", 0, 0, 0, ErrTruncated},
+		{"unsupported HTTP version", "HTTP/2 200 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
 		{"no status", "HTTP/1.1 abc OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
 		{"a status of four digits", "HTTP/1.1 2000 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
 		{"a status out of range", "HTTP/1.1 999 OK\r\n\r\n", 0, 0, 0, ErrStatusLine},
@@ -74,12 +74,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a, size, err := ParseResponse([]byte(c.in))
+			response, size, err := ParseResponse([]byte(c.in))
 			if !errors.Is(err, c.want) {
 				t.Fatalf("error %v, want %v", err, c.want)
 			}
-			if err == nil && (a.Status != c.status || size != c.size || a.Length != c.length) {
-				t.Errorf("got %+v of %d bytes", a, size)
+			if err == nil && (response.Status != c.status || size != c.size || response.Length != c.length) {
+				t.Errorf("response: got %+v with a head of %d bytes", response, size)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 			b = AppendVariable(b, v.pairs[i].name, v.pairs[i].value)
 		}
 		if string(b) != s {
-			t.Errorf("written again as %q", b)
+			t.Errorf("block encoded again: got %q", b)
 		}
 	})
 }
@@ -107,16 +107,16 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("HTTP/1.0 500\nA: b\n\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a, size, err := ParseResponse(b)
+		response, size, err := ParseResponse(b)
 		if err != nil {
 			return
 		}
-		if size > len(b) || !bytes.Equal(a.Head, b[:size]) || a.Status < 100 || a.Length < -1 {
-			t.Errorf("got %+v of %d bytes", a, size)
+		if size > len(b) || !bytes.Equal(response.Head, b[:size]) || response.Status < 100 || response.Length < -1 {
+			t.Errorf("response: got %+v with a head of %d bytes", response, size)
 		}
-		EachField(a.Head, func(name, _ []byte) {
+		EachField(response.Head, func(name, _ []byte) {
 			if len(name) == 0 {
-				t.Error("a field without a name")
+				t.Error("header field without a name")
 			}
 		})
 	})
--- a/internal/uwsgi/response.go
+++ b/internal/uwsgi/response.go
@@ -38,8 +38,9 @@
 	statusOffset       = len("HTTP/1.1 ")
 )
 
-// ParseResponse parses the head of a response at the beginning of b and returns the size of the head in bytes. The error
-// is ErrTruncated if b does not contain all of the head. Lines may end with a bare newline, as CGI programs write them.
+// ParseResponse parses the head of a response at the beginning of b and returns the size of the head in bytes. The
+// error is ErrTruncated if b does not contain all of the head. Lines may end with a bare newline, as CGI programs write
+// them.
 func ParseResponse(b []byte) (r Response, size int, err error) {
 	r.Status, err = parseStatus(b)
 	if err != nil {
--- a/internal/uwsgi/variables.go
+++ b/internal/uwsgi/variables.go
@@ -19,17 +19,17 @@
 	ErrDuplicate = errors.New("uwsgi: a variable stands twice with two values")
 )
 
-// Variables holds the variables of one block in their order. Names and values are substrings of the parsed block. The zero
-// value is empty and ready to use. Variables is not safe for concurrent use.
+// Variables holds the variables of one block in their order. Names and values are substrings of the parsed block. The
+// zero value is empty and ready to use. Variables is not safe for concurrent use.
 type Variables struct {
 	pairs []variable
 }
 
 type variable struct{ name, value string }
 
-// Parse parses a complete block of at most maxCount variables. HTTP_ variables represent header lines and may be repeated;
-// the first one is used. Any other variable, and HTTP_HOST, may be repeated only with the same value, as two readers might
-// otherwise use different values. The error wraps one of the errors above.
+// Parse parses a complete block of at most maxCount variables. HTTP_ variables represent header lines and may be
+// repeated; the first one is used. Any other variable, and HTTP_HOST, may be repeated only with the same value, as two
+// readers might otherwise use different values. The error wraps one of the errors above.
 func (v *Variables) Parse(block string, maxCount int) error {
 	v.pairs = v.pairs[:0]
 	for len(block) > 0 {
@@ -88,8 +88,8 @@
 	return "", false
 }
 
-// Lookup returns the value of the first variable with the given name in a block that Parse has accepted. It reads the block
-// only up to that variable.
+// Lookup returns the value of the first variable with the given name in a block that Parse has accepted. It reads the
+// block only up to that variable.
 func Lookup(block, name string) (value string, ok bool) {
 	for len(block) > 0 {
 		n, value, rest, ok := cutVariable(block)
@@ -116,8 +116,8 @@
 	v.pairs = v.pairs[:0]
 }
 
-// AppendVariable appends a variable to a block. A name or value longer than MaxBlockSize is truncated; a parsed one is never
-// that long.
+// AppendVariable appends a variable to a block. A name or value longer than MaxBlockSize is truncated; a parsed one is
+// never that long.
 func AppendVariable(b []byte, name, value string) []byte {
 	return appendString(appendString(b, name), value)
 }
