--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -13,43 +13,44 @@
 )
 
 const (
-	// maxClockStep is by how much the wall clock and the monotonic one may part between two looks before leases are dropped: the monotonic
-	// clock of a machine that was suspended did not go on. Clocks that are slewed part by 0.5 ms a second.
+	// maxClockStep is the maximum change of the offset between the wall clock and the monotonic clock from one reading to the next. Leases are
+	// dropped if it is exceeded, because the monotonic clock stands still while the machine is suspended. Slewing a clock changes the offset
+	// by 0.5 ms per second.
 	maxClockStep = 50 * time.Millisecond
-	// maxCachedNames bounds the names that are kept; beyond, they are built anew each time.
+	// maxCachedNames limits the name cache. Names beyond the limit are built on each use.
 	maxCachedNames    = 1 << 16
 	maxReportedQuotas = 64
 	maxReportedLeases = 16 // of each quota
 )
 
-// Budgets are a server's share of the budgets of its fleet: customers' quotas, retries and concurrent calls to pools. How much a server
-// may use, grant or request is decided by decision/quota; Budgets have the lock, the clock and the messages. They admit nothing that the
-// ledger has not, and hold no lock while they send. Their methods may be called by many goroutines.
+// Budgets manages a server's shares of the fleet's budgets: customers' quotas, retries, and concurrent calls to pools. Package
+// decision/quota decides how much a server may use, grant or request; Budgets adds the lock, the clock and the messages. It admits only what
+// the ledger admits, and holds no lock while it sends. It is safe for concurrent use.
 type Budgets struct {
 	fleet     *Fleet
 	startedAt time.Time
-	limits    atomic.Pointer[map[string]quota.Limit] // by budget
-	lingerMs  atomic.Pointer[map[string]float64]     // by pool: for how long it may go on with an abandoned call
+	limits    atomic.Pointer[map[string]quota.Limit] // by budget key
+	lingerMs  atomic.Pointer[map[string]float64]     // by pool: how long the pool may keep working on an abandoned call
 
 	packetsSent atomic.Uint64
 
 	mu          sync.Mutex
 	ledger      *quota.Ledger
-	clockOffset time.Duration // of the wall clock from the monotonic one, at the last look
+	clockOffset time.Duration // of the wall clock from the monotonic clock, at the last reading
 	clockSteps  int
-	malformed   int // packets
+	malformed   int // malformed packets received
 	abandoned   []abandonedCall
 	counts      localCounts
-	names       map[nameKey]*cachedNames // so that an RPC builds none
+	names       map[nameKey]*cachedNames // cache, so that RPCs need not build names
 }
 
-// abandonedCall is a call that this server gave up, and that counts as in flight until the pool can't go on with it.
+// abandonedCall is a call that this server abandoned. It counts as in flight for as long as the pool may keep working on it.
 type abandonedCall struct {
 	pool      string
 	expiresAt float64 // ms
 }
 
-// ShareBudgets has a server share budgets with its fleet. It must be called once, before anything is acquired.
+// ShareBudgets makes the server share the budgets in config with its fleet. It must be called only once, before the first use of a budget.
 func (f *Fleet) ShareBudgets(config *operator.Budgets) *Budgets {
 	b := &Budgets{
 		fleet:     f,
@@ -62,8 +63,8 @@
 	defer f.mu.Unlock()
 	seed := int64(f.identity.Incarnation)
 	b.ledger = quota.NewLedger(f.identity.Incarnation, seed, b.nowMs(), func(key string) (quota.Limit, bool) {
-		limit, has := (*b.limits.Load())[key]
-		return limit, has
+		limit, ok := (*b.limits.Load())[key]
+		return limit, ok
 	})
 	if f.exclusion != nil {
 		b.ledger.Disable()
@@ -72,7 +73,7 @@
 	return b
 }
 
-// Set replaces the limits while leases under the former ones may be out.
+// Set replaces the limits. Leases that were granted under the previous limits may still be held.
 func (b *Budgets) Set(config *operator.Budgets) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +93,8 @@
 	b.lingerMs.Store(&linger)
 }
 
-// nowMs is the monotonic clock in ms. Leases are dropped first if that clock can't have seen their end. The lock is held.
+// nowMs returns the time of the monotonic clock in ms. It first drops all leases if the clocks have stepped, because the monotonic clock may
+// then have missed their expiry. The caller holds the lock.
 func (b *Budgets) nowMs() float64 {
 	now := time.Now()
 	elapsed := now.Sub(b.startedAt)
@@ -108,23 +110,23 @@
 	return elapsedMs
 }
 
-// nameKey is what names are built from: a customer and a method, or a pool.
+// nameKey holds the parts that names are built from: a customer and a method, or a pool.
 type nameKey struct {
 	owner   string // the customer or pool
 	counted string // the method, failedCalls, or ""
-	prefix  string // of the budget
+	prefix  string // of the budget's key
 }
 
-// cachedNames are the keys of a budget and of a count.
+// cachedNames holds the key of a budget and the key of a counter.
 type cachedNames struct {
 	budget  string
 	counted string
 }
 
-// failedCalls is what failures are counted under, beside a pool's name.
+// failedCalls is the part of a counter's key, after the pool's name, under which failed calls are counted.
 const failedCalls = "failed"
 
-// cachedName returns the names of an RPC or a call. The lock is held.
+// cachedName returns the names of an RPC or a call. The caller holds the lock.
 func (b *Budgets) cachedName(owner, counted, prefix string) *cachedNames {
 	key := nameKey{owner: owner, counted: counted, prefix: prefix}
 	names := b.names[key]
@@ -137,8 +139,8 @@
 	return names
 }
 
-// CheckQuota implements gate.QuotaChecker: it takes an RPC from this server's part of its customer's quota. retryAfter is in ms if the
-// quota is used up.
+// CheckQuota implements gate.QuotaChecker: it charges an RPC to this server's share of the customer's quota. If the quota is exhausted,
+// retryAfter is the time in ms after which the caller should retry.
 func (b *Budgets) CheckQuota(method, customer string, criticality float64) (status control.QuotaStatus, retryAfter float64) {
 	if len(*b.limits.Load()) == 0 {
 		return control.QuotaUnknown, 0
@@ -158,7 +160,7 @@
 	return control.OverQuota, retryAfter
 }
 
-// AllowRetry implements pools.Budgets: it takes a retry from the pool's budget.
+// AllowRetry implements pools.Budgets: it charges a retry to the pool's budget, and returns whether the retry is allowed.
 func (b *Budgets) AllowRetry(pool string, priorityWeight float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,7 +169,8 @@
 	return acquired
 }
 
-// AllowCall implements pools.Budgets: it takes a place among the concurrent calls to a pool, for at most maxMs.
+// AllowCall implements pools.Budgets: it reserves one of the concurrent calls to a pool for at most maxMs ms, and returns whether the call is
+// allowed.
 func (b *Budgets) AllowCall(pool string, priorityWeight, maxMs float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -181,7 +184,8 @@
 	return acquired
 }
 
-// CompleteCall implements pools.Budgets: a call ended. An abandoned one stays in flight for as long as the pool may go on with it.
+// CompleteCall implements pools.Budgets: it records the end of a call. An abandoned call counts as in flight for as long as the pool may keep
+// working on it.
 func (b *Budgets) CompleteCall(pool string, failed, abandoned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -197,14 +201,14 @@
 	b.releaseCall(pool)
 }
 
-// releaseCall returns the place of a call. The lock is held.
+// releaseCall releases one concurrent call to a pool. The caller holds the lock.
 func (b *Budgets) releaseCall(pool string) {
 	b.ledger.Release(b.cachedName(pool, failedCalls, operator.CallsPrefix).budget)
 	b.counts.inFlight[pool] = max(0, b.counts.inFlight[pool]-1)
 }
 
-// endExpiredCalls releases abandoned calls that the pool can't go on with any more. There are no more of them than may be in flight. The
-// lock is held.
+// endExpiredCalls releases the abandoned calls that the pool can no longer be working on. Their number is limited by that of the calls that
+// may be in flight. The caller holds the lock.
 func (b *Budgets) endExpiredCalls(now float64) {
 	b.abandoned = slices.DeleteFunc(b.abandoned, func(call abandonedCall) bool {
 		expired := call.expiresAt <= now
@@ -215,7 +219,7 @@
 	})
 }
 
-// tick sends the ledger's messages to the reachable peers, and gossips the counts when they are due.
+// tick sends the ledger's messages to the reachable peers, and gossips this server's counts when they are due.
 func (b *Budgets) tick(peers []string) {
 	b.mu.Lock()
 	now := b.nowMs()
@@ -232,21 +236,21 @@
 	}
 }
 
-// dropLeases drops what is leased: this server has stalled.
+// dropLeases drops all leases. It is called after this server has stalled.
 func (b *Budgets) dropLeases() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Invalidate(b.nowMs())
 }
 
-// disable ends the use of all budgets: another process has this server's name.
+// disable stops the use of all budgets. It is called when another process uses this server's name.
 func (b *Budgets) disable() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Disable()
 }
 
-// receive takes a packet of lease messages from a peer, and answers it.
+// receive processes a packet of lease messages from a peer, and sends the replies.
 func (b *Budgets) receive(from string, packet []byte) {
 	messages, ok := parseLeases(packet)
 	b.mu.Lock()
@@ -261,7 +265,7 @@
 	b.send(replies)
 }
 
-// send packs the messages to each peer together.
+// send sends the messages, with those to the same peer combined into packets.
 func (b *Budgets) send(messages []quota.KeyedMessage) {
 	slices.SortStableFunc(messages, func(x, y quota.KeyedMessage) int { return cmp.Compare(x.To, y.To) })
 	var packet []byte
@@ -278,16 +282,16 @@
 
 // BudgetStatus is the state of a server's budgets.
 type BudgetStatus struct {
-	Quotas           []quota.AllocationStatus `json:"Parts,omitempty"` // those with the most activity
-	ActiveQuotas     int                      `json:"Table"`           // quotas that are not idle
-	TableFull        uint64                   `json:"Full"`            // RPCs for which the table had no room
-	PacketsSent      uint64                   `json:"Sent"`            // lease packets
-	ClockSteps       int                      `json:"Steps"`           // of the wall clock against the monotonic one, at which leases were dropped
+	Quotas           []quota.AllocationStatus `json:"Parts,omitempty"` // the most active ones
+	ActiveQuotas     int                      `json:"Table"`           // number of quotas that are not idle
+	TableFull        uint64                   `json:"Full"`            // number of RPCs whose quota did not fit into the table
+	PacketsSent      uint64                   `json:"Sent"`            // number of lease packets sent
+	ClockSteps       int                      `json:"Steps"`           // steps of the wall clock against the monotonic clock; each drops all leases
 	MalformedPackets int                      `json:"Wrong"`
-	FleetCounts      []CountRange             `json:"Sums,omitempty"` // the largest
+	FleetCounts      []CountRange             `json:"Sums,omitempty"` // the largest counts over the fleet
 }
 
-// status returns the state without the fleet's counts.
+// status returns the state except FleetCounts.
 func (b *Budgets) status() *BudgetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fleet/counts.go
+++ b/internal/fleet/counts.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	keyCounts          = "counts" // of the record
+	keyCounts          = "counts" // key of the record
 	countsIntervalMs   = 2000.0   // between two records
-	maxPublishedCounts = 12       // counters in a record, which has 1 KB
-	maxRecordCounts    = 16       // counters and pools' calls in flight
-	maxCountsBytes     = 900      // of the record's body
-	countOverhead      = 16       // bytes of a counter beside its key
-	minPublishedCount  = 0.05     // a second; what is rarer is left out
-	maxCount           = 1e12
-	// inFlightPrefix, behind which a pool's name stands, is the key of its calls in flight.
+	maxPublishedCounts = 12       // counters per record, which is limited to 1 KB
+	maxRecordCounts    = 16       // counters per record, including pools' calls in flight
+	maxCountsBytes     = 900      // size of the record's body
+	countOverhead      = 16       // bytes of an encoded counter besides its key
+	minPublishedCount  = 0.05     // per second; lower counts are left out
+	maxCount           = 1e12     // largest valid value from a peer
+	// inFlightPrefix followed by a pool's name is the key of the pool's calls in flight.
 	inFlightPrefix = "in hand|"
 )
 
@@ -33,17 +33,17 @@
 	countsMaxError
 )
 
-// CountRange is what the fleet's servers count under a key: between Min and Max a second, or in flight.
+// CountRange bounds the sum of the fleet's counts under a key. The unit is events per second, or calls in flight.
 type CountRange struct {
 	Key string
 	Min float64 `json:"AtLeast"`
 	Max float64 `json:"AtMost"`
 }
 
-// localCounts are what this server counts for the others.
+// localCounts holds the counts that this server publishes to the fleet.
 type localCounts struct {
 	counter     *count.Local
-	inFlight    map[string]int // calls, by pool
+	inFlight    map[string]int // calls in flight, by pool
 	publishedAt float64        // ms
 }
 
@@ -51,18 +51,18 @@
 	return localCounts{counter: count.NewLocal(count.DefaultConfig), inFlight: map[string]int{}}
 }
 
-// dueRecord returns the record that is to be published now; nil if none is due, or nothing was counted.
+// dueRecord returns the record to publish now, or nil if none is due or nothing was counted.
 func (c *localCounts) dueRecord(now float64) []byte {
 	if now-c.publishedAt < countsIntervalMs {
 		return nil
 	}
 	c.publishedAt = now
 	counters := c.counter.Largest(now, maxPublishedCounts)
-	rest := 0.0 // bound of every counter that is left out
+	rest := 0.0 // upper bound of each counter that is left out
 	if len(counters) == maxPublishedCounts {
 		rest = counters[maxPublishedCounts-1].Value
 	}
-	counters = slices.DeleteFunc(counters, func(x count.Counter) bool { return x.Value < minPublishedCount })
+	counters = slices.DeleteFunc(counters, func(counter count.Counter) bool { return counter.Value < minPublishedCount })
 	for _, pool := range slices.Sorted(maps.Keys(c.inFlight)) {
 		if len(counters) < maxRecordCounts {
 			counters = append(counters, count.Counter{Key: inFlightPrefix + pool, Value: float64(c.inFlight[pool])})
@@ -74,21 +74,21 @@
 	return appendCounts(nil, counters, rest)
 }
 
-// appendCounts writes counters as far as there is room.
+// appendCounts appends an encoded record to b, with as many counters as fit into maxCountsBytes.
 func appendCounts(b []byte, counters []count.Counter, rest float64) []byte {
 	b = appendFloatField(b, countsRest, rest)
-	for _, x := range counters {
-		if len(b)+len(x.Key)+countOverhead > maxCountsBytes {
+	for _, counter := range counters {
+		if len(b)+len(counter.Key)+countOverhead > maxCountsBytes {
 			break
 		}
-		b = appendStringField(b, countsKey, x.Key)
-		b = appendFloatField(b, countsValue, x.Value)
-		b = appendFloatField(b, countsMaxError, x.MaxError)
+		b = appendStringField(b, countsKey, counter.Key)
+		b = appendFloatField(b, countsValue, counter.Value)
+		b = appendFloatField(b, countsMaxError, counter.MaxError)
 	}
 	return b
 }
 
-// parseCounts reads such a record. Figures out of bounds count as 0.
+// parseCounts parses a record that appendCounts wrote. Values that are out of bounds are replaced by 0.
 func parseCounts(body []byte) (counters []count.Counter, rest float64, ok bool) {
 	ok = eachField(body, func(number protowire.Number, content []byte, bits uint64) {
 		value := floatValue(bits)
@@ -110,8 +110,8 @@
 	return counters, rest, ok
 }
 
-// countRanges sums the counts over the members, and returns the largest ones. The ranges widen for members that are not received from. The
-// lock is held.
+// countRanges sums the counts over all members, and returns the largest sums, at most limit. The ranges widen while no records arrive from
+// some members. The caller holds the lock.
 func (f *Fleet) countRanges(now float64, limit int) []CountRange {
 	aggregate := count.NewAggregate(count.DefaultConfig)
 	members := []string{f.options.Name}
--- a/internal/fleet/direct.go
+++ b/internal/fleet/direct.go
@@ -1,13 +1,13 @@
 package fleet
 
-// A direct packet goes to one server alone. It begins with directMark, where a gossiped record has the length of its relay's name; then
-// come the channel, and the sender's name behind its length.
+// A direct packet is sent to a single server. It begins with directMark, in the place where a gossiped record has the length of its relay's
+// name, followed by the channel and the sender's name prefixed by its length.
 const (
 	directMark    = 0
 	channelLeases = 1
 )
 
-// sendDirect sends a packet to one server if that is reachable. It may be lost, duplicated or reordered.
+// sendDirect sends a packet to one server if that server is reachable. The packet may be lost, duplicated or reordered.
 func (f *Fleet) sendDirect(to string, channel byte, body []byte) {
 	f.mu.Lock()
 	in := f.instance
@@ -25,10 +25,10 @@
 		return
 	}
 	packet := appendName([]byte{directMark, channel}, f.options.Name)
-	_ = in.memberlist.SendBestEffort(node, append(packet, body...)) // its receiver allows for loss
+	_ = in.memberlist.SendBestEffort(node, append(packet, body...)) // a lost packet is tolerated by the receiver
 }
 
-// receiveDirect takes a packet behind its mark. One from a server that is not reachable is ignored.
+// receiveDirect processes a direct packet without its mark. Packets from servers that are not reachable are ignored.
 func (in *instance) receiveDirect(packet []byte) {
 	channel := packet[0]
 	from, body, ok := cutName(packet[1:])
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -11,7 +11,7 @@
 	"sorrelvalve/decision/health"
 )
 
-// RecordTooLargeError reports a record that is over the bounds of decision/gossip.
+// RecordTooLargeError reports a record that exceeds the limits of decision/gossip.
 type RecordTooLargeError struct{ Key string }
 
 // Error names the record's key.
@@ -19,12 +19,12 @@
 	return fmt.Sprintf("fleet: the record %q is over the bounds", e.Key)
 }
 
-// ownRecord is what this server says of itself, without its phase.
+// ownRecord returns this server's record about itself, without its phase.
 func (f *Fleet) ownRecord() ServerRecord {
 	return ServerRecord{Zone: f.options.Zone, Version: f.options.Version, SettingsHash: f.options.SettingsHash, Addr: f.options.Advertise}
 }
 
-// announce publishes this server's own record. The lock is held.
+// announce publishes this server's record about itself. The caller holds the lock.
 func (f *Fleet) announce(now time.Time) {
 	record := f.ownRecord()
 	record.Phase, record.WarmupProgress = f.options.Phase()
@@ -33,7 +33,7 @@
 	f.publishOrLog(now, keyServer, record.appendTo(nil))
 }
 
-// publish gossips a record of this server. The lock is held.
+// publish gossips a record of this server. The caller holds the lock.
 func (f *Fleet) publish(now time.Time, key string, body []byte) error {
 	f.sequences[key]++
 	record := gossip.Record{
@@ -45,7 +45,7 @@
 		Body:        body,
 	}
 	raw := record.Append(nil)
-	if _, found := f.records.Put(f.elapsedMs(now), raw); found != gossip.Updated {
+	if _, result := f.records.Put(f.elapsedMs(now), raw); result != gossip.Updated {
 		return &RecordTooLargeError{Key: key}
 	}
 	f.published[key] = body
@@ -53,35 +53,37 @@
 	return nil
 }
 
-// publishOrLog is publish for callers that can do nothing about a failure. The lock is held.
+// publishOrLog publishes a record like publish, and logs a failure. The caller holds the lock.
 func (f *Fleet) publishOrLog(now time.Time, key string, body []byte) {
 	if err := f.publish(now, key, body); err != nil {
 		f.options.Log.WithError(err).Warn("fleet.publish_failed")
 	}
 }
 
-// Publish gossips a record of this server under a key; it replaces all former ones of that key. It fails with RecordTooLargeError.
+// Publish gossips a record of this server under a key. The record replaces all previous ones with that key. It returns a RecordTooLargeError if
+// the record exceeds the limits.
 func (f *Fleet) Publish(key string, body []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.publish(time.Now(), key, body)
 }
 
-// Get returns the newest record of an origin under a key, and the ms since it was received.
-func (f *Fleet) Get(origin, key string) (record gossip.Record, age float64, has bool) {
+// Get returns the newest record of an origin under a key, and its age in ms since it was received.
+func (f *Fleet) Get(origin, key string) (record gossip.Record, age float64, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.records.Get(f.elapsedMs(time.Now()), origin, key)
 }
 
-// Each calls visit for the newest record of each origin under a key, with the ms since it was received. visit must not call the Fleet.
+// Each calls visit for the newest record of each origin under a key, with its age in ms since it was received. visit must not call methods of
+// the Fleet.
 func (f *Fleet) Each(key string, visit func(record *gossip.Record, age float64)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.records.Each(f.elapsedMs(time.Now()), key, visit)
 }
 
-// recordBroadcast is a record in memberlist's broadcast queue; it replaces older ones of its origin and key.
+// recordBroadcast is a record in memberlist's broadcast queue. It replaces older records with the same origin and key.
 type recordBroadcast struct {
 	key    string
 	record []byte
@@ -91,22 +93,22 @@
 	return &recordBroadcast{key: origin + "\x00" + key, record: raw}
 }
 
-// Invalidates tells whether this broadcast replaces other (memberlist.Broadcast).
+// Invalidates reports whether this broadcast replaces other (memberlist.Broadcast).
 func (r *recordBroadcast) Invalidates(other memberlist.Broadcast) bool {
-	o, is := other.(*recordBroadcast)
-	return is && o.key == r.key
+	record, ok := other.(*recordBroadcast)
+	return ok && record.key == r.key
 }
 
-// Name makes the broadcast unique by its origin and key (memberlist.NamedBroadcast).
+// Name returns the name under which the broadcast is unique in the queue (memberlist.NamedBroadcast).
 func (r *recordBroadcast) Name() string { return r.key }
 
 // Message returns the record (memberlist.Broadcast).
 func (r *recordBroadcast) Message() []byte { return r.record }
 
-// Finished is called once the record has been forwarded often enough (memberlist.Broadcast).
+// Finished is called when the record has been forwarded often enough (memberlist.Broadcast).
 func (r *recordBroadcast) Finished() {}
 
-// GetBroadcasts returns the records that travel with the next packet, each prefixed with this server's name (memberlist.Delegate).
+// GetBroadcasts returns the records to send with the next packet, each prefixed with this server's name (memberlist.Delegate).
 func (in *instance) GetBroadcasts(overhead, limit int) [][]byte {
 	name := in.fleet.options.Name
 	records := in.fleet.broadcasts.GetBroadcasts(overhead+1+len(name), limit)
@@ -118,12 +120,12 @@
 	return records
 }
 
-// appendName writes a name behind its length in one byte.
+// appendName appends a name, prefixed by its length in one byte.
 func appendName(b []byte, name string) []byte {
 	return append(append(b, byte(len(name))), name...)
 }
 
-// cutName reads what appendName wrote, and returns the rest.
+// cutName parses a name that appendName wrote, and returns it and the remaining bytes.
 func cutName(b []byte) (name string, rest []byte, ok bool) {
 	if len(b) < 1 || len(b) < 1+int(b[0]) {
 		return "", nil, false
@@ -132,7 +134,7 @@
 	return string(b[1 : 1+length]), b[1+length:], true
 }
 
-// NotifyMsg receives a record, or a direct packet (memberlist.Delegate).
+// NotifyMsg receives a record or a direct packet (memberlist.Delegate).
 func (in *instance) NotifyMsg(message []byte) {
 	if len(message) > 1 && message[0] == directMark {
 		in.receiveDirect(message[1:])
@@ -140,13 +142,13 @@
 	}
 	relay, raw, ok := cutName(message)
 	if !ok {
-		in.fleet.receiveRecord(in, "", nil) // counted as damaged
+		in.fleet.receiveRecord(in, "", nil) // counted as a corrupt record
 		return
 	}
 	in.fleet.receiveRecord(in, relay, raw)
 }
 
-// LocalState is this server's side of a state exchange: its name, and all records (memberlist.Delegate).
+// LocalState returns this server's side of a state exchange: its name and all records (memberlist.Delegate).
 func (in *instance) LocalState(bool) []byte {
 	f := in.fleet
 	f.mu.Lock()
@@ -158,7 +160,7 @@
 func (in *instance) MergeRemoteState(state []byte, _ bool) {
 	_, records, ok := cutName(state)
 	if !ok || len(state) > 2*maxStateBytes {
-		in.fleet.receiveRecord(in, "", nil) // counted as damaged
+		in.fleet.receiveRecord(in, "", nil) // counted as a corrupt record
 		return
 	}
 	if !gossip.SplitState(records, func(raw []byte) { in.fleet.receiveRecord(in, "", raw) }) {
@@ -166,7 +168,7 @@
 	}
 }
 
-// receiveRecord takes a record; relay is the peer that sent it, "" if that says nothing about reachability.
+// receiveRecord processes a record. relay is the peer that sent it, or "" if the transfer is no evidence of reachability.
 func (f *Fleet) receiveRecord(in *instance, relay string, raw []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,13 +178,13 @@
 	now := time.Now()
 	record, err := gossip.Parse(raw)
 	if err == nil && !validName(record.Origin) {
-		raw = nil // counted as damaged
+		raw = nil // counted as a corrupt record
 	} else if err == nil && record.Origin == f.options.Name {
 		f.receiveOwnRecord(now, &record)
 		return
 	}
-	record, found := f.records.Put(f.elapsedMs(now), raw)
-	if found != gossip.Updated {
+	record, result := f.records.Put(f.elapsedMs(now), raw)
+	if result != gossip.Updated {
 		return
 	}
 	f.broadcasts.QueueBroadcast(newRecordBroadcast(record.Origin, record.Key, slices.Clone(raw)))
@@ -190,7 +192,7 @@
 	f.detector.RecordIndirect(f.elapsedMs(now), record.Origin, relay)
 }
 
-// applyRecord tells the failure detector what a new record shows. The lock is held.
+// applyRecord passes the contents of a new record to the failure detector. The caller holds the lock.
 func (f *Fleet) applyRecord(nowMs float64, record *gossip.Record) {
 	switch record.Key {
 	case keyServer:
@@ -210,7 +212,8 @@
 	}
 }
 
-// receiveOwnRecord takes a record of this server's own name: of a former incarnation, or of another process. The lock is held.
+// receiveOwnRecord processes a record with this server's name. It comes from a previous incarnation or from another process. The caller holds
+// the lock.
 func (f *Fleet) receiveOwnRecord(now time.Time, record *gossip.Record) {
 	raised, duplicate := f.identity.Refute(f.elapsedMs(now), record.Generation, record.Incarnation)
 	if !raised {
@@ -225,14 +228,14 @@
 		f.publishOrLog(now, key, body)
 	}
 	in := f.instance
-	if in == nil || f.closed { // Close waits for what was started before
+	if in == nil || f.closed { // Close waits only for goroutines that were started before it
 		return
 	}
 	f.wg.Add(1)
-	go func() { // memberlist must not be called from within its own call
+	go func() { // memberlist must not be called from within its own callback
 		defer f.wg.Done()
 		if <-in.ready; in.memberlist != nil {
-			_ = in.memberlist.UpdateNode(leaveTimeout) // on a timeout the metadata travels with the next state exchange
+			_ = in.memberlist.UpdateNode(leaveTimeout) // after a timeout the next state exchange transfers the metadata
 		}
 	}()
 }
--- a/internal/fleet/lease_messages.go
+++ b/internal/fleet/lease_messages.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// maxPacketBytes is the size from which on a packet is sent: with memberlist's own bytes it still fits one Ethernet frame.
+	// maxPacketBytes is the size at which a packet is sent. Together with memberlist's overhead such a packet still fits into one Ethernet
+	// frame.
 	maxPacketBytes = 1100
-	// maxPacketMessages bounds what is read from a packet.
+	// maxPacketMessages is the maximum number of messages that are read from a packet.
 	maxPacketMessages = 256
-	// maxAmount bounds the figures of a message.
+	// maxAmount is the largest valid value of the number fields of a message.
 	maxAmount = 1e12
-	// maxEnum bounds the number of a kind or a reason that is read; larger ones are unknown in any case.
+	// maxEnum limits the number of a kind or a reason. Larger numbers are unknown in any case.
 	maxEnum = 255
 )
 
-// leasesMessage is the field of message Loans in fleet.proto; the others are those of message Loan.
+// The fields of the messages Loans (leasesMessage) and Loan (the others) in fleet.proto.
 const (
 	leasesMessage protowire.Number = 1
 
@@ -35,7 +36,7 @@
 	leaseReason          protowire.Number = 10
 )
 
-// appendLease writes a message to a packet. Fields that are 0 are left out.
+// appendLease appends a message to a packet. Fields that are 0 are left out.
 func appendLease(packet []byte, m *quota.KeyedMessage) []byte {
 	var body []byte
 	appendNumber := func(number protowire.Number, v uint64) {
@@ -61,7 +62,7 @@
 	return appendBytesField(packet, leasesMessage, body)
 }
 
-// parseLeases reads a packet. Messages that are malformed are left out; ok is false if there are any, or no message at all.
+// parseLeases parses a packet, leaving out malformed messages. ok is false if there is a malformed message, or no message at all.
 func parseLeases(packet []byte) (messages []quota.KeyedMessage, ok bool) {
 	allValid := true
 	complete := eachField(packet, func(number protowire.Number, content []byte, _ uint64) {
@@ -78,7 +79,7 @@
 	return messages, complete && allValid && len(messages) > 0
 }
 
-// parseLease reads one message.
+// parseLease parses one message.
 func parseLease(body []byte) (m quota.KeyedMessage, valid bool) {
 	complete := eachField(body, func(number protowire.Number, content []byte, bits uint64) {
 		switch number {
@@ -105,8 +106,8 @@
 		}
 	})
 	inBounds := true
-	for _, figure := range [...]float64{m.Amount, m.Duration, m.PriorityWeight, m.CurrentCapacity} {
-		inBounds = inBounds && figure >= 0 && figure <= maxAmount
+	for _, value := range [...]float64{m.Amount, m.Duration, m.PriorityWeight, m.CurrentCapacity} {
+		inBounds = inBounds && value >= 0 && value <= maxAmount
 	}
 	knownKind := m.Kind >= quota.Request && m.Kind <= quota.Offer
 	return m, complete && inBounds && knownKind && m.Key != ""
--- a/internal/fleet/observations.go
+++ b/internal/fleet/observations.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// keyObservations, behind which the pool's name stands, is the key of records.
+	// keyObservations followed by a pool's name is the key of the pool's records.
 	keyObservations = "seen/"
-	maxViewBytes    = 900 // of a record, which has 1 KB
-	viewOverhead    = 3   // bytes of a summary beside its content
+	maxViewBytes    = 900 // size of a record's body; a record is limited to 1 KB
+	viewOverhead    = 3   // bytes of an encoded summary besides its content
 
-	// Bounds of what is read: who gossips nonsense weighs no more for it.
-	maxFigure          = 1e9
+	// Bounds of the values that are read from peers, so that invalid values gain no additional weight.
+	maxValue           = 1e9
 	maxLatencySamples  = 1e6
 	maxBusyMs          = 10e3
 	maxLogLatencyRatio = 20.0
@@ -42,7 +42,7 @@
 	backElapsed protowire.Number = 2
 )
 
-// appendNonZeroFloat writes a float field unless it is 0.
+// appendNonZeroFloat appends a float field unless its value is 0.
 func appendNonZeroFloat(b []byte, number protowire.Number, v float64) []byte {
 	if v == 0 {
 		return b
@@ -50,8 +50,8 @@
 	return appendFloatField(b, number, v)
 }
 
-// appendObservations writes the record of a pool as far as there is room: half of it for ejected and returning members, the rest for
-// summaries, failing members first.
+// appendObservations encodes the record of a pool, leaving out what does not fit into maxViewBytes: half of the space is for ejected and
+// returning members, the rest for summaries, with those of failing members first.
 func appendObservations(summaries []evidence.Summary, zone string, ejected []string, recoveries []outlier.Recovery) []byte {
 	summaries = slices.Clone(summaries)
 	slices.SortStableFunc(summaries, func(a, b evidence.Summary) int { return min(a.Run, 0) - min(b.Run, 0) })
@@ -88,7 +88,7 @@
 	return appendNonZeroFloat(b, viewLatencySamples, s.LatencySamples)
 }
 
-// parseObservations reads a record. Figures out of their bounds are brought into them.
+// parseObservations parses a record. Values that are out of bounds are replaced by valid ones.
 func parseObservations(body []byte) (report outlier.Report, ok bool) {
 	ok = eachField(body, func(number protowire.Number, content []byte, _ uint64) {
 		switch number {
@@ -105,7 +105,7 @@
 	return report, ok
 }
 
-// parseSummary reads a summary as far as it is well-formed.
+// parseSummary parses a summary up to the first malformed field.
 func parseSummary(body []byte) (s evidence.Summary) {
 	eachField(body, func(number protowire.Number, content []byte, bits uint64) {
 		switch number {
@@ -114,9 +114,9 @@
 		case viewRun:
 			s.Run = int(max(-evidence.MaxRun, min(evidence.MaxRun, protowire.DecodeZigZag(bits))))
 		case viewAge:
-			s.Age = boundedFloat(bits, maxFigure)
+			s.Age = boundedFloat(bits, maxValue)
 		case viewAttempts:
-			s.Attempts = boundedFloat(bits, maxFigure)
+			s.Attempts = boundedFloat(bits, maxValue)
 		case viewFailureFraction:
 			s.FailureFraction = boundedFloat(bits, 1)
 		case viewLogLatencyRatio:
@@ -133,7 +133,7 @@
 	return s
 }
 
-// parseRecovery reads a returning member as far as it is well-formed.
+// parseRecovery parses a returning member up to the first malformed field.
 func parseRecovery(body []byte) (r outlier.Recovery) {
 	eachField(body, func(number protowire.Number, content []byte, bits uint64) {
 		switch number {
@@ -141,8 +141,8 @@
 			r.Member = string(content)
 		case backElapsed:
 			r.Elapsed = floatValue(bits)
-			if !(r.Elapsed >= outlier.MinElapsed && r.Elapsed <= maxFigure) {
-				r.Elapsed = maxFigure // back for long: that starts nothing
+			if !(r.Elapsed >= outlier.MinElapsed && r.Elapsed <= maxValue) {
+				r.Elapsed = maxValue // a return that started long ago has no effect
 			}
 		}
 	})
--- a/internal/fleet/server_record.go
+++ b/internal/fleet/server_record.go
@@ -6,42 +6,42 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Phase is a server's lifecycle phase. Its numbers go over the wire.
+// Phase is a server's lifecycle phase. The numbers are part of the wire format.
 type Phase int
 
-// The phases in their order.
+// The phases in the order in which a server passes through them.
 const (
 	WarmingUp Phase = iota + 1 // in slow start
 	Warm                       // takes full traffic
-	Draining                   // goes on for its grace period, then takes nothing new
-	Leaving                    // stops
+	Draining                   // serves on for its grace period, then accepts no new RPCs
+	Leaving                    // stopping
 )
 
-// maxPhase bounds the number of a phase that is read from the network.
+// maxPhase is the largest phase number that is read from the network.
 const maxPhase = 255
 
-// String returns the phase's name in the status.
+// String returns the name of the phase that the status shows.
 func (p Phase) String() string {
 	if p < WarmingUp || p > Leaving {
-		return fmt.Sprintf("phase %d", int(p)) // of a later build
+		return fmt.Sprintf("phase %d", int(p)) // from a later build
 	}
 	return [...]string{"cold", "warm", "draining", "leaving"}[p-1]
 }
 
-// The keys of gossiped records, as they go over the wire.
+// The keys of gossiped records. They are part of the wire format.
 const (
 	keyServer  = "server"
 	keyRemoval = "gone"
 )
 
-// ServerRecord is what a server gossips about itself.
+// ServerRecord is the record that a server gossips about itself.
 type ServerRecord struct {
 	Zone           string
 	Version        string // of the program
 	SettingsHash   string // of the operator's record
 	Phase          Phase
 	WarmupProgress float64 // from 0 to 1
-	Addr           string  // where its fleet port is reached
+	Addr           string  // address at which peers reach its fleet port
 }
 
 // The fields of message Server in fleet.proto.
@@ -54,7 +54,7 @@
 	serverSettings
 )
 
-// appendTo writes the record's body.
+// appendTo appends the encoded body of the record to b.
 func (s *ServerRecord) appendTo(b []byte) []byte {
 	b = appendStringField(b, serverZone, s.Zone)
 	b = appendStringField(b, serverVersion, s.Version)
@@ -64,7 +64,7 @@
 	return appendStringField(b, serverSettings, s.SettingsHash)
 }
 
-// parseServer reads what appendTo wrote, as far as this build knows it.
+// parseServer parses the body of a record that ServerRecord.appendTo wrote. It ignores fields that this build does not know.
 func parseServer(body []byte) (s ServerRecord, ok bool) {
 	ok = eachField(body, func(number protowire.Number, content []byte, bits uint64) {
 		switch number {
@@ -83,7 +83,7 @@
 		}
 	})
 	if !(s.WarmupProgress >= 0 && s.WarmupProgress <= 1) {
-		s.WarmupProgress = 0 // unknown: as if it had just started
+		s.WarmupProgress = 0 // unknown; treated as a server that has just started
 	}
 	return s, ok
 }
@@ -91,7 +91,7 @@
 // removal is an operator's declaration that a server will not come back.
 type removal struct {
 	name       string
-	generation uint64 // the last one that is removed
+	generation uint64 // the last generation that is removed
 	operator   string
 	reason     string
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// The bodies of records and direct packets are protocol buffers as fleet.proto describes them. They are written and read by hand, so that
-// what an older or newer build adds is skipped.
+// The bodies of records and direct packets are protocol buffers, defined in fleet.proto. They are encoded and decoded by hand so that fields of
+// older or newer builds are skipped.
 
 func appendStringField(b []byte, number protowire.Number, s string) []byte {
 	return protowire.AppendString(protowire.AppendTag(b, number, protowire.BytesType), s)
@@ -29,12 +29,12 @@
 	return protowire.AppendFixed32(protowire.AppendTag(b, number, protowire.Fixed32Type), math.Float32bits(float32(v)))
 }
 
-// floatValue converts the bits that eachField passes for a float field. It may be NaN or infinite.
+// floatValue converts the bits that eachField passes for a float field to a number, which may be NaN or infinite.
 func floatValue(bits uint64) float64 {
 	return float64(math.Float32frombits(uint32(bits)))
 }
 
-// boundedFloat is floatValue within 0 and limit; what is no number counts as 0.
+// boundedFloat returns floatValue limited to the range from 0 to limit. NaN becomes 0.
 func boundedFloat(bits uint64, limit float64) float64 {
 	v := floatValue(bits)
 	if !(v >= 0) {
@@ -43,7 +43,7 @@
 	return math.Min(v, limit)
 }
 
-// eachField calls visit for each field of a message, with the content of a string, bytes or message field, or the bits of a number. It
+// eachField calls visit for each field of a message, with the content of a string, bytes or message field, or with the bits of a number. It
 // returns false if the message is malformed.
 func eachField(message []byte, visit func(number protowire.Number, content []byte, bits uint64)) bool {
 	for len(message) > 0 {
