--- a/internal/fleet/daemon.go
+++ b/internal/fleet/daemon.go
@@ -14,15 +14,16 @@
 	"sorrelvalve/internal/operator"
 )
 
-// daemonFleet is a server's fleet membership beside its daemon. It holds up no stop of the server, and a start for startTimeout at most.
+// daemonFleet is the fleet membership of a server that runs as a daemon. It never delays the server's stop, and delays its start by
+// startTimeout at most.
 type daemonFleet struct {
 	fleet   *Fleet
 	budgets *Budgets
-	socket  *Socket           // nil without one
+	socket  *Socket           // nil if no socket is configured
 	drains  *DrainCoordinator // nil without permit servers
 }
 
-// Set applies a new operator's file: its budgets. The rest of fleet takes a restart.
+// Set applies the budgets of a new operator's file. Changes to the file's fleet section take effect after a restart.
 func (m *daemonFleet) Set(file *operator.File) { m.budgets.Set(file.Budgets) }
 
 // Close ends the membership.
@@ -36,7 +37,7 @@
 	m.fleet.Close()
 }
 
-// StartWithDaemon starts the membership in the fleet of the operator's file, if that has one. It is a daemon.Extension.
+// StartWithDaemon starts the fleet membership that the operator's file configures, if any. It is a daemon.Extension.
 func StartWithDaemon(parts daemon.Parts) (daemon.Addition, error) {
 	if parts.Config.Operator == nil || parts.Config.Operator.File.Fleet == nil {
 		return nil, nil
@@ -67,7 +68,7 @@
 	return member, nil
 }
 
-// optionsOf reads the options from the operator's file.
+// optionsOf returns the options that the operator's file sets.
 func optionsOf(parts *daemon.Parts) (Options, error) {
 	record := parts.Config.Operator
 	config := record.File.Fleet
@@ -95,7 +96,7 @@
 	return options, nil
 }
 
-// readKey reads an encryption key in base64.
+// readKey reads a base64-encoded encryption key from a file.
 func readKey(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -106,12 +107,12 @@
 		err = ValidateKey(key)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: base64 of 16, 24 or 32 bytes expected: %w", path, err)
+		return nil, fmt.Errorf("%s: invalid base64 encryption key: %w", path, err)
 	}
 	return key, nil
 }
 
-// criticalityOf returns the criticality of a method by its name, of the first method for an unknown one.
+// criticalityOf returns a function that returns the criticality of a method by its name, or that of the first method if the name is unknown.
 func criticalityOf(methods []control.Method) func(method string) float64 {
 	return func(method string) float64 {
 		i := slices.IndexFunc(methods, func(m control.Method) bool { return m.Name == method })
@@ -119,7 +120,7 @@
 	}
 }
 
-// drainHooks connects drains and rollouts to the daemon.
+// drainHooks returns the hooks by which drains and rollouts act on the daemon.
 func drainHooks(parts *daemon.Parts) DrainHooks {
 	gate := parts.Gate
 	return DrainHooks{
@@ -141,7 +142,7 @@
 	}
 }
 
-// memberStates returns the state of the members of pools.
+// memberStates returns a function that returns the states of the pools' members by pool and address.
 func memberStates(backends *pools.Backends) func() map[string]map[string]MemberState {
 	return func() map[string]map[string]MemberState {
 		states := map[string]map[string]MemberState{}
@@ -156,7 +157,8 @@
 	}
 }
 
-// PhaseFunc turns a server's warm-up progress, from 0 to 1, and whether it drains into a phase.
+// PhaseFunc returns a function that derives the server's phase from state, which reports its warm-up progress from 0 to 1 and whether it is
+// draining.
 func PhaseFunc(state func() (warmUp float64, draining bool)) func() (Phase, float64) {
 	return func() (Phase, float64) {
 		warmUp, draining := state()
--- a/internal/fleet/differences.go
+++ b/internal/fleet/differences.go
@@ -8,61 +8,61 @@
 	"strings"
 )
 
-// opinions are what several servers' views say of one peer.
-type opinions struct {
-	reachableAt   []string // servers that reach it
-	unreachableAt []string // servers that do not, and have it as a member
+// peerReports collects what several servers report about one peer.
+type peerReports struct {
+	reachableAt   []string // servers at which the peer is reachable
+	unreachableAt []string // servers at which the peer is an unreachable member
 	generations   map[uint64]bool
 }
 
-// Differences names where views differ: which peers are reachable, of which generation, and the settings. Neither view is called wrong.
-// Servers in their grace period have no view yet.
+// Differences describes where the servers' views differ: which peers are reachable, their generations, and the settings in force. It does not
+// say which view is wrong. Servers in their grace period are left out, as they have no view yet.
 func Differences(statuses []Status) []string {
-	differences := peerDifferences(collectOpinions(statuses))
+	differences := peerDifferences(collectReports(statuses))
 	if text := settingsDifference(statuses); text != "" {
 		differences = append(differences, text)
 	}
 	return differences
 }
 
-func collectOpinions(statuses []Status) map[string]*opinions {
-	byPeer := map[string]*opinions{}
+func collectReports(statuses []Status) map[string]*peerReports {
+	byPeer := map[string]*peerReports{}
 	for _, s := range statuses {
 		if s.InGracePeriod {
 			continue
 		}
 		for _, p := range s.Peers {
-			o := byPeer[p.Name]
-			if o == nil {
-				o = &opinions{generations: map[uint64]bool{}}
-				byPeer[p.Name] = o
+			reports := byPeer[p.Name]
+			if reports == nil {
+				reports = &peerReports{generations: map[uint64]bool{}}
+				byPeer[p.Name] = reports
 			}
 			if p.Reachable {
-				o.reachableAt = append(o.reachableAt, s.Name)
-				o.generations[p.Generation] = true
+				reports.reachableAt = append(reports.reachableAt, s.Name)
+				reports.generations[p.Generation] = true
 			} else if p.Departed == "" {
-				o.unreachableAt = append(o.unreachableAt, s.Name)
+				reports.unreachableAt = append(reports.unreachableAt, s.Name)
 			}
 		}
 	}
 	return byPeer
 }
 
-func peerDifferences(byPeer map[string]*opinions) (differences []string) {
+func peerDifferences(byPeer map[string]*peerReports) (differences []string) {
 	for _, name := range slices.Sorted(maps.Keys(byPeer)) {
-		o := byPeer[name]
-		if len(o.reachableAt) > 0 && len(o.unreachableAt) > 0 {
+		reports := byPeer[name]
+		if len(reports.reachableAt) > 0 && len(reports.unreachableAt) > 0 {
 			differences = append(differences, fmt.Sprintf("%s is heard by %s and not by %s",
-				name, strings.Join(o.reachableAt, " "), strings.Join(o.unreachableAt, " ")))
+				name, strings.Join(reports.reachableAt, " "), strings.Join(reports.unreachableAt, " ")))
 		}
-		if len(o.generations) > 1 {
-			differences = append(differences, fmt.Sprintf("%s is known by %d different starts", name, len(o.generations)))
+		if len(reports.generations) > 1 {
+			differences = append(differences, fmt.Sprintf("%s is known by %d different starts", name, len(reports.generations)))
 		}
 	}
 	return differences
 }
 
-// settingsDifference names which servers run which settings; "" if all run the same.
+// settingsDifference describes which servers run which settings. It returns "" if all run the same settings.
 func settingsDifference(statuses []Status) string {
 	serversByHash := map[string][]string{}
 	for _, s := range statuses {
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -15,41 +15,44 @@
 const (
 	reportInterval = time.Second
 	reportTimeout  = 2 * time.Second
-	// permitTimeout bounds each exchange with the permit servers: two elections and the answer. A server that has no answer by then does not
-	// begin to drain.
+	// permitTimeout limits each exchange with the permit servers. It leaves time for two elections and the response. A server that receives no
+	// response within it does not begin to drain.
 	permitTimeout  = 8 * time.Second
-	returnInterval = 2 * time.Second // between two attempts to return the permit of the former generation
-	// startTimeout bounds what a start waits for the permit servers: an answer takes milliseconds, and without one the server starts.
+	returnInterval = 2 * time.Second // between two attempts to return the permit of the previous generation
+	// startTimeout limits how long the server's start waits for the permit servers. A response takes milliseconds; without one the server
+	// starts nevertheless.
 	startTimeout = 500 * time.Millisecond
-	// maxCheckAge is how old the confirmation of a permit may be when the drain begins, by this server's own clock from when it asked.
+	// maxCheckAge is the maximum age of a permit's confirmation when the drain begins, measured by this server's clock from the sending of the
+	// request.
 	maxCheckAge = time.Second
 )
 
-// DrainHooks are what a DrainCoordinator does to its server, and reads of it.
+// DrainHooks are the functions by which a DrainCoordinator acts on its server and reads its state.
 type DrainHooks struct {
-	// StartDrain drains the server and ends the process with a code, as a signal to stop does.
+	// StartDrain drains the server and then ends the process with exitCode, in the same way as a stop signal does.
 	StartDrain func(exitCode int)
-	// CancelDrain takes that back, if it is not too late.
+	// CancelDrain cancels the drain. It fails if it is too late for that.
 	CancelDrain func() error
-	// RequestCounts returns how many RPCs have arrived and were rejected since the start.
+	// RequestCounts returns how many RPCs have arrived, and how many of them were rejected, since the start.
 	RequestCounts func() (arrived, rejected uint64)
-	// SetDrainedMembers replaces the members, by pool, that get no new RPCs. It returns why some can't be drained, by pool/address.
+	// SetDrainedMembers replaces the set of members, by pool, that receive no new RPCs. For members that can't be drained it returns the
+	// reasons, by pool/address.
 	SetDrainedMembers func(addrsByPool map[string][]string) (blocked map[string]string)
-	// MemberStates returns the members by pool and address.
+	// MemberStates returns the states of the pools' members by pool and address.
 	MemberStates func() map[string]map[string]MemberState
 	Rollout      RolloutHooks
 }
 
-// MemberState is the state of a member of a pool at this server.
+// MemberState is the state of a pool's member at this server.
 type MemberState struct {
 	Unavailable bool // ejected or drained
-	InFlight    int  // RPCs
+	InFlight    int  // number of RPCs in flight
 }
 
-// DrainCoordinator has a server drain by the permit servers' word: it reports to them how much of the server is out of service, acquires
-// a permit when an operator wants it to drain, confirms that just before it begins, and returns it once the server is back and warm. It
-// also applies drains of members of pools, and rollouts. It never begins a drain without the permit servers, and never holds up a stop that
-// the platform asks for. Its methods may be called by many goroutines.
+// DrainCoordinator drains a server under the control of the permit servers. It reports to them how much of the server is out of service,
+// acquires a permit when an operator requests a drain, confirms the permit just before the drain begins, and returns it once the server is
+// back and warm. It also applies drains of pools' members, and rollouts. It never begins a drain without the permit servers, and never delays
+// a stop that the platform requests. It is safe for concurrent use.
 type DrainCoordinator struct {
 	fleet    *Fleet
 	client   *permitclient.Client
@@ -57,36 +60,36 @@
 	hooks    DrainHooks
 	versions *versionManager
 
-	ctx    context.Context // until Close
+	ctx    context.Context // canceled by Close
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu               sync.Mutex
 	state            DrainStatus // without Version
-	returned         bool        // the permit servers know that this generation is back
-	draining         bool        // by a permit
-	stopReported     bool        // a stop without a permit
-	requestPending   bool        // a drain that the permit servers asked for is under way
-	unreturnedPermit uint64      // of a drain that was cancelled; 0 for none
+	returned         bool        // the permit servers know that this generation is back in service
+	draining         bool        // a drain by permit is in progress
+	stopReported     bool        // a stop without a permit has been reported
+	requestPending   bool        // a drain that the permit servers requested is being started
+	unreturnedPermit uint64      // ID of the permit of a cancelled drain; 0 for none
 	cancelledBy      string
-	drainedMembers   map[string]uint64 // permits by pool/address
+	drainedMembers   map[string]uint64 // permit IDs by pool/address
 	undrainable      map[string]string // reasons by pool/address
 	lastArrived      uint64            // RequestCounts at the last report
 	lastRejected     uint64
 	lastCountsAt     time.Time
 }
 
-// DrainStatus is how a server stands with the permit servers.
+// DrainStatus is the state of a server's drains and rollouts.
 type DrainStatus struct {
 	PermitServersReachable bool     `json:"Keepers"`          // the last report was answered
-	Permit                 uint64   `json:",omitempty"`       // held; 0 for none
-	HaltReason             string   `json:"Halted,omitempty"` // why nothing new may begin; "" for no halt
-	DrainedMembers         []string `json:"Aside,omitempty"`  // members of pools that are drained, as pool/address
+	Permit                 uint64   `json:",omitempty"`       // ID of the permit held; 0 for none
+	HaltReason             string   `json:"Halted,omitempty"` // why no new drain may begin; "" for no halt
+	DrainedMembers         []string `json:"Aside,omitempty"`  // drained members, as pool/address
 	Version                *VersionStatus
-	LastOutcome            string `json:"Last,omitempty"` // of the last drain
+	LastOutcome            string `json:"Last,omitempty"` // why the last drain did not begin, or who cancelled it
 }
 
-// CoordinateDrains connects a server to the permit servers at some addresses.
+// CoordinateDrains connects the server to the permit servers at the given addresses.
 func (f *Fleet) CoordinateDrains(permitServers []string, hooks DrainHooks) *DrainCoordinator {
 	d := &DrainCoordinator{
 		fleet:    f,
@@ -99,7 +102,8 @@
 	f.mu.Lock()
 	f.drains = d
 	f.mu.Unlock()
-	// The drained members are fetched before the first RPC, for as long as a start may wait: else it would use them until its first report.
+	// The drained members are fetched before the first RPC, within the time that a start may wait. Otherwise the server would send RPCs to
+	// them until its first report.
 	ctx, cancel := context.WithTimeout(d.ctx, startTimeout)
 	heartbeat := d.report()
 	if directives, err := d.client.Heartbeat(ctx, heartbeat); err == nil {
@@ -111,7 +115,7 @@
 	return d
 }
 
-// loop reports, and applies what the permit servers direct.
+// loop reports to the permit servers, and applies their directives.
 func (d *DrainCoordinator) loop() {
 	defer d.wg.Done()
 	ticker := time.NewTicker(reportInterval)
@@ -138,7 +142,7 @@
 			d.retryReturn()
 		}
 		if changed {
-			continue // what the directives changed is reported at once
+			continue // report changes by the directives at once
 		}
 		select {
 		case <-d.ctx.Done():
@@ -148,7 +152,8 @@
 	}
 }
 
-// noteReachability notes whether the permit servers answered, and logs a change. It returns whether they know that this server is back.
+// noteReachability records whether the permit servers answered, and logs a change. It returns whether they know that this server is back in
+// service.
 func (d *DrainCoordinator) noteReachability(err error, returnReported bool) (returned bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -164,7 +169,7 @@
 	return d.returned
 }
 
-// retryReturn returns the permit of a cancelled drain if it is still held.
+// retryReturn retries the return of a cancelled drain's permit if it is still held.
 func (d *DrainCoordinator) retryReturn() {
 	d.mu.Lock()
 	unreturned := d.unreturnedPermit != 0
@@ -173,11 +178,11 @@
 		return
 	}
 	if err := d.returnPermit(d.ctx); err != nil {
-		d.log.WithError(err).Debug("drain.permit_return_failed") // tried again with the next report
+		d.log.WithError(err).Debug("drain.permit_return_failed") // retried with the next report
 	}
 }
 
-// Command sends an operator's command to the permit servers. It fails with PermitDeniedError if they deny it.
+// Command sends an operator's command to the permit servers. It returns a PermitDeniedError if they deny it.
 func (d *DrainCoordinator) Command(ctx context.Context, c permit.Command) error {
 	c.ID = newID("op")
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
@@ -189,14 +194,14 @@
 	return err
 }
 
-// PermitState reads the permit servers' state.
+// PermitState returns the permit servers' state.
 func (d *DrainCoordinator) PermitState(ctx context.Context) (permitclient.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	return d.client.State(ctx)
 }
 
-// isDraining tells whether this server drains by a permit.
+// isDraining reports whether this server is draining by permit.
 func (d *DrainCoordinator) isDraining() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -211,7 +216,7 @@
 	return &status
 }
 
-// Close ends the reports and what is under way. A permit that is held stays held.
+// Close stops the reports and all operations in progress. It does not return a permit that is held.
 func (d *DrainCoordinator) Close() {
 	d.cancel()
 	d.wg.Wait()
@@ -220,12 +225,12 @@
 
 // PermitDeniedError reports that the permit servers denied a command.
 type PermitDeniedError struct {
-	Step         string // what was denied; "" to tell the reason alone
+	Step         string // the step that was denied; "" to print only the reason
 	Reason       string
-	OutOfService []string // what uses up the limit, if that is the reason
+	OutOfService []string // subjects that use up the limit, if that is the reason
 }
 
-// Error names what was denied, why, and what uses up the limit.
+// Error names the step that was denied, the reason, and the subjects that use up the limit.
 func (e *PermitDeniedError) Error() string {
 	if e.Step == "" {
 		return e.Reason
@@ -233,7 +238,7 @@
 	return fmt.Sprintf("%s: %s %v", e.Step, e.Reason, e.OutOfService)
 }
 
-// The steps of PermitDeniedError beside the kinds of commands.
+// Values of PermitDeniedError.Step besides the kinds of commands.
 const (
 	stepAcquire = "no permit"
 	stepConfirm = "the permit is not good any more"
--- a/internal/fleet/drain_permit.go
+++ b/internal/fleet/drain_permit.go
@@ -13,10 +13,10 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// ErrNotDraining reports that there is no drain by permit to cancel.
+// ErrNotDraining is returned if there is no drain by permit to cancel.
 var ErrNotDraining = errors.New("no drain by permit goes on here")
 
-// UnreturnedPermitError reports that no drain can begin before the permit of a cancelled one is returned.
+// UnreturnedPermitError reports that no drain can begin until the permit of a cancelled drain has been returned.
 type UnreturnedPermitError struct{ PermitID uint64 }
 
 // Error names the permit.
@@ -24,18 +24,18 @@
 	return fmt.Sprintf("the permit %d of the drain that was taken back is still to be returned", e.PermitID)
 }
 
-// Drain acquires a permit, confirms it, and begins to drain this server. It returns once the drain has begun, or why it has not:
-// UnreturnedPermitError, PermitDeniedError, or that the permit servers can't be reached.
+// Drain acquires a permit, confirms it, and begins to drain this server. It returns once the drain has begun. It returns an
+// UnreturnedPermitError, a PermitDeniedError, or the error of an exchange with the permit servers if the drain does not begin.
 func (d *DrainCoordinator) Drain(ctx context.Context, operator, reason string) error {
 	return d.drain(ctx, drainRequest{operator: operator, reason: reason})
 }
 
-// drainRequest is a drain of this server that is to begin.
+// drainRequest holds the parameters of a drain of this server.
 type drainRequest struct {
 	operator string
 	reason   string
 	exitCode int          // of the process
-	prepare  func() error // called once the drain may begin, which it does not if that fails; nil for nothing
+	prepare  func() error // called once the drain may begin; if it fails, the drain does not begin; may be nil
 }
 
 func (d *DrainCoordinator) drain(ctx context.Context, request drainRequest) (err error) {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// noteOutcome notes and logs why a drain did not begin. An operator that asks again and again is answered each time, the log is written
-// once.
+// noteOutcome records and logs why a drain did not begin. The same reason is logged only once in a row, however often an operator repeats the
+// request.
 func (d *DrainCoordinator) noteOutcome(operator string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,8 +100,8 @@
 	return result.PermitID, nil
 }
 
-// confirmPermit has the permit servers record that the drain begins, and tells whether they did. An answer that took too long is asked for
-// again: this process may have been stopped meanwhile, and the permit recalled.
+// confirmPermit makes the permit servers record that the drain begins, and returns whether they have done so. If the response took longer than
+// maxCheckAge, it confirms the permit again: this process may have been suspended meanwhile, and the permit recalled.
 func (d *DrainCoordinator) confirmPermit(ctx context.Context, command permit.Command) (begun bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -123,8 +123,9 @@
 	}
 }
 
-// abandonPermit returns a permit whose drain does not begin here. begun tells that the permit servers recorded its beginning: it is
-// recalled first, or they would not take it as unused. If they can't be reached, an operator frees the permit.
+// abandonPermit returns a permit whose drain did not begin. If begun is set, the permit servers have recorded the beginning of the drain; the
+// permit is then recalled first, because they would not accept it as unused otherwise. If they can't be reached, an operator has to free the
+// permit.
 func (d *DrainCoordinator) abandonPermit(command permit.Command, begun bool) {
 	if begun {
 		recall := permit.Command{ID: newID("recall"), Kind: permit.Recall, Subject: command.Subject, Actor: command.Actor}
@@ -139,7 +140,7 @@
 	d.mu.Unlock()
 }
 
-// send sends a command of which nothing here depends; a failure is logged.
+// send sends a command whose result is not needed. It logs a failure.
 func (d *DrainCoordinator) send(ctx context.Context, timeout time.Duration, command permit.Command) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -152,7 +153,8 @@
 	}
 }
 
-// Cancel takes this server's drain back, if it has not closed yet, and returns its permit. It fails with ErrNotDraining.
+// Cancel cancels this server's drain, unless the server has already closed, and returns its permit. It returns ErrNotDraining if no drain by
+// permit is in progress.
 func (d *DrainCoordinator) Cancel(ctx context.Context, operator string) error {
 	d.mu.Lock()
 	draining := d.draining
@@ -174,8 +176,8 @@
 	return d.returnPermit(ctx)
 }
 
-// returnPermit returns the permit of a drain that was cancelled. It is tried with each report until the permit servers have it: until then
-// no other drain begins here.
+// returnPermit returns the permit of a cancelled drain. It is retried with each report until it succeeds. Until then no other drain of this
+// server begins.
 func (d *DrainCoordinator) returnPermit(ctx context.Context) error {
 	generation := d.serviceState().generation
 	d.mu.Lock()
@@ -184,8 +186,8 @@
 	d.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	// Without this report the server would count as lost from the return of its permit to its next report.
-	_, _ = d.client.Heartbeat(ctx, d.report()) // the commands below fail if it did
+	// Without this report the server would count as lost from the return of its permit until its next report.
+	_, _ = d.client.Heartbeat(ctx, d.report()) // if the permit servers are unreachable, the commands below fail too
 	name := d.fleet.options.Name
 	recall := permit.Command{ID: newID("recall"), Kind: permit.Recall, Subject: name, Actor: operator}
 	if _, err := d.client.Do(ctx, recall); err != nil {
@@ -213,8 +215,8 @@
 	return nil
 }
 
-// DrainMember drains a member of a pool: it acquires a permit and confirms it. Every server is told to stop new RPCs to the member with its
-// next report; PermitState tells how far that is.
+// DrainMember drains a member of a pool: it acquires a permit and confirms it. Each server receives the directive to stop new RPCs to the
+// member in the response to its next report. PermitState returns the progress.
 func (d *DrainCoordinator) DrainMember(ctx context.Context, subject, operator, reason string) error {
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
@@ -240,8 +242,8 @@
 	return nil
 }
 
-// reportReturn returns the permit that a former generation held. It is tried until the permit servers take it: they do not as long as
-// this server has not learnt that it is a later generation.
+// reportReturn returns the permit that a previous generation of this server held. It is retried until the permit servers accept it, which they
+// do not before this server has learnt that it is a later generation.
 func (d *DrainCoordinator) reportReturn(generation uint64) {
 	ctx, cancel := context.WithTimeout(d.ctx, permitTimeout)
 	defer cancel()
@@ -265,7 +267,7 @@
 	}
 }
 
-// reportUnplannedStop tells the permit servers once of a stop that is not by permit. It is only recorded: the stop goes on in any case.
+// reportUnplannedStop reports a stop without a permit to the permit servers, once. They only record it; the stop proceeds in any case.
 func (d *DrainCoordinator) reportUnplannedStop() {
 	service := d.serviceState()
 	d.mu.Lock()
@@ -287,8 +289,8 @@
 	})
 }
 
-// changeProgram drains by permit for another version of the program, which the supervisor starts in this one's place: it goes by the exit
-// code and by the name in the data folder.
+// changeProgram drains the server by permit so that it can be replaced by another version of the program. The supervisor starts that version,
+// as the exit code and the name in the data folder tell it to.
 func (d *DrainCoordinator) changeProgram(heartbeat permitclient.Heartbeat, directives *permitclient.Directives) {
 	d.mu.Lock()
 	busy := d.draining || d.requestPending
@@ -298,17 +300,17 @@
 	}
 	program := storedProgram{Version: directives.ProgramVersion, Name: directives.ProgramName, Index: directives.Index}
 	d.startRequest(func() {
-		_ = d.drain(d.ctx, drainRequest{ // it logs its failure; the directive stands
+		_ = d.drain(d.ctx, drainRequest{ // drain logs its failure; the directive remains in force
 			operator: "release",
 			reason:   fmt.Sprintf("version %d of the program: %s", program.Version, program.Name),
 			exitCode: ExitProgram,
-			// Written only once the drain may begin: a process that is killed before is started as what it was.
+			// The file is written only once the drain may begin, so that a process that is killed earlier is restarted with its present program.
 			prepare: func() error { return d.versions.store.writeProgram(&program) },
 		})
 	})
 }
 
-// newID returns a command's ID: a label for people, and 12 random bytes.
+// newID returns a unique ID for a command: a label for human readers and 12 random bytes.
 func newID(label string) string {
 	var random [12]byte
 	rand.Read(random[:])
--- a/internal/fleet/drain_report.go
+++ b/internal/fleet/drain_report.go
@@ -12,9 +12,9 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// serviceState is how far this server is in service.
+// serviceState describes to what extent this server is in service.
 type serviceState struct {
-	generation   uint64  // of this server's name
+	generation   uint64  // of this server
 	outOfService float64 // share of its capacity, from 0 to 1
 	leaving      bool
 }
@@ -36,7 +36,7 @@
 	return state
 }
 
-// report is what the permit servers are told of this server now.
+// report returns the report on this server's present state for the permit servers.
 func (d *DrainCoordinator) report() permitclient.Heartbeat {
 	service := d.serviceState()
 	heartbeat := permitclient.Heartbeat{
@@ -53,7 +53,7 @@
 	return heartbeat
 }
 
-// reportRates adds the RPCs a second since the last report. The lock is held.
+// reportRates adds the rates of RPCs per second since the last report. The caller holds the lock.
 func (d *DrainCoordinator) reportRates(heartbeat *permitclient.Heartbeat) {
 	arrived, rejected := d.hooks.RequestCounts()
 	now := time.Now()
@@ -67,8 +67,8 @@
 	d.lastCountsAt = now
 }
 
-// reportMembers adds the members of pools, and how far the drained ones are drained. More than the permit servers take are left out
-// altogether. The lock is held.
+// reportMembers adds the states of the pools' members and the progress of their drains. It adds none of them if there are more than the permit
+// servers accept. The caller holds the lock.
 func (d *DrainCoordinator) reportMembers(heartbeat *permitclient.Heartbeat, members map[string]map[string]MemberState) {
 	out := map[string]bool{}
 	drains := map[string]permit.MemberDrain{}
@@ -81,8 +81,8 @@
 			}
 		}
 	}
-	for subject, id := range d.drainedMembers { // of a pool or a member that this server does not have
-		if _, has := out[subject]; !has {
+	for subject, id := range d.drainedMembers { // members that this server does not have
+		if _, ok := out[subject]; !ok {
 			drains[subject] = permit.MemberDrain{PermitID: id}
 		}
 	}
@@ -93,7 +93,7 @@
 	heartbeat.MemberDrains = drains
 }
 
-// applyDirectives does what the permit servers direct. It returns whether there is something new to report.
+// applyDirectives applies the permit servers' directives. It returns whether there is a change to report.
 func (d *DrainCoordinator) applyDirectives(heartbeat permitclient.Heartbeat, directives permit.Directives) (changed bool) {
 	d.mu.Lock()
 	d.noteHalt(directives.HaltReason)
@@ -112,13 +112,13 @@
 	request := directives.DrainRequest
 	if request != nil && !draining && !requestPending && heartbeat.OutOfService == 0 {
 		d.startRequest(func() {
-			_ = d.Drain(d.ctx, request.Actor, request.Reason) // it logs its failure; the request stands
+			_ = d.Drain(d.ctx, request.Actor, request.Reason) // Drain logs its failure; the request remains in force
 		})
 	}
 	return changed
 }
 
-// noteHalt notes and logs that a halt begins or ends. The lock is held.
+// noteHalt records and logs the beginning or end of a halt. The caller holds the lock.
 func (d *DrainCoordinator) noteHalt(reason string) {
 	if d.state.HaltReason == reason {
 		return
@@ -131,7 +131,7 @@
 	}
 }
 
-// startRequest runs one drain at a time beside the loop.
+// startRequest runs a requested drain in its own goroutine, and marks it as pending until it returns. Callers start no other drain meanwhile.
 func (d *DrainCoordinator) startRequest(run func()) {
 	d.mu.Lock()
 	d.requestPending = true
@@ -146,8 +146,8 @@
 	}()
 }
 
-// applyDrainedMembers stops new RPCs to the drained members of pools, and to no others for that. Without permit servers the last
-// directive stands: a member that was drained may be gone.
+// applyDrainedMembers stops new RPCs to the given members, and resumes RPCs to members that are no longer drained. While the permit servers are
+// unreachable the last directive remains in force, because a drained member may already be gone.
 func (d *DrainCoordinator) applyDrainedMembers(permits map[string]uint64) {
 	subjects := slices.Sorted(maps.Keys(permits))
 	addrsByPool := map[string][]string{}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,13 +1,13 @@
-// Package fleet is a server's membership in a fleet: it runs memberlist (SWIM gossip) to find out which servers are reachable,
-// gossips small records of each server, and feeds decision/health with what the own clock and the network show.
+// Package fleet implements a server's membership in a fleet. It runs memberlist (SWIM gossip) to find out which servers are reachable,
+// gossips small records about each server, and passes observations of the local clock and the network to decision/health.
 //
-// On that membership it builds the status socket for operators, shared budgets (decision/quota), common outlier detection
-// (decision/outlier), drains by permit (decision/permit) and rollouts of settings and program versions (decision/release).
+// On top of the membership it provides the status socket for operators, shared budgets (decision/quota), common outlier detection
+// (decision/outlier), drains by permit (decision/permit), and rollouts of settings and program versions (decision/release).
 //
-// The package only carries out; the decisions are made by the decision packages. It never touches an RPC, and never judges a peer by
-// anything known before this server itself stalled.
+// The decision packages make the decisions; this package only carries them out. It never handles an RPC. After this server has stalled, it
+// discards everything that it knew about its peers before the stall.
 //
-// Lock order: the locks of Budgets, OutlierDetectors and DrainCoordinator are taken before that of Fleet.
+// Lock order: the locks of Budgets, OutlierDetectors and DrainCoordinator are acquired before that of Fleet.
 package fleet
 
 import (
@@ -24,50 +24,51 @@
 	"sorrelvalve/decision/health"
 )
 
-// Fleet is one server's membership. Its methods may be called by many goroutines.
+// Fleet is one server's membership in a fleet. It is safe for concurrent use.
 type Fleet struct {
 	options    Options
 	startedAt  time.Time
 	traffic    trafficCounters
 	broadcasts *memberlist.TransmitLimitedQueue
-	reachable  atomic.Int64 // servers, this one included; the broadcast queue scales with it
+	reachable  atomic.Int64 // number of reachable servers including this one; the broadcast queue scales with it
 	lastTick   atomic.Int64 // ns since startedAt
-	// silenced is set once this server has stalled or is excluded, until memberlist has been restarted: no packet passes.
+	// silenced is set when this server has stalled or is excluded from the fleet, and cleared when memberlist is restarted. While it is set, no
+	// packet is sent or accepted.
 	silenced  atomic.Bool
 	stop      chan struct{}
-	loopDone  chan struct{}  // closed once the loop has ended
-	wg        sync.WaitGroup // goroutines started beside the loop
+	loopDone  chan struct{}  // closed when the loop has ended
+	wg        sync.WaitGroup // goroutines other than the loop
 	joinSlots chan struct{}  // semaphore of concurrent joins
 
-	// memberlistErrors counts the errors and warnings of memberlist: packets that could not be read, decrypted or sent.
+	// memberlistErrors counts the errors and warnings that memberlist logged: packets that could not be read, decrypted or sent.
 	memberlistErrors atomic.Uint64
-	joinAttempts     uint64 // used by the loop alone
+	joinAttempts     uint64 // used only by the loop
 
 	mu               sync.Mutex
 	detector         *health.Detector
 	records          *gossip.Table
 	identity         health.Identity
-	sequences        map[string]uint64           // last sequence number of each own record, by key
-	published        map[string][]byte           // bodies of the own records, by key
-	nameByAddr       map[string]string           // of the reachable peers
+	sequences        map[string]uint64           // last sequence number of each of this server's records, by key
+	published        map[string][]byte           // bodies of this server's records, by key
+	nameByAddr       map[string]string           // names of the reachable peers by address
 	nodes            map[string]*memberlist.Node // the reachable peers by name, for direct packets
-	lastAddr         map[string]string           // where each name was last reached; survives restarts of memberlist
-	budgets          *Budgets                    // nil if no budgets are shared
+	lastAddr         map[string]string           // last known address of each name; survives restarts of memberlist
+	budgets          *Budgets                    // nil without shared budgets
 	outliers         *OutlierDetectors           // nil without common outlier detection
 	drains           *DrainCoordinator           // nil without permit servers
 	instance         *instance                   // nil while memberlist is down
-	firstContact     time.Time                   // with any peer since memberlist was started; zero for none yet
+	firstContact     time.Time                   // time of the first contact with any peer since memberlist was started; zero before
 	duplicateNames   []string
 	exclusion        error // why this server is excluded from the fleet; nil if it is not
 	closed           bool
 	announcedAt      time.Time
 	announcedPhase   Phase
 	detectorRestarts uint64
-	peersLost        uint64 // times that the failure detector lost a peer
+	peersLost        uint64 // number of times that the failure detector lost a peer
 }
 
-// Start opens a server's membership: it listens, and joins the seeds and every silent peer again and again. It fails only if an option
-// is wrong or the address is taken.
+// Start starts a server's membership in a fleet. It listens, and keeps trying to join the seeds and all silent peers in the background. It
+// fails only if an option is invalid or the address is in use.
 func Start(o Options) (*Fleet, error) {
 	o = o.withDefaults()
 	f := &Fleet{
@@ -97,20 +98,20 @@
 	return f, nil
 }
 
-// newIncarnation draws the number that tells two processes of one name and generation apart. It is never 0.
+// newIncarnation returns a random number that distinguishes two processes with the same name and generation. It is never 0.
 func newIncarnation() uint64 {
 	var random [8]byte
 	rand.Read(random[:])
 	return binary.LittleEndian.Uint64(random[:]) | 1
 }
 
-// elapsedMs converts a time to ms of the monotonic clock since the start.
+// elapsedMs converts a time to ms since the start, by the monotonic clock.
 func (f *Fleet) elapsedMs(t time.Time) float64 { return float64(t.Sub(f.startedAt)) / 1e6 }
 
-// wallMs is the wall clock in ms; only its drift against the monotonic clock is looked at.
+// wallMs returns the time of the wall clock in ms. It serves only to find the clock's drift against the monotonic clock.
 func (f *Fleet) wallMs() float64 { return float64(time.Now().Round(0).UnixNano()) / 1e6 }
 
-// awake tells whether the server has run without a stall. A stall that it finds counts until memberlist has been restarted.
+// awake reports whether the server has run without a stall. Once it has found a stall, it returns false until memberlist has been restarted.
 func (f *Fleet) awake() bool {
 	if f.silenced.Load() {
 		return false
@@ -130,7 +131,8 @@
 	return f.detector.View(f.elapsedMs(time.Now()))
 }
 
-// Close announces that this server leaves and stops all that was started. It takes half a second at most beside an exchange under way.
+// Close announces that this server leaves the fleet, and stops everything that Start started. It takes at most half a second in addition to an
+// exchange in progress.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if f.closed {
@@ -152,7 +154,7 @@
 	f.mu.Unlock()
 	if in != nil {
 		if !excluded {
-			_ = in.memberlist.Leave(leaveTimeout) // peers that the message misses find out by their health checks
+			_ = in.memberlist.Leave(leaveTimeout) // peers that miss the message detect the departure by their health checks
 		}
 		f.shutDown(in)
 	}
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -11,19 +11,19 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// instance is one run of memberlist, and its delegate. Events of a former run are ignored.
+// instance is one run of memberlist, and its delegate. Events of previous runs are ignored.
 type instance struct {
 	fleet      *Fleet
 	memberlist *memberlist.Memberlist // nil if it could not be created
-	ready      chan struct{}          // closed once memberlist is set
+	ready      chan struct{}          // closed when memberlist has been set
 }
 
-// isCurrent tells whether events of this run count. The fleet's lock is held.
+// isCurrent reports whether this is the current run, whose events are processed. The caller holds the fleet's lock.
 func (in *instance) isCurrent() bool {
 	return in.fleet.instance == in
 }
 
-// Write takes memberlist's log, of which only errors and warnings are counted.
+// Write receives memberlist's log. It only counts the errors and warnings.
 func (in *instance) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte("[ERR]")) || bytes.Contains(line, []byte("[WARN]")) {
 		in.fleet.memberlistErrors.Add(1)
@@ -31,7 +31,7 @@
 	return len(line), nil
 }
 
-// startMemberlist starts memberlist without knowledge of any peer.
+// startMemberlist starts memberlist, which then knows no peers.
 func (f *Fleet) startMemberlist() error {
 	f.lastTick.Store(int64(time.Since(f.startedAt)))
 	f.silenced.Store(false)
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// listen opens the transport at the configuration's bind address.
+// listen opens a transport that listens at the bind address in c.
 func (f *Fleet) listen(c *memberlist.Config) (*transport, error) {
 	open := f.options.openTransport
 	var localAddr *net.TCPAddr
@@ -114,7 +114,7 @@
 	return newTransport(base, localAddr, f.packetReceived, f.awake, &f.traffic), nil
 }
 
-// restartMemberlist discards memberlist and all that it knew, and starts it again: this server had stalled, or is isolated.
+// restartMemberlist discards memberlist with all its state, and starts it again. It is called after this server has stalled, or is isolated.
 func (f *Fleet) restartMemberlist(stalled bool) {
 	f.mu.Lock()
 	old := f.instance
@@ -133,7 +133,7 @@
 	if old != nil {
 		f.shutDown(old)
 	}
-	if err := f.startMemberlist(); err != nil { // the next tick tries again
+	if err := f.startMemberlist(); err != nil { // retried at the next tick
 		f.silenced.Store(true)
 		f.options.Log.WithError(err).Error("fleet.restart_failed")
 		return
--- a/internal/fleet/loop.go
+++ b/internal/fleet/loop.go
@@ -7,16 +7,16 @@
 	"sorrelvalve/decision/outlier"
 )
 
-// tickOutcome is what one tick shows about this server itself.
+// tickOutcome is the result of one tick about this server itself.
 type tickOutcome struct {
 	stalled  bool // this server did not run for a while
-	isolated bool // no peer has been received from for a while
-	excluded bool // this server's name is taken, it takes no part
+	isolated bool // nothing has been received from any peer for a while
+	excluded bool // this server is excluded from the fleet because another process uses its name
 }
 
 func (o tickOutcome) needsRestart() bool { return (o.stalled || o.isolated) && !o.excluded }
 
-// loop drives the failure detector, announcements, joins, budgets and outlier detection, and restarts memberlist after a stall.
+// loop drives the failure detector, announcements, joins, budgets and outlier detection. It restarts memberlist after a stall or isolation.
 func (f *Fleet) loop() {
 	defer close(f.loopDone)
 	ticker := time.NewTicker(tickInterval)
@@ -52,20 +52,20 @@
 
 // observeTick advances the failure detector.
 func (f *Fleet) observeTick(now time.Time) tickOutcome {
-	silenced := !f.awake() // before the tick is noted: whoever looks first sees the gap
+	silenced := !f.awake() // checked before the tick is recorded, so that a gap between ticks is still visible
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	nowMs := f.elapsedMs(now)
 	ticked := f.detector.Tick(nowMs, f.wallMs())
 	outcome := tickOutcome{stalled: ticked || silenced, excluded: f.exclusion != nil}
-	// A server that receives from nobody has a detector full of suspicions that nobody can refute; kept until the partition heals, they
-	// would declare healthy peers dead.
+	// While this server receives nothing from any peer, its detector accumulates suspicions that no peer can refute. If they were kept until
+	// the partition heals, they would declare healthy peers dead.
 	outcome.isolated = !outcome.stalled && len(f.nameByAddr) > 0 && f.detector.InboundTimedOut(nowMs)
 	return outcome
 }
 
-// runTick announces this server if that is due, and advances outlier detection and budgets with the peers that are reachable. It
-// returns these in the memory of peers.
+// runTick announces this server if that is due, and advances outlier detection and budgets with the reachable peers. It returns those peers,
+// reusing the memory of the slice passed in.
 func (f *Fleet) runTick(now time.Time, peers []string) []string {
 	f.mu.Lock()
 	phase, _ := f.options.Phase()
@@ -90,12 +90,12 @@
 	return peers
 }
 
-// announceWait is the time between two announcements of an unchanged record. The lock is held.
+// announceWait returns the time between two announcements of an unchanged record. The caller holds the lock.
 func (f *Fleet) announceWait() time.Duration {
 	return announceInterval * time.Duration(max(1, len(f.nameByAddr)/announceScale))
 }
 
-// joinPeers joins silent peers, and seeds whose address no reachable peer has, a few at a time.
+// joinPeers joins silent peers, and seeds whose address belongs to no reachable peer. It starts only a few joins at a time.
 func (f *Fleet) joinPeers(now time.Time) {
 	f.mu.Lock()
 	addrs := f.joinCandidates(f.elapsedMs(now))
@@ -115,18 +115,19 @@
 		f.wg.Add(1)
 		go func() {
 			defer f.wg.Done()
-			_, _ = in.memberlist.Join([]string{addr}) // memberlist logs a failure, which memberlistErrors counts; the next round tries again
+			_, _ = in.memberlist.Join([]string{addr}) // memberlist logs failures, which memberlistErrors counts; the next round retries
 			<-f.joinSlots
 		}()
 	}
 }
 
-// joinCandidates returns the addresses to join, by preference those that silent peers announced themselves. The lock is held.
+// joinCandidates returns the addresses to join. For a silent peer it prefers the address that the peer announced itself. The caller holds the
+// lock.
 func (f *Fleet) joinCandidates(nowMs float64) []string {
 	var addrs []string
 	for _, name := range f.detector.RejoinCandidates() {
 		addr := f.lastAddr[name]
-		if record, _, has := f.records.Get(nowMs, name, keyServer); has {
+		if record, _, found := f.records.Get(nowMs, name, keyServer); found {
 			if server, ok := parseServer(record.Body); ok && server.Addr != "" {
 				addr = server.Addr
 			}
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -15,10 +15,10 @@
 // NameConflictError reports that another process uses this server's name.
 type NameConflictError struct {
 	Name string
-	Addr string // of the other process; "" if that is not known
+	Addr string // address of the other process; "" if unknown
 }
 
-// Error names the conflict and what follows from it, for the status.
+// Error describes the conflict and its consequence. The status shows this text.
 func (e *NameConflictError) Error() string {
 	if e.Addr == "" {
 		return fmt.Sprintf("the name %s is borne by another process, too; this one serves without the fleet", e.Name)
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("the name %s is taken by a server at %s; this one serves without the fleet", e.Name, e.Addr)
 }
 
-// UnknownServerError reports the removal of a name that no other server of the fleet has.
+// UnknownServerError reports an attempt to remove a server that is not another known server of the fleet.
 type UnknownServerError struct{ Name string }
 
 // Error names the server.
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%q is no other server of the fleet that is known here", e.Name)
 }
 
-// ReachableServerError reports the removal of a server that is reachable.
+// ReachableServerError reports an attempt to remove a server that is reachable.
 type ReachableServerError struct{ Name string }
 
 // Error names the server.
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("%s is heard: it is not gone", e.Name)
 }
 
-// packetReceived notes a packet from an address.
+// packetReceived records that a packet arrived from an address.
 func (f *Fleet) packetReceived(from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// NotifyJoin notes a node that became reachable (memberlist.EventDelegate).
+// NotifyJoin records a node that became reachable (memberlist.EventDelegate).
 func (in *instance) NotifyJoin(n *memberlist.Node) { in.nodeAlive(n) }
 
-// NotifyUpdate notes a node with new metadata (memberlist.EventDelegate).
+// NotifyUpdate records a node's new metadata (memberlist.EventDelegate).
 func (in *instance) NotifyUpdate(n *memberlist.Node) { in.nodeAlive(n) }
 
 func (in *instance) nodeAlive(n *memberlist.Node) {
@@ -75,7 +75,7 @@
 		f.firstContact = now
 	}
 	f.nameByAddr[n.Address()] = n.Name
-	node := *n // memberlist goes on to change its own
+	node := *n // a copy, because memberlist modifies its own
 	f.nodes[n.Name] = &node
 	if len(f.lastAddr) < f.options.healthConfig.MaxPeers || f.lastAddr[n.Name] != "" {
 		f.lastAddr[n.Name] = n.Address()
@@ -86,7 +86,7 @@
 	f.reachable.Store(int64(1 + len(f.nameByAddr)))
 }
 
-// NotifyLeave notes a node that left or became unreachable (memberlist.EventDelegate).
+// NotifyLeave records a node that left or became unreachable (memberlist.EventDelegate).
 func (in *instance) NotifyLeave(n *memberlist.Node) {
 	f := in.fleet
 	f.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// NotifyPingComplete notes a direct answer to a health check (memberlist.PingDelegate).
+// NotifyPingComplete records a direct response to a health check (memberlist.PingDelegate).
 func (in *instance) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
 	f := in.fleet
 	f.mu.Lock()
@@ -116,10 +116,10 @@
 	}
 }
 
-// AckPayload adds nothing to an answer (memberlist.PingDelegate).
+// AckPayload returns nil: responses to health checks carry no payload (memberlist.PingDelegate).
 func (in *instance) AckPayload() []byte { return nil }
 
-// NodeMeta is the metadata that tells one incarnation of a name from another (memberlist.Delegate).
+// NodeMeta returns metadata that distinguishes the incarnations of a name (memberlist.Delegate).
 func (in *instance) NodeMeta(int) []byte {
 	in.fleet.mu.Lock()
 	defer in.fleet.mu.Unlock()
@@ -127,17 +127,17 @@
 	return binary.LittleEndian.AppendUint64(binary.AppendUvarint(nil, identity.Generation), identity.Incarnation)
 }
 
-// parseNodeMeta reads what NodeMeta wrote; zeros if it is malformed.
+// parseNodeMeta parses metadata that NodeMeta wrote. It returns zeros if the metadata is malformed.
 func parseNodeMeta(meta []byte) (generation, incarnation uint64) {
-	generation, n := binary.Uvarint(meta)
-	if n <= 0 || len(meta) < n+8 {
+	generation, length := binary.Uvarint(meta)
+	if length <= 0 || len(meta) < length+8 {
 		return 0, 0
 	}
-	return generation, binary.LittleEndian.Uint64(meta[n:])
+	return generation, binary.LittleEndian.Uint64(meta[length:])
 }
 
-// NotifyConflict notes one name at two addresses (memberlist.ConflictDelegate). If it is this server's own and this server is a newcomer,
-// it gives way; else both stay, and the conflict is reported.
+// NotifyConflict handles a name that is in use at two addresses (memberlist.ConflictDelegate). If it is this server's own name and this server
+// is a newcomer, this server excludes itself from the fleet. Otherwise both stay, and the conflict is only reported.
 func (in *instance) NotifyConflict(existing, other *memberlist.Node) {
 	f := in.fleet
 	f.mu.Lock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// noteDuplicateName reports a conflict once. The lock is held.
+// noteDuplicateName records and logs a name conflict, unless it has been recorded already. The caller holds the lock.
 func (f *Fleet) noteDuplicateName(conflict string) {
 	if slices.Contains(f.duplicateNames, conflict) {
 		return
@@ -172,26 +172,26 @@
 	f.options.Log.WithField("servers", conflict).Error("fleet.duplicate_name")
 }
 
-// exclude ends this server's part in the fleet. The lock is held.
+// exclude ends this server's participation in the fleet, for the reason in err. The caller holds the lock.
 func (f *Fleet) exclude(err error) {
 	f.exclusion = err
 	f.silenced.Store(true)
 	if f.budgets != nil {
-		go f.budgets.disable() // its lock is taken before this one's elsewhere
+		go f.budgets.disable() // in a goroutine: the lock of Budgets is acquired before that of Fleet
 	}
 	f.detector.Reset(f.elapsedMs(time.Now()))
 	f.options.Log.WithError(err).Error("fleet.excluded")
 }
 
-// DeclareRemoved removes a server that will not come back from the roster of the whole fleet, on an operator's word. A later incarnation
-// of it, or a sign that it is running, brings it back. It fails with UnknownServerError or ReachableServerError, or if the declaration
-// can't be published.
+// DeclareRemoved removes a server from the roster of the whole fleet, on an operator's declaration that it will not come back. A later
+// incarnation of the server, or evidence that it is running, adds it again. It returns an UnknownServerError or a ReachableServerError, or an
+// error if the declaration can't be published.
 func (f *Fleet) DeclareRemoved(r Removal) error {
 	name := r.Name
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	generation, _, has := f.records.LatestIncarnation(name)
-	if !has || name == f.options.Name {
+	generation, _, known := f.records.LatestIncarnation(name)
+	if !known || name == f.options.Name {
 		return &UnknownServerError{Name: name}
 	}
 	for _, p := range f.detector.Peers(f.elapsedMs(time.Now())) {
--- a/internal/fleet/memory_network.go
+++ b/internal/fleet/memory_network.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// MemoryNetwork is a network in memory over memberlist's mock, for tests and experiments with more servers than a machine has room for
-// processes. All its servers are added before the first one starts. It is not for servers that take RPCs.
+// MemoryNetwork is an in-memory network on top of memberlist's mock transport, for tests and experiments with more servers than a machine can
+// run as processes. All servers must be added before the first one starts. It does not suit servers that serve RPCs.
 type MemoryNetwork struct {
 	network memberlist.MockNetwork
 	closed  chan struct{}
@@ -17,10 +17,10 @@
 // NewMemoryNetwork returns a network without servers.
 func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{closed: make(chan struct{})} }
 
-// AddServer adds a server, and returns the options that it starts with.
+// AddServer adds a server, and returns options to start it with.
 func (m *MemoryNetwork) AddServer(name string) Options {
 	mock := m.network.NewTransport(name)
-	ip, port, _ := mock.FinalAdvertiseAddr("", 0) // the mock knows its address
+	ip, port, _ := mock.FinalAdvertiseAddr("", 0) // the mock returns its own address
 	return Options{
 		Name:          name,
 		Listen:        net.JoinHostPort(ip.String(), strconv.Itoa(port)),
@@ -28,22 +28,22 @@
 	}
 }
 
-// Close ends the network. All servers must have ended.
+// Close closes the network. All servers must have been closed before.
 func (m *MemoryNetwork) Close() { close(m.closed) }
 
-// memoryTransport is memberlist's mock, but for that: the mock blocks whoever writes to a server that has ended.
+// memoryTransport is memberlist's mock transport, except that writes to a server that has ended do not block.
 type memoryTransport struct {
 	*memberlist.MockTransport
 	networkClosed chan struct{}
 }
 
-// Shutdown discards what still arrives until the network is closed.
+// Shutdown makes the transport discard everything that it receives until the network is closed.
 func (t *memoryTransport) Shutdown() error {
 	go drainTransport(t.MockTransport, t.networkClosed)
 	return nil
 }
 
-// Crash ends a server without announcing it to the others, as the end of its process would.
+// Crash stops a server without announcing its departure to the others, as the end of its process would.
 func (f *Fleet) Crash() {
 	f.silenced.Store(true)
 	f.mu.Lock()
--- a/internal/fleet/operations.go
+++ b/internal/fleet/operations.go
@@ -10,30 +10,30 @@
 	"sorrelvalve/decision/permit"
 )
 
-// DrainOperation is what an operator wants done about drains. The values go over the status socket.
+// DrainOperation is an operation about drains that an operator requests. Its values are sent over the status socket.
 type DrainOperation string
 
-// The operations.
+// The values of DrainOperation.
 const (
 	// OperationDrain drains a server, or a member of a pool at all servers, by permit.
 	OperationDrain DrainOperation = "drain"
-	// OperationCancel takes a drain back.
+	// OperationCancel cancels a drain.
 	OperationCancel DrainOperation = "back"
-	// OperationHalt stops all new disruption over the fleet.
+	// OperationHalt starts a manual halt: no new disruption may begin in the whole fleet.
 	OperationHalt DrainOperation = "halt"
 	// OperationResume ends a manual halt.
 	OperationResume DrainOperation = "resume"
 )
 
-// DrainCommand is an operator's command about drains, which any server of the fleet takes.
+// DrainCommand is an operator's command about drains. Any server of the fleet accepts it.
 type DrainCommand struct {
 	Operation DrainOperation // "" for OperationDrain
-	Subject   string         // a server's name or pool/member; "" for the server that takes the command
+	Subject   string         // a server's name or pool/member; "" for the server that receives the command
 	Operator  string
 	Reason    string
 }
 
-// The keys of queries to the status socket.
+// The query parameters of requests to the status socket.
 const (
 	queryOperation = "what"
 	querySubject   = "subject"
@@ -52,7 +52,7 @@
 	return values.Encode()
 }
 
-// parseDrainCommand reads what query wrote; what is missing refers to the server of that name.
+// parseDrainCommand parses a query that DrainCommand.query encoded. The operation defaults to OperationDrain, the subject to ownName.
 func parseDrainCommand(values url.Values, ownName string) DrainCommand {
 	return DrainCommand{
 		Operation: DrainOperation(cmp.Or(values.Get(queryOperation), string(OperationDrain))),
@@ -62,7 +62,7 @@
 	}
 }
 
-// run carries the command out: about the own server here, else by way of the permit servers.
+// run executes the command: directly if it concerns this server, otherwise through the permit servers.
 func (c *DrainCommand) run(ctx context.Context, drains *DrainCoordinator, ownName string) error {
 	command := permit.Command{Subject: c.Subject, Actor: c.Operator, Reason: c.Reason}
 	own := c.Subject == ownName
@@ -94,7 +94,7 @@
 
 // Removal is an operator's declaration that a server will not come back.
 type Removal struct {
-	Name     string // of the server
+	Name     string // the server's name
 	Operator string
 	Reason   string
 }
@@ -108,7 +108,7 @@
 	return values.Encode()
 }
 
-// parseRemovalQuery reads what query wrote.
+// parseRemovalQuery parses a query that Removal.query encoded.
 func parseRemovalQuery(values url.Values) Removal {
 	return Removal{Name: values.Get(queryName), Operator: values.Get(queryOperator), Reason: values.Get(queryReason)}
 }
--- a/internal/fleet/options.go
+++ b/internal/fleet/options.go
@@ -16,20 +16,21 @@
 	"sorrelvalve/decision/health"
 )
 
-// Options configure one server's membership.
+// Options configures one server's membership.
 type Options struct {
 	Name            string   // unique in the fleet, and the same after a restart
 	Zone            string   // "" for none
-	Listen          string   // IP and port for packets and streams; outgoing ones leave from this IP
-	Advertise       string   // IP and port where peers reach this server; "" for Listen
-	FleetName       string   // packets of a fleet with another name are ignored; "" for none
-	Seeds           []string // addresses that are joined at the start and for as long as nobody reachable has them
-	ExpectedServers int      // size of the fleet; 0 for unknown
-	EncryptionKey   []byte   // 16, 24 or 32 bytes (AES) encrypt all traffic; nil for none
+	Listen          string   // IP address and port for packets and streams; also the source address of outgoing ones
+	Advertise       string   // IP address and port at which peers reach this server; "" for Listen
+	FleetName       string   // packets of fleets with another name are ignored; "" for none
+	Seeds           []string // addresses to join at the start and while no reachable peer has them
+	ExpectedServers int      // size of the fleet; 0 if unknown
+	EncryptionKey   []byte   // AES key of 16, 24 or 32 bytes that encrypts all traffic; nil for no encryption
 	Version         string   // of the program
 	SettingsHash    string   // hash of the operator's record
 
-	// Phase returns the server's lifecycle phase and its warm-up progress from 0 to 1; nil for warm. It must not block.
+	// Phase returns the server's lifecycle phase and its warm-up progress from 0 to 1. It must not block. If it is nil, the server counts as
+	// warm.
 	Phase func() (Phase, float64)
 	Log   *logrus.Entry
 
@@ -38,37 +39,40 @@
 }
 
 const (
-	tickInterval = 100 * time.Millisecond // a tenth of the shortest stall that is to be detected
-	// joinInterval is the time between two rounds of joining silent peers; it is jittered by a quarter.
+	tickInterval = 100 * time.Millisecond // a tenth of the shortest stall to detect
+	// joinInterval is the time between two rounds of joining silent peers, with a jitter of up to a quarter in each direction.
 	joinInterval       = time.Second
 	maxConcurrentJoins = 2
-	streamTimeout      = time.Second // for a dial, and for a complete exchange of states
-	announceInterval   = time.Second // between two announcements of the own record if nothing in it changes sooner
-	// announceScale is the roster size per announceInterval: in larger fleets announcements become rarer, so that the load of forwarding
-	// them stays constant.
+	streamTimeout      = time.Second // limits a dial, and a complete state exchange
+	announceInterval   = time.Second // between two announcements of this server's record if it does not change sooner
+	// announceScale is the number of servers per announceInterval. In larger fleets each server announces itself less often, so that the load
+	// of forwarding the announcements stays constant.
 	announceScale = 16
-	// healthCheckInterval and healthCheckTimeout: answers take under 10 ms on loopback and in one zone, up to 100 ms between zones. Delays of
-	// 300 ms are covered by memberlist's local health multiplier (each missed answer stretches its checks) and by indirect checks through
-	// others; see SWIM (Das et al., 2002) and Lifeguard (Dadgar et al., 2017).
+	// healthCheckInterval and healthCheckTimeout are the interval and timeout of memberlist's probes. Responses take less than 10 ms on loopback
+	// and within a zone, and up to 100 ms between zones. Delays of 300 ms are tolerated by memberlist's local health multiplier, which lengthens
+	// the probes after each missed response, and by indirect probes through other servers; see SWIM (Das et al., 2002) and Lifeguard (Dadgar et
+	// al., 2017).
 	healthCheckInterval = 500 * time.Millisecond
 	healthCheckTimeout  = 300 * time.Millisecond
-	// suspicionMult times the check interval is how long a suspected server has to refute at least: 2 s up to ten servers. Unless others
-	// confirm the suspicion, it is suspicionMaxTimeoutMult times that.
+	// suspicionMult times the check interval is the minimum time that a suspected server has to refute the suspicion: 2 s in fleets of up to ten
+	// servers. Unless other servers confirm the suspicion, the time is longer by a factor of suspicionMaxTimeoutMult.
 	suspicionMult           = 4
 	suspicionMaxTimeoutMult = 3
-	// retransmitMult times the digits of the fleet's size is how often each server forwards a record: with three peers a round, 8 servers are
-	// reached in three rounds with a probability of 0.999 without loss; announcements repair the rest.
+	// retransmitMult times the number of digits of the fleet's size is the number of times that each server forwards a record. With three peers
+	// per round, a record reaches 8 servers in three rounds with a probability of 0.999 if no packets are lost. Later announcements make up for
+	// the remaining cases.
 	retransmitMult = 2
-	leaveTimeout   = 300 * time.Millisecond // well within the time that the platform allows for a stop
-	// newcomerPeriod counts from the first contact: a server that meets its own name in use within it gives way.
+	leaveTimeout   = 300 * time.Millisecond // well below the time that the platform allows for a stop
+	// newcomerPeriod starts at the first contact with a peer. A server that finds its name in use by another process within this period gives
+	// up the name.
 	newcomerPeriod    = 10 * time.Second
-	maxStateBytes     = 4 << 20 // of records in one state exchange: 4,096 origins at their usual 200 bytes, five times over
-	maxDuplicateNames = 16      // reported in the status
+	maxStateBytes     = 4 << 20 // size of the records in one state exchange: five times that of 4,096 origins with the usual 200 bytes each
+	maxDuplicateNames = 16      // number of conflicts in the status
 	maxNameBytes      = 64
-	nameReclaimTime   = time.Second // after which a name may come back under another address
+	nameReclaimTime   = time.Second // after which a name may be reused at another address
 )
 
-// withDefaults fills in what the caller left out.
+// withDefaults returns the options with defaults for those that are not set.
 func (o Options) withDefaults() Options {
 	if o.healthConfig == (health.Config{}) {
 		o.healthConfig = health.DefaultConfig
@@ -80,14 +84,14 @@
 	if o.Advertise == "" {
 		o.Advertise = o.Listen
 	}
-	o.Seeds = slices.Clone(o.Seeds) // the caller may reuse its slice while the fleet joins
+	o.Seeds = slices.Clone(o.Seeds) // the caller may modify its slice while the fleet joins seeds
 	return o
 }
 
-// ErrKeySize reports an encryption key of a length that AES does not have.
-var ErrKeySize = errors.New("16, 24 or 32 bytes expected")
+// ErrKeySize is returned for an encryption key whose length is not valid for AES.
+var ErrKeySize = errors.New("key must have 16, 24 or 32 bytes")
 
-// ValidateKey returns ErrKeySize if key can't be an encryption key.
+// ValidateKey returns ErrKeySize if key is not a valid encryption key.
 func ValidateKey(key []byte) error {
 	if memberlist.ValidateKey(key) != nil {
 		return ErrKeySize
@@ -95,14 +99,14 @@
 	return nil
 }
 
-// errInvalidName reports a server name that is empty, too long or not printable.
-var errInvalidName = fmt.Errorf("a name of 1 to %d printing bytes expected", maxNameBytes)
+// errInvalidName is returned for a server name that is empty, too long or not printable.
+var errInvalidName = fmt.Errorf("invalid server name, want 1 to %d printable bytes", maxNameBytes)
 
 func validName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && sanitize(s) == s && utf8.ValidString(s)
 }
 
-// sanitize replaces control characters in text from the network, so that it fits a line of the log or the status.
+// sanitize replaces the control characters in text from the network, so that the text fits on one line of the log or the status.
 func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
@@ -120,7 +124,7 @@
 	}
 	number, err := strconv.ParseUint(portText, 10, 16)
 	if err != nil || net.ParseIP(host) == nil {
-		return "", 0, fmt.Errorf("%q: an IP address and a port expected", addr)
+		return "", 0, fmt.Errorf("invalid address %q, want an IP address and a port", addr)
 	}
 	return host, int(number), nil
 }
--- a/internal/fleet/outliers.go
+++ b/internal/fleet/outliers.go
@@ -19,19 +19,20 @@
 
 const (
 	evaluationIntervalMs = 250.0 // between two evaluations of a pool
-	// faultReportIntervalMs is the time between two records on a pool with a failing or ejected member. Success is reported with every
-	// announcementsPerReport-th own record, since it only has to outweigh an accuser.
+	// faultReportIntervalMs is the time between two records about a pool with a failing or ejected member. Other pools are reported less often,
+	// once per announcementsPerReport announcements, because successes only serve to outweigh reports of failures by other servers.
 	faultReportIntervalMs  = 1000.0
 	announcementsPerReport = 2.0
-	// maxDetectedPools is how many pools have common detection: each takes a record, of the 16 that an origin may have.
+	// maxDetectedPools is the maximum number of pools with common detection. Each takes one of the 16 records that an origin may have.
 	maxDetectedPools = 12
-	// outlierSeed is the second half of the random seed, beside the incarnation.
+	// outlierSeed is the second half of the random seed; the incarnation is the first.
 	outlierSeed = 5
 )
 
-// OutlierDetectors detect, together with the other servers of the fleet, the failing members of this server's pools: one detector a pool.
-// They gossip what this server saw and tell the pools what the fleet decided; which member is ejected, who checks its health and how it
-// returns is decided by decision/outlier. They never make an RPC wait for the network. Their methods may be called by many goroutines.
+// OutlierDetectors detects the failing members of this server's pools together with the other servers of the fleet, with one detector per
+// pool. It gossips this server's observations and passes the fleet's decisions to the pools. Package decision/outlier decides which members
+// are ejected, which server checks their health, and how they return. An RPC never waits for the network because of it. It is safe for
+// concurrent use.
 type OutlierDetectors struct {
 	fleet     *Fleet
 	startedAt time.Time
@@ -45,23 +46,23 @@
 // poolDetector is the detector of one pool.
 type poolDetector struct {
 	decisions    atomic.Pointer[[]pool.FleetDecision]
-	fleetwide    atomic.Bool // the view is complete; else this server decides by itself
+	fleetwide    atomic.Bool // the view of the fleet is complete; otherwise this server decides by itself
 	checksNeeded atomic.Bool // this server checks the health of an ejected member
 
-	// The rest is under the lock of OutlierDetectors.
+	// The lock of OutlierDetectors guards the fields below.
 	evidence     evidence.Recorder
 	detector     *outlier.Detector
 	evaluatedAt  float64 // ms
 	publishedAt  float64 // ms
-	faultPending bool    // a fault is to be reported
+	faultPending bool    // a fault has yet to be reported
 	reports      []outlier.Report
-	drained      []string // members that an operator drains
+	drained      []string // members drained by an operator
 }
 
-// evaluateNow has the pool evaluated with the next tick.
+// evaluateNow makes the next tick evaluate the pool.
 func (p *poolDetector) evaluateNow() { p.evaluatedAt = math.Inf(-1) }
 
-// DetectOutliers has a server detect outliers together with its fleet.
+// DetectOutliers makes the server detect outliers together with its fleet.
 func (f *Fleet) DetectOutliers() *OutlierDetectors {
 	d := &OutlierDetectors{
 		fleet:     f,
@@ -84,7 +85,7 @@
 	defer d.mu.Unlock()
 	now := d.nowMs()
 	for name := range d.pools {
-		if _, stays := members[name]; !stays {
+		if _, ok := members[name]; !ok {
 			delete(d.pools, name)
 		}
 	}
@@ -116,7 +117,8 @@
 	}
 }
 
-// RecordOutcome implements pools.OutlierDetection: an attempt ended, or has taken far longer than usual. latency is in ms.
+// RecordOutcome implements pools.OutlierDetection: it records the outcome of an attempt that has ended, or has taken far longer than usual.
+// latency is in ms.
 func (d *OutlierDetectors) RecordOutcome(poolName, member string, outcome pool.Outcome, latency float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +136,7 @@
 	}
 }
 
-// RecordRetryAfter implements pools.OutlierDetection: a member asked for no traffic for some ms.
+// RecordRetryAfter implements pools.OutlierDetection: it records that a member asked to receive no traffic for retryAfter ms.
 func (d *OutlierDetectors) RecordRetryAfter(poolName, member string, retryAfter float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,7 +149,7 @@
 	p.faultPending = true
 }
 
-// SetDrained replaces the members that an operator drains, by pool; they count as ejected.
+// SetDrained replaces the members drained by an operator, by pool. Drained members count as ejected.
 func (d *OutlierDetectors) SetDrained(drained map[string][]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,7 +160,8 @@
 	}
 }
 
-// Decisions implements pools.OutlierDetection: the members that are ejected or return. It is false if this server has to decide by itself.
+// Decisions implements pools.OutlierDetection: it returns the fleet's decisions about members that are ejected or returning. fleetwide is false
+// if this server has to decide by itself.
 func (d *OutlierDetectors) Decisions(poolName string) (decisions []pool.FleetDecision, fleetwide bool) {
 	d.mu.Lock()
 	p := d.pools[poolName]
@@ -169,12 +172,13 @@
 	return *p.decisions.Load(), true
 }
 
-// Admits implements pools.OutlierDetection: whether a caller is in the share of callers that may use a returning member.
+// Admits implements pools.OutlierDetection: it reports whether a caller is in the share of callers that may use a returning member.
 func (d *OutlierDetectors) Admits(member string, caller uint64, share float64) bool {
 	return outlier.AcceptsCaller(member, caller, share)
 }
 
-// TrialMember implements pools.OutlierDetection: an ejected member that an RPC may be sent to as its health check; "" for none.
+// TrialMember implements pools.OutlierDetection: it returns an ejected member to which an RPC may be sent as a health check, or "" if there is
+// none.
 func (d *OutlierDetectors) TrialMember(poolName string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -190,7 +194,7 @@
 	return ""
 }
 
-// tick evaluates the pools that are due. peers are the reachable servers; complete tells that these are all.
+// tick evaluates the pools that are due. peers are the reachable servers; complete means that no server is missing.
 func (d *OutlierDetectors) tick(peers []string, complete bool, announceWait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -212,16 +216,16 @@
 	}
 }
 
-// evaluation is what one evaluation of a pool found.
+// evaluation is the result of one evaluation of a pool.
 type evaluation struct {
 	pool      string
 	now       float64 // ms
 	summaries []evidence.Summary
-	decisions int  // members that are ejected or return
-	fault     bool // it is to be reported soon
+	decisions int  // number of members that are ejected or returning
+	fault     bool // the evaluation has to be reported soon
 }
 
-// collectReports reads what the reachable peers gossip about a pool.
+// collectReports reads the records of the reachable peers about a pool.
 func (d *OutlierDetectors) collectReports(name string, p *poolDetector, peers []string) {
 	p.reports = p.reports[:0]
 	d.fleet.Each(keyObservations+name, func(record *gossip.Record, age float64) {
@@ -237,7 +241,7 @@
 	p.reports = slices.DeleteFunc(p.reports, func(r outlier.Report) bool { return !slices.Contains(peers, r.Origin) })
 }
 
-// publishDecisions tells the pool which members are ejected or return, and returns how many.
+// publishDecisions publishes the decisions about members that are ejected or returning to the pool, and returns their number.
 func (p *poolDetector) publishDecisions(now float64, complete bool) int {
 	decisions := []pool.FleetDecision{}
 	checksNeeded := false
@@ -254,7 +258,7 @@
 	return len(decisions)
 }
 
-// logEvents logs ejections and returns since the last evaluation.
+// logEvents logs the ejections and returns since the last evaluation.
 func (d *OutlierDetectors) logEvents(name string, p *poolDetector) {
 	for _, e := range p.detector.Events() {
 		line := d.log.WithFields(logrus.Fields{"pool": name, "member": e.Name, "reported_by": strings.Join(e.Accusers, " ")})
@@ -266,14 +270,14 @@
 	}
 }
 
-// report gossips what this server saw of a pool if that is due: faults soon, success rarely, nothing if there is nothing.
+// report gossips this server's observations of a pool if that is due: faults soon, successes rarely. Without observations it sends nothing.
 func (d *OutlierDetectors) report(p *poolDetector, e *evaluation, announceWait time.Duration) {
 	wait := announcementsPerReport * float64(announceWait) / 1e6
 	if e.fault {
 		wait = faultReportIntervalMs
 	}
 	if e.now-p.publishedAt < wait || len(e.summaries)+e.decisions == 0 {
-		p.faultPending = e.fault // until it is due
+		p.faultPending = e.fault // kept until a report is due
 		return
 	}
 	p.publishedAt = e.now
@@ -295,30 +299,30 @@
 	Name                string
 	Reason              string   `json:"Why"`
 	Ejected             bool     `json:"Out"`
-	CallerShare         float64  `json:"Share"`   // of the callers that may use it, from 0 to 1
-	StateDurationMs     float64  `json:"ForMs"`   // ejected, or back; negative for as long as this server runs
-	EjectionRemainingMs float64  `json:"UntilMs"` // before it may return
+	CallerShare         float64  `json:"Share"`   // share of callers that may use the member, from 0 to 1
+	StateDurationMs     float64  `json:"ForMs"`   // time since the ejection or return; negative if the state has not changed since this server started
+	EjectionRemainingMs float64  `json:"UntilMs"` // time until the member may return
 	EvidenceWeight      float64  `json:"Weight"`
-	FaultShare          float64  `json:"Against"` // of the evidence
-	ReportedBy          []string `json:"By"`      // servers that saw it fail
-	HealthChecks        bool     `json:"Probes"`  // this server checks its health
+	FaultShare          float64  `json:"Against"` // failing share of the evidence
+	ReportedBy          []string `json:"By"`      // servers that reported failures of the member
+	HealthChecks        bool     `json:"Probes"`  // this server checks the member's health
 }
 
-// status returns the state of all pools by name.
+// status returns the state of all pools, sorted by name.
 func (d *OutlierDetectors) status() []OutlierStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.nowMs()
-	var all []OutlierStatus
+	var statuses []OutlierStatus
 	for name, p := range d.pools {
 		status := OutlierStatus{Pool: name}
 		for _, m := range p.detector.Members() {
 			status.Members = append(status.Members, p.memberStatus(now, m))
 		}
-		all = append(all, status)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(all, func(a, b OutlierStatus) int { return strings.Compare(a.Pool, b.Pool) })
-	return all
+	slices.SortFunc(statuses, func(a, b OutlierStatus) int { return strings.Compare(a.Pool, b.Pool) })
+	return statuses
 }
 
 func (p *poolDetector) memberStatus(now float64, m *outlier.Member) MemberStatus {
--- a/internal/fleet/socket.go
+++ b/internal/fleet/socket.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Bounds of the status socket: it serves operators and a monitor or two. A client that does not read its answer in time is cut off.
+// Limits of the status socket, which serves operators and one or two monitoring systems. Clients that do not read their response in time are
+// disconnected.
 const (
 	maxSocketRequests = 8
 	socketTimeout     = 2 * time.Second
@@ -20,9 +21,10 @@
 	socketDialTimeout = time.Second
 )
 
-// ErrSocketInUse reports that a running process serves the socket's path.
-var ErrSocketInUse = errors.New("a process serves there")
+// ErrSocketInUse is returned if a running process serves the socket's path.
+var ErrSocketInUse = errors.New("socket is in use by a running process")
 
+// Errors that the status socket sends to its clients. The texts are part of its interface.
 var (
 	errNoPermitServers  = errors.New("no keepers are set: fleet.keepers")
 	errOperatorMissing  = errors.New("who and why expected")
@@ -31,14 +33,15 @@
 	errUnknownOperation = errors.New("drain, back, halt or resume expected")
 )
 
-// Socket serves a server's status and operators' commands over HTTP on a Unix socket. The paths, query keys and JSON names are an
-// interface that does not change.
+// Socket serves a server's status and operators' commands over HTTP on a Unix socket. The paths, query parameters and JSON names are a stable
+// interface.
 type Socket struct {
 	server *http.Server
-	done   chan struct{} // closed once it has ended
+	done   chan struct{} // closed when the server has stopped
 }
 
-// ServeSocket listens on a path. A socket that a former process left there is replaced; it fails with ErrSocketInUse for one that is served.
+// ServeSocket serves the status socket at path. It replaces a socket that a previous process left there, and returns ErrSocketInUse if a running
+// process serves it.
 func (f *Fleet) ServeSocket(path string) (*Socket, error) {
 	listener, err := listenUnix(path)
 	if err != nil {
@@ -54,7 +57,7 @@
 		server: &http.Server{
 			Handler:        handler,
 			ReadTimeout:    socketTimeout,
-			WriteTimeout:   socketTimeout + 3*permitTimeout, // a drain asks the permit servers up to three times
+			WriteTimeout:   socketTimeout + 3*permitTimeout, // a drain sends up to three requests to the permit servers
 			IdleTimeout:    socketTimeout,
 			MaxHeaderBytes: maxHeaderBytes,
 		},
@@ -68,7 +71,7 @@
 	return s, nil
 }
 
-// listenUnix listens on a path that only this user may open.
+// listenUnix listens on a Unix socket that only the user of this process may open.
 func listenUnix(path string) (net.Listener, error) {
 	if conn, err := net.DialTimeout("unix", path, socketDialTimeout); err == nil {
 		_ = conn.Close() // nothing was written to it
@@ -89,13 +92,13 @@
 	return listener, nil
 }
 
-// Close ends the socket at once, with the requests that are under way.
+// Close closes the socket at once, and aborts the requests in progress.
 func (s *Socket) Close() {
-	_ = s.server.Close() // its listener is gone in any case
+	_ = s.server.Close() // the listener is closed even if this fails
 	<-s.done
 }
 
-// socketHandler answers the requests, a bounded number at a time.
+// socketHandler serves the requests, at most maxSocketRequests at a time.
 type socketHandler struct {
 	fleet *Fleet
 	mux   *http.ServeMux
@@ -112,7 +115,7 @@
 	}
 }
 
-// drains returns the drain coordinator; nil without permit servers.
+// drains returns the drain coordinator, or nil without permit servers.
 func (h *socketHandler) drains() *DrainCoordinator {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -120,7 +123,7 @@
 }
 
 func (h *socketHandler) status(w http.ResponseWriter, _ *http.Request) {
-	var body bytes.Buffer // complete before it is sent: no lock is held for a slow reader
+	var body bytes.Buffer // encoded completely before it is sent, so that no lock is held while a client reads slowly
 	encoder := json.NewEncoder(&body)
 	encoder.SetIndent("", " ")
 	if err := encoder.Encode(h.fleet.Status()); err != nil {
@@ -128,7 +131,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body.Bytes()) // fails only if the client has gone
+	_, _ = w.Write(body.Bytes()) // fails only if the client has disconnected
 }
 
 func (h *socketHandler) removal(w http.ResponseWriter, r *http.Request) {
@@ -154,7 +157,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(state) // fails only if the client has gone
+	_ = json.NewEncoder(w).Encode(state) // fails only if the client has disconnected
 }
 
 func (h *socketHandler) drain(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/socket_client.go
+++ b/internal/fleet/socket_client.go
@@ -14,19 +14,19 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// maxResponseBytes bounds an answer of the status socket.
+// maxResponseBytes is the maximum size of a response of the status socket.
 const maxResponseBytes = 16 << 20
 
-// SocketError is a server's refusal of a request to its status socket.
+// SocketError is an error response from a server's status socket.
 type SocketError struct {
-	StatusCode int // of HTTP
+	StatusCode int // HTTP status code
 	Message    string
 }
 
-// Error is the server's message.
+// Error returns the server's message.
 func (e *SocketError) Error() string { return e.Message }
 
-// socketRequest does one exchange with the server whose socket is at path.
+// socketRequest sends a request to the server whose status socket is at path, and returns the body of the response.
 func socketRequest(ctx context.Context, path, method, target string) ([]byte, error) {
 	client := http.Client{Transport: &http.Transport{
 		DisableKeepAlives: true,
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err == nil && response.StatusCode != http.StatusOK {
 		err = &SocketError{StatusCode: response.StatusCode, Message: string(bytes.TrimSpace(body))}
@@ -50,7 +50,7 @@
 	return body, err
 }
 
-// FetchStatus reads the status of the server whose socket is at path.
+// FetchStatus returns the status of the server whose status socket is at path.
 func FetchStatus(ctx context.Context, path string) (status Status, err error) {
 	body, err := socketRequest(ctx, path, http.MethodGet, "/v1/status")
 	if err == nil {
@@ -59,7 +59,8 @@
 	return status, err
 }
 
-// FetchStatuses reads the status of several servers at once. The errors of those that did not answer in time name their sockets.
+// FetchStatuses returns the statuses of several servers, which it requests concurrently. For each server that does not answer within timeout it
+// returns an error that names the socket.
 func FetchStatuses(ctx context.Context, paths []string, timeout time.Duration) (statuses []Status, failed []error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -80,13 +81,13 @@
 	return statuses, failed
 }
 
-// RequestDrain asks the server at path to carry out a command about drains.
+// RequestDrain sends a command about drains to the server whose status socket is at path.
 func RequestDrain(ctx context.Context, path string, command DrainCommand) error {
 	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/drain?"+command.query())
 	return err
 }
 
-// FetchPermits reads the permit servers' state by way of the server at path.
+// FetchPermits returns the permit servers' state, which it requests through the server whose status socket is at path.
 func FetchPermits(ctx context.Context, path string) (status permitclient.Status, err error) {
 	body, err := socketRequest(ctx, path, http.MethodGet, "/v1/permits")
 	if err == nil {
@@ -95,7 +96,7 @@
 	return status, err
 }
 
-// RequestRemoval declares at the server at path that another one will not come back.
+// RequestRemoval sends the declaration that a server will not come back to another server, whose status socket is at path.
 func RequestRemoval(ctx context.Context, path string, removal Removal) error {
 	_, err := socketRequest(ctx, path, http.MethodPost, "/v1/gone?"+removal.query())
 	return err
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -9,7 +9,7 @@
 )
 
 // Status is one server's view of the fleet, as the status socket serves it. The JSON names are part of that interface and do not change.
-// Durations are in milliseconds; ages count from when this server last received something.
+// Durations are in milliseconds. Ages are measured from the last time that this server received something.
 type Status struct {
 	Name           string
 	Zone           string
@@ -19,22 +19,22 @@
 	Incarnation    string `json:"Life"` // hexadecimal
 	Phase          string
 	WarmupProgress float64 `json:"Ramp"`  // from 0 to 1
-	Connectivity   string  `json:"Hears"` // alone, part or whole
-	// Listening tells that this server has just started or stalled, and reports nothing about others yet.
+	Connectivity   string  `json:"Hears"` // "alone", "part" or "whole"
+	// InGracePeriod is set while this server reports nothing about others yet, because it has just started or stalled.
 	InGracePeriod   bool    `json:"Listening"`
-	StateDurationMs float64 `json:"ForMs"`  // in this connectivity state
-	Members         int     `json:"Roster"` // members of the fleet, this server included
-	Reachable       int     `json:"Heard"`  // of these
+	StateDurationMs float64 `json:"ForMs"`  // time in this connectivity state
+	Members         int     `json:"Roster"` // number of members of the fleet, including this server
+	Reachable       int     `json:"Heard"`  // number of reachable members, including this server
 	MinServers      int     `json:"AtLeast"`
 	MaxServers      int     `json:"AtMost"`
-	MaxUnknown      bool    `json:"Blind"` // never in contact, nor given the fleet's expected size
+	MaxUnknown      bool    `json:"Blind"` // no contact with any peer so far, and no expected size set: more than MaxServers may be running
 	Zones           []health.Zone
 	Peers           []PeerStatus
-	DuplicateNames  []string `json:"Twins,omitempty"`   // names borne by two servers, with their addresses
+	DuplicateNames  []string `json:"Twins,omitempty"`   // names used by two servers, with their addresses
 	ExclusionReason string   `json:"Refused,omitempty"` // why this server is excluded from the fleet
-	StallCount      int      `json:"Stalls"`            // times that this server found that it had stalled
-	PeersLost       uint64   `json:"Lost"`              // times that the failure detector lost a peer
-	StateChanges    int      `json:"Changes"`           // of the connectivity state
+	StallCount      int      `json:"Stalls"`            // number of times that this server found that it had stalled
+	PeersLost       uint64   `json:"Lost"`              // number of times that the failure detector lost a peer
+	StateChanges    int      `json:"Changes"`           // number of changes of the connectivity state
 	Records         RecordStatus
 	Traffic         Traffic
 	Budgets         *BudgetStatus   `json:",omitempty"`
@@ -42,7 +42,7 @@
 	Drain           *DrainStatus    `json:",omitempty"`
 }
 
-// PeerStatus is what this server knows of one other.
+// PeerStatus is this server's view of a peer.
 type PeerStatus struct {
 	Name             string
 	Zone             string
@@ -51,16 +51,16 @@
 	Phase            string
 	Addr             string
 	Generation       uint64  `json:"Start"`
-	WarmupProgress   float64 `json:"Ramp"`   // warm-up progress from 0 to 1
-	Reachable        bool    `json:"Heard"`  // reachable
-	FlapDamped       bool    `json:"Damped"` // flapped, and counts as unreachable for a while
-	DuplicateName    bool    `json:"Twin"`   // two servers bear the name
-	Contact          string  // direct, one way, through others or none
+	WarmupProgress   float64 `json:"Ramp"` // from 0 to 1
+	Reachable        bool    `json:"Heard"`
+	FlapDamped       bool    `json:"Damped"` // the peer flapped, and counts as unreachable for a while
+	DuplicateName    bool    `json:"Twin"`   // two servers use the name
+	Contact          string  // "direct", "one way", "through others" or "none"
 	RelayedBy        string  `json:"Through"` // the peer that relayed its last record
-	LastContactAgeMs float64 `json:"AgeMs"`   // since the last sign of it
-	StatusDurationMs float64 `json:"ForMs"`   // in its present state
+	LastContactAgeMs float64 `json:"AgeMs"`   // since the last message from it or about it
+	StatusDurationMs float64 `json:"ForMs"`   // time in its present state
 	SuspicionCount   int     `json:"Losses"`
-	Departed         string  `json:"Away,omitempty"` // left or declared gone
+	Departed         string  `json:"Away,omitempty"` // "left" or "declared gone"; "" for a member
 }
 
 // RecordStatus is the state of the table of gossiped records.
@@ -77,20 +77,20 @@
 	PacketsOut       uint64
 	BytesIn          uint64
 	BytesOut         uint64
-	Dropped          uint64 // over a limit, or while this server had stalled
-	Damaged          uint64 // with a wrong checksum
+	Dropped          uint64 // packets and streams over a limit, or during a stall of this server
+	Damaged          uint64 // packets with a wrong checksum
 	Streams          uint64
-	MemberlistErrors uint64 `json:"Complaints"` // errors and warnings of memberlist
+	MemberlistErrors uint64 `json:"Complaints"` // errors and warnings that memberlist logged
 }
 
-// Status returns this server's view as it is now.
+// Status returns this server's present view of the fleet.
 func (f *Fleet) Status() Status {
 	f.mu.Lock()
 	budgets := f.budgets
 	outliers := f.outliers
 	drains := f.drains
 	f.mu.Unlock()
-	// The parts first: their locks are taken before the fleet's.
+	// The components come first, because their locks are acquired before the fleet's.
 	var drainStatus *DrainStatus
 	if drains != nil {
 		drainStatus = drains.status()
@@ -123,7 +123,7 @@
 	return status
 }
 
-// membershipStatus is what the status says of this server and of the fleet as a whole. The lock is held.
+// membershipStatus returns the part of the status about this server and the fleet as a whole. The caller holds the lock.
 func (f *Fleet) membershipStatus(nowMs float64) Status {
 	view := f.detector.View(nowMs)
 	phase, warmupProgress := f.options.Phase()
@@ -156,7 +156,7 @@
 	return status
 }
 
-// peerStatus is what the status says of one peer. Text that came from the network is sanitized. The lock is held.
+// peerStatus returns the status of a peer. Text that came from the network is sanitized. The caller holds the lock.
 func (f *Fleet) peerStatus(nowMs float64, p *health.Peer) PeerStatus {
 	status := PeerStatus{
 		Name:             sanitize(p.Name),
@@ -172,8 +172,8 @@
 		SuspicionCount:   p.SuspicionCount,
 		Departed:         departureText(p.Departure),
 	}
-	record, _, has := f.records.Get(nowMs, p.Name, keyServer)
-	if !has {
+	record, _, found := f.records.Get(nowMs, p.Name, keyServer)
+	if !found {
 		return status
 	}
 	if server, ok := parseServer(record.Body); ok {
@@ -186,7 +186,7 @@
 	return status
 }
 
-// departureText is how the status names a departure; "" for a peer that is a member.
+// departureText returns the text for a departure in the status, or "" for a peer that is a member.
 func departureText(d health.Departure) string {
 	switch d {
 	case health.Left:
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -15,32 +15,33 @@
 	"golang.org/x/time/rate"
 )
 
-// Bounds of what one source, and all of them, may send. A server of a fleet of 300 gets some 20 packets a second in all, in bursts of
-// a few tens after a fault; from one source rarely more than 5. What is over is dropped unread, as the network may.
+// Limits of the traffic from one source and from all sources. In a fleet of 300 a server receives about 20 packets per second in total, and
+// bursts of a few tens after a fault, but rarely more than 5 per second from one source. Packets over a limit are dropped unread, as they may
+// be by the network.
 const (
-	sourcePacketRate   = 50 // a second
+	sourcePacketRate   = 50 // per second
 	sourcePacketBurst  = 200
-	totalPacketRate    = 1000 // a second
+	totalPacketRate    = 1000 // per second
 	totalPacketBurst   = 2000
 	maxSources         = 1024
 	maxIncomingStreams = 32
 )
 
-// Each packet ends with the CRC-32C of what precedes it. memberlist checksums only part of its packets, and one damaged byte in a name
-// makes a server that never was, which would stay on the roster for good.
+// Each packet ends with the CRC-32C of the preceding bytes. memberlist checksums only some of its packets, and a single corrupted byte in a
+// name would add a server to the roster that does not exist and would never be removed.
 const checksumBytes = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// errStalled reports a stream that this server does not open since it had stalled.
-var errStalled = errors.New("this server has stalled and listens first")
+// errStalled is returned for a stream that this server does not open because it has stalled.
+var errStalled = errors.New("this server has stalled, and opens no streams until memberlist is restarted")
 
-// baseTransport carries packets and streams: memberlist's own on sockets, or its mock in memory.
+// baseTransport transfers packets and streams. It is memberlist's transport over sockets, or its in-memory mock.
 type baseTransport interface {
 	memberlist.NodeAwareTransport
 }
 
-// trafficCounters are counted by all transports that a Fleet has in its time.
+// trafficCounters counts the traffic of all transports that a Fleet opens during its lifetime.
 type trafficCounters struct {
 	packetsIn  atomic.Uint64
 	packetsOut atomic.Uint64
@@ -51,7 +52,7 @@
 	streams    atomic.Uint64
 }
 
-// status returns the counters as the status shows them, without those of memberlist.
+// status returns the counters for the status, without those of memberlist.
 func (c *trafficCounters) status() Traffic {
 	return Traffic{
 		PacketsIn:  c.packetsIn.Load(),
@@ -64,24 +65,24 @@
 	}
 }
 
-// transport stands between memberlist and the network: outgoing streams leave from the server's own address, incoming traffic is bounded
-// for each source and in all, and once the server has stalled nothing passes in either direction until memberlist is restarted. It never
-// looks into a packet.
+// transport wraps the network for memberlist. Outgoing streams use the server's own address as their source, incoming traffic is limited per
+// source and in total, and after the server has stalled nothing is sent or accepted until memberlist is restarted. It does not interpret the
+// contents of packets.
 type transport struct {
 	baseTransport
-	localAddr   *net.TCPAddr      // of outgoing streams; nil if the base transport dials
+	localAddr   *net.TCPAddr      // source address of outgoing streams; nil if the base transport dials
 	onPacket    func(from string) // called with the source of each packet
 	awake       func() bool       // false once the server has stalled
 	traffic     *trafficCounters
 	packets     chan *memberlist.Packet
 	streams     chan net.Conn
-	ctx         context.Context // until it is shut down
+	ctx         context.Context // canceled by Shutdown
 	cancel      context.CancelFunc
 	wg          sync.WaitGroup
-	openStreams atomic.Int64 // incoming ones
+	openStreams atomic.Int64 // number of open incoming streams
 }
 
-// newTransport wraps a transport and starts to relay what it receives.
+// newTransport wraps a transport, and starts to relay the packets and streams that it receives.
 func newTransport(base baseTransport, localAddr *net.TCPAddr, onPacket func(string), awake func() bool, traffic *trafficCounters) *transport {
 	t := &transport{
 		baseTransport: base,
@@ -99,7 +100,7 @@
 	return t
 }
 
-// packetLimiter bounds packets in all and for each source.
+// packetLimiter limits the rate of packets per source and in total.
 type packetLimiter struct {
 	total   *rate.Limiter
 	sources map[string]*rate.Limiter
@@ -112,7 +113,7 @@
 func (l *packetLimiter) allow(from string, at time.Time) bool {
 	source := l.sources[from]
 	if source == nil {
-		if len(l.sources) >= maxSources { // a source that floods under many addresses meets the limit in all
+		if len(l.sources) >= maxSources { // a flood from many addresses is still subject to the total limit
 			clear(l.sources)
 		}
 		source = rate.NewLimiter(sourcePacketRate, sourcePacketBurst)
@@ -121,7 +122,7 @@
 	return source.AllowN(at, 1) && l.total.AllowN(at, 1)
 }
 
-// relayPackets hands packets within the bounds to memberlist.
+// relayPackets passes packets within the limits to memberlist.
 func (t *transport) relayPackets() {
 	defer t.wg.Done()
 	limiter := newPacketLimiter()
@@ -154,7 +155,7 @@
 	}
 }
 
-// verifyChecksum returns a packet without its checksum, if that is right.
+// verifyChecksum returns a packet without its checksum. ok is false if the checksum does not match.
 func verifyChecksum(packet []byte) (payload []byte, ok bool) {
 	length := len(packet) - checksumBytes
 	if length < 1 || binary.LittleEndian.Uint32(packet[length:]) != crc32.Checksum(packet[:length], castagnoli) {
@@ -163,7 +164,7 @@
 	return packet[:length], true
 }
 
-// relayStreams hands incoming streams within the bounds to memberlist.
+// relayStreams passes incoming streams within the limits to memberlist.
 func (t *transport) relayStreams() {
 	defer t.wg.Done()
 	for {
@@ -189,10 +190,10 @@
 	}
 }
 
-// PacketCh is where memberlist reads packets from.
+// PacketCh returns the channel of received packets (memberlist.Transport).
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// StreamCh is where memberlist takes streams from.
+// StreamCh returns the channel of incoming streams (memberlist.Transport).
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
 // WriteTo sends a packet to an address (memberlist.Transport).
@@ -200,13 +201,14 @@
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// WriteToAddress sends a packet with its checksum. Once the server has stalled it is lost, as packets may be.
+// WriteToAddress sends a packet with a checksum (memberlist.NodeAwareTransport). After the server has stalled the packet is dropped without an
+// error, as it may be by the network.
 func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	if !t.awake() {
 		t.traffic.dropped.Add(1)
 		return time.Now(), nil
 	}
-	packet := make([]byte, 0, len(b)+checksumBytes) // a copy: memberlist may send the same bytes to several
+	packet := make([]byte, 0, len(b)+checksumBytes) // a copy, because memberlist may send the same bytes to several servers
 	packet = append(packet, b...)
 	packet = binary.LittleEndian.AppendUint32(packet, crc32.Checksum(b, castagnoli))
 	t.traffic.packetsOut.Add(1)
@@ -219,7 +221,7 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-// DialAddressTimeout opens a stream from the server's own address. It fails once the server has stalled.
+// DialAddressTimeout opens a stream from the server's own address (memberlist.NodeAwareTransport). It fails after the server has stalled.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	if !t.awake() {
 		return nil, fmt.Errorf("dial %s: %w", addr.Addr, errStalled)
@@ -240,12 +242,12 @@
 	return dialer.DialContext(t.ctx, "tcp", addr.Addr)
 }
 
-// Shutdown ends the transport and its base.
+// Shutdown shuts down the transport and its base transport.
 func (t *transport) Shutdown() error {
 	t.cancel()
 	baseDone := make(chan struct{})
 	t.wg.Add(1)
-	go func() { // the base transport waits for its readers, which may be handing something over
+	go func() { // the base transport waits for its readers, which may be blocked on a channel
 		defer t.wg.Done()
 		drainTransport(t.baseTransport, baseDone)
 	}()
@@ -255,7 +257,7 @@
 	return err
 }
 
-// drainTransport discards what a transport receives, until done is closed.
+// drainTransport discards the packets and streams that a transport receives until done is closed.
 func drainTransport(from memberlist.Transport, done <-chan struct{}) {
 	for {
 		select {
@@ -268,35 +270,35 @@
 	}
 }
 
-// stream counts what passes, and ends with the server's stall and with the transport.
+// stream is a connection that counts its traffic. It is closed when the server has stalled or the transport is shut down.
 type stream struct {
 	net.Conn
 	transport *transport
 	incoming  bool
-	stopWatch func() bool // of the transport's end
+	stopWatch func() bool // stops waiting for the transport's shutdown
 	closed    atomic.Bool
 }
 
 func newStream(t *transport, conn net.Conn, incoming bool) *stream {
-	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() }) // whoever reads or writes it gets the error
+	stop := context.AfterFunc(t.ctx, func() { _ = conn.Close() }) // pending reads and writes return an error
 	return &stream{Conn: conn, transport: t, incoming: incoming, stopWatch: stop}
 }
 
-// Read fails once the server has stalled.
+// Read reads from the stream. It fails after the server has stalled.
 func (s *stream) Read(b []byte) (int, error) {
 	n, err := s.Conn.Read(b)
 	s.transport.traffic.bytesIn.Add(uint64(n))
 	if !s.transport.awake() {
-		_ = s.Conn.Close() // the stream is given up
+		_ = s.Conn.Close() // the stream is abandoned
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write fails once the server has stalled.
+// Write writes to the stream. It fails after the server has stalled.
 func (s *stream) Write(b []byte) (int, error) {
 	if !s.transport.awake() {
-		_ = s.Conn.Close() // the stream is given up
+		_ = s.Conn.Close() // the stream is abandoned
 		return 0, net.ErrClosed
 	}
 	n, err := s.Conn.Write(b)
@@ -304,7 +306,7 @@
 	return n, err
 }
 
-// Close closes the stream; a second call closes the connection once more.
+// Close closes the stream. A second call closes the connection again, and returns its error.
 func (s *stream) Close() error {
 	if s.closed.CompareAndSwap(false, true) {
 		s.stopWatch()
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -19,30 +19,30 @@
 	"sorrelvalve/internal/permitclient"
 )
 
-// ExitProgram is the code with which a server ends to be started as the program that its data folder names.
+// ExitProgram is the exit code with which a server asks its supervisor to start the program that its data folder names.
 const ExitProgram = 85
 
-// shortHashLength is the part of a hash in logs.
+// shortHashLength is the number of characters of a hash that are logged.
 const shortHashLength = 12
 
-// errHashMismatch reports a version whose body does not have its hash.
+// errHashMismatch is returned for a version whose body does not match its hash. The text is reported to the permit servers.
 var errHashMismatch = errors.New("it is not what its hash says")
 
-// RolloutHooks are how a server takes a version of the settings, and what it tells of its service on it.
+// RolloutHooks are the functions by which a rollout applies a settings version to the server and measures the server's service with it.
 type RolloutHooks struct {
-	ProgramName string // of this program
+	ProgramName string // name of the running program
 	Dir         string // data folder; "" for none
-	// Apply puts settings in force completely or not at all; nil is the own file. origin is for the log.
+	// Apply puts settings in force completely or not at all; nil stands for the server's own settings file. origin is logged.
 	Apply func(settings *operator.Record, origin string) error
-	// Throughput returns the RPCs served since the start.
+	// Throughput returns the counts of RPCs since the start.
 	Throughput func() gate.Counts
-	// Sample is called with each report.
+	// Sample is called for each report, and samples the server's load.
 	Sample func()
 }
 
-// versionManager puts the settings version in force that the permit servers direct, completely or not at all, reports how the server does
-// on it, and keeps it over restarts. It never follows an older directive than the last, and does not leave the version in force because
-// nobody answers. Program versions are noted for the supervisor.
+// versionManager puts the settings version in force that the permit servers direct, completely or not at all. It reports the server's service
+// with that version, and keeps the version across restarts. It never follows a directive older than the last one, and keeps the version in
+// force while the permit servers are unreachable. Program versions are stored for the supervisor.
 type versionManager struct {
 	hooks RolloutHooks
 	log   *logrus.Entry
@@ -51,13 +51,14 @@
 	mu           sync.Mutex
 	settings     storedSettings // in force
 	program      storedProgram  // running
-	rejected     uint64         // settings version that was rejected; 0 for none
+	rejected     uint64         // settings version that this server rejected; 0 for none
 	rejectReason string
-	baseline     gate.Counts // when the version was put in force, or became warm on it
+	baseline     gate.Counts // counts when the version was put in force, or when the server became warm with it
 	warm         bool
 }
 
-// newVersionManager puts the version in force that was kept. One that can't be read or applied is logged, and the own file stays in force.
+// newVersionManager returns a manager that has put the stored settings version in force. If that version can't be read or applied, it logs the
+// failure, and the server's own settings file stays in force.
 func newVersionManager(hooks RolloutHooks, log *logrus.Entry) *versionManager {
 	v := &versionManager{hooks: hooks, log: log, store: versionStore{dir: hooks.Dir}}
 	if !v.store.enabled() {
@@ -68,7 +69,8 @@
 	return v
 }
 
-// loadProgram reads which program version this is. It counts only if this is that program: the supervisor may have started another.
+// loadProgram reads the stored program version. It is used only if the running program is that version, because the supervisor may have started
+// another one.
 func (v *versionManager) loadProgram() {
 	program, err := v.store.readProgram()
 	if errors.Is(err, os.ErrNotExist) {
@@ -85,7 +87,7 @@
 	line.Error("release.program_mismatch")
 }
 
-// loadSettings puts the settings version in force that was kept.
+// loadSettings puts the stored settings version in force.
 func (v *versionManager) loadSettings() {
 	settings, err := v.store.readSettings()
 	if errors.Is(err, os.ErrNotExist) {
@@ -104,7 +106,7 @@
 
 func shortHash(hash string) string { return hash[:min(shortHashLength, len(hash))] }
 
-// apply puts a version in force.
+// apply puts a settings version in force.
 func (v *versionManager) apply(settings *storedSettings) error {
 	if settings.Version == 0 {
 		return v.hooks.Apply(nil, "keepers")
@@ -119,7 +121,7 @@
 	return v.hooks.Apply(record, "release of version "+strconv.FormatUint(settings.Version, 10))
 }
 
-// persist keeps the version in force. The lock is held.
+// persist stores the settings version in force. The caller holds the lock.
 func (v *versionManager) persist() {
 	if !v.store.enabled() {
 		return
@@ -129,15 +131,15 @@
 	}
 }
 
-// wantsProgram tells whether another program version is directed, by a newer directive than the last that was followed.
+// wantsProgram reports whether directives ask for another program version, and are newer than the last directive that was followed.
 func (v *versionManager) wantsProgram(directives *permitclient.Directives) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.store.enabled() && directives.ProgramVersion != v.program.Version && directives.Index > v.program.Index
 }
 
-// applyDirectives puts the directed settings version in force if the directive is newer than that of the present one. It returns whether
-// there is something new to report.
+// applyDirectives puts the directed settings version in force if the directive is newer than that of the present version. It returns whether
+// there is a change to report.
 func (v *versionManager) applyDirectives(ctx context.Context, client *permitclient.Client, directives *permitclient.Directives) (changed bool) {
 	v.mu.Lock()
 	current := v.settings
@@ -153,7 +155,7 @@
 		}
 		return false
 	}
-	rejectedBefore := version != 0 && version == rejected // a version does not change
+	rejectedBefore := version != 0 && version == rejected // versions are immutable, so a retry would fail too
 	if directives.Index <= current.Index || rejectedBefore {
 		return false
 	}
@@ -170,7 +172,8 @@
 	return true
 }
 
-// fetchVersion reads a settings version from the permit servers, for no longer than a report: a server that does not report counts as lost.
+// fetchVersion fetches a settings version from the permit servers. Its timeout is that of a report, because a server that does not report counts
+// as lost.
 func fetchVersion(ctx context.Context, client *permitclient.Client, version uint64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -178,7 +181,7 @@
 	return fetched.Body, err
 }
 
-// replace notes, logs and keeps the version that was put in force, or was rejected with an error.
+// replace records and logs that a version was put in force, which it stores, or was rejected with an error.
 func (v *versionManager) replace(next *storedSettings, rejection error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -198,7 +201,7 @@
 	line.Info("release.version_applied")
 }
 
-// report is what the permit servers are told of the version in force. RPCs count from when the server was warm on it.
+// report returns the report on the version in force for the permit servers. It covers the RPCs since the server became warm with the version.
 func (v *versionManager) report(warm bool) *release.Report {
 	v.hooks.Sample()
 	served := v.hooks.Throughput()
@@ -226,7 +229,7 @@
 	}
 }
 
-// residentMB is this process's resident memory in MB; 0 if that can't be read. See proc(5), statm.
+// residentMB returns the resident memory of this process in MB, or 0 if it can't be read. See proc(5), statm.
 func residentMB() float64 {
 	content, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -243,12 +246,12 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// VersionStatus is which versions a server runs.
+// VersionStatus holds the versions that a server runs.
 type VersionStatus struct {
-	Version  uint64 // of the settings; 0 for the own file
+	Version  uint64 // of the settings; 0 for the server's own settings file
 	Hash     string `json:",omitempty"`
-	Rejected string `json:"Refused,omitempty"` // the settings version that was rejected, and why
-	Program  uint64 `json:",omitempty"`        // of the program; 0 for the one that is started by itself
+	Rejected string `json:"Refused,omitempty"` // the rejected settings version and the reason
+	Program  uint64 `json:",omitempty"`        // of the program; 0 for the supervisor's default program
 }
 
 func (v *versionManager) status() *VersionStatus {
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -11,10 +11,10 @@
 	"text/tabwriter"
 )
 
-// tablePadding is the space between two columns.
+// tablePadding is the number of spaces between two columns.
 const tablePadding = 2
 
-// WriteJSON writes statuses as JSON, one a line.
+// WriteJSON writes statuses as JSON, one per line.
 func WriteJSON(w io.Writer, statuses []Status) error {
 	encoder := json.NewEncoder(w)
 	for i := range statuses {
@@ -25,7 +25,8 @@
 	return nil
 }
 
-// WriteViews writes a table of the servers, for a single one also its peers, budgets and outliers, and where the views differ.
+// WriteViews writes a table of the servers and the differences between their views. For a single server it also writes tables of its peers,
+// budgets and outliers.
 func WriteViews(out io.Writer, statuses []Status) error {
 	t := newTable(out)
 	writeServers(t, statuses)
@@ -48,7 +49,7 @@
 	return t.err
 }
 
-// table writes rows of tab-separated columns, and keeps the first error.
+// table writes rows of tab-separated columns, and records the first error.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
@@ -58,14 +59,14 @@
 	return &table{writer: tabwriter.NewWriter(out, tablePadding, 0, tablePadding, ' ', 0)}
 }
 
-// row writes a line.
+// row writes a row.
 func (t *table) row(format string, values ...any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintf(t.writer, format+"\n", values...)
 	}
 }
 
-// flush ends the columns so far.
+// flush writes the rows so far, aligned to common columns.
 func (t *table) flush() {
 	if t.err == nil {
 		t.err = t.writer.Flush()
@@ -105,7 +106,7 @@
 	}
 }
 
-// reachableText tells whether a peer counts as reachable, and if not, why.
+// reachableText returns whether a peer counts as reachable, and if not, the reason.
 func reachableText(p *PeerStatus) string {
 	text := "no"
 	if p.Reachable {
@@ -122,7 +123,7 @@
 	return text
 }
 
-// writeOutliers writes the state of the members of pools.
+// writeOutliers writes the outlier state of the pools' members.
 func writeOutliers(t *table, s *Status) {
 	for i, pool := range s.Outliers {
 		if i == 0 {
@@ -141,7 +142,7 @@
 	}
 }
 
-// useText tells how far a member is in use, and what ends that.
+// useText returns to what extent a member is in use, and what ends that state.
 func useText(m *MemberStatus) (use, ends string) {
 	use = "in use"
 	switch {
@@ -158,7 +159,7 @@
 	return use, ends
 }
 
-// writeBudgets writes a server's quotas with their leases, and the counts of the fleet.
+// writeBudgets writes a server's quotas with their leases, and the fleet's counts.
 func writeBudgets(t *table, s *Status) {
 	t.row("\nbudget\town\tfloor\tpart now\tlent\tborrowed\tused\tturned away\tlast ask without a loan")
 	for _, q := range s.Budgets.Quotas {
