--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -16,24 +16,24 @@
 )
 
 func TestLeaseMessages(t *testing.T) {
-	all := []quota.KeyedMessage{
+	messages := []quota.KeyedMessage{
 		{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 1 << 63, Amount: 12.5, PriorityWeight: 3, CurrentCapacity: 0.25, Renews: 6}},
 		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, RequestID: 8, Incarnation: 1, Amount: 1e6, Duration: 4000}},
 		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, RequestID: 9, Incarnation: 2, Reason: quota.Contended}},
 	}
 	var raw []byte
-	for i := range all {
-		raw = appendLease(raw, &all[i])
+	for i := range messages {
+		raw = appendLease(raw, &messages[i])
 	}
-	if got, ok := parseLeases(raw); !ok || !reflect.DeepEqual(got, all) {
-		t.Errorf("%+v %v", got, ok)
+	if got, ok := parseLeases(raw); !ok || !reflect.DeepEqual(got, messages) {
+		t.Errorf("parsed messages: got %+v, ok %v", got, ok)
 	}
-	if got, ok := parseLeases(appendLease(raw, &quota.KeyedMessage{Key: "x"})); ok || len(got) != len(all) {
-		t.Errorf("one that makes no sense beside others: %d taken, %v", len(got), ok)
+	if got, ok := parseLeases(appendLease(raw, &quota.KeyedMessage{Key: "x"})); ok || len(got) != len(messages) {
+		t.Errorf("valid messages followed by an invalid one: parsed %d, ok %v", len(got), ok)
 	}
 	for _, m := range []quota.KeyedMessage{{Key: "", Message: quota.Message{Kind: quota.Request}}, {Key: "x"}, {Key: "x", Message: quota.Message{Kind: quota.Request, Amount: -1}}} {
 		if got, ok := parseLeases(appendLease(nil, &m)); ok || len(got) != 0 {
-			t.Errorf("%+v was taken", got)
+			t.Errorf("invalid message was accepted: %+v", got)
 		}
 	}
 }
@@ -41,49 +41,49 @@
 func FuzzLeaseMessages(f *testing.F) {
 	f.Add(appendLease(nil, &quota.KeyedMessage{Key: "quota/a", Message: quota.Message{Kind: quota.Request, RequestID: 7, Incarnation: 3, Amount: 12.5}}))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		all, _ := parseLeases(raw)
-		b := quota.NewLedger(1, 1, 0, func(string) (quota.Limit, bool) {
+		messages, _ := parseLeases(raw)
+		ledger := quota.NewLedger(1, 1, 0, func(string) (quota.Limit, bool) {
 			return quota.Limit{Kind: quota.Rate, Capacity: 100, Burst: 10, Servers: 2, Floor: 5, MaxLeaseDuration: 1000}, true
 		})
-		for i, m := range all {
-			b.Receive(2000+float64(i), "p", m)
-			if part := b.Capacity(2000+float64(i), m.Key); part < 5-1e-9 || part > 50+1e-9 {
-				t.Fatalf("a part of %g after %+v", part, m)
+		for i, m := range messages {
+			ledger.Receive(2000+float64(i), "p", m)
+			if capacity := ledger.Capacity(2000+float64(i), m.Key); capacity < 5-1e-9 || capacity > 50+1e-9 {
+				t.Fatalf("capacity %g after message %+v", capacity, m)
 			}
 		}
 	})
 }
 
-// customerQuota is a quota of one customer, shared by some servers.
+// customerQuota returns the budgets of a fleet in which the servers share the quota of one customer.
 func customerQuota(bound float64, servers int) *operator.Budgets {
 	return &operator.Budgets{Servers: servers, ClockDrift: quota.DefaultClockDrift, Customers: map[string]operator.Budget{
 		"acme": {Bound: bound, Burst: 4 * float64(servers), Floor: 2, MaxLeaseMs: 1000},
 	}}
 }
 
-// takeFor takes from one server for a while at a rate beyond the bound, and returns how many a second were admitted.
-func takeFor(b *Budgets, rate int, length time.Duration) float64 {
-	n, began := 0, time.Now()
+// admittedRate sends RPCs to one server for a while at a rate above the quota, and returns how many per second were admitted.
+func admittedRate(b *Budgets, rate int, length time.Duration) float64 {
+	admitted, began := 0, time.Now()
 	for sent := 0; time.Since(began) < length; {
 		if due := int(time.Since(began).Seconds() * float64(rate)); sent < due {
 			sent++
-			if stands, _ := b.CheckQuota("view", "acme", 1); stands == control.WithinQuota {
-				n++
+			if status, _ := b.CheckQuota("view", "acme", 1); status == control.WithinQuota {
+				admitted++
 			}
 			continue
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return float64(n) / length.Seconds()
+	return float64(admitted) / length.Seconds()
 }
 
-// Three servers: one of them has nearly all of the quota while the others need none, the status shows that, and the quota may change while
-// leases are out. Customers without a budget are not limited.
+// One of three servers gets nearly all of a quota that the others do not need, and the status shows that. The quota may change while leases are
+// held. Customers without a budget are not limited.
 func TestQuotaMoves(t *testing.T) {
 	defer verifyNoLeaks(t, goleak.IgnoreCurrent())
 	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	var fleet []*Fleet
-	var parts []*Budgets
+	var budgets []*Budgets
 	for i := range addrs {
 		f, err := start(t, &addrs[i], Options{Name: fmt.Sprint("n", i), Seeds: addrs, Log: quiet()})
 		if err != nil {
@@ -91,23 +91,23 @@
 		}
 		defer f.Close()
 		fleet = append(fleet, f)
-		parts = append(parts, f.ShareBudgets(customerQuota(300, 3)))
+		budgets = append(budgets, f.ShareBudgets(customerQuota(300, 3)))
 	}
 	for _, f := range fleet {
-		waitFor(t, "whole", connectivityIs(f, health.Complete, 3))
+		waitFor(t, "complete connectivity", connectivityIs(f, health.Complete, 3))
 	}
-	if stands, _ := parts[0].CheckQuota("view", "other", 1); stands != control.QuotaUnknown {
-		t.Error("a customer without a budget")
+	if status, _ := budgets[0].CheckQuota("view", "other", 1); status != control.QuotaUnknown {
+		t.Error("a customer without a budget is limited")
 	}
-	takeFor(parts[0], 400, 2500*time.Millisecond) // what a former incarnation may have granted has ended, and leases are granted
-	if got := takeFor(parts[0], 400, time.Second); got < 0.9*296 || got > 300+12 {
-		t.Errorf("%g a second of 300", got)
+	admittedRate(budgets[0], 400, 2500*time.Millisecond) // until the leases of a previous incarnation have expired and leases are granted
+	if got := admittedRate(budgets[0], 400, time.Second); got < 0.9*296 || got > 300+12 {
+		t.Errorf("admitted %g RPCs per second, quota 300", got)
 	}
 	s := fleet[0].Status()
 	if len(s.Budgets.Quotas) != 1 || s.Budgets.Quotas[0].Leased < 150 || len(s.Budgets.Quotas[0].Leases) < 2 {
-		t.Errorf("status: %+v", s.Budgets)
+		t.Errorf("status of the budgets: got %+v", s.Budgets)
 	}
-	waitFor(t, "counts", func() bool {
+	waitFor(t, "fleet counts in the status", func() bool {
 		s := fleet[2].Status()
 		return len(s.Budgets.FleetCounts) > 0 && s.Budgets.FleetCounts[0].Key == "acme|view" && s.Budgets.FleetCounts[0].Min > 50
 	})
@@ -118,48 +118,48 @@
 	if !strings.Contains(text.String(), "quota/acme") || !strings.Contains(text.String(), " from n") {
 		t.Error(text.String())
 	}
-	for _, b := range parts {
+	for _, b := range budgets {
 		b.Set(customerQuota(60, 3))
 	}
-	takeFor(parts[0], 400, 1500*time.Millisecond) // the leases of the larger quota have ended
-	if got := takeFor(parts[0], 400, time.Second); got > 60+12 {
-		t.Errorf("%g a second of the new 60", got)
+	admittedRate(budgets[0], 400, 1500*time.Millisecond) // until the leases of the larger quota have expired
+	if got := admittedRate(budgets[0], 400, time.Second); got > 60+12 {
+		t.Errorf("admitted %g RPCs per second, new quota 60", got)
 	}
-	// Cut off from all it has at least its own share, and requests nothing.
+	// A server that reaches no other keeps at least its own share of the quota, and requests no leases.
 	for _, f := range fleet[1:] {
 		f.Crash()
 	}
-	time.Sleep(1200 * time.Millisecond) // the length of a lease
-	if got := takeFor(parts[0], 400, time.Second); got < 2 || got > 20+12 {
-		t.Errorf("%g a second alone, of an own part of 20", got)
+	time.Sleep(1200 * time.Millisecond) // longer than a lease
+	if got := admittedRate(budgets[0], 400, time.Second); got < 2 || got > 20+12 {
+		t.Errorf("an isolated server admitted %g RPCs per second, own share 20", got)
 	}
-	// Another process has the name: nothing is admitted any more.
+	// Once another process uses the server's name, the server admits nothing.
 	fleet[0].mu.Lock()
 	fleet[0].exclude(fmt.Errorf("taken"))
 	fleet[0].mu.Unlock()
-	waitFor(t, "mute", func() bool { stands, _ := parts[0].CheckQuota("view", "acme", 1); return stands == control.OverQuota })
+	waitFor(t, "excluded server admits nothing", func() bool { status, _ := budgets[0].CheckQuota("view", "acme", 1); return status == control.OverQuota })
 }
 
 // A step of the wall clock against the monotonic one drops the leases.
-func TestClockStepVoids(t *testing.T) {
+func TestClockStepDropsLeases(t *testing.T) {
 	listen := freeAddr(t)
 	f := startServer(t, &listen, Options{Name: "n0"})
 	b := f.ShareBudgets(customerQuota(300, 3))
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ledger.Receive(b.nowMs(), "p", quota.KeyedMessage{Key: "quota/acme", Message: quota.Message{Kind: quota.Offer}})
-	b.clockOffset -= time.Minute // as if the machine had slept for one
+	b.clockOffset -= time.Minute // as if the machine had been suspended for a minute
 	b.nowMs()
 	if b.clockSteps != 1 {
-		t.Errorf("%d steps", b.clockSteps)
+		t.Errorf("clock steps after one step: got %d", b.clockSteps)
 	}
 	if b.nowMs(); b.clockSteps != 1 {
-		t.Errorf("%d steps by one", b.clockSteps)
+		t.Errorf("clock steps after a second reading without a step: got %d", b.clockSteps)
 	}
 }
 
-// An abandoned call counts as in flight until the pool can't go on with it.
-func TestCallsLinger(t *testing.T) {
+// An abandoned call counts as in flight for as long as the pool may keep working on it.
+func TestAbandonedCallsLinger(t *testing.T) {
 	listen := freeAddr(t)
 	f := startServer(t, &listen, Options{Name: "n0"})
 	b := f.ShareBudgets(&operator.Budgets{Servers: 1, Calls: map[string]operator.Budget{"p": {Bound: 2, Floor: 2, MaxLeaseMs: 1000, LingerMs: 150}}})
@@ -167,17 +167,17 @@
 	second := b.AllowCall("p", 1, 100)
 	third := b.AllowCall("p", 1, 100)
 	if !first || !second || third {
-		t.Fatal("two of two expected")
+		t.Fatal("exactly the first two of three calls should be allowed with a limit of two")
 	}
 	b.CompleteCall("p", false, false)
 	if !b.AllowCall("p", 1, 100) {
-		t.Error("one has ended")
+		t.Error("no call is allowed after one of two has completed")
 	}
 	b.CompleteCall("p", true, true)
 	if b.AllowCall("p", 1, 100) {
-		t.Error("one was given up, and may be gone on with")
+		t.Error("a call is allowed while the pool may still work on an abandoned one")
 	}
-	waitFor(t, "linger", func() bool { return b.AllowCall("p", 1, 100) })
+	waitFor(t, "abandoned call expires", func() bool { return b.AllowCall("p", 1, 100) })
 }
 
 func BenchmarkCheckQuota(b *testing.B) {
@@ -186,9 +186,9 @@
 		b.Fatal(err)
 	}
 	defer f.Close()
-	x := f.ShareBudgets(customerQuota(1e9, 1))
+	budgets := f.ShareBudgets(customerQuota(1e9, 1))
 	b.ReportAllocs()
 	for b.Loop() {
-		x.CheckQuota("view", "acme", 1)
+		budgets.CheckQuota("view", "acme", 1)
 	}
 }
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -22,11 +22,11 @@
 	"sorrelvalve/internal/testbed"
 )
 
-// One of three may be out of service: a server that drains by a permit ends, another may not until the first is back and warm; a lost server
-// uses up the limit; without permit servers, and while halted, no drain begins.
+// With a limit of one of three servers out of service, a server drains by permit and ends, and another one may not drain until the first is back
+// and warm. A lost server uses up the limit. While the permit server is halted or unreachable, no drain begins.
 func TestDrainsByPermit(t *testing.T) {
 	names := serverNames(3)
-	free := func() string {
+	freeAddr := func() string {
 		ln, err := net.Listen("tcp", loopbackAddr())
 		if err != nil {
 			t.Fatal(err)
@@ -39,36 +39,37 @@
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	replica, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", RaftAddr: free()}}, DataDir: t.TempDir(), Bootstrap: true, Log: logrus.NewEntry(log)})
+	server, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", RaftAddr: freeAddr()}}, DataDir: t.TempDir(), Bootstrap: true, Log: logrus.NewEntry(log)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(replica.Close)
+	t.Cleanup(server.Close)
 	ln, err := net.Listen("tcp", loopbackAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	serveClients(t, replica, ln)
+	serveClients(t, server, ln)
 	bed := startBed(t, testbed.Options{Names: names, Seed: 6, Cores: 2, PermitServers: []string{ln.Addr().String()}})
 	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
-	do := func(c permit.Command) {
+	execute := func(c permit.Command) {
 		t.Helper()
-		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-		defer end()
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		defer cancel()
 		c.ID = fmt.Sprint(time.Now().UnixNano())
-		if a, err := client.Do(ctx, c); err != nil || !a.OK {
-			t.Fatalf("%+v: %+v %v", c, a, err)
+		if result, err := client.Do(ctx, c); err != nil || !result.OK {
+			t.Fatalf("command %+v: result %+v, error %v", c, result, err)
 		}
 	}
-	do(permit.Command{Kind: permit.Configure, Servers: []permit.Server{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}})
+	execute(permit.Command{Kind: permit.Configure, Servers: []permit.Server{{Name: "n0"}, {Name: "n1"}, {Name: "n2"}}, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}})
 	drain := func(name string) error {
-		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-		defer end()
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		defer cancel()
 		return fleet.RequestDrain(ctx, bed.Socket(name), fleet.DrainCommand{Operator: "me", Reason: "test"})
 	}
-	// until waits for a drain to begin: servers that have not reported to the permit server since it leads count as out of service.
-	until := func(name string) {
+	// drainEventually retries until the drain begins: servers that have not yet reported to the permit server since it became the leader count as
+	// out of service.
+	drainEventually := func(name string) {
 		t.Helper()
 		var err error
 		for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -76,65 +77,65 @@
 				return
 			}
 		}
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("drain of %s did not begin: %v", name, err)
 	}
-	gone := func(name string) {
+	awaitExit := func(name string) {
 		t.Helper()
 		for end := time.Now().Add(waitTimeout); bed.Processes.Running(name); time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s goes on", name)
+				t.Fatalf("%s is still running", name)
 			}
 		}
 	}
-	do(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "test"})
+	execute(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "test"})
 	if err := drain("n0"); err == nil || !strings.Contains(err.Error(), "halted") {
-		t.Errorf("while halted: %v", err)
+		t.Errorf("drain during a halt: got error %v", err)
 	}
-	do(permit.Command{Kind: permit.Resume, Actor: "me"})
-	until("n0")
-	gone("n0")
+	execute(permit.Command{Kind: permit.Resume, Actor: "me"})
+	drainEventually("n0")
+	awaitExit("n0")
 	if err := drain("n1"); err == nil || !strings.Contains(err.Error(), "n0") {
-		t.Errorf("with n0 out: %v", err)
+		t.Errorf("drain of n1 while n0 is out of service: got error %v", err)
 	}
 	if err := bed.Processes.Start("n0"); err != nil {
 		t.Fatal(err)
 	}
-	until("n1") // once n0 is back, warm, and has reported it
-	gone("n1")
-	st, _, err := replica.State()
+	drainEventually("n1") // once n0 is back and warm, and has reported that
+	awaitExit("n1")
+	state, _, err := server.State()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if held := st.Granted(); len(held) != 1 || held[0].Subject != "n1" || !held[0].Begun {
-		t.Errorf("%+v", held)
+	if granted := state.Granted(); len(granted) != 1 || granted[0].Subject != "n1" || !granted[0].Begun {
+		t.Errorf("granted permits: got %+v, want one begun by n1", granted)
 	}
 	if err := bed.Processes.Start("n1"); err != nil {
 		t.Fatal(err)
 	}
 	await(t, bed, names, testbed.ExpectView("whole", 3))
-	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) { // it returns its permit by itself
-		if st, _, err := replica.State(); err == nil && len(st.Granted()) == 0 {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) { // n1 returns its permit by itself
+		if state, _, err := server.State(); err == nil && len(state.Granted()) == 0 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("n1 is back, and its permit is held")
+			t.Fatal("n1 is back, but its permit has not been returned")
 		}
 	}
-	replica.Close()
+	server.Close()
 	if err := drain("n2"); err == nil {
-		t.Error("begun without a keeper")
+		t.Error("a drain began without a permit server")
 	}
 	if !bed.Processes.Running("n2") {
-		t.Error("n2 has ended")
+		t.Error("n2 is not running")
 	}
 }
 
-// loopbackAddr is for a listener at an IP address of its own: clients at 127.0.0.1 take ports there at any time.
+// loopbackAddr returns an address for a listener with an IP address of its own, because clients at 127.0.0.1 may take any port there.
 func loopbackAddr() string {
 	return fmt.Sprintf("127.%d.%d.%d:0", 2+rand.IntN(200), rand.IntN(256), 1+rand.IntN(250))
 }
 
-// serveClients serves a permit server's clients until the test ends, which closes it.
+// serveClients serves a permit server's clients until the end of the test, when it closes the server.
 func serveClients(t *testing.T, server *permitserver.Server, ln net.Listener) {
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ln) }()
@@ -146,7 +147,7 @@
 	})
 }
 
-// permitCluster is three permit servers in this process, and a client of theirs.
+// permitCluster consists of three permit servers in this process, and a client.
 type permitCluster struct {
 	*testing.T
 	*permitclient.Client
@@ -156,30 +157,31 @@
 	dirs    []string
 }
 
-// stopAll ends all of them, and restartAll starts them again on their folders.
+// stopAll stops all servers.
 func (cluster *permitCluster) stopAll() {
-	for _, x := range cluster.servers {
-		x.Close()
+	for _, server := range cluster.servers {
+		server.Close()
 	}
 	cluster.servers = nil
 }
 
+// restartAll starts all servers again with their data folders.
 func (cluster *permitCluster) restartAll() {
 	cluster.Helper()
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	for i, p := range cluster.peers {
-		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: cluster.peers, DataDir: cluster.dirs[i], Log: logrus.NewEntry(log)})
+	for i, peer := range cluster.peers {
+		server, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: cluster.peers, DataDir: cluster.dirs[i], Log: logrus.NewEntry(log)})
 		if err != nil {
 			cluster.Fatal(err)
 		}
-		cluster.Cleanup(x.Close)
-		ln, err := net.Listen("tcp", p.HTTPAddr)
+		cluster.Cleanup(server.Close)
+		ln, err := net.Listen("tcp", peer.HTTPAddr)
 		if err != nil {
 			cluster.Fatal(err)
 		}
-		serveClients(cluster.T, x, ln)
-		cluster.servers = append(cluster.servers, x)
+		serveClients(cluster.T, server, ln)
+		cluster.servers = append(cluster.servers, server)
 	}
 }
 
@@ -189,32 +191,32 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	var peers []permitserver.Peer
-	var lns []net.Listener
+	var clientListeners []net.Listener
 	for i := range 3 {
-		var both [2]net.Listener
-		for j := range both {
+		var listeners [2]net.Listener // for Raft and for clients
+		for j := range listeners {
 			ln, err := net.Listen("tcp", loopbackAddr())
 			if err != nil {
 				t.Fatal(err)
 			}
-			both[j] = ln
+			listeners[j] = ln
 		}
-		if err := both[0].Close(); err != nil {
+		if err := listeners[0].Close(); err != nil {
 			t.Fatal(err)
 		}
-		lns = append(lns, both[1])
-		cluster.addrs = append(cluster.addrs, both[1].Addr().String())
-		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), RaftAddr: both[0].Addr().String(), HTTPAddr: both[1].Addr().String()})
+		clientListeners = append(clientListeners, listeners[1])
+		cluster.addrs = append(cluster.addrs, listeners[1].Addr().String())
+		peers = append(peers, permitserver.Peer{Name: fmt.Sprint("k", i), RaftAddr: listeners[0].Addr().String(), HTTPAddr: listeners[1].Addr().String()})
 	}
-	for i, p := range peers {
+	for i, peer := range peers {
 		cluster.dirs = append(cluster.dirs, t.TempDir())
-		x, err := permitserver.Start(permitserver.Options{Name: p.Name, Peers: peers, DataDir: cluster.dirs[i], Bootstrap: true, Log: logrus.NewEntry(log)})
+		server, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: peers, DataDir: cluster.dirs[i], Bootstrap: true, Log: logrus.NewEntry(log)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(x.Close)
-		serveClients(t, x, lns[i])
-		cluster.servers = append(cluster.servers, x)
+		t.Cleanup(server.Close)
+		serveClients(t, server, clientListeners[i])
+		cluster.servers = append(cluster.servers, server)
 	}
 	cluster.peers = peers
 	cluster.Client = permitclient.New(cluster.addrs)
@@ -224,34 +226,35 @@
 
 func (cluster *permitCluster) command(c permit.Command) permit.Result {
 	cluster.Helper()
-	ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+	defer cancel()
 	c.ID = fmt.Sprint(time.Now().UnixNano())
-	a, err := cluster.Do(ctx, c)
+	result, err := cluster.Do(ctx, c)
 	if err != nil {
-		cluster.Fatalf("%+v: %v", c, err)
+		cluster.Fatalf("command %+v: %v", c, err)
 	}
-	return a
+	return result
 }
 
-// waitFor waits for a state of the permit servers.
-func (cluster *permitCluster) waitFor(what string, wanted func(permitclient.Status) bool) {
+// waitFor waits until the permit servers' status meets a condition, which description describes.
+func (cluster *permitCluster) waitFor(description string, holds func(permitclient.Status) bool) {
 	cluster.Helper()
 	var last permitclient.Status
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		ctx, done := context.WithTimeout(context.Background(), 5*time.Second)
-		st, err := cluster.State(ctx)
-		done()
-		if err == nil && wanted(st) {
+		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+		status, err := cluster.State(ctx)
+		cancel()
+		if err == nil && holds(status) {
 			return
 		}
-		last = st
+		last = status
 	}
-	cluster.Fatalf("not %s: %+v %+v", what, last, last.State)
+	cluster.Fatalf("condition not met: %s; last status %+v, state %+v", description, last, last.State)
 }
 
-// Six servers: a drain cancelled while it lasts, by its own socket and through another server; a member of a pool drained by all, with one
-// server stopped meanwhile; a stop without a permit, recorded; halts; a drain requested at another server.
+// In a fleet of six servers, a drain in progress is cancelled through the draining server and through another one; a pool's member is drained at
+// all servers although one is stopped meanwhile; a stop without a permit is recorded; no drain begins during halts; and a server drains on a
+// request made at another server.
 func TestCancelMembersAndStops(t *testing.T) {
 	cluster := startPermitCluster(t)
 	cores := standin.NewCores(8, 8)
@@ -259,12 +262,12 @@
 	var apps []*standin.App
 	var addrs []string
 	for range 3 {
-		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
+		app, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(a.Stop)
-		apps, addrs = append(apps, a), append(addrs, a.Addr())
+		t.Cleanup(app.Stop)
+		apps, addrs = append(apps, app), append(addrs, app.Addr())
 	}
 	names := serverNames(6)
 	pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MaxFailures: 5, OutlierFactor: 4, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000,
@@ -277,15 +280,15 @@
 		servers = append(servers, permit.Server{Name: name})
 	}
 	members := []permit.Member{{Pool: "apps", Name: addrs[0]}, {Pool: "apps", Name: addrs[1]}, {Pool: "apps", Name: addrs[2]}}
-	if a := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Members: members, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}, Pools: map[string]permit.Limit{"apps": {MaxCount: 1}}}}); !a.OK {
-		t.Fatalf("%+v", a)
+	if result := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Members: members, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}, Pools: map[string]permit.Limit{"apps": {MaxCount: 1}}}}); !result.OK {
+		t.Fatalf("configure command: got %+v", result)
 	}
 	operate := func(name string, operation fleet.DrainOperation, subject string) error {
-		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-		defer end()
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		defer cancel()
 		return fleet.RequestDrain(ctx, bed.Socket(name), fleet.DrainCommand{Operation: operation, Subject: subject, Operator: "me", Reason: "test"})
 	}
-	until := func(name string, operation fleet.DrainOperation, subject string) {
+	operateEventually := func(name string, operation fleet.DrainOperation, subject string) {
 		t.Helper()
 		var err error
 		for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -293,88 +296,93 @@
 				return
 			}
 		}
-		t.Fatalf("%s %s %s: %v", name, operation, subject, err)
+		t.Fatalf("at %s, operation %s on \"%s\" failed: %v", name, operation, subject, err)
 	}
-	free := func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 }
+	noPermits := func(status permitclient.Status) bool { return len(status.State.Granted()) == 0 }
 	pids := map[string]int{}
 	for _, name := range names {
 		pids[name] = bed.Processes.Pid(name)
 	}
-	stays := func(name string) {
+	checkStillRunning := func(name string) {
 		t.Helper()
-		cluster.waitFor("free again", free)
-		time.Sleep(2 * time.Second) // longer than the drain would have lasted
+		cluster.waitFor("permit returned after the cancellation", noPermits)
+		time.Sleep(2 * time.Second) // longer than the drain would have taken
 		if !bed.Processes.Running(name) || bed.Processes.Pid(name) != pids[name] {
-			t.Errorf("%s has ended, or is another", name)
+			t.Errorf("%s is not running, or was restarted", name)
 		}
 	}
-	cluster.waitFor("heard", func(st permitclient.Status) bool { return len(st.Observations) == 0 && st.State.AutoHaltReason == "" })
-	until("n0", fleet.OperationDrain, "")
+	cluster.waitFor("all have reported", func(status permitclient.Status) bool {
+		return len(status.Observations) == 0 && status.State.AutoHaltReason == ""
+	})
+	operateEventually("n0", fleet.OperationDrain, "")
 	if err := operate("n0", fleet.OperationCancel, ""); err != nil {
-		t.Errorf("back while it drains: %v", err)
+		t.Errorf("cancel during the drain: %v", err)
 	}
-	stays("n0")
+	checkStillRunning("n0")
 	if err := operate("n0", fleet.OperationCancel, ""); err == nil {
-		t.Error("nothing was there to take back")
+		t.Error("cancel succeeded without a drain in progress")
 	}
-	until("n1", fleet.OperationDrain, "")
-	if err := operate("n4", fleet.OperationCancel, "n1"); err != nil { // directed with n1's next report
-		t.Errorf("back by another: %v", err)
+	operateEventually("n1", fleet.OperationDrain, "")
+	if err := operate("n4", fleet.OperationCancel, "n1"); err != nil { // n1 receives the directive with its next report
+		t.Errorf("cancel through another server: %v", err)
 	}
-	stays("n1")
+	checkStillRunning("n1")
 
-	// A member: it gets no new RPCs once all that report have confirmed it; a server that is stopped is named.
-	do(t, bed, "0s stop n5")
-	cluster.waitFor("n5 missed", func(st permitclient.Status) bool { return len(st.Observations) == 1 && st.Observations[0].Name == "n5" })
+	// A drained member receives no new RPCs once all servers that report have confirmed the drain. A server that is stopped is listed as
+	// unreachable.
+	applyScript(t, bed, "0s stop n5")
+	cluster.waitFor("n5 is reported missing", func(status permitclient.Status) bool {
+		return len(status.Observations) == 1 && status.Observations[0].Name == "n5"
+	})
 	subject := "apps/" + addrs[1]
-	until("n2", fleet.OperationDrain, subject)
-	cluster.waitFor("drained", func(st permitclient.Status) bool {
-		return len(st.Drains) == 1 && st.Drains[0].Done && slices.Equal(st.Drains[0].Unreachable, []string{"n5"})
+	operateEventually("n2", fleet.OperationDrain, subject)
+	cluster.waitFor("member drained at all servers but n5", func(status permitclient.Status) bool {
+		return len(status.Drains) == 1 && status.Drains[0].Done && slices.Equal(status.Drains[0].Unreachable, []string{"n5"})
 	})
 	if err := operate("n3", fleet.OperationDrain, "apps/"+addrs[2]); err == nil || !strings.Contains(err.Error(), addrs[1]) {
-		t.Errorf("a second member: %v", err)
+		t.Errorf("drain of a second member: got error %v", err)
 	}
-	was := apps[1].Received()
+	before := apps[1].Received()
 	time.Sleep(2 * time.Second)
-	if now := apps[1].Received(); now != was {
-		t.Errorf("%d tries to a drained member", now-was)
+	if now := apps[1].Received(); now != before {
+		t.Errorf("a drained member received %d RPCs", now-before)
 	}
-	do(t, bed, "0s cont n5") // it has to be directed before it drains the member, too
-	cluster.waitFor("drained by n5 too", func(st permitclient.Status) bool {
-		return len(st.Drains) == 1 && st.Drains[0].Done && len(st.Drains[0].Unreachable) == 0
+	applyScript(t, bed, "0s cont n5") // it also needs the directive before it drains the member
+	cluster.waitFor("member drained at n5 too", func(status permitclient.Status) bool {
+		return len(status.Drains) == 1 && status.Drains[0].Done && len(status.Drains[0].Unreachable) == 0
 	})
 	if err := operate("n4", fleet.OperationCancel, subject); err != nil {
 		t.Error(err)
 	}
-	cluster.waitFor("no permit", free)
-	for end := time.Now().Add(waitTimeout); apps[1].Received() == was; time.Sleep(20 * time.Millisecond) {
+	cluster.waitFor("the member's permit returned", noPermits)
+	for end := time.Now().Add(waitTimeout); apps[1].Received() == before; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the member gets nothing after its return")
+			t.Fatal("the member receives no RPCs after its return")
 		}
 	}
 
-	// A stop without a permit is obeyed at once, recorded, and uses up the limit.
+	// A stop without a permit takes effect at once. It is recorded, and uses up the limit.
 	if err := bed.Processes.Signal("n3", syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitFor("recorded", func(st permitclient.Status) bool {
-		return slices.ContainsFunc(st.State.History, func(e permit.HistoryEntry) bool { return e.Kind == permit.ReportStop && e.Subject == "n3" })
+	cluster.waitFor("stop of n3 recorded", func(status permitclient.Status) bool {
+		return slices.ContainsFunc(status.State.History, func(e permit.HistoryEntry) bool { return e.Kind == permit.ReportStop && e.Subject == "n3" })
 	})
 	for end := time.Now().Add(waitTimeout); bed.Processes.Running("n3"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("n3 goes on")
+			t.Fatal("n3 is still running")
 		}
 	}
-	cluster.waitFor("halted by itself", func(st permitclient.Status) bool { return st.State.AutoHaltReason != "" })
+	cluster.waitFor("automatic halt", func(status permitclient.Status) bool { return status.State.AutoHaltReason != "" })
 	if err := operate("n4", fleet.OperationDrain, ""); err == nil {
-		t.Error("begun though a loss has used the allowance up")
+		t.Error("a drain began although a lost server uses up the limit")
 	}
 	if err := bed.Processes.Start("n3"); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitFor("the halt ends with its cause", func(st permitclient.Status) bool { return st.State.AutoHaltReason == "" })
+	cluster.waitFor("automatic halt ended", func(status permitclient.Status) bool { return status.State.AutoHaltReason == "" })
 
-	// A manual halt, and a drain requested at another server's socket: it begins after the halt.
+	// A drain that is requested through another server during a manual halt begins after the halt.
 	if err := operate("n0", fleet.OperationHalt, ""); err != nil {
 		t.Error(err)
 	}
@@ -383,18 +391,18 @@
 	}
 	time.Sleep(2500 * time.Millisecond)
 	if !bed.Processes.Running("n4") {
-		t.Error("n4 has ended while halted")
+		t.Error("n4 ended during the halt")
 	}
 	if err := operate("n2", fleet.OperationResume, ""); err != nil {
 		t.Error(err)
 	}
 	for end := time.Now().Add(waitTimeout); bed.Processes.Running("n4"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("n4 does not leave, though it is wanted")
+			t.Fatal("n4 is still running after the requested drain")
 		}
 	}
 	if err := bed.Processes.Start("n4"); err != nil {
 		t.Fatal(err)
 	}
-	cluster.waitFor("all back", free)
+	cluster.waitFor("all permits returned", noPermits)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -26,27 +26,28 @@
 	"sorrelvalve/decision/health"
 )
 
-// waitTimeout bounds what must happen: longer than the time between two state exchanges, by which a record arrives whose packets were dropped
-// when a starved machine had a server find that it had stalled.
+// waitTimeout limits the wait for a condition. It is longer than the time between two state exchanges: if a server on an overloaded machine
+// finds that it has stalled and drops packets, the records in them arrive with the next state exchange.
 const waitTimeout = 60 * time.Second
 
+// quiet returns a logger that discards its output.
 func quiet() *logrus.Entry {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	return l.WithField("node", "test")
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log.WithField("node", "test")
 }
 
-// waitFor polls until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor polls until a condition holds, which description describes.
+func waitFor(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(waitTimeout); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, waitTimeout)
+			t.Fatalf("condition not met: %s; waited %s", description, waitTimeout)
 		}
 	}
 }
 
-// freeAddr returns an address that nobody listens on, at an IP address of its own: clients at 127.0.0.1 take ports there at any time.
+// freeAddr returns an unused address with an IP address of its own, because clients at 127.0.0.1 may take any port there.
 func freeAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 2+rand.Intn(200), rand.Intn(256), 1+rand.Intn(250)))
 	if err != nil {
@@ -59,43 +60,43 @@
 	return addr
 }
 
-// maxStartAttempts bounds how often start takes a fresh address.
+// maxStartAttempts is the maximum number of addresses that start tries.
 const maxStartAttempts = 5
 
-// start starts a server at *listen. freeAddr closes its socket before memberlist binds the port for streams and packets, so
-// another process may take it in between: then, and only then, start starts again at a fresh address, which it writes to
-// *listen for those that seed by it.
+// start starts a server at *listen. Between the moment when freeAddr closes its socket and the moment when memberlist binds the port,
+// another process may take the port. In that case only, start retries with a new address, which it stores in *listen for servers
+// that use it as a seed.
 func start(t *testing.T, listen *string, o Options) (*Fleet, error) {
 	t.Helper()
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		o.Listen = *listen
 		f, err := Start(o)
-		if err == nil || try == maxStartAttempts || !taken(*listen) {
+		if err == nil || attempt == maxStartAttempts || !inUse(*listen) {
 			return f, err
 		}
-		t.Logf("%s was taken before the bind: %v", *listen, err)
+		t.Logf("%s was in use when the server bound it: %v", *listen, err)
 		*listen = freeAddr(t)
 	}
 }
 
-// taken tells whether another socket holds addr's port for streams or packets. memberlist formats its bind error with %v,
-// so the cause of a failed Start is found by binding the address once more.
-func taken(addr string) bool {
+// inUse reports whether another socket uses addr's port for streams or packets. It binds the address once more, because memberlist
+// formats its bind error with %v and so hides the cause of a failed Start.
+func inUse(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err == nil {
 		err = ln.Close()
 	}
-	var pc net.PacketConn
+	var conn net.PacketConn
 	if err == nil {
-		pc, err = net.ListenPacket("udp", addr)
+		conn, err = net.ListenPacket("udp", addr)
 	}
 	if err == nil {
-		err = pc.Close()
+		err = conn.Close()
 	}
 	return errors.Is(err, syscall.EADDRINUSE)
 }
 
-// startServer starts a server at *listen as start does, and closes it when the test ends.
+// startServer starts a server like start, and closes it at the end of the test.
 func startServer(t *testing.T, listen *string, o Options) *Fleet {
 	t.Helper()
 	if o.Log == nil {
@@ -117,19 +118,19 @@
 	}
 }
 
-func connectivityIs(f *Fleet, state health.ClusterState, heard int) func() bool {
+// connectivityIs returns a condition: the server has a connectivity state, with a number of reachable servers.
+func connectivityIs(f *Fleet, state health.ClusterState, reachable int) func() bool {
 	return func() bool {
-		v := f.View()
-		return v.State == state && v.Reachable == heard
+		view := f.View()
+		return view.State == state && view.Reachable == reachable
 	}
 }
 
-// longestProbe bounds a probe of memberlist: its interval times the largest multiplier by local health (Lifeguard).
+// longestProbe is the maximum duration of a probe of memberlist: its interval times the largest local health multiplier (Lifeguard).
 const longestProbe = 8 * healthCheckInterval
 
-// verifyNoLeaks fails a test that leaves goroutines behind. Memberlist's Shutdown does not wait for a probe in flight, and
-// on a busy machine one takes longer than goleak waits by itself; so the end of such a probe, and of nothing else, is
-// waited for first.
+// verifyNoLeaks fails a test that leaks goroutines. It first waits for the end of memberlist's probes, and of nothing else:
+// Shutdown of memberlist does not wait for a probe in progress, and on a busy machine a probe takes longer than goleak waits.
 func verifyNoLeaks(t *testing.T, options ...goleak.Option) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
@@ -141,7 +142,8 @@
 	goleak.VerifyNone(t, options...)
 }
 
-func TestFourOnLoopback(t *testing.T) {
+// Four servers on loopback find each other, exchange their phases and other records, and remove a server that leaves from the roster.
+func TestFourServersOnLoopback(t *testing.T) {
 	defer verifyNoLeaks(t, goleak.IgnoreCurrent())
 	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t), freeAddr(t)}
 	phase := WarmingUp
@@ -159,24 +161,24 @@
 		defer f.Close()
 	}
 	for _, f := range fleet {
-		waitFor(t, f.options.Name+" hears all", connectivityIs(f, health.Complete, 4))
+		waitFor(t, f.options.Name+" reaches all", connectivityIs(f, health.Complete, 4))
 	}
-	waitFor(t, "the phase of n1 is known", func() bool {
+	waitFor(t, "n3 knows the phase of n1", func() bool {
 		s := fleet[3].Status()
 		return s.Peers[1].Phase == "cold" && s.Peers[1].WarmupProgress == 0.25 && s.Peers[1].Zone == "z1"
 	})
 	if err := fleet[0].Publish("x", []byte("word")); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a record travels", func() (has bool) {
-		fleet[2].Each("x", func(r *gossip.Record, _ float64) { has = r.Origin == "n0" && string(r.Body) == "word" })
-		return has
+	waitFor(t, "n2 receives the record of n0", func() (found bool) {
+		fleet[2].Each("x", func(r *gossip.Record, _ float64) { found = r.Origin == "n0" && string(r.Body) == "word" })
+		return found
 	})
 	fleet[1].Close()
-	waitFor(t, "who leaves is off the roster", func() bool { v := fleet[0].View(); return v.State == health.Complete && v.Members == 3 })
+	waitFor(t, "the server that left is not a member", func() bool { view := fleet[0].View(); return view.State == health.Complete && view.Members == 3 })
 }
 
-// A restarted server supersedes its former incarnation, whose records are still gossiped.
+// A restarted server supersedes its previous incarnation, whose records are still gossiped.
 func TestRestart(t *testing.T) {
 	t.Parallel()
 	addrs := []string{freeAddr(t), freeAddr(t)}
@@ -185,36 +187,38 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "a hears b", connectivityIs(a, health.Complete, 2))
+	waitFor(t, "a reaches b", connectivityIs(a, health.Complete, 2))
 	publish(t, b, "x", "old")
-	waitFor(t, "a has b's record", func() bool { _, _, has := a.Get("b", "x"); return has })
+	waitFor(t, "a has b's record", func() bool { _, _, ok := a.Get("b", "x"); return ok })
 	b.Crash()
 	b = startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	waitFor(t, "b raises its start", func() bool { return b.Status().Generation == 2 })
-	waitFor(t, "a knows it by that", func() bool { s := a.Status(); return s.Peers[0].Generation == 2 && s.Connectivity == "whole" })
-	if _, _, has := a.Get("b", "x"); has {
-		t.Error("what its former life said is still held")
+	waitFor(t, "b raises its generation", func() bool { return b.Status().Generation == 2 })
+	waitFor(t, "a knows the new generation of b", func() bool { s := a.Status(); return s.Peers[0].Generation == 2 && s.Connectivity == "whole" })
+	if _, _, ok := a.Get("b", "x"); ok {
+		t.Error("a still has a record of b's previous incarnation")
 	}
 }
 
+// A second server with the same name excludes itself from the fleet; the first one is not affected.
 func TestDuplicateName(t *testing.T) {
 	t.Parallel()
 	addrs := []string{freeAddr(t), freeAddr(t), freeAddr(t)}
 	a := startServer(t, &addrs[0], Options{Name: "a"})
 	b := startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs[:1]})
-	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
-	waitFor(t, "whole", connectivityIs(b, health.Complete, 2))
-	twin := startServer(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
-	waitFor(t, "the second b gives way", func() bool { return strings.Contains(twin.Status().ExclusionReason, "the name b is") })
-	waitFor(t, "both are named", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
+	waitFor(t, "a reaches b", connectivityIs(a, health.Complete, 2))
+	waitFor(t, "b reaches a", connectivityIs(b, health.Complete, 2))
+	duplicate := startServer(t, &addrs[2], Options{Name: "b", Seeds: addrs[:1]})
+	waitFor(t, "the second b excludes itself", func() bool { return strings.Contains(duplicate.Status().ExclusionReason, "the name b is") })
+	waitFor(t, "the conflict is in the status", func() bool { return len(a.Status().DuplicateNames)+len(b.Status().DuplicateNames) > 0 })
 	if s := b.Status(); s.ExclusionReason != "" || s.Connectivity != "whole" {
-		t.Errorf("the first b: %+v", s)
+		t.Errorf("status of the first b: got %+v", s)
 	}
 	if _, err := Start(Options{Name: "c", Listen: addrs[0], Log: quiet()}); err == nil || !strings.Contains(err.Error(), addrs[0]) {
-		t.Errorf("an address that is taken: %v", err)
+		t.Errorf("start at an address in use: got error %v", err)
 	}
 }
 
+// The status socket serves the status and the removal of an unreachable server, and stays available beside slow clients.
 func TestSocketAndRemoval(t *testing.T) {
 	t.Parallel()
 	addrs := []string{freeAddr(t), freeAddr(t)}
@@ -227,42 +231,43 @@
 	}
 	defer s.Close()
 	if _, err := b.ServeSocket(path); err == nil {
-		t.Error("a second server takes the socket")
+		t.Error("a second server serves the same socket")
 	}
-	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
+	waitFor(t, "a reaches b", connectivityIs(a, health.Complete, 2))
 	ctx := context.Background()
 	if err := RequestRemoval(ctx, path, Removal{Name: "b", Operator: "me"}); err == nil || !strings.Contains(err.Error(), "is heard") {
-		t.Errorf("who is heard is declared gone: %v", err)
+		t.Errorf("removal of a reachable server: got error %v", err)
 	}
 	b.Crash()
-	waitFor(t, "b silent, on the roster", func() bool {
-		st, err := FetchStatus(ctx, path)
-		return err == nil && st.Connectivity == "alone" && st.Reachable == 1 && st.Members == 2 && !st.Peers[0].Reachable
+	waitFor(t, "b is an unreachable member", func() bool {
+		status, err := FetchStatus(ctx, path)
+		return err == nil && status.Connectivity == "alone" && status.Reachable == 1 && status.Members == 2 && !status.Peers[0].Reachable
 	})
 	if err := RequestRemoval(ctx, path, Removal{Name: "b", Operator: "me", Reason: "scrapped"}); err != nil {
 		t.Fatal(err)
 	}
-	if st, _ := FetchStatus(ctx, path); st.Members != 1 || st.Peers[0].Departed != "declared gone" {
-		t.Errorf("%+v", st)
+	if status, _ := FetchStatus(ctx, path); status.Members != 1 || status.Peers[0].Departed != "declared gone" {
+		t.Errorf("status after the removal: got %+v", status)
 	}
-	// More readers than are served at a time, none of which reads on: the rest are rejected at once, and all end.
+	// Clients that do not read their responses, more than are served at a time: those over the limit are rejected at once, and the others do not
+	// keep the socket busy for long.
 	for range 3 * maxSocketRequests {
-		c, err := net.Dial("unix", path)
+		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = c.Close() }) // the server may have closed it
-		if _, err := io.WriteString(c, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		t.Cleanup(func() { _ = conn.Close() }) // the server may have closed it
+		if _, err := io.WriteString(conn, "GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := fetchStatusBeside(ctx, path); err != nil {
-		t.Errorf("slow readers keep others out: %v", err)
+		t.Errorf("status request beside slow clients: %v", err)
 	}
 }
 
-// fetchStatusBeside reads the status beside readers that have just come. While their answers are written it may be rejected
-// as one of too many; it must be answered well before slow readers are cut off, and any other error counts at once.
+// fetchStatusBeside fetches the status while other clients have just connected. The request may be rejected as one too many while
+// their responses are being written. It must succeed well before slow clients are disconnected; any other error is returned at once.
 func fetchStatusBeside(ctx context.Context, path string) error {
 	for end := time.Now().Add(socketTimeout / 2); ; time.Sleep(10 * time.Millisecond) {
 		_, err := FetchStatus(ctx, path)
@@ -274,64 +279,64 @@
 	}
 }
 
-// Garbage, damaged and replayed packets, and a flood, change nothing and are dropped.
+// Malformed, corrupted and replayed packets, and a flood of packets, are dropped and change nothing.
 func TestHostilePackets(t *testing.T) {
 	t.Parallel()
 	addrs := []string{freeAddr(t), freeAddr(t)}
 	a := startServer(t, &addrs[0], Options{Name: "a"})
 	b := startServer(t, &addrs[1], Options{Name: "b", Seeds: addrs})
-	waitFor(t, "whole", connectivityIs(a, health.Complete, 2))
+	waitFor(t, "a reaches b", connectivityIs(a, health.Complete, 2))
 	publish(t, b, "x", "first")
 	var old []byte
-	waitFor(t, "the record", func() bool {
-		r, _, has := a.Get("b", "x")
+	waitFor(t, "a has the first record", func() bool {
+		r, _, ok := a.Get("b", "x")
 		old = r.Append(nil)
-		return has
+		return ok
 	})
 	publish(t, b, "x", "second")
-	waitFor(t, "the next record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
-	c, err := net.Dial("udp", addrs[0])
+	waitFor(t, "a has the second record", func() bool { r, _, _ := a.Get("b", "x"); return string(r.Body) == "second" })
+	conn, err := net.Dial("udp", addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // nothing is read from it
+	t.Cleanup(func() { _ = conn.Close() }) // only written to; a failed close has no effect
 	send := func(packet []byte) {
 		t.Helper()
-		if _, err := c.Write(packet); err != nil {
+		if _, err := conn.Write(packet); err != nil {
 			t.Fatal(err)
 		}
 	}
-	user := func(raw []byte) []byte { // memberlist's user message with the transport's checksum
-		b := append([]byte{8, 1, 'b'}, raw...)
-		return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	userMessage := func(raw []byte) []byte { // a user message of memberlist with the transport's checksum
+		message := append([]byte{8, 1, 'b'}, raw...)
+		return binary.LittleEndian.AppendUint32(message, crc32.Checksum(message, castagnoli))
 	}
-	send(user(old))
-	send(user(old[:len(old)-3]))
-	waitFor(t, "replayed and damaged ones are counted", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
+	send(userMessage(old))
+	send(userMessage(old[:len(old)-3]))
+	waitFor(t, "a counts the replayed and the corrupted record", func() bool { n := a.Status().Records; return n.Stale > 0 && n.Corrupt > 0 })
 	for i := range 20000 {
 		send([]byte(strings.Repeat(string(rune(i)), 1+i%200)))
 	}
-	waitFor(t, "the flood is dropped", func() bool { n := a.Status().Traffic; return n.Dropped > 1000 && n.Damaged > 0 })
+	waitFor(t, "a drops the flood", func() bool { n := a.Status().Traffic; return n.Dropped > 1000 && n.Damaged > 0 })
 	if r, _, _ := a.Get("b", "x"); string(r.Body) != "second" {
-		t.Errorf("the record is %q", r.Body)
+		t.Errorf("record after the flood: got %q, want the second one", r.Body)
 	}
-	if v := a.View(); v.Reachable != 2 || v.Members != 2 {
-		t.Errorf("%+v", v)
+	if view := a.View(); view.Reachable != 2 || view.Members != 2 {
+		t.Errorf("view after the flood: got %+v", view)
 	}
 }
 
-// Many servers in one process, over memberlist's mock network.
-func TestMany(t *testing.T) {
+// Sixty servers in one process find each other over memberlist's mock network.
+func TestManyServers(t *testing.T) {
 	t.Parallel()
-	n := 60
-	mesh := NewMemoryNetwork()
-	places := make([]Options, n)
-	for i := range places {
-		places[i] = mesh.AddServer(fmt.Sprintf("n%03d", i))
+	servers := 60
+	network := NewMemoryNetwork()
+	options := make([]Options, servers)
+	for i := range options {
+		options[i] = network.AddServer(fmt.Sprintf("n%03d", i))
 	}
 	var fleet []*Fleet
-	for i, o := range places {
-		o.Log, o.Zone, o.Seeds = quiet(), fmt.Sprint("z", i%3), []string{places[0].Listen}
+	for i, o := range options {
+		o.Log, o.Zone, o.Seeds = quiet(), fmt.Sprint("z", i%3), []string{options[0].Listen}
 		f, err := Start(o)
 		if err != nil {
 			t.Fatal(err)
@@ -339,17 +344,17 @@
 		fleet = append(fleet, f)
 	}
 	defer func() {
-		var ends sync.WaitGroup
+		var crashes sync.WaitGroup
 		for _, f := range fleet {
-			ends.Go(f.Crash)
+			crashes.Go(f.Crash)
 		}
-		ends.Wait()
-		mesh.Close()
+		crashes.Wait()
+		network.Close()
 	}()
 	for _, f := range fleet {
-		waitFor(t, f.options.Name+" hears all", connectivityIs(f, health.Complete, n))
+		waitFor(t, f.options.Name+" reaches all", connectivityIs(f, health.Complete, servers))
 	}
-	if z := fleet[n-1].View().Zones; len(z) != 3 || z[0].Reachable != n/3 {
-		t.Errorf("zones %v", z)
+	if zones := fleet[servers-1].View().Zones; len(zones) != 3 || zones[0].Reachable != servers/3 {
+		t.Errorf("zones: got %v", zones)
 	}
 }
--- a/internal/fleet/operations_test.go
+++ b/internal/fleet/operations_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The queries of the status socket keep their keys: what the commands of b631b89 sent is read as it was meant.
+// The queries of the status socket keep their parameters: queries that commands of b631b89 sent are parsed with the same meaning.
 func TestOperationQueries(t *testing.T) {
 	for query, want := range map[string]DrainCommand{
 		"who=me&why=test": {Operation: OperationDrain, Subject: "n0", Operator: "me", Reason: "test"},
@@ -22,22 +22,22 @@
 		}
 		got := parseDrainCommand(values, "n0")
 		if got != want {
-			t.Errorf("%s: %+v, want %+v", query, got, want)
+			t.Errorf("%s: got %+v, want %+v", query, got, want)
 		}
 		again, err := url.ParseQuery(got.query())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back := parseDrainCommand(again, "n9"); back != want {
-			t.Errorf("%s: %+v after another query, want %+v", query, back, want)
+		if reparsed := parseDrainCommand(again, "n9"); reparsed != want {
+			t.Errorf("%s: got %+v after encoding and parsing again, want %+v", query, reparsed, want)
 		}
 	}
 	unknown := DrainCommand{Operation: "stop", Subject: "n0"}
 	if err := unknown.run(context.Background(), nil, "n0"); err == nil || err.Error() != `what: drain, back, halt or resume expected, "stop" there` {
-		t.Errorf("an unknown operation: %v", err)
+		t.Errorf("error for an unknown operation: got %v", err)
 	}
 	removal := Removal{Name: "b", Operator: "me", Reason: "scrapped"}
 	if got := removal.query(); got != "name=b&who=me&why=scrapped" {
-		t.Errorf("the query of a removal: %s", got)
+		t.Errorf("query of a removal: got %s", got)
 	}
 }
--- a/internal/fleet/rollouts_process_test.go
+++ b/internal/fleet/rollouts_process_test.go
@@ -21,53 +21,53 @@
 
 var quickRelease = release.Rules{CanaryServers: 1, MaxGrowth: 2, MaxWaveShare: 0.5, BakeMS: 2000, MinRPCs: 15, MaxWaveMS: 60e3, FalseAlarmRate: 0.01, Margin: 0.01, MaxUnreachable: 2}
 
-// Six servers and three permit servers: a good version goes to all in waves, over the loss of the leader; one whose pool fails is rolled back
-// from the canary; one that is rejected goes nowhere; a server that is killed comes back on its version, one that was stopped takes what it
-// missed; and the rollback after completion leaves all with what they had.
+// With six servers and three permit servers, a good version is rolled out to all servers in waves although the leader is lost. A version whose
+// pool fails is rolled back from the canary, and a version that the canary rejects goes no further. A killed server restarts with its version. A
+// server that was stopped during a rollback follows when it continues. A rollback after completion restores the previous version everywhere.
 func TestReleaseByProcesses(t *testing.T) {
 	cluster := startPermitCluster(t)
 	cores := standin.NewCores(8, 8)
 	t.Cleanup(cores.Close)
-	app := func(f standin.Fault) *standin.App {
-		a, err := standin.NewApp(cores, standin.WorkFromBody, nil)
+	startApp := func(fault standin.Fault) *standin.App {
+		app, err := standin.NewApp(cores, standin.WorkFromBody, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		a.SetFault(f)
-		t.Cleanup(a.Stop)
-		return a
+		app.SetFault(fault)
+		t.Cleanup(app.Stop)
+		return app
 	}
 	file := func(version string, apps ...*standin.App) operator.File {
 		var addrs []string
-		for _, a := range apps {
-			addrs = append(addrs, a.Addr())
+		for _, app := range apps {
+			addrs = append(addrs, app.Addr())
 		}
 		pool := operator.Pool{Members: addrs, MaxConnections: 16, ConnectTimeoutMs: 250, MaxAnswerBytes: 4096, MinShare: 0.5, EjectionMs: 1000, RecoveryMs: 1000, Retry: operator.Retry{MaxAttempts: 1}}
 		return operator.File{Version: version, Pools: map[string]operator.Pool{"apps": pool}, Methods: map[string]operator.Method{"view": {Pool: "apps", Path: "/view", Verb: "GET"}}}
 	}
-	old, next, bad := app(standin.NoFault), app(standin.NoFault), app(standin.ServerError)
+	oldApp, newApp, failingApp := startApp(standin.NoFault), startApp(standin.NoFault), startApp(standin.ServerError)
 	names := serverNames(6)
-	folders := t.TempDir()
-	first := file("bed", old)
-	bed := startBed(t, testbed.Options{Names: names, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, PermitServers: cluster.addrs, SettingsJSON: detectionSettings, Operator: first, VersionDir: folders})
+	versionDir := t.TempDir()
+	first := file("bed", oldApp)
+	bed := startBed(t, testbed.Options{Names: names, Seed: 9, Zone: func(i int) string { return []string{"z0", "z1"}[i%2] }, Cores: 2, PermitServers: cluster.addrs, SettingsJSON: detectionSettings, Operator: first, VersionDir: versionDir})
 	startLoad(t, bed, 20, viewRequests)
 	var servers []permit.Server
 	for i, name := range names {
 		servers = append(servers, permit.Server{Name: name, Zone: fmt.Sprint("z", i%2)})
 	}
-	if a := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !a.OK {
-		t.Fatalf("%+v", a)
+	if result := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !result.OK {
+		t.Fatalf("configure command: got %+v", result)
 	}
-	do := func(c release.Command) release.Result {
+	execute := func(c release.Command) release.Result {
 		t.Helper()
-		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-		defer end()
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		defer cancel()
 		c.ID = fmt.Sprint(time.Now().UnixNano())
-		a, err := cluster.Release(ctx, c)
+		result, err := cluster.Release(ctx, c)
 		if err != nil {
-			t.Fatalf("%+v: %v", c, err)
+			t.Fatalf("command %+v: %v", c, err)
 		}
-		return a
+		return result
 	}
 	begin := func(f operator.File) release.Result {
 		t.Helper()
@@ -75,23 +75,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		put := do(release.Command{Kind: release.PutVersion, Body: body, Actor: "me", Reason: "test"})
-		plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &quickRelease, Actor: "me", Reason: "test"})
+		put := execute(release.Command{Kind: release.PutVersion, Body: body, Actor: "me", Reason: "test"})
+		plan := execute(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &quickRelease, Actor: "me", Reason: "test"})
 		if !put.OK || !plan.OK {
-			t.Fatalf("%+v %+v", put, plan)
+			t.Fatalf("release not started: put result %+v, plan result %+v", put, plan)
 		}
-		if a := do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number, Actor: "me"}); !a.OK {
-			t.Fatalf("%+v", a)
+		if result := execute(release.Command{Kind: release.StartRelease, Release: plan.Release.Number, Actor: "me"}); !result.OK {
+			t.Fatalf("start command: got %+v", result)
 		}
 		return plan
 	}
-	phase := func(want release.Phase) {
+	awaitPhase := func(want release.Phase) {
 		t.Helper()
-		cluster.waitFor(string(want), func(st permitclient.Status) bool {
-			return st.SettingsReleases.Release != nil && st.SettingsReleases.Release.Phase == want
+		cluster.waitFor(string(want), func(status permitclient.Status) bool {
+			return status.SettingsReleases.Release != nil && status.SettingsReleases.Release.Phase == want
 		})
 	}
-	runs := func(name string, version uint64) {
+	awaitVersion := func(name string, version uint64) {
 		t.Helper()
 		var last fleet.Status
 		for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -101,79 +101,80 @@
 				}
 			}
 		}
-		t.Fatalf("%s does not run %d: %+v", name, version, last.Drain)
+		t.Fatalf("%s does not run version %d; drain status %+v", name, version, last.Drain)
 	}
 
-	// A good version, during which the leader is lost.
-	plan := begin(file("two", next))
-	if a := do(release.Command{Kind: release.PlanRelease, Version: plan.Version, Rules: &quickRelease}); a.OK || !strings.Contains(a.Reason, fmt.Sprint("release ", plan.Release.Number)) {
-		t.Errorf("two at once: %+v", a)
-	}
-	phase(release.Running)
-	for _, x := range cluster.servers {
-		if x.IsLeader() {
-			x.Close()
+	// The leader is lost during the rollout of a good version.
+	plan := begin(file("two", newApp))
+	if result := execute(release.Command{Kind: release.PlanRelease, Version: plan.Version, Rules: &quickRelease}); result.OK || !strings.Contains(result.Reason, fmt.Sprint("release ", plan.Release.Number)) {
+		t.Errorf("plan of a second release during the first: got %+v", result)
+	}
+	awaitPhase(release.Running)
+	for _, server := range cluster.servers {
+		if server.IsLeader() {
+			server.Close()
 			break
 		}
 	}
-	phase(release.Completed)
+	awaitPhase(release.Completed)
 	for _, name := range names {
-		runs(name, plan.Version)
+		awaitVersion(name, plan.Version)
 	}
-	was := old.Received()
+	before := oldApp.Received()
 	time.Sleep(time.Second)
-	if now := old.Received(); now != was || next.Received() == 0 {
-		t.Errorf("%d RPCs by the former version, %d by the new", now-was, next.Received())
+	if now := oldApp.Received(); now != before || newApp.Received() == 0 {
+		t.Errorf("after the rollout, %d RPCs went to the pool of the old version, %d to that of the new version", now-before, newApp.Received())
 	}
 
-	// A killed server comes back on that version by itself; the platform's file is not the released one.
+	// A killed server restarts with the released version by itself, although the platform's file is not that version.
 	playLines(t, bed, "0s kill n3\n0s start n3")
 	await(t, bed, names, testbed.ExpectView("whole", 6))
-	runs("n3", plan.Version)
+	awaitVersion("n3", plan.Version)
 
-	// A version whose pool fails everything: rolled back from the canary, no other server has it.
-	worse := begin(file("three", bad))
-	phase(release.RolledBack)
-	cluster.waitFor("as before", func(st permitclient.Status) bool { return len(st.SettingsReleases.Release.Pending) == 0 })
+	// A version whose pool fails all RPCs is rolled back from the canary, and reaches no other server.
+	failing := begin(file("three", failingApp))
+	awaitPhase(release.RolledBack)
+	cluster.waitFor("rollback completed", func(status permitclient.Status) bool { return len(status.SettingsReleases.Release.Pending) == 0 })
 	for _, name := range names {
-		runs(name, plan.Version)
+		awaitVersion(name, plan.Version)
 	}
 	reached := 0
 	for _, name := range names {
-		if strings.Contains(logOf(t, bed, name), fmt.Sprintf("release=%d ", worse.Version)) {
+		if strings.Contains(logOf(t, bed, name), fmt.Sprintf("release=%d ", failing.Version)) {
 			reached++
 		}
 	}
 	if reached == 0 || reached > quickRelease.CanaryServers {
-		t.Errorf("the bad version reached %d servers", reached)
+		t.Errorf("the failing version reached %d servers, want only the canary", reached)
 	}
 
-	// A version that the servers' own checks reject: rejected by the canary, and rolled back.
-	wrong := file("four", next)
-	wrong.Queue.SettledMs = 77 // only a new start can change that
-	begin(wrong)
-	phase(release.RolledBack)
-	cluster.waitFor("the reason", func(st permitclient.Status) bool {
-		return strings.Contains(st.SettingsReleases.Release.Reason, "only a new start")
+	// A version that fails the servers' own checks is rejected by the canary, and rolled back.
+	invalid := file("four", newApp)
+	invalid.Queue.SettledMs = 77 // can be changed only by a restart
+	begin(invalid)
+	awaitPhase(release.RolledBack)
+	cluster.waitFor("reason of the rejection", func(status permitclient.Status) bool {
+		return strings.Contains(status.SettingsReleases.Release.Reason, "only a new start")
 	})
 
-	// A server that is stopped during the rollback takes it when it goes on.
-	five := begin(file("five", old))
-	phase(release.Completed)
+	// A server that is stopped during a rollback follows when it continues.
+	five := begin(file("five", oldApp))
+	awaitPhase(release.Completed)
 	playLines(t, bed, "0s stop n5")
-	if a := do(release.Command{Kind: release.RollBack, Release: five.Release.Number, Actor: "me", Reason: "test"}); !a.OK {
-		t.Fatalf("%+v", a)
+	if result := execute(release.Command{Kind: release.RollBack, Release: five.Release.Number, Actor: "me", Reason: "test"}); !result.OK {
+		t.Fatalf("rollback command: got %+v", result)
 	}
-	phase(release.RolledBack)
+	awaitPhase(release.RolledBack)
 	playLines(t, bed, "0s cont n5")
 	for _, name := range names {
-		runs(name, plan.Version)
+		awaitVersion(name, plan.Version)
 	}
 }
 
+// playLines applies the lines of a fault script.
 func playLines(t *testing.T, bed *testbed.Bed, lines string) {
 	t.Helper()
-	do(t, bed, lines)
+	applyScript(t, bed, lines)
 }
 
 func logOf(t *testing.T, bed *testbed.Bed, name string) string {
@@ -185,33 +186,33 @@
 	return string(text)
 }
 
-// A version of the program goes to all by permit, one server out of service at a time, started by a stub of the supervisor; one that crashes
-// at its start stops at the canary, whose permit stays in use, and no other server runs it.
+// A program version is rolled out to all servers by permit, one server out of service at a time; a stub of the supervisor starts it. A version
+// that crashes at its start stops at the canary, whose permit stays in use, and reaches no other server.
 func TestProgramByProcesses(t *testing.T) {
 	cluster := startPermitCluster(t)
 	names := serverNames(4)
-	folders := t.TempDir()
+	versionDir := t.TempDir()
 	program := func(name string) string {
-		text, _ := os.ReadFile(filepath.Join(folders, name, "program"))
+		text, _ := os.ReadFile(filepath.Join(versionDir, name, "program"))
 		return strings.TrimSpace(string(text))
 	}
-	bed := startBed(t, testbed.Options{Names: names, Seed: 10, Cores: 2, PermitServers: cluster.addrs, VersionDir: folders, ExtraEnv: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
-	ctx, end := context.WithCancel(context.Background())
-	var beside sync.WaitGroup
-	defer beside.Wait()
-	defer end()
+	bed := startBed(t, testbed.Options{Names: names, Seed: 10, Cores: 2, PermitServers: cluster.addrs, VersionDir: versionDir, ExtraEnv: func(name string) []string { return []string{"BED_PROGRAM=" + program(name)} }})
+	ctx, cancel := context.WithCancel(context.Background())
+	var background sync.WaitGroup
+	defer background.Wait()
+	defer cancel()
 	for i, name := range names {
-		beside.Go(func() { // the supervisor
+		background.Go(func() { // the supervisor
 			for ctx.Err() == nil {
 				if !bed.Processes.Alive(name) {
 					if err := bed.Processes.Start(name); err != nil {
-						t.Logf("start %s: %v", name, err) // it tries again, as a supervisor does
+						t.Logf("start %s: %v", name, err) // retried, as by a supervisor
 					}
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
-		beside.Go(func() {
+		background.Go(func() {
 			for ctx.Err() == nil {
 				router := standin.NewRouter(bed.ListenAddr(name))
 				standin.LoadPlan{Rate: 20, Duration: time.Second, Callers: 3, Seed: int64(i), Deadline: 1200 * time.Millisecond, Kinds: []standin.RequestKind{{Method: "view", Share: 1, MeanWorkMs: 2}}}.Run(ctx, map[string]standin.Caller{"msgpack": router}, standin.NewInvariantChecker())
@@ -223,86 +224,86 @@
 	for _, name := range names {
 		servers = append(servers, permit.Server{Name: name})
 	}
-	if a := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); !a.OK {
-		t.Fatalf("%+v", a)
+	if result := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 1}}}); !result.OK {
+		t.Fatalf("configure command: got %+v", result)
 	}
 	rules := quickRelease
 	rules.BakeMS, rules.MaxWaveMS, rules.MaxWaveShare = 1000, 20e3, 1
-	at := 0
+	commands := 0
 	begin := func(name string) uint64 {
 		t.Helper()
-		var a release.Result
+		var result release.Result
 		for _, c := range []release.Command{{Kind: release.PutVersion, Body: []byte(name)}, {Kind: release.PlanRelease, Rules: &rules}, {Kind: release.StartRelease}} {
-			at++
-			c.ID, c.Track, c.Actor, c.Reason = fmt.Sprint("program", at), release.Program, "me", "test"
+			commands++
+			c.ID, c.Track, c.Actor, c.Reason = fmt.Sprint("program", commands), release.Program, "me", "test"
 			switch c.Kind {
 			case release.PlanRelease:
-				c.Version = a.Version
+				c.Version = result.Version
 			case release.StartRelease:
-				c.Release = a.Release.Number
+				c.Release = result.Release.Number
 			}
-			ctx, end := context.WithTimeout(ctx, waitTimeout)
+			ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 			var err error
-			a, err = cluster.Release(ctx, c)
-			end()
-			if err != nil || !a.OK {
-				t.Fatalf("%s: %+v %v", c.Kind, a, err)
+			result, err = cluster.Release(ctx, c)
+			cancel()
+			if err != nil || !result.OK {
+				t.Fatalf("command %s: result %+v, error %v", c.Kind, result, err)
 			}
 		}
-		return a.Release.Version
+		return result.Release.Version
 	}
-	most := 0
-	phase := func(want release.Phase) {
+	maxOutOfService := 0
+	awaitPhase := func(want release.Phase) {
 		t.Helper()
-		cluster.waitFor(string(want), func(st permitclient.Status) bool {
-			out := 0
-			for _, p := range st.State.Granted() {
+		cluster.waitFor(string(want), func(status permitclient.Status) bool {
+			outOfService := 0
+			for _, p := range status.State.Granted() {
 				if p.Begun {
-					out++
+					outOfService++
 				}
 			}
-			most = max(most, out)
-			if r := st.ProgramReleases.Release; r != nil && r.Phase == release.Paused { // an operator goes on: a server that restarts is away for a while
-				ctx, end := context.WithTimeout(ctx, waitTimeout)
-				defer end()
-				at++
-				goOn := release.Command{ID: fmt.Sprint("on", at), Track: release.Program, Kind: release.Resume, Release: r.Number, Actor: "me"}
-				if _, err := cluster.Release(ctx, goOn); err != nil {
-					t.Logf("resume release %d: %v", r.Number, err) // tried again with the next poll
+			maxOutOfService = max(maxOutOfService, outOfService)
+			if r := status.ProgramReleases.Release; r != nil && r.Phase == release.Paused { // resumed as by an operator: a restarting server is unreachable for a while
+				ctx, cancel := context.WithTimeout(ctx, waitTimeout)
+				defer cancel()
+				commands++
+				resume := release.Command{ID: fmt.Sprint("on", commands), Track: release.Program, Kind: release.Resume, Release: r.Number, Actor: "me"}
+				if _, err := cluster.Release(ctx, resume); err != nil {
+					t.Logf("resume release %d: %v", r.Number, err) // retried at the next poll
 				}
 			}
-			return st.ProgramReleases.Release != nil && st.ProgramReleases.Release.Phase == want
+			return status.ProgramReleases.Release != nil && status.ProgramReleases.Release.Phase == want
 		})
 	}
 	two := begin("build-2")
-	phase(release.Completed)
+	awaitPhase(release.Completed)
 	for _, name := range names {
 		if s, err := bed.Status(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != two {
-			t.Errorf("%s: %v %+v", name, err, s.Drain)
+			t.Errorf("%s does not run the released program: error %v, drain status %+v", name, err, s.Drain)
 		}
 	}
-	cluster.waitFor("all back", func(st permitclient.Status) bool { return len(st.State.Granted()) == 0 })
+	cluster.waitFor("all permits returned", func(status permitclient.Status) bool { return len(status.State.Granted()) == 0 })
 	begin("crashes")
-	phase(release.RolledBack)
-	held, stays := 0, 0
+	awaitPhase(release.RolledBack)
+	crashing, unchanged := 0, 0
 	for _, name := range names {
 		if program(name) == "crashes" {
-			held++
+			crashing++
 		} else if s, err := bed.Status(name); err == nil && s.Version == "build-2" {
-			stays++
+			unchanged++
 		}
 	}
-	if held != 1 || stays != 3 {
-		t.Errorf("%d servers met what crashes, %d have what they had", held, stays)
+	if crashing != 1 || unchanged != 3 {
+		t.Errorf("%d servers have the crashing program, want 1; %d have the previous one, want 3", crashing, unchanged)
 	}
-	cluster.waitFor("its permit stays", func(st permitclient.Status) bool { return len(st.State.Granted()) == 1 })
-	if most > 1 {
-		t.Errorf("%d out at a time, one may be", most)
+	cluster.waitFor("the canary's permit stays in use", func(status permitclient.Status) bool { return len(status.State.Granted()) == 1 })
+	if maxOutOfService > 1 {
+		t.Errorf("servers out of service at a time: got %d, want at most 1", maxOutOfService)
 	}
 }
 
-// Permit servers lost during a wave, servers lost during a wave with another release requested, an operator's halt before the next wave, and
-// malformed versions.
+// A release continues after the permit servers were lost during a wave. It pauses, and denies another release, when servers are lost during a
+// wave, and pauses at an operator's halt before the next wave. Malformed versions are rejected or rolled back.
 func TestReleaseFaults(t *testing.T) {
 	cluster := startPermitCluster(t)
 	names := serverNames(6)
@@ -312,30 +313,30 @@
 	for _, name := range names {
 		servers = append(servers, permit.Server{Name: name})
 	}
-	if a := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !a.OK {
-		t.Fatalf("%+v", a)
+	if result := cluster.command(permit.Command{Kind: permit.Configure, Servers: servers, Limits: &permit.Limits{Fleet: permit.Limit{MaxCount: 6}}}); !result.OK {
+		t.Fatalf("configure command: got %+v", result)
 	}
-	at := 0
-	do := func(c release.Command) release.Result {
+	commands := 0
+	execute := func(c release.Command) release.Result {
 		t.Helper()
-		at++
-		c.ID, c.Actor, c.Reason = fmt.Sprint("faults", at), "me", "test"
-		ctx, end := context.WithTimeout(context.Background(), waitTimeout)
-		defer end()
-		a, err := cluster.Release(ctx, c)
+		commands++
+		c.ID, c.Actor, c.Reason = fmt.Sprint("faults", commands), "me", "test"
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
+		defer cancel()
+		result, err := cluster.Release(ctx, c)
 		if err != nil {
-			t.Fatalf("%s: %v", c.Kind, err)
+			t.Fatalf("command %s: %v", c.Kind, err)
 		}
-		return a
+		return result
 	}
 	rules := quickRelease
 	rules.MaxUnreachable = 1
 	begin := func(body []byte) (number, version uint64) {
 		t.Helper()
-		put := do(release.Command{Kind: release.PutVersion, Body: body})
-		plan := do(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &rules})
-		if !put.OK || !plan.OK || !do(release.Command{Kind: release.StartRelease, Release: plan.Release.Number}).OK {
-			t.Fatalf("%+v %+v", put, plan)
+		put := execute(release.Command{Kind: release.PutVersion, Body: body})
+		plan := execute(release.Command{Kind: release.PlanRelease, Version: put.Version, Rules: &rules})
+		if !put.OK || !plan.OK || !execute(release.Command{Kind: release.StartRelease, Release: plan.Release.Number}).OK {
+			t.Fatalf("release not started: put result %+v, plan result %+v", put, plan)
 		}
 		return plan.Release.Number, put.Version
 	}
@@ -346,26 +347,26 @@
 		}
 		return raw
 	}
-	wave := func(least int) {
+	awaitWave := func(minWave int) {
 		t.Helper()
-		cluster.waitFor(fmt.Sprint("in wave ", least), func(st permitclient.Status) bool {
-			r := st.SettingsReleases.Release
-			return r.Phase == release.Running && r.Wave >= least
+		cluster.waitFor(fmt.Sprint("in wave ", minWave), func(status permitclient.Status) bool {
+			r := status.SettingsReleases.Release
+			return r.Phase == release.Running && r.Wave >= minWave
 		})
 	}
-	phase := func(want release.Phase) {
+	awaitPhase := func(want release.Phase) {
 		t.Helper()
-		cluster.waitFor(string(want), func(st permitclient.Status) bool {
-			r := st.SettingsReleases.Release
+		cluster.waitFor(string(want), func(status permitclient.Status) bool {
+			r := status.SettingsReleases.Release
 			if r.Phase == release.Paused && want == release.Completed {
-				do(release.Command{Kind: release.Resume, Release: r.Number})
+				execute(release.Command{Kind: release.Resume, Release: r.Number})
 			}
 			return r.Phase == want
 		})
 	}
-	runs := func(version uint64, on ...string) {
+	awaitVersion := func(version uint64, servers ...string) {
 		t.Helper()
-		for _, name := range on {
+		for _, name := range servers {
 			var last fleet.Status
 			ok := false
 			for end := time.Now().Add(waitTimeout); !ok && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -375,17 +376,17 @@
 				}
 			}
 			if !ok {
-				t.Fatalf("%s does not run %d: %+v", name, version, last.Drain)
+				t.Fatalf("%s does not run version %d; drain status %+v", name, version, last.Drain)
 			}
 		}
 	}
 
-	// All permit servers are lost during a wave: servers keep their versions, and the release goes on where it was.
+	// All permit servers are lost during a wave. The servers keep their versions, and the release then continues from where it was.
 	_, one := begin(body("one"))
-	wave(0)
+	awaitWave(0)
 	before := map[string]uint64{}
 	cluster.stopAll()
-	time.Sleep(1500 * time.Millisecond) // the last answers have come
+	time.Sleep(1500 * time.Millisecond) // until the last responses have arrived
 	for _, name := range names {
 		if s, err := bed.Status(name); err == nil {
 			before[name] = s.Drain.Version.Version
@@ -394,49 +395,52 @@
 	time.Sleep(2 * time.Second)
 	for _, name := range names {
 		if s, err := bed.Status(name); err != nil || s.Drain.Version.Version != before[name] || s.Drain.PermitServersReachable {
-			t.Errorf("%s without keepers: %v %+v, was on %d", name, err, s.Drain, before[name])
+			t.Errorf("%s without permit servers: error %v, drain status %+v, version before %d", name, err, s.Drain, before[name])
 		}
 	}
 	cluster.restartAll()
-	phase(release.Completed)
-	runs(one, names...)
+	awaitPhase(release.Completed)
+	awaitVersion(one, names...)
 
-	// Two of six stop reporting during a wave: the release pauses, another is denied by number, the rollback does not wait for them, and they follow.
+	// Two of six servers stop reporting during a wave. The release pauses, and another one is denied with a reason that names the first one's
+	// number. The rollback does not wait for the two servers, and they follow when they continue.
 	two, _ := begin(body("two"))
-	wave(1)
+	awaitWave(1)
 	playLines(t, bed, "0s stop n4\n0s stop n5")
-	phase(release.Paused)
-	if a := do(release.Command{Kind: release.PlanRelease, Version: one, Rules: &rules}); a.OK || !strings.Contains(a.Reason, fmt.Sprint("release ", two)) {
-		t.Errorf("another one meanwhile: %+v", a)
+	awaitPhase(release.Paused)
+	if result := execute(release.Command{Kind: release.PlanRelease, Version: one, Rules: &rules}); result.OK || !strings.Contains(result.Reason, fmt.Sprint("release ", two)) {
+		t.Errorf("plan of another release meanwhile: got %+v", result)
 	}
-	if a := do(release.Command{Kind: release.RollBack, Release: two}); !a.OK {
-		t.Errorf("%+v", a)
+	if result := execute(release.Command{Kind: release.RollBack, Release: two}); !result.OK {
+		t.Errorf("rollback command: got %+v", result)
 	}
-	phase(release.RolledBack)
-	runs(one, names[:4]...)
+	awaitPhase(release.RolledBack)
+	awaitVersion(one, names[:4]...)
 	playLines(t, bed, "0s cont n4\n0s cont n5")
-	runs(one, names...)
+	awaitVersion(one, names...)
 
-	// An operator's halt: the next wave does not start.
-	cluster.waitFor("all heard", func(st permitclient.Status) bool { return len(st.Observations) == 0 && st.State.AutoHaltReason == "" })
+	// During an operator's halt the next wave does not start.
+	cluster.waitFor("all have reported", func(status permitclient.Status) bool {
+		return len(status.Observations) == 0 && status.State.AutoHaltReason == ""
+	})
 	three, _ := begin(body("three"))
-	wave(0)
+	awaitWave(0)
 	cluster.command(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "look"})
-	phase(release.Paused)
+	awaitPhase(release.Paused)
 	cluster.command(permit.Command{Kind: permit.Resume, Actor: "me"})
-	if a := do(release.Command{Kind: release.RollBack, Release: three}); !a.OK {
-		t.Errorf("%+v", a)
+	if result := execute(release.Command{Kind: release.RollBack, Release: three}); !result.OK {
+		t.Errorf("rollback command: got %+v", result)
 	}
-	phase(release.RolledBack)
+	awaitPhase(release.RolledBack)
 
-	// No version: an empty body, a malformed one, and the same again.
-	if a := do(release.Command{Kind: release.PutVersion}); a.OK {
-		t.Errorf("%+v", a)
+	// An empty body is rejected, the same body again yields the same version, and a malformed body is rolled back.
+	if result := execute(release.Command{Kind: release.PutVersion}); result.OK {
+		t.Errorf("put of an empty body: got %+v", result)
 	}
-	if a := do(release.Command{Kind: release.PutVersion, Body: body("one")}); a.Version != one {
-		t.Errorf("%+v", a)
+	if result := execute(release.Command{Kind: release.PutVersion, Body: body("one")}); result.Version != one {
+		t.Errorf("put of an existing body: got %+v, want the existing version", result)
 	}
 	begin([]byte("{ this is no record"))
-	phase(release.RolledBack)
-	runs(one, names...)
+	awaitPhase(release.RolledBack)
+	awaitVersion(one, names...)
 }
--- a/internal/fleet/views_test.go
+++ b/internal/fleet/views_test.go
@@ -7,24 +7,24 @@
 	"testing"
 )
 
-// The differences between views are named; a server in its grace period has no view yet.
+// Differences describes where views differ, and leaves out servers in their grace period, which have no view yet.
 func TestDifferences(t *testing.T) {
-	view := func(name, settings string, listening bool, peers ...PeerStatus) Status {
-		return Status{Name: name, SettingsHash: settings, Connectivity: "part", InGracePeriod: listening, Peers: peers}
+	view := func(name, settings string, inGracePeriod bool, peers ...PeerStatus) Status {
+		return Status{Name: name, SettingsHash: settings, Connectivity: "part", InGracePeriod: inGracePeriod, Peers: peers}
 	}
-	heard := func(name string, start uint64) PeerStatus {
-		return PeerStatus{Name: name, Generation: start, Reachable: true}
+	reachable := func(name string, generation uint64) PeerStatus {
+		return PeerStatus{Name: name, Generation: generation, Reachable: true}
 	}
-	a := view("a", "s1", false, heard("b", 2), heard("c", 1))
-	b := view("b", "s1", false, heard("a", 1), PeerStatus{Name: "c", Generation: 1})
-	c := view("c", "s2", true, PeerStatus{Name: "a"}, heard("b", 1))
-	d := view("d", "s1", false, heard("b", 1), PeerStatus{Name: "c", Departed: "left"})
+	a := view("a", "s1", false, reachable("b", 2), reachable("c", 1))
+	b := view("b", "s1", false, reachable("a", 1), PeerStatus{Name: "c", Generation: 1})
+	c := view("c", "s2", true, PeerStatus{Name: "a"}, reachable("b", 1))
+	d := view("d", "s1", false, reachable("b", 1), PeerStatus{Name: "c", Departed: "left"})
 	want := []string{"b is known by 2 different starts", "c is heard by a and not by b", "settings: s1 at a b d, s2 at c"}
 	if got := Differences([]Status{a, b, c, d}); !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("differences: got %q, want %q", got, want)
 	}
 	if got := Differences([]Status{a}); len(got) != 0 {
-		t.Errorf("one view differs from itself: %q", got)
+		t.Errorf("differences of a single view: got %q", got)
 	}
 	var out bytes.Buffer
 	if err := WriteViews(&out, []Status{a}); err != nil {
@@ -32,7 +32,7 @@
 	}
 	for _, s := range []string{"server", "part", "peer", "c  "} {
 		if !strings.Contains(out.String(), s) {
-			t.Errorf("%q is not told:\n%s", s, out.String())
+			t.Errorf("%q is missing from the tables:\n%s", s, out.String())
 		}
 	}
 }
