--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -42,7 +42,7 @@
 		{"instance opened, then an RPC", [][]byte{frame(open(3, settings)), frame(arrival)}, []uint32{2, 1}, ""},
 		{"open instance opened again", [][]byte{frame(open(3, settings), open(3, settings))}, []uint32{4}, ""},
 		{"instance exited and opened again", [][]byte{frame(open(3, settings)), frame(record(40, 3), open(3, settings))}, []uint32{2, 2}, ""},
-		{"RPC after the instance exited", [][]byte{frame(open(3, settings), record(40, 3)), frame(arrival)}, []uint32{2}, "not open"},
+		{"RPC after the instance exited", [][]byte{frame(open(3, settings), record(40, 3)), frame(arrival)}, []uint32{2}, "event for instance 3, which is not open"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -127,7 +127,7 @@
 }
 
 // The quota status of an arrival takes precedence over the measured rate. An RPC over a hard quota is rejected at once
-// even if there is capacity, with a retry-after up to the maximum that callers honor. A duplicate is still joined.
+// even if there is capacity, with a retry-after up to the maximum that callers honour. A duplicate is still joined.
 func TestLeasedQuota(t *testing.T) {
 	s := defaultSetup()
 	s.customers = []Customer{{"a", 1000}}
@@ -303,7 +303,7 @@
 				}
 			}
 			if before == 0 || displaced != c.displaced {
-				t.Errorf("got %d rejections before; queued RPCs displaced: got %v", before, displaced)
+				t.Errorf("rejections before the arrivals of greater weight: got %d, want some; displaced a queued RPC: got %v", before, displaced)
 			}
 		})
 	}
--- a/control/api.go
+++ b/control/api.go
@@ -28,9 +28,9 @@
 type Method struct {
 	Name             string
 	Idempotency      Idempotency `json:"Repeat"`
-	LatencyObjective float64     `json:"LatencyTarget"` // ms from the client's first attempt to the response
+	LatencyObjective float64     `json:"LatencyTarget"` // ms from the client's first attempt within which the response is wanted
 	ObjectiveStretch float64     `json:"Stretch"`       // multiple of the RPC's cost hint that is added to the objective
-	Deadline         float64     // ms from the client's first attempt until the client gives up
+	Deadline         float64     // ms from the client's first attempt until the client gives up, over all its attempts
 	DedupWindow      float64     `json:"Window"` // IdempotencyKeyed: ms from the arrival here in which duplicates may arrive
 	Criticality      float64     // weight of a response that meets the objective
 	LateFraction     float64     `json:"LateShare"` // fraction of Criticality kept between objective and deadline
@@ -87,7 +87,7 @@
 	Feedback           FeedbackKind `json:"Say"`       // how callers interpret load feedback
 	FeedbackTTL        float64      `json:"Heeded"`    // ms during which a caller acts on feedback after receiving it
 	IdleTimeout        float64      `json:"Idle"`      // ms after which callers close idle connections; maximum of our timeout
-	MaxRetryAfter      float64      // longest retry-after in ms that callers honor; 0 if retry-after is not sent
+	MaxRetryAfter      float64      // longest retry-after in ms that callers honour; 0 if retry-after is not sent
 	OverQuotaFraction  float64      `json:"OverShare"` // fraction of the criticality that an RPC over quota keeps
 }
 
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -139,6 +139,6 @@
 		return actions
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two instances with the same events returned different actions")
+		t.Error("two Controllers with the same events returned different actions")
 	}
 }
--- a/control/dependency.go
+++ b/control/dependency.go
@@ -121,8 +121,9 @@
 func (k *callLimiter) fractional() bool { return k.share > 0 && k.share < 1 }
 
 // acquire reserves capacity for a call and returns the timeout of the call, at most left, or 0 if there is no capacity.
-// A share below one call is enforced in the mean over the window: the timeout ends the call before its window exceeds
-// the share, even if the dependency slows down in the meantime, which affects all servers at the same time.
+// A share below one call is enforced in the mean over the window: the timeout ends the call before the mean over any
+// window exceeds the share, even if the dependency slows down in the meantime, which affects all servers at the same
+// time.
 func (k *callLimiter) acquire(now, left float64) float64 {
 	const minTimeoutRatio = 1.5 // to the mean duration; a call with a shorter timeout is not started
 	k.abandonedUntil = slices.DeleteFunc(k.abandonedUntil, func(until float64) bool { return until <= now })
@@ -149,8 +150,8 @@
 // more.
 //
 // An overloaded dependency stays overloaded: calls take longer, so more of them are in flight there. Reducing the limit
-// lets it recover. If the dependency is slow for another reason, reducing the limit delays the RPCs that are queued
-// here instead.
+// lets it recover, whatever slowed it down. If the dependency is slow for another reason than overload, reducing the
+// limit only delays the RPCs that are queued here.
 func (k *callLimiter) release(now, elapsed float64, outcome Outcome) {
 	const (
 		slowRatio  = 2.5   // of the mean to the baseline; above the variation of single calls
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// setup is the configuration of an instance under test. Test cases start from defaultSetup and change some values.
+// setup is the configuration of a Controller under test. Test cases start from defaultSetup and change some values.
 type setup struct {
 	node       Node
 	fleet      Fleet
@@ -90,7 +90,7 @@
 	h.handle(Event{Kind: Completed, RPC: id, Outcome: outcome, Elapsed: elapsed})
 }
 
-// advance advances the clock to t and fires the timers that are due, all with the same gauges.
+// advance advances the clock to until and fires the timers that are due, all with the same gauges.
 func (h *harness) advance(until float64, gauges Gauges) {
 	h.t.Helper()
 	for h.nextTimer <= until {
--- a/control/retries.go
+++ b/control/retries.go
@@ -59,8 +59,9 @@
 func (m *retryMonitor) overloadedAlone() bool {
 	const (
 		manyRejections = 0.3 // fraction of attempts; a normally loaded server reaches half of that by chance
-		// If the endpoint list is not updated in time, a server that is taken off it stays idle.
-		fewRetries = 0.17 // fraction of attempts, close to manyRetries of fleetOverloaded
+		// fewRetries is a fraction of attempts, close to manyRetries of fleetOverloaded. A server must not be taken off
+		// the endpoint list without need: if the list is not updated in time afterwards, the server stays idle.
+		fewRetries = 0.17
 	)
 	return m.marksRetries && m.rejectFraction > manyRejections && m.retryFraction < fewRetries &&
 		m.firstAttempts*m.feedbackTTLPerCaller < 1
--- a/control/runqueue.go
+++ b/control/runqueue.go
@@ -62,17 +62,17 @@
 
 // add inserts the RPC at index i of slots into its lane.
 func (q *runQueue) add(slots []rpc, i int) {
-	members := append(q.lanes[slots[i].lane], i)
-	q.lanes[slots[i].lane] = members
+	indexes := append(q.lanes[slots[i].lane], i)
+	q.lanes[slots[i].lane] = indexes
 	q.length++
-	for k := len(members) - 1; k > 0 && slots[members[k]].objective < slots[members[k-1]].objective; k-- {
-		members[k], members[k-1] = members[k-1], members[k]
+	for k := len(indexes) - 1; k > 0 && slots[indexes[k]].objective < slots[indexes[k-1]].objective; k-- {
+		indexes[k], indexes[k-1] = indexes[k-1], indexes[k]
 	}
 }
 
 // remove removes the RPC at index i from a lane. It does nothing if the RPC has just been read and is not queued yet.
 func (q *runQueue) remove(i int, l lane) {
-	q.lanes[l] = slices.DeleteFunc(q.lanes[l], func(member int) bool { return member == i })
+	q.lanes[l] = slices.DeleteFunc(q.lanes[l], func(index int) bool { return index == i })
 	q.length = len(q.lanes[shortLane]) + len(q.lanes[longLane])
 }
 
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -53,11 +53,11 @@
 type Reader struct {
 	src     io.Reader
 	buf     bytes.Buffer
-	rest    []byte // undecoded bytes of the batch
-	pending uint32 // number of records still to be read
-	record  int    // number of the latest record
-	frame   int    // number of the latest batch
-	gauges  map[uint16][]string
+	rest    []byte              // undecoded bytes of the batch
+	pending uint32              // number of records still to be read
+	record  int                 // number of the latest record
+	frame   int                 // number of the latest batch
+	gauges  map[uint16][]string // by instance: names of its gauges, in the order of their values in eventWakeup
 }
 
 // NewReader returns a Reader that reads batches from src.
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -99,7 +99,7 @@
 		{name: "truncated batch header", frame: "00000000 00", wantErr: "frame 1: truncated batch header: want 16 bytes, got 5"},
 		{name: "truncated batch", frame: "ffffffff 0000000000000000 00000001 32", wantErr: "truncated batch: length field is 4294967295 bytes, got 1"},
 		{name: "record longer than the batch", frame: "00000006 0000000000000000 00000001 5a 00000009 00", wantErr: "truncated record: length field is 9 bytes"},
-		{name: "unknown event code", frame: "00000007 0000000000000000 00000001 63 00000002 0003", wantErr: "unknown event code 99"},
+		{name: "unknown event code", frame: "00000007 0000000000000000 00000001 63 00000002 0003", wantErr: "frame 1, record 1: unknown event code 99"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
