--- a/decision/pool/pool_test.go
+++ b/decision/pool/pool_test.go
@@ -205,13 +205,13 @@
 		}
 	}
 	if _, placement := p.Acquire(1, 1, nil, 0); placement != Queued || p.UntilNextReturn(1) != 999 {
-		t.Errorf("placement %v, next return in %g ms", placement, p.UntilNextReturn(1))
+		t.Errorf("request while all members are ejected: got placement %v and next return in %g ms, want Queued and 999 ms", placement, p.UntilNextReturn(1))
 	}
 	if ids := p.ExpireQueued(101); len(ids) != 1 || ids[0] != 1 {
-		t.Errorf("expired requests: got %v", ids)
+		t.Errorf("expired requests: got %v, want request 1", ids)
 	}
 	if got := p.Update(1000); len(got) != 0 || ejectedCount(p, 1000) != 0 {
-		t.Errorf("grants: got %v", got)
+		t.Errorf("end of the ejections: got grants %v, want none, and no member ejected", got)
 	}
 }
 
@@ -229,7 +229,7 @@
 		t.Error("CancelQueued: want true for a queued request and false the second time")
 	}
 	if got := p.Complete(1, id, Succeeded, 1); len(got) != 1 || got[0].ID != 3 {
-		t.Errorf("grants: got %v", got)
+		t.Errorf("grants: got %v, want one for request 3", got)
 	}
 }
 
@@ -245,13 +245,13 @@
 	for range 50 {
 		id, placement := p.Acquire(0, 0, nil, 0)
 		if placement != Granted || p.Addr(id) == "m0" {
-			t.Fatalf("placement %v at %s", placement, p.Addr(id))
+			t.Fatalf("request after m0 was removed: got placement %v at member %s, want Granted at another member", placement, p.Addr(id))
 		}
 		p.Complete(0, id, Succeeded, 20)
 	}
 	p.Complete(0, old, Succeeded, 20)
 	if p.Addr(old) != "" || len(p.MemberStates(0)) != 2 || p.MemberStates(0)[1].LoadShare != initialLoadShare || p.MemberStates(0)[0].LoadShare != 1 {
-		t.Errorf("members: got %+v", p.MemberStates(0))
+		t.Errorf("members: got %+v, want m1 at full load and m9 in slow start only", p.MemberStates(0))
 	}
 }
 
@@ -260,7 +260,7 @@
 	for range 100 {
 		id, placement := p.Acquire(0, 0, []int{0}, 0)
 		if placement != Granted || id != 1 {
-			t.Fatalf("placement %v at member %d", placement, id)
+			t.Fatalf("request that avoids member 0: got placement %v at member %d, want Granted at member 1", placement, id)
 		}
 		p.Complete(0, id, Succeeded, 20)
 	}
@@ -395,7 +395,7 @@
 		p.Complete(2, id, Failed, 1)
 	}
 	if s := p.MemberStates(3); s[0].Ejection != NotEjected || s[1].Ejection != NotEjected {
-		t.Errorf("member states: got %+v", s)
+		t.Errorf("member states after failures: got %+v, want no ejection", s)
 	}
 	p.UseFleetDecisions(10, []FleetDecision{{Addr: "a", Ejected: true}}, odd)
 	for range 8 {
@@ -417,7 +417,7 @@
 		}
 	}
 	if id, placement := p.Acquire(11, 0, []int{1}, 2); placement != Granted || p.Addr(id) != "b" { // it has failed at b, and a does not admit its caller
-		t.Errorf("member %d, placement %v", id, placement)
+		t.Errorf("request that has failed at b: got member %d and placement %v, want b and Granted", id, placement)
 	}
 	if e := p.Events(); len(e) != 0 {
 		t.Errorf("events: got %+v", e)
@@ -434,7 +434,7 @@
 	for range 200 {
 		id, placement := p.Acquire(10, 0, nil, 0)
 		if placement != Granted || p.Addr(id) == "m1" {
-			t.Fatalf("placement %v at %s", placement, p.Addr(id))
+			t.Fatalf("request while m1 is drained: got placement %v at member %s, want Granted at another member", placement, p.Addr(id))
 		}
 		p.Complete(10, id, Succeeded, 20)
 	}
--- a/decision/route/route_test.go
+++ b/decision/route/route_test.go
@@ -160,11 +160,11 @@
 			switch {
 			case c.key != "":
 				if !errors.As(err, &bad) || bad.Key != c.key {
-					t.Errorf("error %v, want a ValueError for key %s", err, c.key)
+					t.Errorf("Resolve: got error %v, want a ValueError for key %s", err, c.key)
 				}
 			case c.err != nil:
 				if !errors.Is(err, c.err) {
-					t.Errorf("error %v, want %v", err, c.err)
+					t.Errorf("Resolve: got error %v, want %v", err, c.err)
 				}
 			default:
 				if got := fmt.Sprint(f.Method, " ", f.Customer, " ", f.Token, " ", f.Retry, " ", f.CostHintMs); err != nil || got != c.want {
@@ -176,7 +176,7 @@
 	buy := New([]Rule{{Name: "buy", Path: "/buy", Verb: "POST", Method: "m"}, {Name: "put", Path: "/{x}", Verb: "PUT", Method: "m"}})
 	m := &Message{Path: "/buy", Verb: "GET", Variables: variables{}}
 	if _, err := buy.Resolve(m); !errors.Is(err, ErrVerbNotAllowed) || fmt.Sprint(buy.Verbs(m)) != "[POST PUT]" {
-		t.Errorf("error %v, verbs %v", err, buy.Verbs(m))
+		t.Errorf("message whose verb no rule accepts: got error %v and verbs %v, want ErrVerbNotAllowed and [POST PUT]", err, buy.Verbs(m))
 	}
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -4,10 +4,10 @@
 // their cached results, and the guarantee that each RPC gets exactly one final verdict even if several events race to end
 // it.
 //
-// All methods of Gate and Ticket are safe for concurrent use, except that the set-up methods (UseClock, UseTokenStore,
-// UseTracer, UseQuota) must be called before the first RPC. Only Ticket.Wait and SubmitAndWait block. The package uses no
-// sockets and makes no decisions: package control decides what is admitted, run or rejected, and its events and actions
-// are not exposed.
+// All methods of Gate and Ticket are safe for concurrent use, except UseClock and UseTracer. UseClock and UseQuota must be
+// called before the first RPC, and UseTracer and UseTokenStore before Start; RPCs that are submitted before Start are
+// not run. Only Ticket.Wait and SubmitAndWait block. The package uses no sockets and makes no decisions: package control
+// decides what is admitted, run or rejected, and its events and actions are not exposed.
 package gate
 
 import (
@@ -105,7 +105,7 @@
 	g.store = s
 }
 
-// UseQuota sets the checker of customers' quotas that are shared among servers.
+// UseQuota sets the checker of customers' quotas that are shared among servers. It must be called before the first RPC.
 func (g *Gate) UseQuota(q QuotaChecker) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -79,12 +79,12 @@
 	case <-t.verdicts:
 		v := t.take()
 		if v.Kind != want {
-			tg.Fatalf("verdict %+v, want kind %d", v, want)
+			tg.Fatalf("verdict: got %+v, want kind %d", v, want)
 		}
 		return v
 	default:
 		if want >= 0 {
-			tg.Fatalf("no verdict, want kind %d", want)
+			tg.Fatalf("verdict: got none, want kind %d", want)
 		}
 	}
 	return Verdict{}
@@ -102,7 +102,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if _, _, err := open(t, true).SubmitAndWait(context.Background(), c.rpc); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("error %v, want %q", err, c.want)
+				t.Errorf("SubmitAndWait: got error %v, want %q", err, c.want)
 			}
 		})
 	}
--- a/internal/gate/submit.go
+++ b/internal/gate/submit.go
@@ -161,7 +161,7 @@
 func (g *Gate) lookupStored(r *RPC, method int) (s storedToken) {
 	key := tokenKey(r)
 	g.mu.Lock()
-	store := g.store // UseTokenStore may be called while the server is already listening
+	store := g.store // UseTokenStore may be called when the server already listens, but before Start
 	now := unixMillis(g.now())
 	k := g.tokens[key]
 	cached := k != nil && r.ArrivedMs < k.untilMs
--- a/internal/gate/wheel.go
+++ b/internal/gate/wheel.go
@@ -102,20 +102,20 @@
 			if w.nextSlot&(1<<(level*levelBits)-1) != 0 {
 				continue
 			}
-			if !w.drainSlot(w.slotOf(level, w.nextSlot), &moves, w.add) {
+			if !w.emptySlot(w.slotOf(level, w.nextSlot), &moves, w.add) {
 				return
 			}
 		}
-		if !w.drainSlot(w.slotOf(0, w.nextSlot), &moves, expired) {
+		if !w.emptySlot(w.slotOf(0, w.nextSlot), &moves, expired) {
 			return
 		}
 		w.nextSlot++
 	}
 }
 
-// drainSlot removes the entries of a slot and passes each to f. It returns false if moves is used up before the slot is
+// emptySlot removes the entries of a slot and passes each to f. It returns false if moves is used up before the slot is
 // empty.
-func (w *wheel) drainSlot(head *expiry, moves *int, f func(*expiry)) bool {
+func (w *wheel) emptySlot(head *expiry, moves *int, f func(*expiry)) bool {
 	for head.next != head {
 		if *moves == 0 {
 			return false
