--- a/decision/health/health_test.go
+++ b/decision/health/health_test.go
@@ -53,7 +53,7 @@
 	f.detector.MarkSuspect(f.now, "y")
 	f.expect(Partitioned, 3, 4) // a worse state takes effect at once
 	if z := f.detector.View(f.now).Zones; !slices.Equal(z, []Zone{{"a", 2, 2}, {"b", 2, 1}}) {
-		t.Errorf("zones: got %v", z)
+		t.Errorf("zones: got %v, want 2 of 2 members of a reachable and 1 of 2 of b", z)
 	}
 	f.detector.MarkAlive(f.now, "y")
 	f.expect(Partitioned, 4, 4) // a better state takes effect after StabilizationPeriod
@@ -121,7 +121,7 @@
 	f := newFixture(t)
 	f.advance(5000)
 	if v := f.detector.View(f.now); !v.MaxUnknown || v.State != Isolated {
-		t.Errorf("view without any contact: got %+v", v)
+		t.Errorf("view without any contact: got %+v, want isolated with an unknown maximum", v)
 	}
 	f.detector.MarkAlive(f.now, "x")
 	f.responding = []string{"x"}
@@ -150,7 +150,7 @@
 		}
 	}
 	if p := f.detector.Peers(f.now); p[2].Via != "b" || p[0].LastContactAge != 0 || !p[3].Unconfirmed {
-		t.Errorf("peers: got %+v", p)
+		t.Errorf("peers: got %+v, want d relayed by b, a last contact with b 0 ms ago, and e unconfirmed", p)
 	}
 }
 
--- a/decision/health/state.go
+++ b/decision/health/state.go
@@ -25,7 +25,7 @@
 // Flap damping, after BGP route flap damping (RFC 2439): each suspicion adds 1 to a penalty with a half-life of
 // penaltyHalfLife. From penaltyThreshold on, a peer counts as reachable only after it has been alive for a hold-down time,
 // which doubles with every 0.5 of penalty up to maxHoldDown. With suspicions ten seconds apart, as from independent faults,
-// the penalty never reaches 2. With suspicions five seconds apart, the fifth exceeds the threshold; at three seconds, the
+// the penalty never reaches 2. With suspicions five seconds apart, the fourth exceeds the threshold; at three seconds, the
 // third does. Times are in ms.
 const (
 	penaltyHalfLife  = 10e3
--- a/decision/outlier/classify.go
+++ b/decision/outlier/classify.go
@@ -99,7 +99,7 @@
 func credibility(o *Report) float64 {
 	trust := 1 - math.Min(math.Max((o.Age-freshAge)/(staleAge-freshAge), 0), 1)
 	var latest [unreliableWindow]*evidence.Summary
-	met := 0
+	observed := 0
 	for i := range o.Summaries {
 		s := &o.Summaries[i]
 		if s.Run == 0 || s.Age > maxRunAge {
@@ -109,19 +109,19 @@
 			if latest[k] == nil || s.Age < latest[k].Age {
 				copy(latest[k+1:], latest[k:])
 				latest[k] = s
-				met++
+				observed++
 				break
 			}
 		}
 	}
-	met = min(met, unreliableWindow)
+	observed = min(observed, unreliableWindow)
 	bad := 0
-	for _, s := range latest[:met] {
+	for _, s := range latest[:observed] {
 		if s.Run < 0 {
 			bad++
 		}
 	}
-	if met >= unreliableMinimum && float64(bad) > unreliableFraction*float64(met) {
+	if observed >= unreliableMinimum && float64(bad) > unreliableFraction*float64(observed) {
 		trust *= unreliableTrust
 	}
 	return trust
@@ -260,7 +260,7 @@
 	return Unknown
 }
 
-// failsEverywhere reports whether enough observers in all reporting zones see the member fail.
+// failsEverywhere reports whether enough observers see the member fail, in at least two zones if two or more zones report.
 func (a *assessment) failsEverywhere(failureFraction float64, zones int) bool {
 	return a.accusingWeight >= minFailureWeight &&
 		a.accusers >= minObservers &&
--- a/decision/outlier/eject.go
+++ b/decision/outlier/eject.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// candidates returns the members to eject, the worst first.
+// candidates returns the members to eject, the worst first. It sets the condition of members that fail no more than the
+// others to AllFailing, and that of members whose ejection it adopts from the peers to Inherited.
 func (d *Detector) candidates(now float64, observers []Report) []*Member {
 	var worst []*Member
 	for _, m := range d.members {
--- a/decision/outlier/outlier.go
+++ b/decision/outlier/outlier.go
@@ -25,7 +25,7 @@
 // Config holds the settings of one pool. Times are in ms.
 type Config struct {
 	MinInUseFraction    float64 // minimum fraction of members in use, regardless of the reports
-	LatencyFactor       float64 // multiple of the pool's latency above which a member is slow; 0 disables
+	LatencyFactor       float64 // multiple of the pool's median latency above which a member is slow; 0 disables
 	ConsecutiveFailures int     // number seen by this server on which it ejects without other evidence; 0 disables
 	BaseEjectionTime    float64 // duration of a first ejection; doubled if the member is soon ejected again
 	RecoveryRamp        float64 // time over which a returning member's traffic grows to its full amount
--- a/decision/outlier/outlier_test.go
+++ b/decision/outlier/outlier_test.go
@@ -169,7 +169,7 @@
 		}
 	}
 	if checkers != healthCheckers {
-		t.Fatalf("%d of 8 servers send health checks to the ejected member", checkers)
+		t.Fatalf("%d of 8 servers send health checks to the ejected member, want healthCheckers", checkers)
 	}
 	noOutcome := summaries(4, map[int]int{1: 0})
 	checker.Evaluate(1000, summaries(4, map[int]int{1: 5}), []Report{report("x", "", noOutcome)}, names, true)
@@ -185,10 +185,10 @@
 	checker.Evaluate(4000, summaries(4, map[int]int{1: 3}), []Report{other}, names, true)
 	m := checker.Members()[1]
 	if m.Ejected || m.Since != 4000-1200 {
-		t.Errorf("member after an announced return: %+v", *m)
+		t.Errorf("member after an announced return: got %+v, want in use since 1.2 s ago", *m)
 	}
 	if p := checker.TrafficFraction(4000, m); p < 0.23 || p > 0.25 {
-		t.Errorf("traffic fraction 1.2 s after the start of the ramp: %g", p)
+		t.Errorf("traffic fraction 1.2 s after the start of the ramp: got %g, want about 0.24", p)
 	}
 	n := 0
 	for caller := range uint64(10000) {
@@ -214,7 +214,7 @@
 	first.Evaluate(2100, good, peers(summaries(4, map[int]int{1: 0})), []string{"b", "x", "y"}, true)
 	ejectedNames, recoveries := first.Announcement(2100)
 	if len(ejectedNames) != 1 || len(recoveries) != 1 || recoveries[0].Elapsed != -returnNotice {
-		t.Fatalf("announcement: ejected %v, recoveries %v", ejectedNames, recoveries)
+		t.Fatalf("announcement: ejected %v, recoveries %v, want one of each, with the return in returnNotice ms", ejectedNames, recoveries)
 	}
 	announcement := Report{Origin: "a", Age: 300, Summaries: good, Ejected: ejectedNames, Recoveries: recoveries}
 	for _, c := range []struct {
@@ -230,7 +230,7 @@
 		announcement.Age = 300 + c.at - 2400
 		later.Evaluate(c.at, c.own, append(peers(summaries(4, map[int]int{1: 0})), announcement), []string{"a", "x", "y"}, true)
 		if m := later.Members()[1]; m.Ejected != c.ejected {
-			t.Errorf("%s: %+v", c.name, *m)
+			t.Errorf("%s: unexpected state of the member: %+v", c.name, *m)
 		}
 	}
 	first.Evaluate(2100+returnNotice, good, peers(summaries(4, map[int]int{1: 0})), []string{"b", "x", "y"}, true)
@@ -264,7 +264,7 @@
 	}
 	d.SetDrained(4000, nil)
 	if m := d.Members()[0]; m.Ejected || d.TrafficFraction(4500, m) > 0.2 {
-		t.Errorf("member no longer drained: %+v", m)
+		t.Errorf("member no longer drained: got %+v, want in use with a traffic fraction of at most 0.2", m)
 	}
 	d.SetDrained(5000, memberNames(4))
 	if got := ejected(d); len(got) > 2 {
@@ -283,7 +283,7 @@
 	}
 	d.Evaluate(1000, nil, []Report{ejecting("b"), ejecting("c")}, []string{"b", "c"}, true)
 	if m := d.Members()[1]; !m.Ejected || m.Condition != Inherited {
-		t.Fatalf("member ejected by the peers: %+v", *m)
+		t.Fatalf("member ejected by the peers: got %+v, want an inherited ejection", *m)
 	}
 	for now := 1500.0; now < 9000; now += 500 { // the peers keep reporting the ejection without evidence
 		d.Evaluate(now, nil, []Report{ejecting("b"), ejecting("c")}, []string{"b", "c"}, true)
