--- a/decision/permit/halt_test.go
+++ b/decision/permit/halt_test.go
@@ -71,7 +71,7 @@
 	}
 	apply(Command{Kind: Begin, Subject: "p/m1", PermitID: memberPermit.PermitID, Actor: "me"})
 	if directives := s.DirectivesFor("n0"); !reflect.DeepEqual(directives.DrainingMembers, map[string]uint64{"p/m1": memberPermit.PermitID}) {
-		t.Errorf("directives after the drain has begun: got %+v", directives)
+		t.Errorf("directives after the drain has begun: got %+v, want p/m1 and its permit as the only draining member", directives)
 	}
 	report := func(id uint64, inFlight int) map[string]MemberDrain {
 		return map[string]MemberDrain{"p/m1": {PermitID: id, InFlight: inFlight}}
@@ -113,16 +113,16 @@
 		}
 	}
 	if directives := s.DirectivesFor("n1"); directives.DrainRequest == nil || directives.DrainRequest.Actor != "you" {
-		t.Errorf("directives with a pending drain request: got %+v", directives)
+		t.Errorf("directives with a pending drain request: got %+v, want a request by you", directives)
 	}
 	serverPermit := apply(Command{Kind: Acquire, Subject: "n1", Actor: "you", Incarnation: 1})
 	apply(Command{Kind: Begin, Subject: "n1", PermitID: serverPermit.PermitID, Incarnation: 1})
 	if directives := s.DirectivesFor("n1"); directives.DrainRequest != nil || directives.PermitID != serverPermit.PermitID {
-		t.Errorf("directives after the requested drain has begun: got %+v", directives)
+		t.Errorf("directives after the requested drain has begun: got %+v, want the permit and no drain request", directives)
 	}
 	apply(Command{Kind: Recall, Subject: "n1", Actor: "me"})
 	if directives := s.DirectivesFor("n1"); directives.RecalledBy != "me" {
-		t.Errorf("directives after a recall: got %+v", directives)
+		t.Errorf("directives after a recall: got %+v, want a recall by me", directives)
 	}
 	if result := apply(Command{Kind: Return, Subject: "n1", PermitID: serverPermit.PermitID, Incarnation: 1}); !result.OK {
 		t.Errorf("return by a recalled server without a restart: got %+v, want success", result)
--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -21,7 +21,7 @@
 	s := New()
 	members := []Member{{"p", "m0"}, {"p", "m1"}, {"p", "m2"}, {"p", "m3"}}
 	if result := s.Apply(Command{ID: "set", Kind: Configure, Servers: roster(n), Members: members, Limits: &limits}); !result.OK {
-		t.Fatalf("configure: got %+v", result)
+		t.Fatalf("result of Configure: got %+v, want success", result)
 	}
 	return s
 }
--- a/decision/quota/quota.go
+++ b/decision/quota/quota.go
@@ -11,7 +11,7 @@
 // milliseconds as float64.
 //
 // The package is pure: it does no I/O, reads no clock (callers pass times), starts no goroutine and draws randomness
-// only from a seeded source. An instance is not safe for concurrent use; the caller must serialise calls.
+// only from a seeded source. An instance is not safe for concurrent use; its owner must serialise calls.
 //
 // Leases and their terms follow Doorman (https://github.com/youtube/doorman). In Doorman one elected server grants all
 // leases; here each server grants leases on the capacity that it owns.
@@ -55,7 +55,7 @@
 )
 
 // Usable reports whether each server's share of the burst of a rate is at least one item. With less, the token bucket never
-// holds a whole item and admits nothing.
+// holds a whole item and admits nothing. A limit of kind Concurrency has no burst and is always usable.
 func (l Limit) Usable() bool { return l.Kind == Concurrency || l.Burst >= float64(max(1, l.Servers)) }
 
 // serverCount returns Servers, but at least 1.
--- a/decision/release/canary.go
+++ b/decision/release/canary.go
@@ -61,22 +61,22 @@
 // all larger shares, than under the largest share that a version without a fault may have. It is a test martingale (Ville
 // 1939; Robbins 1970 for mixtures): the probability that it ever exceeds 1/a is at most a, however often it is evaluated. It
 // is exact for few outcomes, for which a normal approximation would give a false alarm in one of seven cases.
-func (x *stratum) likelihoodRatio() float64 {
-	if !(x.bad > x.maxShare*x.total) || x.maxShare >= 1 {
+func (s *stratum) likelihoodRatio() float64 {
+	if !(s.bad > s.maxShare*s.total) || s.maxShare >= 1 {
 		return 0
 	}
-	good := x.total - x.bad
-	alpha := x.bad + 1
+	good := s.total - s.bad
+	alpha := s.bad + 1
 	beta := good + 1
 	logGammaAlpha, _ := math.Lgamma(alpha)
 	logGammaBeta, _ := math.Lgamma(beta)
 	logGammaSum, _ := math.Lgamma(alpha + beta)
-	tail := 1 - mathext.RegIncBeta(alpha, beta, x.maxShare)
+	tail := 1 - mathext.RegIncBeta(alpha, beta, s.maxShare)
 	if tail <= 0 {
 		return 0
 	}
-	logRatio := logGammaAlpha + logGammaBeta - logGammaSum + math.Log(tail) - math.Log(1-x.maxShare) -
-		x.bad*math.Log(x.maxShare) - good*math.Log(1-x.maxShare)
+	logRatio := logGammaAlpha + logGammaBeta - logGammaSum + math.Log(tail) - math.Log(1-s.maxShare) -
+		s.bad*math.Log(s.maxShare) - good*math.Log(1-s.maxShare)
 	return math.Exp(math.Min(maxLogRatio, logRatio))
 }
 
@@ -128,8 +128,8 @@
 func compare(rules Rules, waves int, canary, control []sample) (worst Evidence, worse bool) {
 	zones := zonesOf(canary)
 	threshold := float64(int(signalCount)*(len(zones)+1)*max(1, waves)) / rules.FalseAlarmRate
-	consider := func(s signal, zone string, x *stratum, excess float64) {
-		if ratio := x.likelihoodRatio(); ratio > worst.LikelihoodRatio {
+	consider := func(s signal, zone string, compared *stratum, excess float64) {
+		if ratio := compared.likelihoodRatio(); ratio > worst.LikelihoodRatio {
 			worst = Evidence{Signal: signalNames[s], Zone: zone, Excess: excess, LikelihoodRatio: ratio, Threshold: threshold}
 		}
 	}
@@ -137,15 +137,15 @@
 		expectedBad := 0.0
 		var all stratum
 		for _, zone := range zones {
-			x, ok := newStratum(s, inZone(canary, zone), inZone(control, zone), rules.Margin)
+			compared, ok := newStratum(s, inZone(canary, zone), inZone(control, zone), rules.Margin)
 			if !ok { // the zone has no control left, and servers of other zones are no control for it
 				continue
 			}
-			expectedBad += x.total * x.maxShare
-			all.bad += x.bad
-			all.total += x.total
+			expectedBad += compared.total * compared.maxShare
+			all.bad += compared.bad
+			all.total += compared.total
 			if len(zones) > 1 {
-				consider(s, zone, &x, x.bad/x.total-x.maxShare)
+				consider(s, zone, &compared, compared.bad/compared.total-compared.maxShare)
 			}
 		}
 		if all.total > 0 {
--- a/decision/release/release_test.go
+++ b/decision/release/release_test.go
@@ -234,7 +234,7 @@
 			h.apply(Command{Kind: Pause, Release: release, Actor: "me"}, true)
 			h.observe(10, nil)
 			if h.state.Release.Phase != RollbackPaused {
-				h.Errorf("phase after the rollback was paused: got %s", h.state.Release.Phase)
+				h.Errorf("phase after the rollback was paused: got %s, want RollbackPaused", h.state.Release.Phase)
 			}
 			h.apply(Command{Kind: Resume, Release: release, Actor: "me"}, true)
 			h.observe(10, nil)
@@ -244,7 +244,7 @@
 			h.apply(Command{Kind: RollBack, Release: release, Actor: "me"}, true)
 			h.observe(10, nil, "n0", "n1", "n2")
 			if h.state.Release.Phase != RolledBack {
-				h.Errorf("phase while half of the servers are unreachable: got %s", h.state.Release.Phase)
+				h.Errorf("phase while half of the servers are unreachable: got %s, want RolledBack", h.state.Release.Phase)
 			}
 			h.observe(1, nil)
 		}, RolledBack, nil},
--- a/decision/release/state.go
+++ b/decision/release/state.go
@@ -117,13 +117,13 @@
 		s.observe(c)
 		return Result{OK: true}
 	case StartRelease, Pause, Resume, RollBack, Abandon:
-		return s.steer(c)
+		return s.applyOperatorCommand(c)
 	}
 	return Result{Reason: fmt.Sprintf("%.40q is no command", string(c.Kind))}
 }
 
-// steer executes an operator's command on the release.
-func (s *State) steer(c *Command) Result {
+// applyOperatorCommand executes an operator's command on the release.
+func (s *State) applyOperatorCommand(c *Command) Result {
 	r := s.Release
 	if r == nil || c.Release != 0 && c.Release != r.Number {
 		return Result{Reason: fmt.Sprintf("release %d is not the one at hand", c.Release)}
