--- a/decision/count/count_test.go
+++ b/decision/count/count_test.go
@@ -81,10 +81,10 @@
 			}
 		}
 		if got := aggregate.Sum(1000, "k", origins[:2]); got != (Interval{23, 23}) {
-			t.Fatalf("sum over a and b: got %+v", got)
+			t.Fatalf("sum over a and b: got %+v, want exactly 23", got)
 		}
 		if got := aggregate.Sum(1000, "k", origins); got != (Interval{23, 23 + DefaultConfig.MaxPerServer}) { // c never reported
-			t.Fatalf("sum with an origin that never reported: got %+v", got)
+			t.Fatalf("sum with an origin that never reported: got %+v, want 23 to 23 plus MaxPerServer", got)
 		}
 		last := Interval{23, 23}
 		for now := 2000.0; now < 20e3; now += 500 {
@@ -95,7 +95,7 @@
 			last = got
 		}
 		if last != (Interval{0, 2 * DefaultConfig.MaxPerServer}) {
-			t.Fatalf("sum of stale reports: got %+v", last)
+			t.Fatalf("sum of stale reports: got %+v, want 0 to twice MaxPerServer", last)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 		}
 	}
 	if v := local.Largest(30000, 1)[0].Value; math.Abs(v-100) > 2 {
-		t.Errorf("rate after 30 s of 100 per second: got %g", v)
+		t.Errorf("rate after 30 s of 100 per second: got %g, want about 100", v)
 	}
 	if v := local.Largest(60000, 1)[0].Value; v > 1 {
 		t.Errorf("rate 30 s after the last count: got %g, want at most 1", v)
--- a/decision/recovery/recovery.go
+++ b/decision/recovery/recovery.go
@@ -142,5 +142,6 @@
 }
 
 // Damaged reports whether an unreadable record means that the store is damaged. After the last sync a record may be torn by
-// a crash, and no run depends on it. If a valid record follows, the unreadable one was written before the last sync.
+// a crash, and no run depends on it. If a valid record follows, the unreadable one was written before the last sync, so the
+// store is damaged.
 func Damaged(validRecordFollows bool) bool { return validRecordFollows }
--- a/decision/recovery/recovery_test.go
+++ b/decision/recovery/recovery_test.go
@@ -24,7 +24,7 @@
 		{"state of a later version", Entry{99, 7, 1000, 0}, 500, 7, MayHaveRun},
 	} {
 		if got := Resolve(c.entry, c.arrived, c.bodyHash, 200, 50); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: resolution %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/decision/replay/replay_test.go
+++ b/decision/replay/replay_test.go
@@ -100,7 +100,7 @@
 		noResult[load] /= float64(arrived)
 	}
 	if noResult[0.5] > 0.02 || noResult[1.2] < 0.05 || noResult[2] < noResult[1.2]+0.1 {
-		t.Errorf("share of RPCs without a result, by load: got %v", noResult)
+		t.Errorf("share of RPCs without a result, by load: got %v, want at most 0.02 at load 0.5, at least 0.05 at 1.2 and 0.1 more at 2", noResult)
 	}
 }
 
