--- a/valve/admit.go
+++ b/valve/admit.go
@@ -13,22 +13,23 @@
 type RPC struct {
 	Method    string
 	Customer  string
-	Caller    uint64        // a hash of the calling process: slow start admits callers by it
-	Subject   uint64        // a hash of the affinity key, such as a user or an object; 0 for none
-	Token     string        // idempotency token, the same in all attempts; IdempotencyKeyed only
-	Body      []byte        // by which two attempts are known to be the same; IdempotencyKeyed only. It is not retained
-	ArrivedAt time.Time     // when it reached the machine; now if zero
-	CostHint  time.Duration // expected work on one core; 0 if it is not known
-	Memory    int64         // bytes that it takes while it is queued; 16 KiB if 0
-	Retry     bool          // marked as a retry
+	Caller    uint64        // hash of the calling process; slow start admits a share of the callers, selected by this hash
+	Subject   uint64        // hash of the affinity key, such as a user or an object; 0 for none
+	Token     string        // idempotency token, the same in all attempts; for IdempotencyKeyed methods only
+	Body      []byte        // compared to verify that two attempts are the same RPC; for IdempotencyKeyed methods only; not retained
+	ArrivedAt time.Time     // when the RPC reached the machine; the current time if zero
+	CostHint  time.Duration // expected run time on one core; 0 if unknown
+	Memory    int64         // bytes that the RPC occupies while it is queued; 16 KiB if 0
+	Retry     bool          // the caller marked the RPC as a retry
 }
 
 // defaultRPCMemory is the default of RPC.Memory.
 const defaultRPCMemory = 16 << 10
 
-// Admit asks for the admission of an RPC and blocks while it is queued. It returns a Run that must be completed, or one
-// that is a duplicate and has its result already (see Run.Cached). The error is a *RejectedError, an *AbortedError, ErrClosed,
-// one that wraps ErrInvalidRPC, or ctx's own if that ended first; nothing runs then.
+// Admit requests admission of an RPC and blocks while the RPC is queued. It returns a Run, which the caller must complete,
+// or, for a duplicate of an earlier attempt, a Run that already has the result (see Run.Cached). The error is a
+// *RejectedError, an *AbortedError, ErrClosed, an error that wraps ErrInvalidRPC, or ctx.Err() if ctx ended first; with an
+// error the RPC must not be run. Admit may be called by several goroutines at once.
 func (v *Valve) Admit(ctx context.Context, r RPC) (*Run, error) {
 	now := v.clock()
 	if r.ArrivedAt.IsZero() {
@@ -64,32 +65,32 @@
 	}
 }
 
-// Result is a complete answer, cached for the duplicates of an RPC with an idempotency token.
+// Result is the complete response to an RPC with an idempotency token. It is cached and returned to duplicates of the RPC.
 type Result struct {
-	Head []byte // what the program puts before the body, in a form of its own
+	Head []byte // status and header of the response, in a format that the program chooses
 	Body []byte
 }
 
-// Outcome says how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome int
 
 // The outcomes of runs. The values are those of gate.Outcome.
 const (
-	Failed     Outcome = iota // it may have had its effect
-	Succeeded                 // it has had its effect
-	NotStarted                // it never ran
-	NoCapacity                // it never ran, as there was no capacity for it, which may pass
+	Failed     Outcome = iota // the RPC may have taken effect
+	Succeeded                 // the RPC has taken effect
+	NotStarted                // the RPC never ran
+	NoCapacity                // the RPC never ran because of a temporary lack of capacity
 )
 
-// Run is an admitted RPC: one that runs, or a duplicate that has its result.
+// Run is an admitted RPC that the program must run, or a duplicate whose result is already known.
 type Run struct {
 	ticket       *gate.Ticket // nil for a duplicate
-	cached       *Result      // of a duplicate
+	cached       *Result      // nil unless the RPC is a duplicate
 	finalHandler FinalHandler
 }
 
-// Cached returns the result of the attempt that this one duplicates; false if it is none. With a result there is nothing to
-// run, and Complete does nothing.
+// Cached returns the result of the attempt that this RPC duplicates, or false if the RPC is not a duplicate. A duplicate
+// must not be run, and Complete does nothing for it.
 func (r *Run) Cached() (Result, bool) {
 	if r.cached == nil {
 		return Result{}, false
@@ -97,7 +98,7 @@
 	return *r.cached, true
 }
 
-// Due returns when the answer must have been given; the zero time for a duplicate.
+// Due returns the time by which the RPC must be answered, or the zero time for a duplicate.
 func (r *Run) Due() time.Time {
 	if r.ticket == nil {
 		return time.Time{}
@@ -105,13 +106,13 @@
 	return time.UnixMicro(int64(r.ticket.DueMs() * 1000))
 }
 
-// FinalHandler receives an end that a Valve gave to an RPC. HandleFinal must neither block nor call the Valve. The error is a
-// *RejectedError or an *AbortedError.
+// FinalHandler is notified when a Valve ends an RPC before Run.Complete does. HandleFinal must neither block nor call the
+// Valve. The error is a *RejectedError or an *AbortedError.
 type FinalHandler interface{ HandleFinal(error) }
 
-// NotifyFinal has h receive the end of the RPC if the Valve gives it one before Complete does, as its answer is due or the
-// Valve closes. The program must then answer with that error, and still call Complete when the work is over, which counts
-// until then. NotifyFinal must be called at most once, and before Complete.
+// NotifyFinal registers h to be called if the Valve ends the RPC before Complete does, because its answer is due or the
+// Valve closes. The program must then answer with that error, and must still call Complete when the work is over: until
+// then the run counts as in flight. NotifyFinal must be called at most once, and before Complete.
 func (r *Run) NotifyFinal(h FinalHandler) {
 	if r.ticket != nil {
 		r.finalHandler = h
@@ -119,31 +120,31 @@
 	}
 }
 
-// finalNotifier is a Run as a gate.FinalHandler.
+// finalNotifier adapts a Run to gate.FinalHandler.
 type finalNotifier Run
 
-// HandleFinal passes a final verdict on as an error.
+// HandleFinal converts a final verdict to an error and passes it to the registered handler.
 func (r *finalNotifier) HandleFinal(v gate.Verdict) {
 	if err := verdictError(v); err != nil {
 		r.finalHandler.HandleFinal(err)
 	}
 }
 
-// Cancel reports that the caller no longer waits. Complete must still be called.
+// Cancel reports that the caller no longer waits for the answer. Complete must still be called.
 func (r *Run) Cancel() {
 	if r.ticket != nil {
 		r.ticket.Cancel()
 	}
 }
 
-// Complete reports how the run ended. It returns false if the Valve had given the RPC an end before: its caller has been
-// answered and must not be again. The result of a run with an idempotency token that succeeded is cached for its duplicates
-// and must not be changed afterwards. Only the first call counts.
+// Complete reports how the run ended. It returns false if the Valve has already ended the RPC: its caller has been answered
+// and must not be answered again. The result of a successful run with an idempotency token is cached for duplicates and
+// must not be modified afterwards. Only the first call has an effect.
 func (r *Run) Complete(outcome Outcome, result Result) bool {
 	return r.complete(gate.Outcome(outcome), result)
 }
 
-// CompleteUncached is Complete for a run that succeeded with a result that can't be cached: its duplicates are aborted.
+// CompleteUncached is Complete for a successful run whose result can't be cached. Duplicates of the RPC are aborted.
 func (r *Run) CompleteUncached() bool { return r.complete(gate.SucceededUncached, Result{}) }
 
 func (r *Run) complete(outcome gate.Outcome, result Result) bool {
--- a/valve/errors.go
+++ b/valve/errors.go
@@ -8,32 +8,32 @@
 	"sorrelvalve/internal/gate"
 )
 
-// The errors of Admit, for errors.Is.
+// The errors of Admit, to be matched with errors.Is.
 var (
-	ErrRejected   = errors.New("valve: pushed back") // the RPC never ran; the error is a *RejectedError
-	ErrAborted    = errors.New("valve: aborted")     // the RPC gets no result; the error is an *AbortedError
-	ErrInvalidRPC = errors.New("valve: no sense")    // its method, customer or token is wrong, as the text says
-	ErrClosed     = errors.New("valve: closed")      // the Valve has been closed
+	ErrRejected   = errors.New("valve: rejected") // the RPC never ran; the error is a *RejectedError
+	ErrAborted    = errors.New("valve: aborted")  // the RPC has no result; the error is an *AbortedError
+	ErrInvalidRPC = errors.New("valve: no sense") // the method, customer or token is invalid; the text has the details
+	ErrClosed     = errors.New("valve: closed")   // the Valve has been closed
 )
 
-// RejectedError is the error for an RPC that was rejected: it never ran.
+// RejectedError reports that an RPC was rejected and never ran.
 type RejectedError struct {
-	RetryAfter time.Duration // for which the caller should stay away; 0 for no advice
-	NoRetry    bool          // the caller should not retry elsewhere, as other servers are full too
+	RetryAfter time.Duration // how long the caller should wait before a retry; 0 if unspecified
+	NoRetry    bool          // the caller should not retry on another server, because those are overloaded as well
 }
 
 // Error returns the text of the error.
 func (e *RejectedError) Error() string {
-	return fmt.Sprintf("valve: pushed back, return after %v", e.RetryAfter)
+	return fmt.Sprintf("valve: rejected, retry after %v", e.RetryAfter)
 }
 
 // Is makes errors.Is(err, ErrRejected) true.
 func (e *RejectedError) Is(target error) bool { return target == ErrRejected }
 
-// AbortedError is the error for an RPC that gets no result. It may have had its effect.
+// AbortedError reports that an RPC was aborted without a result. The RPC may have taken effect.
 type AbortedError struct {
 	Reason  string
-	Overdue bool // its answer was due
+	Overdue bool // the RPC was aborted because its answer was due
 }
 
 // Error returns the text of the error.
@@ -42,7 +42,7 @@
 // Is makes errors.Is(err, ErrAborted) true.
 func (e *AbortedError) Is(target error) bool { return target == ErrAborted }
 
-// verdictError returns the error that stands for a final verdict; nil for one that is none.
+// verdictError returns the error for a verdict that rejects or aborts an RPC, or nil for any other verdict.
 func verdictError(v gate.Verdict) error {
 	switch v.Kind {
 	case gate.Rejected:
--- a/valve/gauges.go
+++ b/valve/gauges.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// gaugeWindow is the time that the CPU utilization is taken over: the decisions are tuned to half a second.
+	// gaugeWindow is the interval over which the CPU utilization is averaged. The decisions are tuned to half a second.
 	gaugeWindow = 500 * time.Millisecond
-	// minGaugeWindow is the shortest time that it is taken over, at the start.
+	// minGaugeWindow is the shortest interval over which the CPU utilization is averaged, just after the start.
 	minGaugeWindow = gaugeWindow / 10
-	// maxSamples is the number of samples that are retained for it: one every 40 ms, and some more.
+	// maxSamples is the number of CPU samples retained: enough for one every 40 ms within gaugeWindow, with a reserve.
 	maxSamples = 32
 )
 
-// The runtime's metrics that Gauges.Runnable is the sum of.
+// The runtime metrics whose sum is Gauges.Runnable.
 const (
 	runningMetric  = "/sched/goroutines/running:goroutines"
 	runnableMetric = "/sched/goroutines/runnable:goroutines"
 )
 
-// processGauges measures this process. It may be used by many goroutines at once.
+// processGauges measures this process. It may be used by several goroutines at once.
 type processGauges struct {
 	cores float64
 
 	mu         sync.Mutex
-	goroutines []metrics.Sample // nil if the runtime has no such metrics
+	goroutines []metrics.Sample // nil if the runtime does not provide these metrics
 	samples    [maxSamples]cpuSample
-	sampled    int // so far; the last maxSamples are retained
+	sampled    int // number of samples taken so far; the last maxSamples are retained
 }
 
-// cpuSample is the CPU time that the process had used by some moment.
+// cpuSample is the CPU time that the process had used at one point in time.
 type cpuSample struct {
 	at   time.Time
 	used time.Duration
@@ -53,7 +53,8 @@
 	return g
 }
 
-// read returns the gauges; false until there are two samples to take them from, or where the system has none.
+// read returns the gauges. It returns false if the system or the runtime does not provide them, and until two samples are
+// at least minGaugeWindow apart.
 func (g *processGauges) read() (Gauges, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,11 +77,11 @@
 	metrics.Read(g.goroutines)
 	running := g.goroutines[0].Value.Uint64()
 	runnable := g.goroutines[1].Value.Uint64()
-	others := float64(running+runnable) - 1 // without the goroutine that reads
+	others := float64(running+runnable) - 1 // excluding the goroutine that reads the metrics
 	return Gauges{CPUUtilization: min(1, utilization), Runnable: max(0, others)}, true
 }
 
-// oldest returns the oldest sample within gaugeWindow, the last one left out; false if there is none.
+// oldest returns the oldest sample within gaugeWindow, excluding the latest one, or false if there is none.
 func (g *processGauges) oldest(now time.Time) (cpuSample, bool) {
 	for i := max(0, g.sampled-maxSamples); i < g.sampled-1; i++ {
 		if s := g.samples[i%maxSamples]; now.Sub(s.at) <= gaugeWindow {
--- a/valve/observe.go
+++ b/valve/observe.go
@@ -8,34 +8,35 @@
 	"sorrelvalve/internal/trace"
 )
 
-// EventKind says what happened to an RPC.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of events.
 const (
-	Arrived    EventKind = iota // it was put to the decisions
-	Started                     // its run was asked for
-	Joined                      // it waits for the attempt that it duplicates
-	Rejected                    // it was rejected
-	Aborted                     // it was aborted
-	CallerGone                  // its caller left
-	Completed                   // its run, or what it joined, ended
+	Arrived    EventKind = iota // the RPC arrived for an admission decision
+	Started                     // the RPC was admitted and its run started
+	Joined                      // the RPC waits for the attempt that it duplicates
+	Rejected                    // the RPC was rejected
+	Aborted                     // the RPC was aborted
+	CallerGone                  // the caller no longer waits
+	Completed                   // the run of the RPC, or of the attempt that it joined, ended
 )
 
-// Event is something that happened to an RPC.
+// Event is a step in the processing of an RPC, as passed to Options.Observer.
 type Event struct {
-	At     time.Duration // since the Valve was made
+	At     time.Duration // time since the Valve was created
 	Kind   EventKind
-	RPC    uint32 // number of the RPC, from 1 up for each Valve
-	Method string // Arrived
+	RPC    uint32 // number of the RPC, counted from 1 in each Valve
+	Method string // name of the method; Arrived only
 }
 
-// TraceOptions have all events and decisions recorded in files for the daemon's trace commands: no bodies, tokens as hashes.
+// TraceOptions configure the recording of all events and decisions in files, which the daemon's trace commands read. Bodies
+// are not recorded, and tokens are recorded as hashes.
 type TraceOptions struct {
 	Path         string
-	MaxFileBytes int64       // from which on the next file is begun; default 64 MiB
-	MaxFiles     int         // that are retained; default 4
-	OnError      func(error) // is called when a file can't be written; nil for none
+	MaxFileBytes int64       // size at which the next file is begun; default 64 MiB
+	MaxFiles     int         // number of files that are retained; default 4
+	OnError      func(error) // called when a file can't be written; nil to ignore the error
 }
 
 // The defaults of TraceOptions.
@@ -44,7 +45,7 @@
 	defaultTraceFiles     = 4
 )
 
-// traceBuild is what the files name as the build that recorded them.
+// traceBuild is the build name that is recorded in the trace files.
 const traceBuild = "library"
 
 func (o *TraceOptions) recorder() *trace.Recorder {
@@ -59,14 +60,14 @@
 	return trace.NewRecorder(o.Path, limits, traceBuild, onError)
 }
 
-// eventTracer is the gate's tracer: it records a trace and passes events to the program.
+// eventTracer is the gate's tracer. It records a trace and passes events to the program's observer.
 type eventTracer struct {
-	observe  func(Event)     // nil for none
-	recorder *trace.Recorder // nil for none
-	methods  []string        // names
+	observe  func(Event)     // nil without an observer
+	recorder *trace.Recorder // nil if no trace is recorded
+	methods  []string        // method names by index
 }
 
-// Begin is called as the decisions begin.
+// Begin is called before the first event.
 func (t *eventTracer) Begin(config *startup.Config, warmingUp bool, origin time.Time) {
 	for _, m := range config.Methods {
 		t.methods = append(t.methods, m.Name)
@@ -76,7 +77,7 @@
 	}
 }
 
-// Event is called for each event of the decisions, under the gate's lock.
+// Event is called for each event that the controller handles, with the gate's lock held.
 func (t *eventTracer) Event(now float64, ev control.Event, actions []control.Action, tokenKey string) {
 	if t.recorder != nil {
 		t.recorder.Event(now, ev, actions, tokenKey)
@@ -100,7 +101,7 @@
 	}
 }
 
-// actionEvents are the events that stand for actions of the decisions.
+// actionEvents maps actions of the controller to the kinds of events that report them.
 var actionEvents = map[control.ActionKind]EventKind{
 	control.Run:    Started,
 	control.Join:   Joined,
--- a/valve/options.go
+++ b/valve/options.go
@@ -11,67 +11,67 @@
 	"sorrelvalve/internal/startup"
 )
 
-// Idempotency says whether an RPC of a method may run more than once.
+// Idempotency determines whether an RPC of a method may run more than once.
 type Idempotency int
 
 // The idempotency classes of methods.
 const (
-	Idempotent       Idempotency = iota // may run again
-	IdempotencyKeyed                    // carries an idempotency token by which a duplicate is recognised
-	NonIdempotent                       // must never run twice, and carries no token
+	Idempotent       Idempotency = iota // may run more than once
+	IdempotencyKeyed                    // carries an idempotency token that identifies duplicates
+	NonIdempotent                       // must never run twice, and carries no idempotency token
 )
 
 // Method describes one of the methods that the program serves.
 type Method struct {
 	Name             string
 	Idempotency      Idempotency
-	LatencyObjective time.Duration // from the arrival, in which the answer is wanted; 1 s if 0
-	Deadline         time.Duration // from the arrival, after which the client gives up; twice the latency objective if 0
-	DedupWindow      time.Duration // IdempotencyKeyed: from the first attempt's arrival, in which a duplicate may come
-	Criticality      float64       // the weight of an answer in time; 1 if 0
-	LateFraction     float64       // the fraction of Criticality left to an answer between latency objective and deadline
+	LatencyObjective time.Duration // time from arrival within which the RPC should be answered; 1 s if 0
+	Deadline         time.Duration // time from arrival after which the client gives up; twice the latency objective if 0
+	DedupWindow      time.Duration // time from the first attempt's arrival in which duplicates are recognised; required for IdempotencyKeyed
+	Criticality      float64       // weight of an answer within the latency objective; 1 if 0
+	LateFraction     float64       // fraction of Criticality of an answer between latency objective and deadline; from 0 to 1
 }
 
-// Customer is a tenant on whose behalf RPCs come. RPCs beyond its quota have less weight and are the first to be rejected.
+// Customer is a tenant on whose behalf RPCs are sent. RPCs beyond its quota have less weight and are rejected first.
 type Customer struct {
 	Name  string
-	Quota float64 // RPCs per second, over all servers of the fleet
+	Quota float64 // RPCs per second, summed over all servers of the fleet
 }
 
-// Gauges are measurements of the machine.
+// Gauges are measurements of the load of the machine or process.
 type Gauges struct {
-	CPUUtilization float64 // fraction of the cores busy over the last half second
-	Runnable       float64 // tasks that run or wait for a core now
+	CPUUtilization float64 // fraction of the CPU time of all cores used in the last half second, from 0 to 1
+	Runnable       float64 // number of tasks that currently run or wait for a core
 }
 
-// Options configure a Valve. Where a default is named, the zero value stands for it.
+// Options configure a Valve. The zero value of a field selects its default, if one is given.
 type Options struct {
 	Methods   []Method   // at least one
-	Customers []Customer // none if RPCs name no customer
-
-	Cores      int   // that the RPCs run on; default GOMAXPROCS
-	Memory     int64 // bytes that RPCs may take, running and queued; default 1 GiB
-	CacheBytes int64 // that idempotency tokens and their cached results may take; default 16 MiB
-	Callers    int   // processes that call this one, as far as known; default 4
-	Servers    int   // in the fleet, this one included; default 1
-
-	WarmingUp  bool          // just started and not at full speed yet: a rising share of the callers is admitted
-	WarmUpTime time.Duration // after which it is at full speed; default 20 s
-
-	MaxRetryAfter     time.Duration // longest retry-after that callers heed; 0 if they heed none
-	OverQuotaFraction float64       // fraction of its criticality left to an RPC beyond its customer's quota; default 1
-	DrainGrace        time.Duration // after Drain, in which RPCs are still admitted; default 2 s
-	MaxRunsPerCore    float64       // at most, however they wait; default 8
-	DisplaceableFor   time.Duration // in the queue, after which an RPC is not rejected for another; 0 for no such bound
-
-	Seed   uint64                     // of all random draws: the same seed and events give the same verdicts
-	Clock  func() time.Time           // nil for time.Now; with one of its own the program must call Tick
-	Gauges func() (Gauges, bool)      // nil for those of this process; false means that they can't be read now
-	Log    func(event, detail string) // gets log lines, each a constant event name; nil for none
-
-	Observer func(Event)   // gets each event under a lock: it must neither block nor call the Valve; nil for none
-	Trace    *TraceOptions // nil if nothing is recorded
-	Store    *StoreOptions // nil if tokens are kept in memory only
+	Customers []Customer // empty if RPCs name no customer
+
+	Cores      int   // number of cores that the RPCs run on; default GOMAXPROCS
+	Memory     int64 // bytes that running and queued RPCs may occupy; default 1 GiB
+	CacheBytes int64 // bytes that idempotency tokens and their cached results may occupy; default 16 MiB
+	Callers    int   // estimated number of processes that call this one; default 4
+	Servers    int   // number of servers in the fleet, including this one; default 1
+
+	WarmingUp  bool          // the process has just started and is not at full speed: an increasing share of the callers is admitted
+	WarmUpTime time.Duration // time until the process is at full speed; default 20 s
+
+	MaxRetryAfter     time.Duration // longest retry-after that callers honour; 0 if callers ignore retry-after
+	OverQuotaFraction float64       // fraction of its criticality that an RPC beyond its customer's quota retains; default 1
+	DrainGrace        time.Duration // time after Drain during which RPCs are still admitted; default 2 s
+	MaxRunsPerCore    float64       // upper limit of concurrent runs per core, even if the runs mostly wait; default 8
+	DisplaceableFor   time.Duration // time in the queue after which an RPC is no longer rejected in favour of another one; 0 for no limit
+
+	Seed   uint64                     // seed of all random numbers: the same seed and events give the same verdicts
+	Clock  func() time.Time           // nil for time.Now; a program that sets Clock must call Tick itself
+	Gauges func() (Gauges, bool)      // nil to measure this process; false means that the gauges can't be read at present
+	Log    func(event, detail string) // called for each log line, with a constant event name; nil to discard the log
+
+	Observer func(Event)   // called for each event under a lock: must neither block nor call the Valve; nil for none
+	Trace    *TraceOptions // nil to record no trace
+	Store    *StoreOptions // nil to keep idempotency tokens in memory only
 }
 
 // The defaults of Options and Method.
@@ -89,25 +89,26 @@
 	defaultMaxRunsPerCore    = 8.0
 )
 
-// What a program that embeds the valve is not asked for. Times are in ms.
+// Settings of the controller that Options does not expose. Times are in ms.
 const (
 	initialSpeed    = 0.2    // fraction of full speed at which a process starts
-	runMemoryFactor = 1      // a running RPC takes the memory of a queued one
-	minTick         = 1      // shortest gap between two moments at which events come
-	feedbackTTL     = 1000.0 // for which a caller acts on feedback
+	runMemoryFactor = 1      // a running RPC occupies as much memory as a queued one
+	minTick         = 1      // shortest interval between the times of two events
+	feedbackTTL     = 1000.0 // how long a caller acts on feedback
 	idleTimeout     = 30e3   // of connections
-	answerSlack     = 80     // two ticks, in which what is due is answered
+	answerSlack     = 80     // two ticks, within which RPCs that are due are answered
 )
 
-// withDefault returns v, or missing if it is zero.
-func withDefault[T int | int64 | float64 | time.Duration](v, missing T) T {
+// withDefault returns v, or defaultValue if v is zero.
+func withDefault[T int | int64 | float64 | time.Duration](v, defaultValue T) T {
 	if v == 0 {
-		return missing
+		return defaultValue
 	}
 	return v
 }
 
-// gateMemoryMB returns the memory of the gate that makes its quarter for tokens CacheBytes.
+// gateMemoryMB returns the memory setting of the gate, in MB. The gate uses a quarter of it for idempotency tokens, which
+// must be CacheBytes.
 func (o *Options) gateMemoryMB() int {
 	cache := int64(defaultCacheBytes)
 	if o.CacheBytes > 0 {
@@ -119,7 +120,7 @@
 // startupConfig returns the configuration of the gate. The error names the option at fault.
 func (o *Options) startupConfig() (*startup.Config, error) {
 	if len(o.Methods) == 0 {
-		return nil, errors.New("valve: Methods: at least one expected")
+		return nil, errors.New("valve: Methods: must have at least one method")
 	}
 	if err := o.checkNumbers(); err != nil {
 		return nil, err
@@ -183,23 +184,23 @@
 		{"DisplaceableFor", float64(o.DisplaceableFor)},
 		{"OverQuotaFraction", o.OverQuotaFraction},
 	} {
-		if !finiteFromZero(option.value) {
-			return fmt.Errorf("valve: %s: a number from 0 up expected, %g there", option.name, option.value)
+		if !finiteNonNegative(option.value) {
+			return fmt.Errorf("valve: %s: must be a finite number >= 0, got %g", option.name, option.value)
 		}
 	}
 	return nil
 }
 
-// finiteFromZero tells whether v is a number from 0 up, which NaN and infinity are not.
-func finiteFromZero(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+// finiteNonNegative reports whether v is a finite number >= 0. It returns false for NaN.
+func finiteNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// controlMethods returns the methods as the decisions have them.
+// controlMethods returns the methods in the form of the controller.
 func (o *Options) controlMethods() ([]control.Method, error) {
 	var methods []control.Method
 	names := map[string]bool{}
 	for i, m := range o.Methods {
-		if field, want := m.check(names); field != "" {
-			return nil, fmt.Errorf("valve: Methods[%d] (%s): %s: %s expected", i, m.Name, field, want)
+		if field, requirement := m.check(names); field != "" {
+			return nil, fmt.Errorf("valve: Methods[%d] (%s): %s: must be %s", i, m.Name, field, requirement)
 		}
 		names[m.Name] = true
 		objective := withDefault(m.LatencyObjective, defaultLatencyObjective)
@@ -216,32 +217,32 @@
 	return methods, nil
 }
 
-// check returns the field at fault of a method, "" for none, and what is expected there. The names are those of the methods
-// before it.
-func (m *Method) check(names map[string]bool) (field, want string) {
+// check returns the first invalid field of a method and the requirement that it violates, or "" for a valid method. names
+// has the names of the preceding methods.
+func (m *Method) check(names map[string]bool) (field, requirement string) {
 	switch {
 	case m.Name == "" || names[m.Name]:
-		return "Name", "one of its own"
+		return "Name", "unique and not empty"
 	case m.LatencyObjective < 0 || m.Deadline < 0 || m.DedupWindow < 0:
-		return "LatencyObjective, Deadline, DedupWindow", "a time from 0 up"
-	case !finiteFromZero(m.Criticality):
-		return "Criticality", "a number from 0 up"
+		return "LatencyObjective, Deadline, DedupWindow", "times >= 0"
+	case !finiteNonNegative(m.Criticality):
+		return "Criticality", "a finite number >= 0"
 	case !(m.LateFraction >= 0 && m.LateFraction <= 1):
 		return "LateFraction", "a number from 0 to 1"
 	case m.Idempotency < Idempotent || m.Idempotency > NonIdempotent:
 		return "Idempotency", "Idempotent, IdempotencyKeyed or NonIdempotent"
 	case m.Idempotency == IdempotencyKeyed && m.DedupWindow == 0:
-		return "DedupWindow", "how long a repeat may come"
+		return "DedupWindow", "a time > 0 for an IdempotencyKeyed method"
 	}
 	return "", ""
 }
 
-// controlCustomers returns the customers as the decisions have them.
+// controlCustomers returns the customers in the form of the controller.
 func (o *Options) controlCustomers() ([]control.Customer, error) {
 	var customers []control.Customer
 	for i, c := range o.Customers {
-		if c.Name == "" || !finiteFromZero(c.Quota) {
-			return nil, fmt.Errorf("valve: Customers[%d]: a name and a quota from 0 up expected", i)
+		if c.Name == "" || !finiteNonNegative(c.Quota) {
+			return nil, fmt.Errorf("valve: Customers[%d]: must have a name and a finite quota >= 0", i)
 		}
 		customers = append(customers, control.Customer{Name: c.Name, Quota: c.Quota})
 	}
--- a/valve/store.go
+++ b/valve/store.go
@@ -8,15 +8,15 @@
 	"sorrelvalve/internal/store"
 )
 
-// StoreOptions have tokens and their results stored durably, so that duplicates are recognised after a restart. The folder
-// must be on a disk that outlives the process and must not be used by another one.
+// StoreOptions configure the durable storage of idempotency tokens and their results, so that duplicates are recognised
+// after a restart. The directory must be on a disk that outlives the process, and no other process may use it.
 type StoreOptions struct {
-	Dir            string
-	Server         string                        // name of this server; a folder that was copied from another one is an error
-	MaxBytes       int64                         // on disk; default 256 MiB
-	MaxResultBytes int                           // longest result that is stored; default 16 KiB
-	ClockTolerance time.Duration                 // by which the clock may step while the program is down; default 2 s
-	Log            func(event string, err error) // gets log lines, each a constant event name; nil for none
+	Dir            string                        // directory of the store
+	Server         string                        // name of this server; New fails if the directory belongs to another one
+	MaxBytes       int64                         // bytes that the store may occupy on disk; default 256 MiB
+	MaxResultBytes int                           // bytes of the longest result that is stored; default 16 KiB
+	ClockTolerance time.Duration                 // largest step of the clock while the program is down; default 2 s
+	Log            func(event string, err error) // called for each log line, with a constant event name; nil to discard the log
 }
 
 // The defaults of StoreOptions.
@@ -26,7 +26,7 @@
 	defaultClockTolerance = 2 * time.Second
 )
 
-// segmentsPerStore is the number of segments that a full store has: space is freed by segments.
+// segmentsPerStore is the number of segments of a full store. Space is freed one segment at a time.
 const segmentsPerStore = 32
 
 // open opens the store.
@@ -54,24 +54,24 @@
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 	s, err := store.Open(folder, limits, o.Server, now, log)
 	if err != nil {
-		_ = folder.Close() // it is given up; err tells why
+		_ = folder.Close() // err has the reason why the store is not opened
 	}
 	return s, err
 }
 
-// StoreStatus is the state of a Valve's store, for the program's own metrics.
+// StoreStatus is the state of a Valve's store, for use in the program's metrics.
 type StoreStatus struct {
-	Broken          bool  // it can't be written: RPCs with an idempotency token are rejected
-	UsedBytes       int64 // on disk
-	ReservedBytes   int64 // for the records of runs under way
+	Broken          bool  // the store can't be written: RPCs with an idempotency token are rejected
+	UsedBytes       int64 // bytes used on disk
+	ReservedBytes   int64 // bytes reserved for the records of current runs
 	Segments        int
-	Records         uint64 // written so far
-	Syncs           uint64 // so far
-	SegmentsDropped uint64 // so far
-	Failures        uint64 // of writes so far, and segments found damaged
+	Records         uint64 // records written since New
+	Syncs           uint64 // disk syncs since New
+	SegmentsDropped uint64 // segments deleted since New
+	Failures        uint64 // failed writes since New, and segments found damaged
 }
 
-// StoreStatus returns the state of the store; false if the Valve has none.
+// StoreStatus returns the state of the store, or false if the Valve has no store.
 func (v *Valve) StoreStatus() (StoreStatus, bool) {
 	if v.store == nil {
 		return StoreStatus{}, false
--- a/valve/valve.go
+++ b/valve/valve.go
@@ -1,12 +1,14 @@
 // Package valve embeds sorrelvalve's overload control in a Go program. For every RPC it decides whether to admit it, when to
-// run it and how to reject it, by the same decisions as the daemon and with the same four guarantees: no RPC is lost, as
-// each that Admit takes gets one final answer by its deadline; no effect happens twice, as an RPC with an idempotency token
-// runs once within its deduplication window; a drain ends in time; and nothing grows without bound.
+// run it and how to reject it. It makes the same decisions as the daemon and gives the same four guarantees:
+//   - No RPC is lost: each RPC that Admit accepts gets one final answer by its deadline.
+//   - No effect happens twice: an RPC with an idempotency token runs once within its deduplication window.
+//   - A drain ends in time.
+//   - Nothing grows without bound.
 //
-// A program makes a Valve for each machine or process that it runs on, calls Admit for every RPC before it does the work,
-// and completes each Run that it gets. Package httpvalve does that for net/http, package ginvalve for gin.
+// A program creates a Valve for each machine or process that it runs on, calls Admit for every RPC before it does the work,
+// and completes each Run that Admit returns. Package httpvalve does so for net/http, and package ginvalve for gin.
 //
-// All methods of a Valve and of a Run may be called by many goroutines at once.
+// All methods of a Valve and of a Run are safe for use by several goroutines at once.
 package valve
 
 import (
@@ -28,12 +30,12 @@
 	recorder *trace.Recorder // nil if no trace is recorded
 	store    *store.Store    // nil if tokens are kept in memory only
 
-	closed    chan struct{}  // closed by Close; ends tickLoop
-	ticker    sync.WaitGroup // of tickLoop
+	closed    chan struct{}  // closed by Close to end tickLoop
+	ticker    sync.WaitGroup // waits for tickLoop
 	closeOnce sync.Once
 }
 
-// New returns a Valve that admits RPCs at once and must be closed. The error names the option at fault.
+// New returns a Valve that admits RPCs immediately. The caller must close it. The error names the invalid option.
 func New(o Options) (*Valve, error) {
 	config, err := o.startupConfig()
 	if err != nil {
@@ -79,7 +81,7 @@
 	return v, nil
 }
 
-// tickLoop ticks until Close.
+// tickLoop calls Tick until the Valve is closed.
 func (v *Valve) tickLoop() {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -93,39 +95,39 @@
 	}
 }
 
-// Tick moves the clock of the decisions on and returns the time until it should be called next. A Valve without
-// Options.Clock calls it itself.
+// Tick advances the clock of the controller and returns the time until Tick should be called again. A Valve without
+// Options.Clock calls Tick itself.
 func (v *Valve) Tick() time.Duration {
 	g, ok := v.gauges()
 	if !ok {
 		return v.gate.Tick(nil)
 	}
-	return v.gate.Tick([]float64{g.CPUUtilization, g.Runnable}) // in the order of startupConfig's Gauges
+	return v.gate.Tick([]float64{g.CPUUtilization, g.Runnable}) // in the order of Gauges in startupConfig
 }
 
-// Drain announces that the program will stop after the given period: what arrives past the grace period is rejected, and
-// every RPC is answered before the stop. It does not block.
+// Drain announces that the program will stop after the given period. RPCs that arrive after the grace period
+// (Options.DrainGrace) are rejected, and every RPC is answered before the stop. Drain does not block.
 func (v *Valve) Drain(period time.Duration) { v.gate.Drain(period) }
 
-// Healthy returns the answer to health checks.
+// Healthy returns the result to be reported to health checks.
 func (v *Valve) Healthy() bool { return v.gate.Healthy() }
 
-// InFlight returns the number of RPCs without a final answer or with a run that has not ended.
+// InFlight returns the number of RPCs that have no final answer or whose run has not ended.
 func (v *Valve) InFlight() int { return v.gate.InFlight() }
 
-// Method returns the options of a method; false if there is none of that name.
+// Method returns the options of the named method, or false if there is no such method.
 func (v *Valve) Method(name string) (Method, bool) {
 	m, ok := v.methods[name]
 	return m, ok
 }
 
-// CapRetryAfter limits a retry-after of the program's own to the longest that callers heed.
+// CapRetryAfter limits a retry-after that the program itself sets to the longest one that callers honour.
 func (v *Valve) CapRetryAfter(d time.Duration) time.Duration {
 	return duration(v.gate.CapRetryAfter(milliseconds(d)))
 }
 
-// Close ends the Valve and all its goroutines: what is queued is rejected, what runs is aborted as far as its caller is
-// concerned, and nothing more is admitted. Call Drain and wait before, so that nothing is cut short. Later calls do nothing.
+// Close stops the Valve and all its goroutines. Queued RPCs are rejected, the callers of running RPCs get an abort, and no
+// further RPC is admitted. To let RPCs complete, call Drain and wait before Close. Further calls have no effect.
 func (v *Valve) Close() {
 	v.closeOnce.Do(func() {
 		close(v.closed)
@@ -135,7 +137,7 @@
 			v.recorder.Close()
 		}
 		if v.store != nil {
-			_ = v.store.Close() // its records are synced; only files that are not used again can fail to close
+			_ = v.store.Close() // the records are synced, so an error concerns only files that are not used again
 		}
 	})
 }
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// clock is one that the test moves.
+// clock is a clock that the test advances.
 type clock struct {
 	mu sync.Mutex
 	at time.Time
@@ -27,7 +27,7 @@
 	return c.at
 }
 
-// advance moves the clock, with a tick every 10 ms.
+// advance advances the clock by d, with a tick every 10 ms.
 func (c *clock) advance(v *Valve, d time.Duration) {
 	for end := c.now().Add(d); c.now().Before(end); {
 		c.mu.Lock()
@@ -37,7 +37,7 @@
 	}
 }
 
-func open(t *testing.T, change ...func(*Options)) (*Valve, *clock) {
+func newTestValve(t *testing.T, change ...func(*Options)) (*Valve, *clock) {
 	c := &clock{at: time.UnixMilli(1_700_000_000_000)}
 	o := Options{
 		Methods: []Method{{Name: "view", LatencyObjective: time.Second}, {Name: "buy", LatencyObjective: time.Second, Idempotency: IdempotencyKeyed, DedupWindow: 8 * time.Second, Criticality: 3}},
@@ -54,51 +54,51 @@
 	return v, c
 }
 
-// admitLater calls Admit for an RPC that may be queued.
+// admitLater calls Admit in a goroutine, for an RPC that may be queued, and returns once the RPC is in flight or has a result.
 func admitLater(ctx context.Context, v *Valve, r RPC) <-chan struct {
 	*Run
 	error
 } {
-	got := make(chan struct {
+	results := make(chan struct {
 		*Run
 		error
 	}, 1)
 	before := v.InFlight()
 	go func() {
 		run, err := v.Admit(ctx, r)
-		got <- struct {
+		results <- struct {
 			*Run
 			error
 		}{run, err}
 	}()
-	for v.InFlight() == before && len(got) == 0 {
+	for v.InFlight() == before && len(results) == 0 {
 		runtime.Gosched()
 	}
-	return got
+	return results
 }
 
 type finalHandlerFunc func(error)
 
 func (f finalHandlerFunc) HandleFinal(err error) { f(err) }
 
-// admitCase is one way of an RPC through a Valve.
+// admitCase is a test case of TestAdmit.
 type admitCase struct {
 	name string
 	run  func(t *testing.T, v *Valve, c *clock)
 }
 
 var admitCases = []admitCase{
-	{"a run, completed once", func(t *testing.T, v *Valve, _ *clock) {
+	{"run completed once", func(t *testing.T, v *Valve, _ *clock) {
 		r := mustAdmit(t, v, RPC{Method: "view"})
 		if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in flight", v.InFlight())
+			t.Errorf("RPCs in flight: got %d", v.InFlight())
 		}
 	}},
-	{"queued until the first ends", func(t *testing.T, v *Valve, _ *clock) {
+	{"queued until the first run ends", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		b := admitLater(context.Background(), v, RPC{Method: "view"})
 		if len(b) > 0 {
-			t.Fatal("not queued")
+			t.Fatal("second RPC was not queued")
 		}
 		a.Complete(Succeeded, Result{})
 		if got := <-b; got.error != nil {
@@ -107,28 +107,28 @@
 			got.Complete(Succeeded, Result{})
 		}
 	}},
-	{"its context ends while it is queued", func(t *testing.T, v *Valve, _ *clock) {
+	{"context ends while the RPC is queued", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
-		ctx, end := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		b := admitLater(ctx, v, RPC{Method: "view"})
-		end()
+		cancel()
 		if got := <-b; !errors.Is(got.error, context.Canceled) {
 			t.Error(got.error)
 		}
 		a.Complete(Succeeded, Result{})
 	}},
-	{"rejected when it is late for its objective", func(t *testing.T, v *Valve, c *clock) {
+	{"rejected when the latency objective can no longer be met", func(t *testing.T, v *Valve, c *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		b := admitLater(context.Background(), v, RPC{Method: "view"})
 		c.advance(v, 1500*time.Millisecond)
 		got := <-b
-		var p *RejectedError
-		if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &p) || p.RetryAfter <= 0 {
+		var rejected *RejectedError
+		if !errors.Is(got.error, ErrRejected) || !errors.As(got.error, &rejected) || rejected.RetryAfter <= 0 {
 			t.Error(got.error)
 		}
 		a.Complete(Succeeded, Result{})
 	}},
-	{"aborted when due, its run counts until it ends", func(t *testing.T, v *Valve, c *clock) {
+	{"aborted when due; the run counts as in flight until it ends", func(t *testing.T, v *Valve, c *clock) {
 		r := mustAdmit(t, v, RPC{Method: "view"})
 		var got error
 		r.NotifyFinal(finalHandlerFunc(func(err error) { got = err }))
@@ -139,10 +139,10 @@
 		c.advance(v, 100*time.Millisecond)
 		var a *AbortedError
 		if !errors.As(got, &a) || !a.Overdue || !errors.Is(got, ErrAborted) || v.InFlight() != 1 {
-			t.Errorf("error %v, %d in flight", got, v.InFlight())
+			t.Errorf("final error %v, RPCs in flight: got %d, want 1", got, v.InFlight())
 		}
 		if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in flight", v.InFlight())
+			t.Errorf("RPCs in flight: got %d", v.InFlight())
 		}
 	}},
 	{"duplicates get the cached result", func(t *testing.T, v *Valve, _ *clock) {
@@ -151,21 +151,21 @@
 		a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
 		for _, r := range []*Run{(<-b).Run, mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
 			if cached, ok := r.Cached(); !ok || string(cached.Body) != "done" || string(cached.Head) != "h" || r.Complete(Failed, Result{}) {
-				t.Errorf("cached %+v", cached)
+				t.Errorf("cached result: got %+v", cached)
 			}
 		}
 		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
 			t.Error(err)
 		}
 	}},
-	{"a result that can't be cached: duplicates are aborted", func(t *testing.T, v *Valve, _ *clock) {
+	{"duplicates are aborted if the result can't be cached", func(t *testing.T, v *Valve, _ *clock) {
 		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).CompleteUncached()
 		var a *AbortedError
 		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k"}); !errors.As(err, &a) || !strings.Contains(a.Reason, "has run") {
 			t.Error(err)
 		}
 	}},
-	{"no capacity", func(t *testing.T, v *Valve, _ *clock) {
+	{"no capacity: the token can be used again", func(t *testing.T, v *Valve, _ *clock) {
 		r := mustAdmit(t, v, RPC{Method: "buy", Token: "k"})
 		r.Complete(NoCapacity, Result{})
 		mustAdmit(t, v, RPC{Method: "buy", Token: "k"}).Complete(Succeeded, Result{})
@@ -177,7 +177,7 @@
 			}
 		}
 	}},
-	{"past the grace period of a drain", func(t *testing.T, v *Valve, c *clock) {
+	{"rejected after the grace period of a drain", func(t *testing.T, v *Valve, c *clock) {
 		v.Drain(5 * time.Second)
 		mustAdmit(t, v, RPC{Method: "view"}).Complete(Succeeded, Result{})
 		c.advance(v, 2100*time.Millisecond)
@@ -185,7 +185,7 @@
 			t.Error(err)
 		}
 	}},
-	{"closed while one runs and one is queued", func(t *testing.T, v *Valve, _ *clock) {
+	{"Close with a running and a queued RPC", func(t *testing.T, v *Valve, _ *clock) {
 		a := mustAdmit(t, v, RPC{Method: "view"})
 		final := make(chan error, 1)
 		a.NotifyFinal(finalHandlerFunc(func(err error) { final <- err }))
@@ -201,12 +201,12 @@
 			t.Error(err)
 		}
 		if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("%d in flight", v.InFlight())
+			t.Errorf("RPCs in flight: got %d", v.InFlight())
 		}
 	}},
 }
 
-// mustAdmit is Admit, which must succeed.
+// mustAdmit calls Admit and fails the test on an error.
 func mustAdmit(t *testing.T, v *Valve, r RPC) *Run {
 	t.Helper()
 	run, err := v.Admit(context.Background(), r)
@@ -219,7 +219,7 @@
 func TestAdmit(t *testing.T) {
 	for _, c := range admitCases {
 		t.Run(c.name, func(t *testing.T) {
-			v, clock := open(t)
+			v, clock := newTestValve(t)
 			c.run(t, v, clock)
 		})
 	}
@@ -227,34 +227,35 @@
 
 func TestOptions(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		"Methods: at least one": func(o *Options) { o.Methods = nil },
-		"Name: one of its own":  func(o *Options) { o.Methods[1].Name = "view" },
-		"DedupWindow: how long": func(o *Options) { o.Methods[1].DedupWindow = 0 },
-		"Criticality":           func(o *Options) { o.Methods[0].Criticality = -1 },
-		"LateFraction":          func(o *Options) { o.Methods[0].LateFraction = 2 },
-		"Memory":                func(o *Options) { o.Memory = -1 },
-		"Customers[0]":          func(o *Options) { o.Customers = []Customer{{}} },
+		"Methods: must have at least one": func(o *Options) { o.Methods = nil },
+		"Name: must be unique":            func(o *Options) { o.Methods[1].Name = "view" },
+		"DedupWindow: must be a time > 0": func(o *Options) { o.Methods[1].DedupWindow = 0 },
+		"Criticality":                     func(o *Options) { o.Methods[0].Criticality = -1 },
+		"LateFraction":                    func(o *Options) { o.Methods[0].LateFraction = 2 },
+		"Memory":                          func(o *Options) { o.Memory = -1 },
+		"Customers[0]":                    func(o *Options) { o.Customers = []Customer{{}} },
 	} {
 		o := Options{Methods: []Method{{Name: "view"}, {Name: "buy", Idempotency: IdempotencyKeyed, DedupWindow: time.Second}}}
 		change(&o)
 		if _, err := New(o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %q", err, want)
+			t.Errorf("New: got error %v, want %q", err, want)
 		}
 	}
 }
 
-// TestByItself has several valves in one process tick by themselves, admit RPCs of many goroutines and leave none behind.
-func TestByItself(t *testing.T) {
-	var all []*Valve
+// TestOwnTicker checks that several valves in one process tick by themselves, admit RPCs of several goroutines and have none
+// in flight afterwards.
+func TestOwnTicker(t *testing.T) {
+	var valves []*Valve
 	for range 3 {
 		v, err := New(Options{Methods: []Method{{Name: "view"}}, Cores: 4, MaxRunsPerCore: 64})
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, v)
+		valves = append(valves, v)
 	}
 	var wg sync.WaitGroup
-	for _, v := range all {
+	for _, v := range valves {
 		for range 8 {
 			wg.Add(1)
 			go func() {
@@ -271,23 +272,23 @@
 		}
 	}
 	wg.Wait()
-	for _, v := range all {
+	for _, v := range valves {
 		if v.InFlight() != 0 {
-			t.Errorf("%d in flight", v.InFlight())
+			t.Errorf("RPCs in flight: got %d", v.InFlight())
 		}
 		v.Close()
 		v.Close()
 	}
 }
 
-// TestStore checks that with a store a duplicate after a restart gets the first result, and that a folder of another server is
-// an error.
+// TestStore checks that, with a store, a duplicate after a restart gets the first result, and that New fails for the directory
+// of another server.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	withStore := func(server string) func(*Options) {
 		return func(o *Options) { o.Store, o.Clock = &StoreOptions{Dir: dir, Server: server}, time.Now }
 	}
-	v, _ := open(t, withStore("a"))
+	v, _ := newTestValve(t, withStore("a"))
 	r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")})
 	if err != nil {
 		t.Fatal(err)
@@ -296,15 +297,15 @@
 	for v.InFlight() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if s, has := v.StoreStatus(); !has || s.Records != 2 || s.Broken || s.Segments != 1 {
-		t.Errorf("state %+v", s)
+	if s, ok := v.StoreStatus(); !ok || s.Records != 2 || s.Broken || s.Segments != 1 {
+		t.Errorf("store status: got %+v", s)
 	}
 	v.Close()
-	v, _ = open(t, withStore("a"))
+	v, _ = newTestValve(t, withStore("a"))
 	if r, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("x")}); err != nil {
 		t.Error(err)
-	} else if a, is := r.Cached(); !is || string(a.Body) != "done" || string(a.Head) != "h" {
-		t.Errorf("cached %+v", a)
+	} else if cached, ok := r.Cached(); !ok || string(cached.Body) != "done" || string(cached.Head) != "h" {
+		t.Errorf("cached result after restart: got %+v", cached)
 	}
 	v.Close()
 	o := Options{Methods: []Method{{Name: "view"}}, Store: &StoreOptions{Dir: dir, Server: "b"}}
@@ -313,11 +314,11 @@
 	}
 }
 
-// TestGauges reads the gauges of a process that spins, and of one that waits.
+// TestGauges checks the CPU utilization of a process that spins, and of one that is idle.
 func TestGauges(t *testing.T) {
 	g := newProcessGauges(1)
 	spins := 0
-	look := func(d time.Duration, spin bool) (got Gauges) {
+	measure := func(d time.Duration, spin bool) (last Gauges) {
 		for end := time.Now().Add(d); time.Now().Before(end); {
 			if spin {
 				for range 1000 {
@@ -325,8 +326,8 @@
 			} else {
 				time.Sleep(20 * time.Millisecond)
 			}
-			if x, known := g.read(); known {
-				got = x
+			if gauges, ok := g.read(); ok {
+				last = gauges
 			}
 			if spin {
 				for stop := time.Now().Add(20 * time.Millisecond); time.Now().Before(stop); {
@@ -334,13 +335,13 @@
 				}
 			}
 		}
-		return got
+		return last
 	}
-	if busy := look(700*time.Millisecond, true); busy.CPUUtilization < 0.3 {
-		t.Errorf("busy %+v", busy)
+	if busy := measure(700*time.Millisecond, true); busy.CPUUtilization < 0.3 {
+		t.Errorf("gauges while busy: got %+v", busy)
 	}
-	if idle := look(700*time.Millisecond, false); idle.CPUUtilization > 0.3 {
-		t.Errorf("idle %+v", idle)
+	if idle := measure(700*time.Millisecond, false); idle.CPUUtilization > 0.3 {
+		t.Errorf("gauges while idle: got %+v", idle)
 	}
 }
 
@@ -352,10 +353,10 @@
 	}
 	defer v.Close()
 	run, err := v.Admit(context.Background(), RPC{Method: "account-view"})
-	var pushed *RejectedError
+	var rejected *RejectedError
 	switch {
-	case errors.As(err, &pushed):
-		fmt.Println("return after", pushed.RetryAfter)
+	case errors.As(err, &rejected):
+		fmt.Println("retry after", rejected.RetryAfter)
 	case err != nil:
 		fmt.Println(err)
 	default:
