--- a/valve/fleetvalve/fleetvalve.go
+++ b/valve/fleetvalve/fleetvalve.go
@@ -1,8 +1,8 @@
-// Package fleetvalve makes a Go program that embeds a valve a member of a fleet whose servers know one another, beside
-// daemons and other such programs. It never touches an RPC.
+// Package fleetvalve makes a Go program that embeds a valve a member of a fleet, together with daemons and other such
+// programs. The members of a fleet discover and monitor one another. The package does not handle RPCs.
 //
-// It is a package of its own since it links memberlist: a program that does not import it opens no further socket, starts no
-// goroutine and is no larger.
+// It is separate from package valve because it depends on memberlist: a program that does not import it opens no additional
+// socket, starts no additional goroutine and is no larger.
 package fleetvalve
 
 import (
@@ -15,26 +15,26 @@
 	"sorrelvalve/internal/fleet"
 )
 
-// Options configure the membership of one program.
+// Options configure the membership of a program.
 type Options struct {
-	Name            string   // unique in the fleet, and the same after a restart
-	Zone            string   // "" for none
-	Listen          string   // IP and port for packets (UDP) and streams (TCP); outgoing ones leave from this IP
-	Advertise       string   // IP and port where peers reach this program; "" for Listen
-	FleetName       string   // packets of a fleet with another name are ignored; "" for none
-	Seeds           []string // addresses that are joined at the start and from then on
-	ExpectedServers int      // size of the fleet; 0 for unknown
-	EncryptionKey   []byte   // 16, 24 or 32 bytes (AES) encrypt all traffic; nil for none
-	Version         string   // of the program, for others to see
-	Socket          string   // path of a Unix socket for valvefleet status; "" for none
+	Name            string   // name of the program, unique in the fleet and unchanged by a restart
+	Zone            string   // zone of the program; "" for none
+	Listen          string   // IP and port for packets (UDP) and streams (TCP); also the source IP of outgoing ones
+	Advertise       string   // IP and port at which peers reach this program; "" for Listen
+	FleetName       string   // name of the fleet; packets of a fleet with another name are ignored; "" for none
+	Seeds           []string // addresses of peers to join, at the start and periodically afterwards
+	ExpectedServers int      // number of servers in the fleet; 0 if unknown
+	EncryptionKey   []byte   // AES key of 16, 24 or 32 bytes that encrypts all traffic; nil for no encryption
+	Version         string   // version of the program, which peers can see
+	Socket          string   // path of a Unix socket that serves `valvefleet status`; "" for none
 
-	// Phase returns the progress of slow start from 0 to 1 and whether the program drains; nil for a warm one. It is called
-	// some times a second and must not block.
+	// Phase returns the progress of slow start, from 0 to 1, and whether the program is draining. It is called several times
+	// per second and must not block. Nil stands for a program that is fully warmed up.
 	Phase func() (warmUp float64, draining bool)
-	Log   io.Writer // gets log lines (docs/operate/fleet.md); nil for none
+	Log   io.Writer // receives log lines (docs/operate/fleet.md); nil to discard them
 }
 
-// State is how much of the fleet is reachable.
+// State is the reachability of the fleet from this program.
 type State = health.ClusterState
 
 // The states of a fleet.
@@ -44,32 +44,32 @@
 	Complete    = health.Complete
 )
 
-// View is the fleet as this program sees it. The bounds on its size are those of some seconds ago.
+// View is the fleet as seen by this program. The bounds on its size describe the fleet of a few seconds ago.
 type View struct {
 	State         State
-	StateDuration time.Duration // for which it has been in that state
-	InGracePeriod bool          // the program has just started or had stalled: it knows nothing of its peers yet
-	MinServers    int           // lower bound of the size, this program included
-	MaxServers    int           // upper bound of the size
-	MaxUnknown    bool          // there is no upper bound: it was never in contact and no size is expected
+	StateDuration time.Duration // how long the fleet has been in State
+	InGracePeriod bool          // the program has just started or was stalled, and does not know the state of its peers yet
+	MinServers    int           // lower bound of the fleet size, including this program
+	MaxServers    int           // upper bound of the fleet size
+	MaxUnknown    bool          // there is no upper bound: the program has never contacted a peer, and ExpectedServers is 0
 	Zones         []Zone
 }
 
-// Zone is the part of a fleet in one zone.
+// Zone is the part of the fleet in one zone.
 type Zone struct {
 	Name      string
-	Members   int // known
-	Reachable int // of these
+	Members   int // number of known members
+	Reachable int // number of known members that are reachable
 }
 
-// Fleet is the membership of a program. Its methods may be called by many goroutines at once.
+// Fleet is the membership of a program in a fleet. Its methods are safe for use by several goroutines at once.
 type Fleet struct {
 	fleet  *fleet.Fleet
 	socket *fleet.Socket // nil for none
 }
 
-// Join starts the membership without waiting for peers. It fails if an option is wrong or an address is taken. The Fleet
-// must be closed.
+// Join starts the membership without waiting for peers. It returns an error if an option is invalid or an address is in use.
+// The caller must close the Fleet.
 func Join(o Options) (*Fleet, error) {
 	if o.Log == nil {
 		o.Log = io.Discard
@@ -105,25 +105,25 @@
 	return f, nil
 }
 
-// View returns the fleet as it is seen now.
+// View returns the current view of the fleet.
 func (f *Fleet) View() View {
-	v := f.fleet.View()
+	fleetView := f.fleet.View()
 	view := View{
-		State:         v.State,
-		StateDuration: time.Duration(v.StateDuration * float64(time.Millisecond)),
-		InGracePeriod: v.InGracePeriod,
-		MinServers:    v.MinServers,
-		MaxServers:    v.MaxServers,
-		MaxUnknown:    v.MaxUnknown,
+		State:         fleetView.State,
+		StateDuration: time.Duration(fleetView.StateDuration * float64(time.Millisecond)),
+		InGracePeriod: fleetView.InGracePeriod,
+		MinServers:    fleetView.MinServers,
+		MaxServers:    fleetView.MaxServers,
+		MaxUnknown:    fleetView.MaxUnknown,
 	}
-	for _, z := range v.Zones {
+	for _, z := range fleetView.Zones {
 		view.Zones = append(view.Zones, Zone{Name: z.Name, Members: z.Members, Reachable: z.Reachable})
 	}
 	return view
 }
 
-// Close announces that the program leaves and ends all that Join started. It takes up to half a second and an exchange that
-// is under way.
+// Close announces that the program leaves the fleet, and stops everything that Join started. It takes up to half a second,
+// plus the time of an exchange in progress.
 func (f *Fleet) Close() {
 	if f.socket != nil {
 		f.socket.Close()
--- a/valve/fleetvalve/fleetvalve_test.go
+++ b/valve/fleetvalve/fleetvalve_test.go
@@ -11,7 +11,7 @@
 	"sorrelvalve/valve/fleetvalve"
 )
 
-// Two programs on one machine find each other.
+// Example has two programs on one machine join the same fleet.
 func Example() {
 	var addrs []string
 	for range 2 {
@@ -24,29 +24,30 @@
 			panic(err)
 		}
 	}
-	var parts []*fleetvalve.Fleet
+	var members []*fleetvalve.Fleet
 	for i, name := range []string{"shop-1", "shop-2"} {
 		f, err := fleetvalve.Join(fleetvalve.Options{Name: name, Zone: "akl-1", Listen: addrs[i], Seeds: addrs, ExpectedServers: 2})
 		if err != nil {
 			panic(err)
 		}
 		defer f.Close()
-		parts = append(parts, f)
+		members = append(members, f)
 	}
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && parts[0].View().State != fleetvalve.Complete; {
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end) && members[0].View().State != fleetvalve.Complete; {
 		time.Sleep(20 * time.Millisecond)
 	}
-	v := parts[0].View()
+	v := members[0].View()
 	fmt.Println(v.State, v.MinServers, v.MaxServers, v.Zones[0].Reachable)
 	// Output: whole 2 2 2
 }
 
-func TestNothingStays(t *testing.T) {
+// TestJoinInvalidOptions checks that a failed Join returns an error and leaves no goroutine behind.
+func TestJoinInvalidOptions(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	if _, err := fleetvalve.Join(fleetvalve.Options{Name: "", Listen: "127.0.0.1:0"}); err == nil {
-		t.Error("no name, and no error")
+		t.Error("Join without a name: no error")
 	}
 	if _, err := fleetvalve.Join(fleetvalve.Options{Name: "a", Listen: "nowhere"}); err == nil {
-		t.Error("no address, and no error")
+		t.Error("Join with an invalid address: no error")
 	}
 }
--- a/valve/ginvalve/ginvalve.go
+++ b/valve/ginvalve/ginvalve.go
@@ -1,5 +1,5 @@
-// Package ginvalve passes the requests of a gin program through a Valve: it is httpvalve with gin's own writer and context.
-// The handlers behind it run in gin's goroutine, and exactly one response goes out.
+// Package ginvalve provides gin middleware that passes requests through a Valve. It is httpvalve adapted to gin's writer and
+// context. The handlers after the middleware run in the goroutine of the request, and exactly one response is sent.
 package ginvalve
 
 import (
@@ -11,33 +11,33 @@
 	"sorrelvalve/valve/httpvalve"
 )
 
-// New returns a gin middleware, under the terms of httpvalve.New. Use it behind gin.Recovery, so that a panic of a handler
-// is logged there.
+// New returns a gin middleware. Arguments and errors are those of httpvalve.New. Install it after gin.Recovery, so that
+// gin.Recovery logs panics of handlers.
 func New(v *valve.Valve, o httpvalve.Options) (gin.HandlerFunc, error) {
 	m, err := httpvalve.New(v, o)
 	if err != nil {
 		return nil, err
 	}
 	return func(c *gin.Context) {
-		own := c.Writer
-		r := &request{context: c, writer: writer{ResponseWriter: own, status: http.StatusOK, size: noBody}}
-		defer func() { c.Writer = own }()
-		m.Serve(own, c.Request, r.next)
-		if !r.admitted { // written now, or gin would add a body of its own to a 404
+		original := c.Writer
+		r := &request{context: c, writer: writer{ResponseWriter: original, status: http.StatusOK, size: noBody}}
+		defer func() { c.Writer = original }()
+		m.Serve(original, c.Request, r.next)
+		if !r.admitted { // the response is written here, because gin would add a body to a 404
 			c.Abort()
-			own.WriteHeaderNow()
+			original.WriteHeaderNow()
 		}
 	}, nil
 }
 
-// request is one request on its way through the valve.
+// request is a request that passes through the valve.
 type request struct {
 	writer
 	context  *gin.Context
 	admitted bool
 }
 
-// next runs the handlers behind the valve.
+// next runs the handlers after the middleware.
 func (r *request) next(w http.ResponseWriter, q *http.Request) {
 	r.admitted = true
 	r.context.Request = q
@@ -49,33 +49,35 @@
 	r.context.Writer.WriteHeaderNow()
 }
 
-// noBody is the size of a response that has not begun, as gin has it.
+// noBody is the size that gin reports for a response whose header is not written.
 const noBody = -1
 
-// writer is httpvalve's guarded writer as a gin.ResponseWriter: gin puts off the header until the first byte.
+// writer adapts the writer of httpvalve to gin.ResponseWriter. As in gin, the header is written with the first byte of the
+// body.
 type writer struct {
 	gin.ResponseWriter
-	guarded http.ResponseWriter
+	guarded http.ResponseWriter // the writer of httpvalve
 	status  int
 	size    int
 }
 
-// Unwrap returns the guarded writer, for http.ResponseController.
+// Unwrap returns httpvalve's writer, for http.ResponseController.
 func (w *writer) Unwrap() http.ResponseWriter { return w.guarded }
 
 // Header returns the header of the response.
 func (w *writer) Header() http.Header { return w.guarded.Header() }
 
-// Status returns the status that was set last.
+// Status returns the status that was set last, or 200 if none was set.
 func (w *writer) Status() int { return w.status }
 
-// Size returns the bytes of the body so far, or -1 before the header is written.
+// Size returns the number of body bytes written, or -1 if the header is not written.
 func (w *writer) Size() int { return w.size }
 
-// Written tells whether the header is written.
+// Written reports whether the header is written.
 func (w *writer) Written() bool { return w.size >= 0 }
 
-// WriteHeader sets the status; the header is written with the first byte or at the end. Interim responses are written now.
+// WriteHeader sets the status. The header is written with the first byte of the body or after the handlers. Interim (1xx)
+// responses are written immediately.
 func (w *writer) WriteHeader(status int) {
 	if status >= 100 && status < 200 && status != http.StatusSwitchingProtocols {
 		w.guarded.WriteHeader(status)
@@ -86,7 +88,7 @@
 	}
 }
 
-// WriteHeaderNow writes the header.
+// WriteHeaderNow writes the header, unless it is already written.
 func (w *writer) WriteHeaderNow() {
 	if !w.Written() {
 		w.size = 0
@@ -102,10 +104,10 @@
 	return n, err
 }
 
-// WriteString is Write for a string.
+// WriteString writes a part of the body.
 func (w *writer) WriteString(s string) (int, error) { return w.Write([]byte(s)) }
 
-// Flush sends what has been written.
+// Flush writes the header if necessary, and sends buffered data to the client.
 func (w *writer) Flush() {
 	w.WriteHeaderNow()
 	w.guarded.(http.Flusher).Flush()
--- a/valve/ginvalve/ginvalve_test.go
+++ b/valve/ginvalve/ginvalve_test.go
@@ -18,7 +18,7 @@
 
 func init() { gin.SetMode(gin.ReleaseMode) }
 
-func engine(t testing.TB, o httpvalve.Options, change ...func(*valve.Options)) (*gin.Engine, *valve.Valve) {
+func newEngine(t testing.TB, o httpvalve.Options, change ...func(*valve.Options)) (*gin.Engine, *valve.Valve) {
 	vo := valve.Options{
 		Methods: []valve.Method{{Name: "view", LatencyObjective: 300 * time.Millisecond, Deadline: 300 * time.Millisecond},
 			{Name: "buy", Idempotency: valve.IdempotencyKeyed, DedupWindow: time.Minute, Criticality: 3}},
@@ -55,11 +55,11 @@
 	return w
 }
 
-// TestGin shows what gin handlers may do: each request gets one response.
+// TestGin checks that each request gets exactly one response, whatever a gin handler does.
 func TestGin(t *testing.T) {
 	runs := 0
 	release := make(chan struct{})
-	e, v := engine(t, httpvalve.Options{CacheBytes: 100})
+	e, v := newEngine(t, httpvalve.Options{CacheBytes: 100})
 	e.Any("/view/:id", func(c *gin.Context) {
 		runs++
 		switch c.Param("id") {
@@ -68,7 +68,7 @@
 		case "abort":
 			c.AbortWithStatus(409)
 		case "error":
-			_ = c.Error(fmt.Errorf("no")) // it returns the error that it adds to the context
+			_ = c.Error(fmt.Errorf("no")) // the result is the error that is added to the context
 			c.Status(502)
 		case "panic":
 			panic("x")
@@ -94,26 +94,26 @@
 		{"/view/twice", "200 ab"}, {"/view/nothing", "200 "}, {"/none", "404 "},
 	} {
 		if w := do(e, "GET", c.path, ""); fmt.Sprintf("%d %s", w.Code, w.Body) != c.want {
-			t.Errorf("%s: %d %s, want %s", c.path, w.Code, w.Body, c.want)
+			t.Errorf("%s: got %d %s, want %s", c.path, w.Code, w.Body, c.want)
 		}
 	}
 	time.AfterFunc(600*time.Millisecond, func() { close(release) })
 	if w := do(e, "GET", "/view/slow", ""); w.Code != 504 || w.Body.Len() > 0 {
-		t.Errorf("slow: %d %s", w.Code, w.Body)
+		t.Errorf("slow handler: got %d %s, want 504", w.Code, w.Body)
 	}
 	runs = 0
 	for range 2 {
 		if w := do(e, "POST", "/buy", "x", "Idempotency-Key", "k"); w.Code != 201 || w.Body.String() != "bought x" || w.Header().Get("Receipt") != "r" {
-			t.Errorf("buy: %d %s", w.Code, w.Body)
+			t.Errorf("POST /buy: got %d %s", w.Code, w.Body)
 		}
 	}
 	if runs != 1 || v.InFlight() != 0 {
-		t.Errorf("%d runs, %d in flight", runs, v.InFlight())
+		t.Errorf("runs: got %d, want 1; RPCs in flight: got %d, want 0", runs, v.InFlight())
 	}
 }
 
-// BenchmarkGin measures the cost of the middleware on top of gin alone. The bars are those of the project: under 5 us and
-// 10 allocations admitted, under 3 us rejected.
+// BenchmarkGin measures the overhead of the middleware over plain gin. The overhead must be below 5 us and 10 allocations for
+// an admitted request, and below 3 us for a rejected one.
 func BenchmarkGin(b *testing.B) {
 	serve := func(b *testing.B, e *gin.Engine, want int) {
 		q := httptest.NewRequest("GET", "/view/7", nil)
@@ -124,7 +124,7 @@
 			w.status = 0
 			e.ServeHTTP(w, q)
 			if w.status != want {
-				b.Fatalf("status %d", w.status)
+				b.Fatalf("status: got %d", w.status)
 			}
 		}
 	}
@@ -135,12 +135,12 @@
 		serve(b, e, 200)
 	})
 	b.Run("admitted", func(b *testing.B) {
-		e, _ := engine(b, httpvalve.Options{})
+		e, _ := newEngine(b, httpvalve.Options{})
 		e.GET("/view/:id", handler)
 		serve(b, e, 200)
 	})
-	b.Run("pushed back", func(b *testing.B) {
-		e, v := engine(b, httpvalve.Options{}, func(o *valve.Options) { o.DrainGrace = time.Nanosecond })
+	b.Run("rejected", func(b *testing.B) {
+		e, v := newEngine(b, httpvalve.Options{}, func(o *valve.Options) { o.DrainGrace = time.Nanosecond })
 		e.GET("/view/:id", handler)
 		v.Drain(time.Hour)
 		time.Sleep(10 * time.Millisecond)
@@ -148,7 +148,7 @@
 	})
 }
 
-// sink is a writer that discards all.
+// sink is an http.ResponseWriter that discards the body.
 type sink struct {
 	header http.Header
 	status int
--- a/valve/httpvalve/guard.go
+++ b/valve/httpvalve/guard.go
@@ -12,35 +12,35 @@
 	"sorrelvalve/valve"
 )
 
-// guard is the writer that a handler gets: whichever writes first, handler or valve, gives the one response. It never lets a
-// second one out, nor lets the handler touch a header map that the response is being made of.
+// guard is the http.ResponseWriter passed to a handler. The first of handler and valve to write provides the response. guard
+// must never send a second response, nor let the handler modify a header map from which a response is being written.
 type guard struct {
 	w         http.ResponseWriter
-	maxCached int // bytes of a body that is cached for duplicates; 0 for none
+	maxCached int // bytes of the longest body that is cached for duplicates; 0 to cache none
 
 	mu          sync.Mutex
-	header      http.Header // the handler's own until it is written; nil for none
+	header      http.Header // the handler's copy of the header; nil until the handler asks for it
 	started     bool        // the handler has started the response
-	answered    bool        // the valve has given the response
+	answered    bool        // the valve has written the response
 	hijacked    bool        // the handler has hijacked the connection
-	status      int         // of the handler's response
-	sentHeader  http.Header // as the response started, to be cached
-	body        []byte      // so far, to be cached
-	uncacheable bool        // it is too long, or was sent in a way that can't be repeated
+	status      int         // status of the handler's response
+	sentHeader  http.Header // header at the start of the response, to be cached
+	body        []byte      // body written so far, to be cached
+	uncacheable bool        // the response is too long, or was sent in a way that can't be repeated
 }
 
-// Header returns the handler's own header, until it writes.
+// Header returns the handler's copy of the header.
 func (g *guard) Header() http.Header {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.header == nil {
 		g.header = http.Header{}
-		maps.Copy(g.header, g.w.Header()) // as the server and outer handlers have set it
+		maps.Copy(g.header, g.w.Header()) // fields set by the server and by outer handlers
 	}
 	return g.header
 }
 
-// WriteHeader starts the response, unless the valve has given it. Interim responses pass.
+// WriteHeader starts the response, unless the valve has written it. Interim (1xx) responses are passed on.
 func (g *guard) WriteHeader(status int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,21 +62,21 @@
 			}
 		}
 	}
-	g.w.WriteHeader(status) // a second one is the handler's fault, and the server says so
+	g.w.WriteHeader(status) // a second call is a mistake of the handler, which the server logs
 }
 
-// copyHeader makes the server's header that of the handler.
+// copyHeader replaces the server's header by that of the handler.
 func (g *guard) copyHeader() {
 	h := g.w.Header()
 	for key := range h {
-		if _, stays := g.header[key]; !stays && g.header != nil {
+		if _, ok := g.header[key]; !ok && g.header != nil {
 			delete(h, key)
 		}
 	}
 	maps.Copy(h, g.header)
 }
 
-// Write writes a part of the body, unless the valve has given the response.
+// Write writes a part of the body. It returns http.ErrHandlerTimeout if the valve has written the response.
 func (g *guard) Write(b []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +93,7 @@
 	return g.w.Write(b)
 }
 
-// cache retains a part of the body for duplicates.
+// cache appends a part of the body to the response that is cached for duplicates.
 func (g *guard) cache(b []byte) {
 	if g.maxCached == 0 || g.uncacheable {
 		return
@@ -106,10 +106,10 @@
 	g.body = append(g.body, b...)
 }
 
-// Flush sends what has been written. It starts the response.
-func (g *guard) Flush() { _ = g.FlushError() } // http.Flusher has no error
+// Flush starts the response if necessary, and sends buffered data to the client.
+func (g *guard) Flush() { _ = g.FlushError() } // http.Flusher returns no error
 
-// FlushError is Flush for http.ResponseController.
+// FlushError is Flush with an error, for http.ResponseController.
 func (g *guard) FlushError() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +122,7 @@
 	return http.NewResponseController(g.w).Flush()
 }
 
-// Hijack hands the connection to the handler, which then owes the response: the valve gives none from here on.
+// Hijack passes the connection to the handler, which must then write the response: the valve no longer writes one.
 func (g *guard) Hijack() (net.Conn, *bufio.ReadWriter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -137,13 +137,14 @@
 	return c, rw, err
 }
 
-// Unwrap returns the server's writer, to which Push and the deadlines of an http.ResponseController go.
+// Unwrap returns the server's writer, for Push and for the deadlines of an http.ResponseController.
 func (g *guard) Unwrap() http.ResponseWriter { return g.w }
 
-// HandleFinal answers for the handler, as the valve gave the RPC an end.
+// HandleFinal answers in place of the handler, because the valve has ended the RPC.
 func (g *guard) HandleFinal(err error) { go g.answer(err) }
 
-// answer gives the response in the handler's place unless the handler has started one, which is then its own to end.
+// answer writes the response in place of the handler, unless the handler has started a response, which the handler then
+// has to complete.
 func (g *guard) answer(err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,19 +154,19 @@
 	g.answered = true
 	clear(g.w.Header())
 	var rejected *valve.RejectedError
-	if errors.As(err, &rejected) { // it runs, or may have: that is never said to have been rejected
+	if errors.As(err, &rejected) { // the handler has started, so the RPC must not be reported as rejected
 		err = &valve.AbortedError{Reason: "it may have run"}
 	}
 	writeError(g.w, err)
-	_ = http.NewResponseController(g.w).Flush() // the handler may go on for long; without a flusher the response waits for it
+	_ = http.NewResponseController(g.w).Flush() // the handler may run on; without a flusher the response waits for its return
 }
 
-// finish completes the run of a handler that has returned, and the response as far as it is missing.
+// finish completes the response and the run of a handler that has returned.
 func (g *guard) finish(run *valve.Run) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.answered && !g.hijacked && !g.started {
-		g.writeHeader(http.StatusOK) // as for any handler that writes nothing
+		g.writeHeader(http.StatusOK) // the default status of net/http
 	}
 	if g.started && g.header != nil {
 		g.writeTrailers()
@@ -182,7 +183,8 @@
 	}
 }
 
-// writeTrailers passes on the trailers that the handler has set after the body. A cached response could not repeat them.
+// writeTrailers passes on the trailers that the handler set after the body. A response with trailers is not cached, because
+// trailers can't be repeated.
 func (g *guard) writeTrailers() {
 	h := g.w.Header()
 	for _, names := range g.header["Trailer"] {
--- a/valve/httpvalve/handlers_test.go
+++ b/valve/httpvalve/handlers_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// handlerCase is a handler and what its client gets.
+// handlerCase is a test case of TestHandlers: a handler, and the requests and checks of its client.
 type handlerCase struct {
 	name    string
-	handler func(t testing.TB, w http.ResponseWriter, q *http.Request) // nil for one that calls itself
+	handler func(t testing.TB, w http.ResponseWriter, q *http.Request) // nil for a handler that calls itself
 	do      func(r *testServer)
 }
 
@@ -26,30 +26,30 @@
 		writeString(t, w, "x")
 	}, func(r *testServer) {
 		if h := r.expect("201 x", "GET", "/view/1", ""); h.Get("A") != "b" {
-			r.Errorf("head %v", h)
+			r.Errorf("header: got %v", h)
 		}
 	}},
 	{"writes nothing", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) {}, func(r *testServer) { r.expect("200", "GET", "/view/1", "") }},
-	{"answers with an error", func(_ testing.TB, w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }, func(r *testServer) { r.expect("500 no", "GET", "/view/1", "") }},
-	{"writes its head twice", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
+	{"error status", func(_ testing.TB, w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", 500) }, func(r *testServer) { r.expect("500 no", "GET", "/view/1", "") }},
+	{"writes the header twice", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(404)
 		w.WriteHeader(200)
 		writeString(t, w, "x")
 	}, func(r *testServer) {
 		r.expect("404 x", "GET", "/view/1", "")
 	}},
-	{"panics before its first byte", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic("x") }, func(r *testServer) {
+	{"panics before the first byte", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic("x") }, func(r *testServer) {
 		if h := r.expect("500", "GET", "/view/1", ""); h.Get("Valve-Why") != "the handler panicked" {
-			r.Errorf("head %v", h)
+			r.Errorf("header: got %v", h)
 		}
 	}},
-	{"panics after its first byte", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
+	{"panics after the first byte", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
 		writeString(t, w, "half")
 		w.(http.Flusher).Flush()
 		panic("x")
 	}, func(r *testServer) { r.expect("200 cut", "GET", "/view/1", "") }},
-	{"aborts", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, func(r *testServer) { r.expect("error", "GET", "/view/1", "") }},
+	{"panics with http.ErrAbortHandler", func(_ testing.TB, _ http.ResponseWriter, _ *http.Request) { panic(http.ErrAbortHandler) }, func(r *testServer) { r.expect("error", "GET", "/view/1", "") }},
 	{"streams", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
 		for i := range 3 {
 			writeString(t, w, fmt.Sprint(i))
@@ -64,7 +64,7 @@
 	}, func(r *testServer) {
 		h := r.expect("200 x", "GET", "/view/1", "")
 		if fmt.Sprint(h["Trailer:Sum"], h["Trailer:Late"]) != "[7] [8]" {
-			r.Errorf("head %v", h)
+			r.Errorf("header: got %v", h)
 		}
 	}},
 	{"early hints", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
@@ -80,13 +80,13 @@
 			return nil
 		}}
 		q, _ := http.NewRequestWithContext(httptrace.WithClientTrace(context.Background(), trace), "GET", r.server.URL+"/view/1", nil)
-		a, err := http.DefaultClient.Do(q)
+		response, err := http.DefaultClient.Do(q)
 		if err != nil {
 			r.Fatal(err)
 		}
-		defer mustClose(r, a.Body)
-		if b, _ := io.ReadAll(a.Body); string(b) != "x" || hints != 1 {
-			r.Errorf("%q, %d hints", b, hints)
+		defer mustClose(r, response.Body)
+		if b, _ := io.ReadAll(response.Body); string(b) != "x" || hints != 1 {
+			r.Errorf("body: got %q; early hints: got %d, want 1", b, hints)
 		}
 	}},
 	{"HEAD", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
@@ -94,7 +94,7 @@
 		writeString(t, w, "12345")
 	}, func(r *testServer) {
 		if h := r.expect("200", "HEAD", "/view/1", ""); h.Get("Content-Length") != "5" {
-			r.Errorf("head %v", h)
+			r.Errorf("header: got %v", h)
 		}
 	}},
 	{"hijacks the connection", func(t testing.TB, w http.ResponseWriter, _ *http.Request) {
@@ -109,26 +109,26 @@
 		writeString(t, c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown")
 	}, func(r *testServer) { r.expect("200 own", "GET", "/view/1", "") }},
 	{"calls itself", nil, func(r *testServer) { r.expect("200 inner", "GET", "/view/outer", "") }},
-	{"an unknown path and verb", nil, func(r *testServer) {
+	{"invalid requests", nil, func(r *testServer) {
 		r.expect("404", "GET", "/none", "")
 		r.expect("405", "GET", "/buy", "")
 		r.expect("400", "POST", "/buy", "")
 		r.expect("413", "POST", "/buy", strings.Repeat("x", 101), "Idempotency-Key", "k")
 		r.expect("400", "POST", "/buy", "", "Idempotency-Key", "k", "Work-Ms", "NaN")
 		if r.runs.Load() != 0 {
-			r.Error("it ran")
+			r.Error("an invalid request ran")
 		}
 	}},
 }
 
-// TestHandlers shows what a handler may do: each request gets one response, and none stays in flight.
+// TestHandlers checks that each request gets exactly one response, and that no RPC stays in flight, whatever a handler does.
 func TestHandlers(t *testing.T) {
 	for _, c := range handlerCases {
 		t.Run(c.name, func(t *testing.T) {
 			var r *testServer
 			handler := func(w http.ResponseWriter, q *http.Request) { c.handler(t, w, q) }
 			if c.handler == nil {
-				handler = func(w http.ResponseWriter, q *http.Request) { // calls itself through the whole chain, on the one core
+				handler = func(w http.ResponseWriter, q *http.Request) { // calls itself through the whole middleware chain, with a single core
 					if strings.HasSuffix(q.URL.Path, "outer") {
 						q = q.Clone(q.Context())
 						q.URL.Path = "/view/inner"
--- a/valve/httpvalve/httpvalve.go
+++ b/valve/httpvalve/httpvalve.go
@@ -1,10 +1,10 @@
-// Package httpvalve passes the requests of a net/http program through a Valve: it makes RPCs of them by the same routes as
-// the daemon's uwsgi front, answers those that are rejected or aborted, and caches complete responses of RPCs with an
-// idempotency token for their duplicates.
+// Package httpvalve provides net/http middleware that passes requests through a Valve. It converts requests to RPCs with the
+// same kind of routes as the daemon's uwsgi front, answers requests that are rejected or aborted, and caches complete
+// responses to RPCs with an idempotency token for duplicates of these RPCs.
 //
-// A handler runs in the goroutine that the server gave it. The valve answers for it only if it is queued, runs past its
-// deadline or panics. Time-outs of the server or of outer handlers may fire first: the run counts until the handler returns,
-// and exactly one response goes out.
+// A handler runs in the goroutine in which the server called it. The valve answers in place of the handler only if the
+// request is still queued, the handler runs past the deadline, or the handler panics. Timeouts of the server or of outer
+// handlers may fire first: the run then counts as in flight until the handler returns, and exactly one response is sent.
 package httpvalve
 
 import (
@@ -18,15 +18,15 @@
 	"sorrelvalve/valve"
 )
 
-// Options configure a Middleware. Where a default is named, the zero value stands for it.
+// Options configure a Middleware. The zero value of a field selects its default, if one is given.
 type Options struct {
-	Routes       []route.Rule  // how a request becomes an RPC; see Identify
-	PassUnrouted bool          // a request that matches no route passes without admission; else it is answered with 404
-	CacheBytes   int           // longest response that is cached for duplicates, header and body; default 64 KiB
-	MaxBodyBytes int64         // longest body of a request with an idempotency token, which is read before admission; default 64 KiB
-	BodyTimeout  time.Duration // in which that body must come; default 5 s
+	Routes       []route.Rule  // convert requests to RPCs; required unless Identify is set
+	PassUnrouted bool          // pass requests that match no route without admission, instead of answering them with status 404
+	CacheBytes   int           // bytes of the longest response body that is cached for duplicates; default 64 KiB
+	MaxBodyBytes int64         // bytes of the longest body of a request with an idempotency token, read before admission; default 64 KiB
+	BodyTimeout  time.Duration // time within which that body must arrive; default 5 s
 
-	// Identify makes an RPC of a request in place of Routes; false for one that passes without admission.
+	// Identify converts a request to an RPC, in place of Routes. It returns false to pass the request without admission.
 	Identify func(*http.Request) (valve.RPC, bool)
 }
 
@@ -37,14 +37,14 @@
 	defaultBodyTimeout  = 5 * time.Second
 )
 
-// Middleware passes requests through a Valve. Its methods may be called by many goroutines at once.
+// Middleware passes requests through a Valve. Its methods are safe for use by several goroutines at once.
 type Middleware struct {
 	valve   *valve.Valve
 	options Options
 	routes  *route.Table // nil with Options.Identify
 }
 
-// New returns a middleware. The error names the route at fault.
+// New returns a middleware that passes requests through v. The error names the invalid route.
 func New(v *valve.Valve, o Options) (*Middleware, error) {
 	if o.CacheBytes == 0 {
 		o.CacheBytes = defaultCacheBytes
@@ -60,7 +60,7 @@
 		return m, nil
 	}
 	if len(o.Routes) == 0 {
-		return nil, errors.New("httpvalve: Routes or Identify expected")
+		return nil, errors.New("httpvalve: Routes or Identify must be set")
 	}
 	if err := m.checkRoutes(); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return m, nil
 }
 
-// checkRoutes returns the first fault of the routes.
+// checkRoutes returns an error for the first invalid route.
 func (m *Middleware) checkRoutes() error {
 	rules := m.options.Routes
 	for _, f := range route.Check(rules, route.Catalog{}) {
@@ -78,24 +78,24 @@
 	for i, r := range rules {
 		method, ok := m.valve.Method(r.Method)
 		if !ok {
-			return fmt.Errorf("httpvalve: Routes[%d] (%s): method: the valve has no %q", i, r.Name, r.Method)
+			return fmt.Errorf("httpvalve: Routes[%d] (%s): method: the valve has no method %q", i, r.Name, r.Method)
 		}
 		hasToken := r.Token.Variable+r.Token.Segment+r.Token.Query != ""
 		if method.Idempotency == valve.IdempotencyKeyed && !hasToken {
-			return fmt.Errorf("httpvalve: Routes[%d] (%s): token: %s is tokened", i, r.Name, r.Method)
+			return fmt.Errorf("httpvalve: Routes[%d] (%s): token: %s requires an idempotency token", i, r.Name, r.Method)
 		}
 	}
 	return nil
 }
 
-// Handler returns a handler that passes requests for next through the valve.
+// Handler returns a handler that passes requests through the valve to next.
 func (m *Middleware) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { m.Serve(w, q, next.ServeHTTP) })
 }
 
-// Serve passes one request through the valve and calls next if it is admitted, with a writer on which the valve may answer
-// before it. It returns once next has. A handler that calls itself through the same valve holds a run already and passes: to
-// wait for another run could take for ever.
+// Serve passes one request through the valve and calls next if the request is admitted, with a writer on which the valve may
+// answer before next does. Serve returns after next. A request that a handler makes through the same valve, with its own
+// context, is not subject to admission: the handler already holds a run, and waiting for a second one could deadlock.
 func (m *Middleware) Serve(w http.ResponseWriter, q *http.Request, next func(http.ResponseWriter, *http.Request)) {
 	if RunOf(q.Context(), m.valve) != nil {
 		next(w, q)
@@ -139,27 +139,27 @@
 	run.NotifyFinal(g)
 	ctx := q.Context()
 	defer func() {
-		p := recover()
-		if ctx.Err() != nil { // the client has left meanwhile
+		panicValue := recover()
+		if ctx.Err() != nil { // the client has disconnected
 			run.Cancel()
 		}
-		if p == nil {
+		if panicValue == nil {
 			g.finish(run)
 			return
 		}
 		run.Complete(valve.Failed, valve.Result{})
-		if p != http.ErrAbortHandler { //nolint:errorlint // a panic's value, which net/http compares in the same way
+		if panicValue != http.ErrAbortHandler { //nolint:errorlint // the value of a panic, which net/http compares in the same way
 			g.answer(&valve.AbortedError{Reason: "the handler panicked"})
 		}
-		panic(p)
+		panic(panicValue)
 	}()
 	next(g, q.WithContext(context.WithValue(ctx, contextKey{m.valve}, run)))
 }
 
-// contextKey is the key of the run in the context of a handler that runs under a valve.
-type contextKey struct{ v *valve.Valve }
+// contextKey is the context key of the run of a handler under the given valve.
+type contextKey struct{ valve *valve.Valve }
 
-// RunOf returns the run of the handler that a context belongs to; nil if it does not run under v.
+// RunOf returns the run of the handler to which ctx belongs, or nil if ctx does not belong to a handler admitted by v.
 func RunOf(ctx context.Context, v *valve.Valve) *valve.Run {
 	r, _ := ctx.Value(contextKey{v}).(*valve.Run)
 	return r
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -33,7 +33,7 @@
 	{Name: "buy", Path: "/buy", Verb: "POST", Method: "buy", Token: route.Source{Variable: "HTTP_IDEMPOTENCY_KEY"}, CostHint: route.Source{Variable: "HTTP_WORK_MS"}},
 }
 
-// testServer is a server behind a valve, with a handler that the test gives.
+// testServer is an HTTP server whose handler runs behind a valve.
 type testServer struct {
 	*testing.T
 	valve  *valve.Valve
@@ -76,21 +76,22 @@
 	return r
 }
 
-// writeString writes a part of a response, which must succeed.
+// writeString writes s and fails the test on an error.
 func writeString(t testing.TB, w io.Writer, s string) {
 	if _, err := io.WriteString(w, s); err != nil {
 		t.Errorf("write: %v", err)
 	}
 }
 
-// mustClose closes c, which must succeed.
+// mustClose closes c and fails the test on an error.
 func mustClose(t testing.TB, c io.Closer) {
 	if err := c.Close(); err != nil {
 		t.Errorf("close: %v", err)
 	}
 }
 
-// get returns a response in short: status and body, or the error.
+// get sends a request and returns "STATUS BODY" and the header. It returns "error" if there is no response, and "STATUS cut"
+// if the body is incomplete.
 func (r *testServer) get(verb, path, body string, header ...string) (string, http.Header) {
 	q, err := http.NewRequest(verb, r.server.URL+path, strings.NewReader(body))
 	if err != nil {
@@ -99,26 +100,26 @@
 	for i := 0; i < len(header); i += 2 {
 		q.Header.Set(header[i], header[i+1])
 	}
-	a, err := http.DefaultClient.Do(q)
+	response, err := http.DefaultClient.Do(q)
 	if err != nil {
 		return "error", nil
 	}
-	defer mustClose(r, a.Body)
-	b, err := io.ReadAll(a.Body)
+	defer mustClose(r, response.Body)
+	b, err := io.ReadAll(response.Body)
 	if err != nil {
-		return fmt.Sprintf("%d cut", a.StatusCode), a.Header
+		return fmt.Sprintf("%d cut", response.StatusCode), response.Header
 	}
-	for k, v := range a.Trailer {
-		a.Header["Trailer:"+k] = v
+	for k, v := range response.Trailer {
+		response.Header["Trailer:"+k] = v
 	}
-	return strings.TrimSpace(fmt.Sprintf("%d %s", a.StatusCode, b)), a.Header
+	return strings.TrimSpace(fmt.Sprintf("%d %s", response.StatusCode, b)), response.Header
 }
 
 func (r *testServer) expect(want, verb, path, body string, header ...string) http.Header {
 	r.Helper()
 	got, h := r.get(verb, path, body, header...)
 	if got != want {
-		r.Errorf("%s %s: %q, want %q; head %v", verb, path, got, want, h)
+		r.Errorf("%s %s: got %q, want %q; header %v", verb, path, got, want, h)
 	}
 	return h
 }
@@ -127,13 +128,13 @@
 	r.Helper()
 	for end := time.Now().Add(testTimeout); r.valve.InFlight() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.Fatalf("%d in flight", r.valve.InFlight())
+			r.Fatalf("RPCs in flight after the time limit: got %d, want 0", r.valve.InFlight())
 		}
 	}
 }
 
-// TestOverdue is about a handler that outlasts its deadline: its caller is answered in time, once; what it writes then is
-// dropped, and its run counts until it ends.
+// TestOverdue checks a handler that runs past its deadline: the caller gets one response in time, what the handler writes
+// afterwards is discarded, and the run counts as in flight until the handler returns.
 func TestOverdue(t *testing.T) {
 	release, wrote := make(chan struct{}), make(chan error, 1)
 	r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -143,11 +144,11 @@
 	})
 	began := time.Now()
 	r.expect("504", "GET", "/view/1", "")
-	if gone := time.Since(began); gone > 2*time.Second {
-		t.Errorf("after %v", gone)
+	if elapsed := time.Since(began); elapsed > 2*time.Second {
+		t.Errorf("status 504 after %v, want within 2 s", elapsed)
 	}
 	if r.valve.InFlight() != 1 {
-		t.Errorf("%d in flight", r.valve.InFlight())
+		t.Errorf("RPCs in flight: got %d", r.valve.InFlight())
 	}
 	close(release)
 	if err := <-wrote; !errors.Is(err, http.ErrHandlerTimeout) {
@@ -156,7 +157,8 @@
 	r.waitIdle()
 }
 
-// TestQueued is about queued RPCs: they are rejected in time with a retry-after; one whose caller has left is not run.
+// TestQueued checks that queued RPCs are rejected in time with a retry-after, and that an RPC whose caller has disconnected does
+// not run.
 func TestQueued(t *testing.T) {
 	release := make(chan struct{})
 	r := startServer(t, func(_ http.ResponseWriter, q *http.Request) {
@@ -172,118 +174,118 @@
 	for r.runs.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
 		q, _ := http.NewRequestWithContext(ctx, "GET", r.server.URL+"/view/left", nil)
-		if a, err := http.DefaultClient.Do(q); err == nil {
-			mustClose(t, a.Body)
+		if response, err := http.DefaultClient.Do(q); err == nil {
+			mustClose(t, response.Body)
 		}
 	}()
 	for r.valve.InFlight() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	leave()
+	disconnect()
 	for r.valve.InFlight() > 1 {
 		time.Sleep(time.Millisecond)
 	}
 	h := r.expect("503", "GET", "/view/held", "")
 	if h.Get("Retry-After") == "" || h.Get("Retry-After") == "0" || h.Get("Valve-Away-Ms") == "" {
-		t.Errorf("head %v", h)
+		t.Errorf("header: got %v", h)
 	}
 	close(release)
 	wg.Wait()
 	r.waitIdle()
 	if r.runs.Load() != 1 {
-		t.Errorf("%d ran", r.runs.Load())
+		t.Errorf("runs: got %d, want 1", r.runs.Load())
 	}
 }
 
-// TestOtherTimeouts has time-outs other than the valve's fire first: there is one response, and the run counts until the
-// handler returns.
+// TestOtherTimeouts checks timeouts of the server or of outer handlers that fire before the valve's: there is one response,
+// and the run counts as in flight until the handler returns.
 func TestOtherTimeouts(t *testing.T) {
 	release := make(chan struct{})
 	var once sync.Once
 	defer once.Do(func() { close(release) })
 	slow := func(w http.ResponseWriter, _ *http.Request) {
 		<-release
-		_, _ = io.WriteString(w, "late") // nobody waits for it any more
+		_, _ = io.WriteString(w, "late") // the client no longer waits, so an error is expected
 	}
 	patient := func(v *valve.Options, _ *Options, _ *httptest.Server) { v.Methods[0].Deadline = time.Minute }
-	t.Run("a TimeoutHandler outside", func(t *testing.T) {
+	t.Run("outer TimeoutHandler", func(t *testing.T) {
 		r := startServer(t, slow, patient, func(*valve.Options, *Options, *httptest.Server) {})
 		inner := r.server.Config.Handler
 		r.server.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
 		r.expect("503 outer", "GET", "/view/1", "")
 		if r.valve.InFlight() != 1 {
-			t.Errorf("%d in flight", r.valve.InFlight())
+			t.Errorf("RPCs in flight: got %d", r.valve.InFlight())
 		}
 		once.Do(func() { close(release) })
 		r.waitIdle()
 	})
-	t.Run("the server's write time-out", func(t *testing.T) {
+	t.Run("write timeout of the server", func(t *testing.T) {
 		hold := make(chan struct{})
 		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			<-hold
-			_, _ = io.WriteString(w, "late") // nobody waits for it any more
+			_, _ = io.WriteString(w, "late") // the client no longer waits, so an error is expected
 		}, patient,
 			func(_ *valve.Options, _ *Options, s *httptest.Server) { s.Config.WriteTimeout = 30 * time.Millisecond })
 		time.AfterFunc(100*time.Millisecond, func() { close(hold) })
 		r.expect("error", "GET", "/view/1", "")
 		r.waitIdle()
 	})
-	t.Run("Shutdown while one runs and one is held", func(t *testing.T) {
+	t.Run("Shutdown with a running and a queued request", func(t *testing.T) {
 		hold := make(chan struct{})
 		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) { <-hold; writeString(t, w, "x") }, func(v *valve.Options, _ *Options, _ *httptest.Server) {
 			v.Methods[0].Deadline, v.Methods[0].LatencyObjective = time.Minute, time.Minute
 		})
-		answers := make(chan string, 2)
+		responses := make(chan string, 2)
 		for range 2 {
-			go func() { s, _ := r.get("GET", "/view/1", ""); answers <- s }()
+			go func() { s, _ := r.get("GET", "/view/1", ""); responses <- s }()
 		}
 		for r.valve.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		r.valve.Drain(time.Minute)
-		over := make(chan error, 1)
+		shutdown := make(chan error, 1)
 		go func() {
-			ctx, end := context.WithTimeout(context.Background(), testTimeout)
-			defer end()
-			over <- r.server.Config.Shutdown(ctx)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+			defer cancel()
+			shutdown <- r.server.Config.Shutdown(ctx)
 		}()
 		time.AfterFunc(20*time.Millisecond, func() { close(hold) })
 		for range 2 {
-			if s := <-answers; s != "200 x" {
-				t.Errorf("answer %q", s)
+			if s := <-responses; s != "200 x" {
+				t.Errorf("response: got %q", s)
 			}
 		}
-		if err := <-over; err != nil {
+		if err := <-shutdown; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestTokens is about handlers with idempotency tokens: the complete response is cached, and nothing runs twice.
+// TestTokens checks requests with idempotency tokens: complete responses are cached, and no handler runs twice.
 func TestTokens(t *testing.T) {
 	key := []string{"Idempotency-Key", "k"}
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		want    []string // of attempts one after the other
+		want    []string // responses to consecutive attempts
 	}{
-		{"status, head and body", func(w http.ResponseWriter, q *http.Request) {
+		{"status, header and body", func(w http.ResponseWriter, q *http.Request) {
 			b, _ := io.ReadAll(q.Body)
 			w.Header().Set("Receipt", "r1")
 			w.WriteHeader(201)
 			writeString(t, w, fmt.Sprintf("bought %s", b))
 		}, []string{"201 bought x", "201 bought x"}},
-		{"a response that outgrows the bound", func(w http.ResponseWriter, _ *http.Request) {
+		{"response too long for the cache", func(w http.ResponseWriter, _ *http.Request) {
 			writeString(t, w, strings.Repeat("y", 1001))
 		}, []string{"200 " + strings.Repeat("y", 1001), "500"}},
-		{"a panic after its effect", func(http.ResponseWriter, *http.Request) { panic("x") }, []string{"500", "500"}},
-		{"an error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) }, []string{"502 no", "500"}},
-		{"trailers can't be cached", func(w http.ResponseWriter, _ *http.Request) {
+		{"panic after the effect", func(http.ResponseWriter, *http.Request) { panic("x") }, []string{"500", "500"}},
+		{"error status", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusBadGateway) }, []string{"502 no", "500"}},
+		{"trailers are not cached", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Trailer", "Sum")
 			writeString(t, w, "x")
 			w.Header().Set("Sum", "7")
@@ -296,33 +298,33 @@
 			for i, want := range c.want {
 				h := r.expect(want, "POST", "/buy", "x", key...)
 				if strings.HasPrefix(want, "201") && h.Get("Receipt") != "r1" {
-					t.Errorf("attempt %d: head %v", i, h)
+					t.Errorf("attempt %d: header: got %v", i, h)
 				}
 			}
 			r.expect("400", "POST", "/buy", "other", key...)
 			if r.runs.Load() != 1 {
-				t.Errorf("%d ran", r.runs.Load())
+				t.Errorf("runs: got %d, want 1", r.runs.Load())
 			}
 		})
 	}
-	t.Run("two at once", func(t *testing.T) {
+	t.Run("two concurrent attempts", func(t *testing.T) {
 		release := make(chan struct{})
 		r := startServer(t, func(w http.ResponseWriter, _ *http.Request) { <-release; writeString(t, w, "done") })
-		answers := make(chan string, 2)
+		responses := make(chan string, 2)
 		for range 2 {
-			go func() { s, _ := r.get("POST", "/buy", "x", key...); answers <- s }()
+			go func() { s, _ := r.get("POST", "/buy", "x", key...); responses <- s }()
 		}
 		for r.valve.InFlight() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		close(release)
 		for range 2 {
-			if s := <-answers; s != "200 done" {
-				t.Errorf("answer %q", s)
+			if s := <-responses; s != "200 done" {
+				t.Errorf("response: got %q", s)
 			}
 		}
 		if r.runs.Load() != 1 {
-			t.Errorf("%d ran", r.runs.Load())
+			t.Errorf("runs: got %d, want 1", r.runs.Load())
 		}
 	})
 }
@@ -334,19 +336,20 @@
 	}
 	defer v.Close()
 	for want, o := range map[string]Options{
-		"Routes or Identify": {},
-		"ties":               {Routes: []route.Rule{{Name: "a", Path: "/", Method: "view"}, {Name: "b", Path: "/", Method: "view"}}},
-		"no \"sell\"":        {Routes: []route.Rule{{Name: "a", Path: "/", Method: "sell"}}},
-		"buy is tokened":     {Routes: []route.Rule{{Name: "a", Path: "/", Method: "buy"}}},
+		"Routes or Identify":                {},
+		"ties":                              {Routes: []route.Rule{{Name: "a", Path: "/", Method: "view"}, {Name: "b", Path: "/", Method: "view"}}},
+		"no method \"sell\"":                {Routes: []route.Rule{{Name: "a", Path: "/", Method: "sell"}}},
+		"buy requires an idempotency token": {Routes: []route.Rule{{Name: "a", Path: "/", Method: "buy"}}},
 	} {
 		if _, err := New(v, o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %q", err, want)
+			t.Errorf("New: got error %v, want %q", err, want)
 		}
 	}
 }
 
-// TestHalfBody has a client send half a body with a token and stay: it is answered, and nothing runs.
-func TestHalfBody(t *testing.T) {
+// TestIncompleteBody checks a client that sends a part of a body with a token and keeps the connection open: the request is
+// answered, and no handler runs.
+func TestIncompleteBody(t *testing.T) {
 	r := startServer(t, func(http.ResponseWriter, *http.Request) {}, func(_ *valve.Options, o *Options, _ *httptest.Server) { o.BodyTimeout = 30 * time.Millisecond })
 	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 	if err != nil {
@@ -357,9 +360,9 @@
 	if err := c.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	a, err := http.ReadResponse(bufio.NewReader(c), nil)
-	if err != nil || a.StatusCode != 400 || r.runs.Load() != 0 {
-		t.Errorf("answer %+v, error %v", a, err)
+	response, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || response.StatusCode != 400 || r.runs.Load() != 0 {
+		t.Errorf("response: got %+v, error %v", response, err)
 	}
 }
 
--- a/valve/httpvalve/identify.go
+++ b/valve/httpvalve/identify.go
@@ -15,10 +15,11 @@
 	"sorrelvalve/valve"
 )
 
-// statusPass stands in place of an HTTP status for a request that passes without admission.
+// statusPass is returned in place of an HTTP status for a request that passes without admission.
 const statusPass = -1
 
-// identify makes an RPC of a request. With an error it returns the status to answer with.
+// identify converts a request to an RPC. If err is not nil, status is the HTTP status of the response. Otherwise status is
+// statusPass if the request passes without admission, and 0 if not.
 func (m *Middleware) identify(q *http.Request) (rpc valve.RPC, status int, err error) {
 	if m.options.Identify != nil {
 		rpc, ok := m.options.Identify(q)
@@ -47,7 +48,7 @@
 	return rpcOf(&resolved), 0, nil
 }
 
-// withoutPort returns the host of a Host header.
+// withoutPort returns the host of a Host header, without the port.
 func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
@@ -55,7 +56,7 @@
 	return host
 }
 
-// rpcOf returns the RPC that the routes made of a request.
+// rpcOf converts the result of routing a request to an RPC.
 func rpcOf(r *route.Resolved) valve.RPC {
 	rpc := valve.RPC{
 		Method:   r.Method,
@@ -72,10 +73,10 @@
 	return rpc
 }
 
-// variables reads an HTTP request as a block of uwsgi variables would have it.
+// variables presents an HTTP request as uwsgi variables.
 type variables struct{ q *http.Request }
 
-// Get returns a variable; false if the request does not have it.
+// Get returns the value of a variable, or false if the request does not have it.
 func (v variables) Get(name string) (string, bool) {
 	switch name {
 	case "REQUEST_METHOD":
@@ -92,7 +93,7 @@
 	}
 	header, ok := strings.CutPrefix(name, "HTTP_")
 	if !ok {
-		header = name // one of the operator's own, which a proxy sets as a header
+		header = name // a variable that the operator defines, which a proxy sets as a header
 	}
 	values := v.q.Header[http.CanonicalHeaderKey(strings.ReplaceAll(header, "_", "-"))]
 	if len(values) == 0 {
@@ -101,29 +102,31 @@
 	return values[0], true
 }
 
-// readBody reads the body of a request with an idempotency token, by which two attempts are known to be the same, and puts
-// it back for the handler. With an error it returns the status to answer with.
+// readBody reads the body of a request with an idempotency token, which is compared to verify that two attempts are the same
+// RPC, and replaces q.Body so that the handler can read it again. If err is not nil, status is the HTTP status of the
+// response.
 func (m *Middleware) readBody(w http.ResponseWriter, q *http.Request) (body []byte, status int, err error) {
 	if q.Body == nil || q.Body == http.NoBody {
 		return nil, 0, nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(m.options.BodyTimeout)) // not every server has deadlines
+	_ = control.SetReadDeadline(time.Now().Add(m.options.BodyTimeout)) // not every server supports deadlines
 	body, err = io.ReadAll(http.MaxBytesReader(w, q.Body, m.options.MaxBodyBytes))
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
 		return nil, http.StatusRequestEntityTooLarge, fmt.Errorf("the body is longer than %d bytes", m.options.MaxBodyBytes)
-	case err != nil: // the server would wait for the rest of it before it answers
+	case err != nil: // otherwise the server would wait for the rest of the body before it answers
 		w.Header().Set("Connection", "close")
 		return nil, http.StatusBadRequest, errors.New("the body did not come whole")
 	}
-	_ = control.SetReadDeadline(time.Time{}) // see above
+	_ = control.SetReadDeadline(time.Time{}) // not every server supports deadlines
 	q.Body = io.NopCloser(bytes.NewReader(body))
 	return body, 0, nil
 }
 
-// Hash returns a hash for RPC.Caller and RPC.Subject in Options.Identify. It differs from process to process.
+// Hash returns a hash of s, for RPC.Caller and RPC.Subject in Options.Identify. The hash of a string differs between
+// processes.
 func Hash(s string) uint64 { return maphash.String(hashSeed, s) }
 
 var hashSeed = maphash.MakeSeed()
--- a/valve/httpvalve/response.go
+++ b/valve/httpvalve/response.go
@@ -11,14 +11,14 @@
 	"sorrelvalve/valve"
 )
 
-// The headers of responses that the valve gives, beside Retry-After.
+// The header fields of responses written by the valve, in addition to Retry-After.
 const (
-	headerRetryAfterMs = "Valve-Away-Ms" // the retry-after in ms
-	headerNoRetry      = "Valve-Last"    // 1 if the caller should not retry elsewhere
-	headerReason       = "Valve-Why"     // what is wrong
+	headerRetryAfterMs = "Valve-Away-Ms" // retry-after in ms
+	headerNoRetry      = "Valve-Last"    // 1 if the caller should not retry on another server
+	headerReason       = "Valve-Why"     // reason of an abort or of an invalid request
 )
 
-// writeError answers a request that was not admitted or gets no result.
+// writeError writes the response to a request that was not admitted or has no result.
 func writeError(w http.ResponseWriter, err error) {
 	var rejected *valve.RejectedError
 	var aborted *valve.AbortedError
@@ -36,7 +36,7 @@
 		writeInvalid(w, http.StatusBadRequest, err.Error())
 	case errors.Is(err, valve.ErrClosed):
 		writeEmpty(w, http.StatusServiceUnavailable)
-	default: // the client has left
+	default: // the client has disconnected
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -53,10 +53,10 @@
 	writeEmpty(w, http.StatusServiceUnavailable)
 }
 
-// roundUp returns d in units, rounded up.
+// roundUp returns d as a number of units, rounded up.
 func roundUp(d, unit time.Duration) int64 { return int64((d + unit - 1) / unit) }
 
-// writeInvalid answers a request that is wrong in itself.
+// writeInvalid writes the response to an invalid request.
 func writeInvalid(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(headerReason, strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
@@ -72,7 +72,7 @@
 	w.WriteHeader(status)
 }
 
-// perConnection are the header fields that hold for one connection or one response only.
+// perConnection are the header fields that apply to a single connection or response only.
 var perConnection = map[string]bool{
 	"Connection":        true,
 	"Keep-Alive":        true,
@@ -83,16 +83,16 @@
 	"Content-Length":    true,
 }
 
-// encodeHead returns status and header in the form in which they are cached: an HTTP/1.1 head, so that any front can read it.
+// encodeHead encodes status and header for the cache, as an HTTP/1.1 response head, so that any front can read it.
 func encodeHead(status int, h http.Header) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	_ = h.WriteSubset(&b, perConnection) // a bytes.Buffer takes all
+	_ = h.WriteSubset(&b, perConnection) // writing to a bytes.Buffer never fails
 	b.WriteString("\r\n")
 	return b.Bytes()
 }
 
-// The place of the status in the first line of an encoded head, "HTTP/1.1 200 OK".
+// The position of the status in the first line of an encoded head, such as "HTTP/1.1 200 OK".
 const (
 	statusFrom = len("HTTP/1.1 ")
 	statusTo   = statusFrom + len("200")
@@ -115,5 +115,5 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(r.Body) // nothing can be done for a client that has gone
+	_, _ = w.Write(r.Body) // an error means that the client has disconnected
 }
