--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -1,7 +1,8 @@
 package pools
 
-// This file owns one attempt at one member: its connection, the packet and the response. It must never report less
-// progress than an attempt may have made: an application server may begin as soon as it has read the variables.
+// This file makes one attempt at one member: it opens the connection, writes the packet and reads the response. It must never
+// report less progress than the attempt may have made: an application server may start the request as soon as it has read the
+// variables.
 
 import (
 	"bufio"
@@ -18,21 +19,22 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// extraVariablesSize is the memory allocated for variables beside those of the RPC.
+// extraVariablesSize is the buffer size, in bytes, for variables in addition to those of the RPC.
 const extraVariablesSize = 256
 
-// packet returns the header and the block of variables for a run, and whether its response has no body. An RPC that came
-// by uwsgi goes on with the variables that it came with; another one gets those of the method's record.
-func (t *target) packet(w gate.RunRequest) (b []byte, noBody bool) {
-	b = make([]byte, wire.HeaderSize, wire.HeaderSize+len(w.Variables)+extraVariablesSize)
+// packet returns the header and the block of variables for a run, and whether its response has no body. An RPC that was
+// received by uwsgi keeps its variables; any other RPC gets the variables configured for its method. VALVE_ID is omitted if the
+// block would become too long.
+func (t *target) packet(request gate.RunRequest) (b []byte, noBody bool) {
+	b = make([]byte, wire.HeaderSize, wire.HeaderSize+len(request.Variables)+extraVariablesSize)
 	verb := t.method.Verb
-	if w.Variables != "" {
-		b = append(b, w.Variables...)
-		verb, _ = wire.Lookup(w.Variables, "REQUEST_METHOD")
+	if request.Variables != "" {
+		b = append(b, request.Variables...)
+		verb, _ = wire.Lookup(request.Variables, "REQUEST_METHOD")
 	} else {
-		b = t.appendVariables(b, len(w.Body))
+		b = t.appendVariables(b, len(request.Body))
 	}
-	withID := wire.AppendVariable(b, "VALVE_ID", w.ID)
+	withID := wire.AppendVariable(b, "VALVE_ID", request.ID)
 	if len(withID)-wire.HeaderSize <= wire.MaxBlockSize {
 		b = withID
 	}
@@ -54,7 +56,7 @@
 	return b
 }
 
-// attempt is what is decided about an attempt before it is made.
+// attempt has the parameters of one attempt.
 type attempt struct {
 	addr           string
 	connectTimeout time.Duration
@@ -65,20 +67,20 @@
 
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeadBytes) }}
 
-// send makes the attempt. The head that it returns ends with the empty line; head and result are the caller's.
+// send makes the attempt. The returned head includes the empty line at its end. The caller owns head and result.
 func (a *attempt) send(packet, body []byte) (head, result []byte, failed *retry.Error) {
 	timeout := min(a.connectTimeout, time.Until(a.deadline))
 	if timeout <= 0 {
-		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "no time is left"}
+		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "no time left before the deadline"}
 	}
-	nc, err := net.DialTimeout("tcp", a.addr, timeout)
+	conn, err := net.DialTimeout("tcp", a.addr, timeout)
 	if err != nil {
 		return nil, nil, &retry.Error{Progress: retry.NotSent, Reason: "connect: " + errorText(err)}
 	}
-	defer func() { _ = nc.Close() }() // the response has been read, or failed for a reason of its own
-	_ = nc.SetDeadline(a.deadline)    // fails only once closed
+	defer func() { _ = conn.Close() }() // the response has been read or the attempt has failed, so an error does not matter
+	_ = conn.SetDeadline(a.deadline)    // fails only on a closed connection
 	parts := net.Buffers{packet, body}
-	n, err := parts.WriteTo(nc)
+	n, err := parts.WriteTo(conn)
 	progress := retry.MayHaveRun
 	if n == 0 {
 		progress = retry.NotSent
@@ -88,9 +90,9 @@
 	if err != nil && progress < retry.MayHaveRun {
 		return nil, nil, &retry.Error{Progress: progress, Reason: "write: " + errorText(err)}
 	}
-	// A member that responds before it has read the body may have closed; its response counts if it is complete.
+	// A member may respond and close the connection before it has read the body. Its response counts if it is complete.
 	in := readerPool.Get().(*bufio.Reader)
-	in.Reset(nc)
+	in.Reset(conn)
 	defer func() {
 		in.Reset(nil)
 		readerPool.Put(in)
@@ -102,11 +104,11 @@
 	return head, result, nil
 }
 
-// responseError returns the error of an attempt that was sent and has no response that counts.
+// responseError returns the error of an attempt that was sent and has no valid response.
 func responseError(err error) *retry.Error {
 	e := &retry.Error{
 		Progress: retry.MayHaveRun,
-		Reason:   "answer: " + errorText(err),
+		Reason:   "response: " + errorText(err),
 		TimedOut: errors.Is(err, os.ErrDeadlineExceeded),
 	}
 	var busy *busyError
@@ -116,36 +118,36 @@
 	return e
 }
 
-// errorText returns the text of an error without the addresses in it, which the log has already.
+// errorText returns the text of an error without addresses, which the log already has.
 func errorText(err error) string {
 	var op *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return "none in time"
+		return "timed out"
 	case errors.As(err, &op):
 		return op.Err.Error()
 	case errors.Is(err, io.EOF):
-		return "the connection ended without one"
+		return "connection closed before the response"
 	}
 	return err.Error()
 }
 
-// pingModifier is modifier1 of the protocol's ping and of its answer.
+// pingModifier is modifier1 of a uwsgi ping and of the answer to it.
 const pingModifier = 100
 
-// ping makes an active health check by the protocol's ping, which an application server answers by itself.
+// ping makes an active health check with a uwsgi ping, which application servers answer without running application code.
 func ping(addr string, timeout time.Duration) (healthy bool) {
-	nc, err := net.DialTimeout("tcp", addr, timeout)
+	conn, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = nc.Close() }()           // the answer has been read, or there is none
-	_ = nc.SetDeadline(time.Now().Add(timeout)) // fails only once closed
-	if _, err := nc.Write(wire.AppendHeader(nil, pingModifier, 0, 0)); err != nil {
+	defer func() { _ = conn.Close() }()           // the check has its result, so an error does not matter
+	_ = conn.SetDeadline(time.Now().Add(timeout)) // fails only on a closed connection
+	if _, err := conn.Write(wire.AppendHeader(nil, pingModifier, 0, 0)); err != nil {
 		return false
 	}
 	answer := make([]byte, wire.HeaderSize)
-	if _, err := io.ReadFull(nc, answer); err != nil {
+	if _, err := io.ReadFull(conn, answer); err != nil {
 		return false
 	}
 	return wire.ParseHeader(answer).Modifier1 == pingModifier
--- a/internal/back/pools/backend.go
+++ b/internal/back/pools/backend.go
@@ -12,26 +12,26 @@
 	"sorrelvalve/internal/operator"
 )
 
-// backend is one pool.
+// backend is a pool of application servers.
 type backend struct {
 	name string
 	log  *logrus.Entry
 
-	mu       sync.Mutex // guards what follows, and the decisions of balancer and retries
+	mu       sync.Mutex // guards the fields below, including all calls of balancer and retries
 	config   operator.Pool
 	balancer *pool.Pool
 	retries  *retry.Policy
-	queued   map[uint64]chan int // by request id: gets the member granted; each has capacity for it
-	lastID   uint64              // of a request, as the balancer knows it
-	removed  bool                // no longer in the file: what is in flight ends there
-	draining []string
+	queued   map[uint64]chan int // by request ID: receives the granted member; buffered, so that a grant does not block
+	lastID   uint64              // last request ID passed to the balancer
+	removed  bool                // the pool was removed from the operator's file: requests in flight still end there
+	draining []string            // addresses of the members that are drained
 }
 
 // The errors of a pool without capacity for a run.
 var (
-	errNoCapacity  = &retry.Error{Progress: retry.NotSent, Reason: "no member has room", NoCapacity: true}
-	errFleetQuota  = &retry.Error{Progress: retry.NotSent, Reason: "the fleet's calls to the pool are all in hand", NoCapacity: true}
-	errPoolRemoved = &retry.Error{Progress: retry.NotSent, Reason: "the pool is no longer in use", NoCapacity: true}
+	errNoCapacity  = &retry.Error{Progress: retry.NotSent, Reason: "no member has capacity", NoCapacity: true}
+	errFleetQuota  = &retry.Error{Progress: retry.NotSent, Reason: "the fleet's budget of calls to the pool is used up", NoCapacity: true}
+	errPoolRemoved = &retry.Error{Progress: retry.NotSent, Reason: "the pool was removed", NoCapacity: true}
 )
 
 func newBackend(name string, config operator.Pool, seed uint64, now float64, log *logrus.Entry) *backend {
@@ -61,7 +61,7 @@
 	p.removed = true
 }
 
-// setDraining has these members drained and no others, and returns those that could not be.
+// setDraining replaces the set of drained members and returns those that could not be drained.
 func (p *backend) setDraining(members []string) (refused []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +71,7 @@
 	return refused
 }
 
-// update follows the fleet's decisions, if there are any, and starts the health checks that are due.
+// update applies the fleet's decisions, if there are any, and starts the health checks that are due.
 func (p *backend) update(d *detector) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +87,7 @@
 	for _, member := range p.balancer.DueHealthChecks(now) {
 		addr := p.balancer.Addr(member)
 		timeout := operator.Milliseconds(p.config.ConnectTimeoutMs)
-		go p.checkHealth(member, addr, timeout) // ends within twice the timeout
+		go p.checkHealth(member, addr, timeout) // returns within twice the timeout
 	}
 	p.logEvents()
 }
@@ -99,7 +99,7 @@
 	p.balancer.RecordHealthCheck(nowMs(), member, healthy)
 }
 
-// logEvents logs the ejections and returns of members. mu is held.
+// logEvents logs ejections and returns of members. The caller must hold mu.
 func (p *backend) logEvents() {
 	for _, e := range p.balancer.Events() {
 		if e.Reason == pool.NotEjected {
@@ -114,7 +114,7 @@
 	}
 }
 
-// deliver passes granted members to the requests that wait for them. mu is held.
+// deliver passes granted members to the queued requests. The caller must hold mu.
 func (p *backend) deliver(grants []pool.Grant) {
 	for _, g := range grants {
 		p.queued[g.ID] <- g.Member
@@ -133,9 +133,9 @@
 	}
 }
 
-// acquire waits for a member with capacity, as long as the queue timeout and the due time allow. trial is the address of
-// an ejected member that the request goes to if it may, "" for none.
-func (p *backend) acquire(w *gate.RunRequest, avoid []int, trial string) (member int, err *retry.Error) {
+// acquire waits for a member with capacity, up to the queue timeout or the due time of the request. It prefers members that are
+// not in avoid. trial is the address of an ejected member that is tried first, "" for none.
+func (p *backend) acquire(request *gate.RunRequest, avoid []int, trial string) (member int, err *retry.Error) {
 	p.mu.Lock()
 	if p.removed {
 		p.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 	p.lastID++
 	id := p.lastID
-	member, placement := p.balancer.Acquire(nowMs(), id, avoid, w.Caller)
+	member, placement := p.balancer.Acquire(nowMs(), id, avoid, request.Caller)
 	if placement != pool.Queued {
 		p.mu.Unlock()
 		if placement == pool.NoCapacity {
@@ -159,12 +159,12 @@
 	}
 	granted := make(chan int, 1)
 	p.queued[id] = granted
-	timeout := operator.Milliseconds(max(0, min(p.config.QueueTimeoutMs, w.DueMs-nowMs())))
+	timeout := operator.Milliseconds(max(0, min(p.config.QueueTimeoutMs, request.DueMs-nowMs())))
 	p.mu.Unlock()
 	return p.await(id, granted, timeout)
 }
 
-// await waits for the member granted to a queued request.
+// await waits for the member that is granted to a queued request.
 func (p *backend) await(id uint64, granted <-chan int, timeout time.Duration) (member int, err *retry.Error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -179,5 +179,5 @@
 		delete(p.queued, id)
 		return 0, errNoCapacity
 	}
-	return <-granted, nil // it was granted meanwhile
+	return <-granted, nil // the member was granted after the timeout
 }
--- a/internal/back/pools/pools.go
+++ b/internal/back/pools/pools.go
@@ -1,8 +1,7 @@
-// Package pools has the work of methods done by pools of uwsgi application servers, as the operator's file says. The
-// decisions are made by decision/pool (which member) and decision/retry (whether to try again); this package carries them
-// out with its locks, clock and connections.
+// Package pools runs RPCs on pools of uwsgi application servers, as configured in the operator's file. Package decision/pool
+// decides which member gets a request, and decision/retry whether to retry; this package provides locks, clock and connections.
 //
-// The package must never make a second attempt that these have not allowed, and each run that it takes ends exactly once.
+// The package must never make a further attempt that these packages have not allowed, and must end each run exactly once.
 package pools
 
 import (
@@ -21,12 +20,11 @@
 	"sorrelvalve/internal/operator"
 )
 
-// updateInterval is how often the state of members is updated beside each RPC's own update: a tenth of the shortest queue
-// timeout in use.
+// updateInterval is the interval at which the state of the members is updated, in addition to the update with each RPC. It is a
+// tenth of the shortest queue timeout in use.
 const updateInterval = 20 * time.Millisecond
 
-// Backends are the pools of an operator's file, and the methods that they serve. Its methods may be called from any
-// goroutine.
+// Backends are the pools of an operator's file and the methods that they serve. Its methods are safe for concurrent use.
 type Backends struct {
 	log       *logrus.Entry
 	seed      uint64
@@ -34,34 +32,34 @@
 	detection atomic.Pointer[detector]      // nil without a fleet
 	methods   atomic.Pointer[map[string]*target]
 
-	mu    sync.Mutex // held before any backend's
+	mu    sync.Mutex // locked before the mutex of any backend
 	pools map[string]*backend
 }
 
-// target is where the work of a method goes.
+// target is the destination of the RPCs of a method.
 type target struct {
 	pool   *backend
 	method operator.Method
 }
 
-// New returns backends without any pool. Equal seeds give equal choices.
+// New returns Backends without any pool. Equal seeds give equal random choices.
 func New(seed uint64, log *logrus.Entry) *Backends {
 	b := &Backends{log: log, seed: seed, pools: map[string]*backend{}}
 	b.methods.Store(&map[string]*target{})
 	return b
 }
 
-// nowMs returns the time in Unix ms.
+// nowMs returns the current time in Unix ms.
 func nowMs() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
-// Set replaces the operator's file by another one that has been checked. Pools and members that stay keep their state and
-// what they have in flight; those that go take nothing new.
+// Set replaces the operator's file. The new file must be valid. Pools and members in both files keep their state and their
+// requests in flight; removed ones get no new requests.
 func (b *Backends) Set(f *operator.File) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := nowMs()
 	for name, p := range b.pools {
-		if _, stays := f.Pools[name]; !stays {
+		if _, ok := f.Pools[name]; !ok {
 			p.remove()
 			delete(b.pools, name)
 		}
@@ -82,12 +80,12 @@
 	b.announceMembers()
 }
 
-// UseBudgets has retries and calls allowed by the fleet's budgets, by the priority weight of their method.
+// UseBudgets makes retries and calls subject to the fleet's budgets. weight returns the priority weight of a method.
 func (b *Backends) UseBudgets(budgets Budgets, weight func(method string) float64) {
 	b.budgets.Store(&sharedBudgets{budgets: budgets, weight: weight})
 }
 
-// UseOutlierDetection has the fleet eject and return members, in the pools that it decides about.
+// UseOutlierDetection makes the fleet eject and return members, in the pools about which the fleet decides.
 func (b *Backends) UseOutlierDetection(detection OutlierDetection) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,7 +93,7 @@
 	b.announceMembers()
 }
 
-// announceMembers tells the fleet's outlier detection which members there are. mu is held.
+// announceMembers passes the pools and their members to the fleet's outlier detection. The caller must hold mu.
 func (b *Backends) announceMembers() {
 	d := b.detection.Load()
 	if d == nil {
@@ -110,27 +108,27 @@
 	d.SetMembers(members, func(name string) pool.Config { return configs[name] })
 }
 
-// Serves reports whether a pool does the work of a method.
+// Serves reports whether a pool serves a method.
 func (b *Backends) Serves(method string) bool { return (*b.methods.Load())[method] != nil }
 
-// Runner returns a runner that has the work of the file's methods done by their pools and that of all others by engine.
-// idempotent reports which methods may run twice.
+// Runner returns a runner that runs RPCs on the pool of their method, or with engine if the method has no pool. idempotent
+// reports whether RPCs of a method may run more than once.
 func (b *Backends) Runner(engine gate.Runner, idempotent func(method string) bool) gate.Runner {
-	return func(w gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
-		t := (*b.methods.Load())[w.Method]
+	return func(request gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
+		t := (*b.methods.Load())[request.Method]
 		if t == nil {
-			engine(w, done)
+			engine(request, done)
 			return
 		}
 		r := run{
 			target:     t,
 			pool:       t.pool,
-			request:    w,
-			idempotent: idempotent(w.Method),
+			request:    request,
+			idempotent: idempotent(request.Method),
 			budgets:    b.budgets.Load(),
 			detector:   b.detection.Load(),
 		}
-		go r.serve(done) // ends by the due time of the RPC
+		go r.serve(done) // returns by the due time of the RPC
 	}
 }
 
@@ -145,17 +143,17 @@
 		case <-tick.C:
 		}
 		b.mu.Lock()
-		all := slices.Collect(maps.Values(b.pools))
+		backends := slices.Collect(maps.Values(b.pools))
 		b.mu.Unlock()
 		d := b.detection.Load()
-		for _, p := range all {
+		for _, p := range backends {
 			p.update(d)
 		}
 	}
 }
 
-// SetDraining has the members that are drained, by pool, and no others get no new requests. It returns those that could
-// not be drained, as pool/member, with the reason.
+// SetDraining replaces the set of drained members, which get no new requests. drained lists members by pool. The result has the
+// reason for each member that could not be drained, with keys of the form pool/member.
 func (b *Backends) SetDraining(drained map[string][]string) (refused map[string]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,7 +166,7 @@
 	return refused
 }
 
-// State is a snapshot of a pool, for status pages and metrics.
+// State is a snapshot of the state of a pool, for status pages and metrics.
 type State struct {
 	Name     string
 	Members  []pool.MemberState
@@ -176,7 +174,7 @@
 	Attempts retry.Counts
 }
 
-// States returns a snapshot of all pools, by name.
+// States returns a snapshot of all pools, in order of their names.
 func (b *Backends) States() (states []State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -15,139 +15,142 @@
 	wire "sorrelvalve/internal/uwsgi"
 )
 
-// One member that fails in each way: the outcome of an idempotent RPC and of one with an effect, and how often at most
-// their bodies arrive complete. The second member is healthy.
+// TestFaults checks one faulty member beside a healthy one: the outcomes of idempotent RPCs and of RPCs that must not run twice,
+// and that the body of the latter arrives completely at most once.
 func TestFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		fault   standin.Fault
-		idem    gate.Outcome // of an idempotent RPC
-		effect  gate.Outcome
-		arrives int // times that the effect's body may arrive complete
+		name          string
+		fault         standin.Fault
+		idempotent    gate.Outcome // of an idempotent RPC
+		nonIdempotent gate.Outcome // of an RPC that must not run twice, at the faulty member
+		arrives       int          // times that the body of such an RPC may arrive completely
 	}{
-		{"sound", standin.NoFault, gate.Succeeded, gate.Succeeded, 1},
-		{"accepts and says nothing", standin.HangAfterRead, gate.Succeeded, gate.Failed, 1},
-		{"does not even read", standin.HangOnAccept, gate.Succeeded, gate.Failed, 0},
-		{"a 500 at once", standin.ServerError, gate.Succeeded, gate.Failed, 1},
-		{"half an answer", standin.TruncatedBody, gate.Succeeded, gate.Failed, 1},
-		{"no length", standin.NoContentLength, gate.Succeeded, gate.Succeeded, 1},
-		{"a second answer", standin.ExtraResponse, gate.Succeeded, gate.Succeeded, 1},
-		{"a reset after the body was read", standin.ResetAfterRead, gate.Succeeded, gate.Failed, 1},
-		{"garbage", standin.MalformedResponse, gate.Succeeded, gate.Failed, 1},
-		{"a transfer coding", standin.ChunkedResponse, gate.Succeeded, gate.Failed, 1},
-		{"a head that never ends", standin.EndlessHeader, gate.Succeeded, gate.Failed, 1},
-		{"a length beyond all bounds", standin.OversizedLength, gate.Succeeded, gate.Failed, 1},
-		{"an interim answer", standin.InterimResponse, gate.Succeeded, gate.Succeeded, 1},
+		{"no fault", standin.NoFault, gate.Succeeded, gate.Succeeded, 1},
+		{"reads and does not respond", standin.HangAfterRead, gate.Succeeded, gate.Failed, 1},
+		{"accepts and does not read", standin.HangOnAccept, gate.Succeeded, gate.Failed, 0},
+		{"immediate status 500", standin.ServerError, gate.Succeeded, gate.Failed, 1},
+		{"truncated body", standin.TruncatedBody, gate.Succeeded, gate.Failed, 1},
+		{"no Content-Length", standin.NoContentLength, gate.Succeeded, gate.Succeeded, 1},
+		{"second response", standin.ExtraResponse, gate.Succeeded, gate.Succeeded, 1},
+		{"reset after the body was read", standin.ResetAfterRead, gate.Succeeded, gate.Failed, 1},
+		{"malformed response", standin.MalformedResponse, gate.Succeeded, gate.Failed, 1},
+		{"transfer coding", standin.ChunkedResponse, gate.Succeeded, gate.Failed, 1},
+		{"endless response head", standin.EndlessHeader, gate.Succeeded, gate.Failed, 1},
+		{"oversized Content-Length", standin.OversizedLength, gate.Succeeded, gate.Failed, 1},
+		{"interim response", standin.InterimResponse, gate.Succeeded, gate.Succeeded, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 2, func(p *operator.Pool) { p.MaxFailures = 0 })
 			r.apps[0].SetFault(c.fault)
-			// Until the bad member has had one of each, which random choice soon brings; a bad member has no latency, and
-			// so is as likely to be chosen as the healthy one.
+			// Repeated so that the random choice of members sends both kinds of RPC to the faulty member. A faulty member has
+			// no measured latency, and so is as likely to be chosen as the healthy one.
 			for i := range 12 {
-				if e := r.await(r.begin("view", "1", time.Second)); e.how != c.idem {
-					t.Fatalf("idempotent %d: %+v", i, e)
+				if e := r.await(r.begin("view", "1", time.Second)); e.outcome != c.idempotent {
+					t.Fatalf("idempotent RPC %d: got %+v", i, e)
 				}
 			}
 			failed := false
 			for i := range 12 {
 				before := r.received()
 				e := r.await(r.begin("buy", fmt.Sprint("1 ", i), 300*time.Millisecond))
-				failed = failed || e.how == c.effect
-				if e.how != gate.Succeeded && e.how != c.effect {
-					t.Fatalf("effect %d: %+v", i, e)
+				failed = failed || e.outcome == c.nonIdempotent
+				if e.outcome != gate.Succeeded && e.outcome != c.nonIdempotent {
+					t.Fatalf("non-idempotent RPC %d: got %+v", i, e)
 				}
 				if n := r.received() - before; n > 1 {
-					t.Fatalf("an effect's body arrived whole %d times", n)
+					t.Fatalf("complete bodies of a non-idempotent RPC received: got %d, want at most 1", n)
 				}
 			}
 			if !failed {
-				t.Error("the bad member was never asked")
+				t.Error("the faulty member got no RPC")
 			}
 			if v := r.rules.Report(); v.DuplicateRuns > 0 {
-				t.Errorf("%d second runs", v.DuplicateRuns)
+				t.Errorf("duplicate runs: got %d, want 0", v.DuplicateRuns)
 			}
 		})
 	}
 }
 
-// A member that refuses the connection has run nothing, so even an RPC with an effect is retried elsewhere.
+// TestConnectionRefused checks that even a non-idempotent RPC is retried at another member if a member refuses the connection,
+// because it did not run there.
 func TestConnectionRefused(t *testing.T) {
 	r := start(t, 2, func(p *operator.Pool) { p.MaxFailures = 0 })
 	r.apps[0].Stop()
 	for i := range 20 {
-		if e := r.do("buy", fmt.Sprint("1 ", i)); e.how != gate.Succeeded || e.status != "HTTP/1.1 200 OK" {
-			t.Fatalf("effect %d: %+v", i, e)
+		if e := r.do("buy", fmt.Sprint("1 ", i)); e.outcome != gate.Succeeded || e.status != "HTTP/1.1 200 OK" {
+			t.Fatalf("non-idempotent RPC %d: got %+v", i, e)
 		}
 	}
 	if v := r.rules.Report(); v.DuplicateRuns > 0 {
-		t.Errorf("%d second runs", v.DuplicateRuns)
+		t.Errorf("duplicate runs: got %d, want 0", v.DuplicateRuns)
 	}
 }
 
-// All members down: RPCs end without capacity within the queue timeout; the first member that is back serves.
+// TestAllMembersDown checks that RPCs end with NoCapacity within the queue timeout if all members are down, and succeed again as
+// soon as one member is back.
 func TestAllMembersDown(t *testing.T) {
 	r := start(t, 2)
 	for _, a := range r.apps {
 		a.Stop()
 	}
 	for i := range 12 {
-		if e := r.do("buy", fmt.Sprint("1 ", i)); e.how != gate.NoCapacity {
-			t.Fatalf("effect %d: %+v", i, e)
+		if e := r.do("buy", fmt.Sprint("1 ", i)); e.outcome != gate.NoCapacity {
+			t.Fatalf("non-idempotent RPC %d: got %+v", i, e)
 		}
 	}
-	out := 0
+	ejected := 0
 	for _, m := range r.backends.States()[0].Members {
 		if m.Ejection != 0 {
-			out++
+			ejected++
 		}
 	}
-	if out != 2 {
-		t.Errorf("%d members ejected", out)
+	if ejected != 2 {
+		t.Errorf("ejected members: got %d, want 2", ejected)
 	}
 	began := time.Now()
-	if e := r.do("view", "1"); e.how != gate.NoCapacity || time.Since(began) > soon/2 {
-		t.Errorf("%+v after %v", e, time.Since(began))
+	if e := r.do("view", "1"); e.outcome != gate.NoCapacity || time.Since(began) > testTimeout/2 {
+		t.Errorf("RPC with all members down: got %+v after %v", e, time.Since(began))
 	}
 	if err := r.apps[1].Start(); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(soon); r.do("view", "1").how != gate.Succeeded; {
+	for end := time.Now().Add(testTimeout); r.do("view", "1").outcome != gate.Succeeded; {
 		if time.Now().After(end) {
-			t.Fatal("never back")
+			t.Fatal("no RPC succeeds after a member is back")
 		}
 	}
 }
 
-// The connection limit holds, RPCs beyond it are queued, and those beyond the queue fail at once.
+// TestConnectionLimit checks that connections stay within the limit, that further RPCs are queued, and that RPCs fail immediately
+// if the queue is full.
 func TestConnectionLimit(t *testing.T) {
 	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.MaxQueued, p.QueueTimeoutMs, p.RecoveryMs = 2, 2, 5000, 0 })
-	var all []<-chan completion
+	var runs []<-chan completion
 	for range 10 {
-		all = append(all, r.begin("view", "60", soon))
+		runs = append(runs, r.begin("view", "60", testTimeout))
 	}
-	ok, full := 0, 0
-	for _, over := range all {
-		switch e := r.await(over); e.how {
+	succeeded, noCapacity := 0, 0
+	for _, run := range runs {
+		switch e := r.await(run); e.outcome {
 		case gate.Succeeded:
-			ok++
+			succeeded++
 		case gate.NoCapacity:
-			full++
+			noCapacity++
 		default:
-			t.Errorf("%+v", e)
+			t.Errorf("unexpected completion: got %+v", e)
 		}
 	}
-	if ok != 4 || full != 6 || r.apps[0].TakeMaxInFlight() != 2 {
-		t.Errorf("%d ok, %d without room", ok, full)
+	if succeeded != 4 || noCapacity != 6 || r.apps[0].TakeMaxInFlight() != 2 {
+		t.Errorf("RPCs succeeded: got %d, want 4; without capacity: got %d, want 6", succeeded, noCapacity)
 	}
 }
 
-// Members are replaced while in use: what is in flight ends where it is, new RPCs go to the new ones.
+// TestSet checks the removal of a member in use: its RPCs in flight complete, and new RPCs go to the other members.
 func TestSet(t *testing.T) {
 	r := start(t, 3)
-	old := r.begin("buy", "300 a", soon)
+	old := r.begin("buy", "300 a", testTimeout)
 	for r.received() == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -158,93 +161,94 @@
 	next.Pools = map[string]operator.Pool{"p": p}
 	r.backends.Set(&next)
 	for range 20 {
-		if e := r.do("view", "1"); e.how != gate.Succeeded {
-			t.Fatalf("%+v", e)
+		if e := r.do("view", "1"); e.outcome != gate.Succeeded {
+			t.Fatalf("RPC after the change: got %+v", e)
 		}
 	}
 	if n := r.apps[first].Received(); n != 1 {
-		t.Errorf("%d went to the member that has left", n)
+		t.Errorf("RPCs at the removed member: got %d, want 1", n)
 	}
-	if e := r.await(old); e.how != gate.Succeeded || e.result != "300 a" {
-		t.Errorf("%+v", e)
+	if e := r.await(old); e.outcome != gate.Succeeded || e.result != "300 a" {
+		t.Errorf("RPC in flight at the removed member: got %+v", e)
 	}
 	r.backends.Set(&operator.File{Version: "none"})
 	if e := r.do("view", "1"); e.result != "engine" || r.backends.Serves("view") {
-		t.Errorf("%+v", e)
+		t.Errorf("RPC without a pool: got %+v, want a result of the engine", e)
 	}
 }
 
-// A file without the pool while RPCs are queued for it: they still end.
-func TestSetWhileWaiting(t *testing.T) {
+// TestSetWithQueuedRequests checks that queued RPCs complete after their pool was removed from the file.
+func TestSetWithQueuedRequests(t *testing.T) {
 	r := start(t, 1, func(p *operator.Pool) { p.MaxConnections, p.RecoveryMs, p.QueueTimeoutMs = 1, 0, 5000 })
 	var a, b <-chan completion
-	for late := time.Now().Add(soon); r.backends.States()[0].Queued == 0; time.Sleep(time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("nobody waits")
+	for end := time.Now().Add(testTimeout); r.backends.States()[0].Queued == 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("no RPC was queued")
 		}
-		if a == nil || len(a) == 1 && len(b) == 1 { // a machine that stood still may have missed the wait of the last two
-			a, b = r.begin("view", "100", soon), r.begin("view", "1", soon)
+		if a == nil || len(a) == 1 && len(b) == 1 { // on a stalled machine both may have ended before they were seen in the queue
+			a, b = r.begin("view", "100", testTimeout), r.begin("view", "1", testTimeout)
 		}
 	}
 	r.backends.Set(&operator.File{Version: "none"})
-	if x, y := r.await(a), r.await(b); x.how != gate.Succeeded || y.how != gate.Succeeded {
-		t.Errorf("%+v and %+v", x, y)
+	if first, second := r.await(a), r.await(b); first.outcome != gate.Succeeded || second.outcome != gate.Succeeded {
+		t.Errorf("RPCs after the pool was removed: got %+v and %+v", first, second)
 	}
 }
 
-// Active health checks eject a member that answers none, and return it.
+// TestHealthChecks checks that active health checks eject a member that does not answer, and return it when it answers again.
 func TestHealthChecks(t *testing.T) {
 	r := start(t, 2, func(p *operator.Pool) { p.HealthCheckMs = 20 })
-	out := func() int {
+	ejection := func() int {
 		return int(r.backends.States()[0].Members[0].Ejection)
 	}
 	r.apps[0].SetFault(standin.HangAfterRead)
-	for end := time.Now().Add(soon); out() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ejection() == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never ejected")
+			t.Fatal("member was not ejected")
 		}
 	}
 	r.apps[0].SetFault(standin.NoFault)
-	for end := time.Now().Add(soon); out() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ejection() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never back")
+			t.Fatal("member did not return")
 		}
 	}
 }
 
-// The packet that an application server gets.
+// TestPacket checks the packet that is sent to an application server.
 func TestPacket(t *testing.T) {
 	own := wire.AppendVariable(wire.AppendVariable(nil, "REQUEST_METHOD", "HEAD"), "PATH_INFO", "/x")
 	long := wire.AppendVariable(own, "PAD", strings.Repeat("x", wire.MaxBlockSize-len(own)-7))
 	cases := []struct {
-		name   string
-		w      gate.RunRequest
-		want   []string // name, value, ...
-		noBody bool
+		name    string
+		request gate.RunRequest
+		want    []string // name, value, ...
+		noBody  bool
 	}{
-		{"by MessagePack", gate.RunRequest{ID: "7", Body: []byte("abc")}, []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/buy", "CONTENT_LENGTH", "3", "X", "y", "VALVE_ID", "7"}, false},
-		{"by uwsgi", gate.RunRequest{ID: "7", Variables: string(own)}, []string{"REQUEST_METHOD", "HEAD", "PATH_INFO", "/x", "VALVE_ID", "7"}, true},
-		{"by uwsgi, with no room for more", gate.RunRequest{ID: "7", Variables: string(long)}, []string{"PATH_INFO", "/x", "VALVE_ID", ""}, true},
+		{"received by MessagePack", gate.RunRequest{ID: "7", Body: []byte("abc")}, []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/buy", "CONTENT_LENGTH", "3", "X", "y", "VALVE_ID", "7"}, false},
+		{"received by uwsgi", gate.RunRequest{ID: "7", Variables: string(own)}, []string{"REQUEST_METHOD", "HEAD", "PATH_INFO", "/x", "VALVE_ID", "7"}, true},
+		{"received by uwsgi, block full", gate.RunRequest{ID: "7", Variables: string(long)}, []string{"PATH_INFO", "/x", "VALVE_ID", ""}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			target := &target{method: operator.Method{Path: "/buy", Verb: "POST", Variables: map[string]string{"X": "y"}}}
-			b, noBody := target.packet(c.w)
+			b, noBody := target.packet(c.request)
 			h := wire.ParseHeader(b)
 			var v wire.Variables
 			if err := v.Parse(string(b[wire.HeaderSize:]), 100); err != nil || h.BlockSize != len(b)-wire.HeaderSize || noBody != c.noBody {
-				t.Fatalf("head %+v of %d bytes, no body %v, error %v", h, len(b), noBody, err)
+				t.Fatalf("packet: header %+v, %d bytes; no body %v, error %v", h, len(b), noBody, err)
 			}
 			for i := 0; i < len(c.want); i += 2 {
 				if got, _ := v.Get(c.want[i]); got != c.want[i+1] {
-					t.Errorf("%s is %q, want %q", c.want[i], got, c.want[i+1])
+					t.Errorf("variable %s: got %q, want %q", c.want[i], got, c.want[i+1])
 				}
 			}
 		})
 	}
 }
 
-// A member that resets while the body is still being written: it had the variables, so the RPC may have run.
+// TestProgressWithinBody checks that an attempt counts as MayHaveRun if the member resets the connection while the body is being
+// written: it has the variables, so the RPC may have run.
 func TestProgressWithinBody(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -260,13 +264,13 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.ReadFull(c, make([]byte, 100)) // the attempt's error is what is checked
-		_ = c.(*net.TCPConn).SetLinger(0)        // the same
-		_ = c.Close()                            // the same
+		_, _ = io.ReadFull(c, make([]byte, 100)) // an error does not matter: the test checks the error of the attempt
+		_ = c.(*net.TCPConn).SetLinger(0)        // as above
+		_ = c.Close()                            // as above
 	}()
-	a := attempt{addr: ln.Addr().String(), connectTimeout: time.Second, deadline: time.Now().Add(soon), maxBodyBytes: 100}
+	a := attempt{addr: ln.Addr().String(), connectTimeout: time.Second, deadline: time.Now().Add(testTimeout), maxBodyBytes: 100}
 	_, _, failed := a.send(make([]byte, 100), make([]byte, 32<<20))
 	if failed == nil || failed.Progress != 2 {
-		t.Errorf("failed %v", failed)
+		t.Errorf("error of the attempt: got %v", failed)
 	}
 }
--- a/internal/back/pools/response.go
+++ b/internal/back/pools/response.go
@@ -1,6 +1,6 @@
 package pools
 
-// This file owns the reading of one response.
+// This file reads the response to one attempt.
 
 import (
 	"bufio"
@@ -15,26 +15,28 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of a response: what web tiers take by default is 4 to 8 KB.
+	// maxHeadBytes is the maximum size of the head of a response. Web servers accept 4 to 8 KB by default.
 	maxHeadBytes = 16 << 10
-	// maxInterimResponses of the 100s may precede the final one; an application server sends one at most.
+	// maxInterimResponses is the maximum number of interim (1xx) responses before the final one. An application server sends
+	// at most one.
 	maxInterimResponses = 4
 )
 
 var (
-	errHeadTooLong = fmt.Errorf("a head of more than %d bytes", maxHeadBytes)
-	errTruncated   = errors.New("the connection ended within it")
-	errChunked     = errors.New("in a transfer coding, which uwsgi does not have")
+	errHeadTooLong = fmt.Errorf("response head exceeds %d bytes", maxHeadBytes)
+	errTruncated   = errors.New("connection closed within the response")
+	errChunked     = errors.New("transfer coding is not supported by uwsgi")
 )
 
-// busyError is a 503 with a Retry-After.
+// busyError is the error for a response with status 503 and a Retry-After.
 type busyError struct{ retryAfterMs float64 }
 
 func (e *busyError) Error() string {
-	return fmt.Sprintf("status 503, to be left alone for %g ms", e.retryAfterMs)
+	return fmt.Sprintf("status 503 with a Retry-After of %g ms", e.retryAfterMs)
 }
 
-// retryAfter returns the Retry-After of a head in ms, 0 without one. A date is not read: clocks differ.
+// retryAfter returns the Retry-After of a response head in ms, or 0 if there is none. A Retry-After with a date is ignored,
+// because clocks differ between machines.
 func retryAfter(head []byte) (ms float64) {
 	wire.EachField(head, func(name, value []byte) {
 		seconds, err := strconv.ParseUint(string(value), 10, 16)
@@ -45,7 +47,7 @@
 	return ms
 }
 
-// readResponse reads one response. The connection is not used again, so what follows on it is ignored.
+// readResponse reads one response. Data after the response is ignored, because the connection is not used again.
 func (a *attempt) readResponse(in *bufio.Reader) (head, result []byte, err error) {
 	for interim := 0; ; interim++ {
 		r, err := readResponseHead(in)
@@ -53,7 +55,7 @@
 			return nil, nil, err
 		}
 		if r.Status == 101 || r.Status < 200 && interim == maxInterimResponses {
-			return nil, nil, fmt.Errorf("status %d is no answer", r.Status)
+			return nil, nil, fmt.Errorf("unexpected interim status %d", r.Status)
 		}
 		if r.Status < 200 {
 			continue
@@ -69,7 +71,7 @@
 	}
 }
 
-// checkResponse returns why a final response does not count as a result, if so.
+// checkResponse returns an error for a final response that does not count as a result.
 func (a *attempt) checkResponse(r *wire.Response) error {
 	switch {
 	case r.Chunked:
@@ -79,12 +81,12 @@
 	case r.Status >= 500:
 		return fmt.Errorf("status %d", r.Status)
 	case r.Length > int64(a.maxBodyBytes):
-		return fmt.Errorf("a body of %d bytes, at most %d are taken", r.Length, a.maxBodyBytes)
+		return fmt.Errorf("body has %d bytes, the limit is %d", r.Length, a.maxBodyBytes)
 	}
 	return nil
 }
 
-// readResponseHead reads the head of a response off the reader; Head is a copy.
+// readResponseHead reads the head of a response. Head of the result is a copy.
 func readResponseHead(in *bufio.Reader) (r wire.Response, err error) {
 	for need := 1; need <= maxHeadBytes; need = in.Buffered() + 1 {
 		if _, err := in.Peek(need); err != nil {
@@ -93,26 +95,26 @@
 			}
 			return r, err
 		}
-		b, _ := in.Peek(in.Buffered()) // can't fail: they are buffered
+		b, _ := in.Peek(in.Buffered()) // can't fail: the bytes are buffered
 		r, size, err := wire.ParseResponse(b)
 		if errors.Is(err, wire.ErrTruncated) {
 			continue
 		}
 		if err == nil {
 			r.Head = bytes.Clone(r.Head)
-			_, _ = in.Discard(size) // it is buffered
+			_, _ = in.Discard(size) // can't fail: the bytes are buffered
 		}
 		return r, err
 	}
 	return r, errHeadTooLong
 }
 
-// readBody reads a body of a length, or to the end of the connection if length is negative.
+// readBody reads a body of the given length, or up to the end of the connection if length is negative.
 func (a *attempt) readBody(in *bufio.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		body, err := io.ReadAll(io.LimitReader(in, int64(a.maxBodyBytes)+1))
 		if err == nil && len(body) > a.maxBodyBytes {
-			err = fmt.Errorf("a body of more than %d bytes", a.maxBodyBytes)
+			err = fmt.Errorf("body exceeds %d bytes", a.maxBodyBytes)
 		}
 		return body, err
 	}
--- a/internal/back/pools/rig_test.go
+++ b/internal/back/pools/rig_test.go
@@ -18,10 +18,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const soon = 10 * time.Second
+// testTimeout is the time limit for events that should be immediate.
+const testTimeout = 10 * time.Second
 
-// rig is a pool of application servers whose work is quick.
-type rig struct {
+// fixture is a pool of application servers with short run times.
+type fixture struct {
 	*testing.T
 	backends *Backends
 	apps     []*standin.App
@@ -30,10 +31,10 @@
 	run      gate.Runner
 }
 
-func start(t *testing.T, members int, change ...func(*operator.Pool)) *rig {
+func start(t *testing.T, members int, change ...func(*operator.Pool)) *fixture {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &rig{T: t, rules: standin.NewInvariantChecker("/buy"), backends: New(1, log.WithField("node", "n0"))}
+	r := &fixture{T: t, rules: standin.NewInvariantChecker("/buy"), backends: New(1, log.WithField("node", "n0"))}
 	var addrs []string
 	cores := standin.NewCores(64, 0)
 	t.Cleanup(cores.Close)
@@ -57,46 +58,46 @@
 	r.run = r.backends.Runner(func(_ gate.RunRequest, done func(gate.Outcome, float64, []byte, []byte)) {
 		done(gate.Succeeded, 1, nil, []byte("engine"))
 	}, func(m string) bool { return m == "view" })
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() { defer wg.Done(); r.backends.Serve(ctx) }()
-	t.Cleanup(func() { end(); wg.Wait() })
+	t.Cleanup(func() { cancel(); wg.Wait() })
 	return r
 }
 
 type completion struct {
-	how    gate.Outcome
-	status string
-	result string
+	outcome gate.Outcome
+	status  string
+	result  string
 }
 
-func (r *rig) begin(method, body string, due time.Duration) <-chan completion {
-	over := make(chan completion, 2)
-	r.run(gate.RunRequest{ID: "1", Method: method, Body: []byte(body), DueMs: nowMs() + float64(due.Milliseconds())}, func(how gate.Outcome, _ float64, head, result []byte) {
+func (r *fixture) begin(method, body string, due time.Duration) <-chan completion {
+	completions := make(chan completion, 2)
+	r.run(gate.RunRequest{ID: "1", Method: method, Body: []byte(body), DueMs: nowMs() + float64(due.Milliseconds())}, func(outcome gate.Outcome, _ float64, head, result []byte) {
 		status, _, _ := strings.Cut(string(head), "\r\n")
-		over <- completion{how, status, string(result)}
+		completions <- completion{outcome, status, string(result)}
 	})
-	return over
+	return completions
 }
 
-func (r *rig) await(over <-chan completion) completion {
+func (r *fixture) await(completions <-chan completion) completion {
 	r.Helper()
 	select {
-	case e := <-over:
-		return e
-	case <-time.After(soon):
-		r.Fatal("no end")
+	case c := <-completions:
+		return c
+	case <-time.After(testTimeout):
+		r.Fatal("run has no completion")
 	}
 	return completion{}
 }
 
-func (r *rig) do(method, body string) completion {
+func (r *fixture) do(method, body string) completion {
 	r.Helper()
-	return r.await(r.begin(method, body, soon))
+	return r.await(r.begin(method, body, testTimeout))
 }
 
-func (r *rig) received() (n int) {
+func (r *fixture) received() (n int) {
 	for _, a := range r.apps {
 		n += a.Received()
 	}
--- a/internal/back/pools/run.go
+++ b/internal/back/pools/run.go
@@ -1,6 +1,6 @@
 package pools
 
-// This file owns one run: its attempts, and what is recorded of each. done is called exactly once.
+// This file makes the attempts of one run and records their results. done is called exactly once.
 
 import (
 	"time"
@@ -13,24 +13,24 @@
 	"sorrelvalve/internal/operator"
 )
 
-// run is the work of one RPC at a pool.
+// run is the run of one RPC on a pool.
 type run struct {
 	target     *target
 	pool       *backend
 	request    gate.RunRequest
 	idempotent bool
-	budgets    *sharedBudgets // nil: not shared
-	detector   *detector      // nil: this server detects outliers by itself
+	budgets    *sharedBudgets // nil without budgets of the fleet
+	detector   *detector      // nil if this server detects outliers itself
 
 	packet       []byte
 	noBody       bool                // the response has no body
-	last         retry.FailedAttempt // the latest attempt that failed
-	failedAt     []int               // members that have failed
-	mayHaveRun   bool                // some attempt may have had its effect
+	last         retry.FailedAttempt // the last failed attempt
+	failedAt     []int               // members at which attempts failed
+	mayHaveRun   bool                // some attempt may have taken effect
 	head, result []byte
 }
 
-// serve makes attempts until one has a result or no further one is allowed.
+// serve makes attempts until one succeeds or no further attempt is allowed.
 func (r *run) serve(done func(gate.Outcome, float64, []byte, []byte)) {
 	began := nowMs()
 	r.packet, r.noBody = r.target.packet(r.request)
@@ -44,8 +44,8 @@
 			done(gate.Succeeded, nowMs()-began, r.head, r.result)
 			return
 		}
-		backoff, again := r.retry(member, err)
-		if again {
+		backoff, allowed := r.retry(member, err)
+		if allowed {
 			time.Sleep(backoff)
 			continue
 		}
@@ -62,14 +62,15 @@
 	}
 }
 
-// attempt makes one attempt and returns the member that it was made at. An error with NoCapacity means that none was.
+// attempt makes one attempt and returns the member that was chosen for it. An error with NoCapacity means that no attempt was
+// made.
 func (r *run) attempt() (member int, err *retry.Error) {
 	complete, err := r.budgets.acquireCall(r.pool.name, &r.request)
 	if err != nil {
 		return 0, err
 	}
 	trial := ""
-	if r.detector != nil && r.idempotent && r.last.Attempts == 0 { // it can be made again elsewhere
+	if r.detector != nil && r.idempotent && r.last.Attempts == 0 { // a failed trial can be retried at another member
 		trial = r.detector.TrialMember(r.pool.name)
 	}
 	member, err = r.pool.acquire(&r.request, r.failedAt, trial)
@@ -80,7 +81,7 @@
 	return member, r.attemptAt(member, complete)
 }
 
-// attemptAt makes one attempt at a member and records its end.
+// attemptAt makes one attempt at a member and records the result.
 func (r *run) attemptAt(member int, complete func(*retry.Error)) *retry.Error {
 	a, began := r.prepare(member)
 	stopWatching := func() (reported bool) { return false }
@@ -95,14 +96,14 @@
 	if r.detector == nil {
 		return err
 	}
-	if reported && err != nil && err.RetryAfter == 0 { // the member's silence was recorded as this failure already
+	if reported && err != nil && err.RetryAfter == 0 { // watchSilence has already recorded this failure
 		return err
 	}
 	r.detector.record(r.pool.name, a.addr, err, latency)
 	return err
 }
 
-// prepare returns an attempt at a member, and the time from which its latency counts.
+// prepare returns the parameters of an attempt at a member, and the start time from which its latency is measured.
 func (r *run) prepare(member int) (a attempt, began float64) {
 	p := r.pool
 	p.mu.Lock()
@@ -119,7 +120,7 @@
 	}, began
 }
 
-// complete records the end of an attempt at a member and returns its latency in ms.
+// complete records the end of an attempt at a member, and returns its latency in ms.
 func (p *backend) complete(member int, began float64, err *retry.Error) (latency float64) {
 	outcome := pool.Succeeded
 	if err != nil {
@@ -134,8 +135,8 @@
 	return latency
 }
 
-// retry decides whether another attempt is made after one that failed, and after which pause.
-func (r *run) retry(member int, err *retry.Error) (backoff time.Duration, again bool) {
+// retry decides whether to make another attempt after a failed one, and returns the backoff before it.
+func (r *run) retry(member int, err *retry.Error) (backoff time.Duration, allowed bool) {
 	r.last.Attempts++
 	r.last.Progress = err.Progress
 	r.last.TimeLeft = r.request.DueMs - nowMs()
@@ -147,9 +148,9 @@
 	p := r.pool
 	p.mu.Lock()
 	r.last.ExpectedLatency = p.balancer.MedianLatency()
-	backoffMs, again := p.retries.Retry(nowMs(), r.last)
+	backoffMs, allowed := p.retries.Retry(nowMs(), r.last)
 	p.mu.Unlock()
-	if !again || !r.budgets.allowRetry(p.name, r.request.Method) {
+	if !allowed || !r.budgets.allowRetry(p.name, r.request.Method) {
 		return 0, false
 	}
 	return operator.Milliseconds(backoffMs), true
