--- a/internal/back/pools/attempt.go
+++ b/internal/back/pools/attempt.go
@@ -127,7 +127,7 @@
 	case errors.As(err, &op):
 		return op.Err.Error()
 	case errors.Is(err, io.EOF):
-		return "connection closed before the response"
+		return "connection closed before any data"
 	}
 	return err.Error()
 }
--- a/internal/back/pools/response.go
+++ b/internal/back/pools/response.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	errHeadTooLong = fmt.Errorf("response head exceeds %d bytes", maxHeadBytes)
-	errTruncated   = errors.New("connection closed within the response")
+	errHeadTooLong = fmt.Errorf("head exceeds %d bytes", maxHeadBytes)
+	errTruncated   = errors.New("connection closed before the end")
 	errChunked     = errors.New("transfer coding is not supported by uwsgi")
 )
 
