--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -93,8 +93,8 @@
 	if len(errs) > 0 {
 		t.Fatal(errs)
 	}
-	if faults := m.Check(treeOf(t, f)); len(faults) > 0 {
-		t.Fatal(faults)
+	if violations := m.Check(treeOf(t, f)); len(violations) > 0 {
+		t.Fatal(violations)
 	}
 	cases := []struct {
 		name, path string
@@ -106,8 +106,8 @@
 		{"number for a text", "version", 7.0, "a text"},
 		{"text for a number", "uwsgi/variables", "7", "a number"},
 		{"below the range", "uwsgi/variables", 7.0, "must be in the range 8..1024, got 7"},
-		{"above the range", "pools/pages/min_share", 1.5, ", got 1.5"},
-		{"between two ranges", "pools/pages/outlier", 1.0, ", got 1"},
+		{"above the range", "pools/pages/min_share", 1.5, "must be in the range 0.0000..1.0000, got 1.5"},
+		{"between two ranges", "pools/pages/outlier", 1.0, "must be in the range 0.000|1.500..1000.000, got 1"},
 		{"in the first of two ranges", "pools/pages/outlier", 0.0, ""},
 		{"fraction for a whole number", "pools/pages/connections", 1.5, "whole"},
 		{"unknown enum value", "uwsgi/keep", "sometimes", "asked"},
@@ -123,7 +123,7 @@
 		{"path without a slash", "routes/view/path", "view", "must match"},
 		{"unknown verb", "routes/view/verb", "BREW", "DELETE"},
 		{"quota", "limits/quotas", configure.Tree{"acme": 5.0}, ""},
-		{"negative quota", "limits/quotas", configure.Tree{"acme": -5.0}, ", got -5"},
+		{"negative quota", "limits/quotas", configure.Tree{"acme": -5.0}, "must be in the range 0.000..1000000000.000, got -5"},
 		{"store", "store", configure.Tree{"dir": "/x"}, ""},
 		{"store without a directory", "store", configure.Tree{"mb": 5.0}, "must be set"},
 	}
@@ -140,13 +140,13 @@
 			} else {
 				table[last] = c.value
 			}
-			faults := m.Check(tree)
-			found := c.text == "" && len(faults) == 0
-			for _, fault := range faults {
-				found = found || c.text != "" && strings.HasPrefix(fault.Path.String(), path.String()) && strings.Contains(fault.Text, c.text)
+			violations := m.Check(tree)
+			found := c.text == "" && len(violations) == 0
+			for _, violation := range violations {
+				found = found || c.text != "" && strings.HasPrefix(violation.Path.String(), path.String()) && strings.Contains(violation.Text, c.text)
 			}
 			if !found {
-				t.Errorf("violations: got %v, want %s: %s", faults, path, c.text)
+				t.Errorf("violations: got %v, want %s: %s", violations, path, c.text)
 			}
 			b, err := json.Marshal(tree) // valid CUE as well, as JSON is a subset
 			if err != nil {
--- a/internal/permitserver/heartbeats.go
+++ b/internal/permitserver/heartbeats.go
@@ -97,8 +97,8 @@
 	return reports, rejectedShare
 }
 
-// observations returns, for each subject of the roster that is out of service, the share that is. It uses the heartbeats that
-// this replica received; a server without a recent heartbeat is fully out of service.
+// observations returns the subjects of the roster that are at least partly out of service, each with the share of it that is
+// out. It uses the heartbeats that this replica received: a server without a recent heartbeat counts as fully out of service.
 func (s *Server) observations() (observed []permit.Observation) {
 	s.machine.mu.Lock()
 	servers, members := s.machine.permits.Servers, s.machine.permits.Members
--- a/internal/permitserver/http.go
+++ b/internal/permitserver/http.go
@@ -81,7 +81,7 @@
 	return mux
 }
 
-// respond writes v as JSON, or err with the HTTP status that stands for it.
+// respond writes v as JSON, or err with the HTTP status for it.
 func respond(w http.ResponseWriter, v any, err error) {
 	var notLeader *NotLeaderError
 	if errors.As(err, &notLeader) {
--- a/internal/permitserver/server_test.go
+++ b/internal/permitserver/server_test.go
@@ -199,8 +199,8 @@
 	return permit.Result{}
 }
 
-// A permit must survive the loss of the leader and of all replicas, and a retried command must have the same result. A server
-// without a heartbeat counts as out of service, so that no permit is granted before.
+// A permit must survive the loss of the leader and of all replicas, and a retried command must have the same result. No permit
+// is granted before the first heartbeats, because a server without a heartbeat counts as out of service.
 func TestPermitsSurviveRestarts(t *testing.T) {
 	s := startProcesses(t)
 	s.setRoster(4, 1)
