--- a/internal/cuefile/schema.cue
+++ b/internal/cuefile/schema.cue
@@ -190,7 +190,7 @@
 	// A member is ejected after this many consecutive failures, or at this multiple of the other members' latency. 0 for never.
 	failures: *5 | int & >=0 & <=1000
 	outlier:  *4 | number & (0 | >=1.5) & <=1000
-	// Fraction of the members that is never ejected, duration of the first ejection, and duration of the slow start after it.
+	// Minimum fraction of the members that stays in use, duration of the first ejection, and duration of the slow start after it.
 	min_share: *0.5 | number & >=0 & <=1
 	eject_ms:  *2000 | number & >=1 & <=600000
 	return_ms: *5000 | number & >=0 & <=600000
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -124,7 +124,7 @@
 	MaxAnswerBytes   int      `json:"answer_bytes"`
 	MaxFailures      int      `json:"failures"`  // consecutive failures after which a member is ejected; 0 for no ejection by failures
 	OutlierFactor    float64  `json:"outlier"`   // multiple of the other members' latency from which a member is ejected; 0 for no ejection by latency
-	MinShare         float64  `json:"min_share"` // fraction of the members that is never ejected
+	MinShare         float64  `json:"min_share"` // minimum fraction of the members that stays in use: no more members are ejected
 	EjectionMs       float64  `json:"eject_ms"`
 	RecoveryMs       float64  `json:"return_ms"` // slow start of a returning member
 	HealthCheckMs    float64  `json:"check_ms"`  // interval of active health checks; 0 for none
--- a/internal/store/compat_test.go
+++ b/internal/store/compat_test.go
@@ -64,7 +64,7 @@
 		t.Error("lookup found a token that was never written")
 	}
 	if status := s.Status(); status.Recovered != 11 || status.Failures != 0 {
-		t.Errorf("status: got %+v", status)
+		t.Errorf("status: got %+v, want 11 recovered records and no failures", status)
 	}
 	segments, err := store.InspectSegments(fs)
 	if err != nil || len(segments) < 1 || segments[0].Records != 11 || segments[0].Version != 1 || segments[0].Err != nil {
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -18,7 +18,7 @@
 	Records      int
 	States       [recovery.NeverRan + 1]int // records by state
 	LastExpiryMs float64                    // latest end of a deduplication window, in Unix ms
-	Err          error                      // error offset which reading stopped; nil if the whole segment was read
+	Err          error                      // error at which reading stopped; nil if the whole segment was read
 }
 
 // InspectSegments reads all records of all segments in a folder and writes nothing. It returns an error if the folder can't
--- a/internal/trace/compat_test.go
+++ b/internal/trace/compat_test.go
@@ -60,7 +60,7 @@
 		t.Errorf("header JSON: read %s, wrote %s", text, encoded)
 	}
 	if h := &r.Header; !h.SlowStart || h.OriginMS == 0 || h.Build == "" || h.Startup.Node.Seed == 0 || len(h.Startup.Methods) != 2 || h.Startup.Customers[1].Quota == 0 {
-		t.Errorf("header: got %+v", h)
+		t.Errorf("header: got %+v, want every field set", h)
 	}
 }
 
