--- a/internal/daemon/tracediff.go
+++ b/internal/daemon/tracediff.go
@@ -149,10 +149,11 @@
 	return d
 }
 
-// print prints a table by method and the maxSeconds seconds with the most differences.
+// print prints a table by method and the maxSeconds seconds with the most differences. In the output, before stands for the
+// settings of the trace and after for those of the command line.
 func (d *outcomeDiff) print(methods []methodInfo, maxSeconds int) error {
 	var t table
-	t.printf("method\tcriticality\tRPCs\tok as it was\tok then\tturned away only as it was\tonly then\n")
+	t.printf("method\tcriticality\tRPCs\tok before\tok after\trejected or aborted only before\tonly after\n")
 	for i, r := range d.methods {
 		t.printf("%s\t%g\t%d\t%d\t%d\t%d\t%d\n", methods[i].name, methods[i].criticality,
 			r.total, r.okBaseline, r.okChanged, r.onlyBaseline, r.onlyChanged)
@@ -172,7 +173,7 @@
 	})
 	for _, second := range different[:min(len(different), maxSeconds)] {
 		r := d.seconds[second]
-		fmt.Printf("second %d: %d RPCs, turned away only as it was %d, only then %d\n", second, r.total, r.onlyBaseline, r.onlyChanged)
+		fmt.Printf("second %d: %d RPCs, rejected or aborted only before %d, only after %d\n", second, r.total, r.onlyBaseline, r.onlyChanged)
 	}
 	fmt.Printf("%d seconds differ of %d\n", len(different), len(d.seconds))
 	return nil
--- a/internal/front/mprpc/lifecycle_test.go
+++ b/internal/front/mprpc/lifecycle_test.go
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 0) // the minimum: 8 connections
-			sound := r.conn
+			working := r.conn
 			r.write(rpc(1, "view", "a"))
 			r.completeRun("a")
 			r.expect("1 ok r-a")
@@ -61,10 +61,10 @@
 			r.write(rpc(1, "view", "b"))
 			r.completeRun("b")
 			r.expect("1 ok r-b")
-			if gone := time.Since(began); gone > 100/7*2*front.TransitTime+testTimeout/10 {
-				t.Errorf("new connection was served only after %v", gone)
+			if elapsed := time.Since(began); elapsed > 100/7*2*front.TransitTime+testTimeout/10 {
+				t.Errorf("new connection was served only after %v", elapsed)
 			}
-			r.conn, r.buf = sound, nil
+			r.conn, r.buf = working, nil
 			r.write(rpc(2, "view", "c"))
 			r.completeRun("c")
 			r.expect("2 ok r-c")
@@ -79,7 +79,7 @@
 	r.write(rpc(1, "view", "a"))
 	r.completeRun("a")
 	r.expect("1 ok r-a")
-	sound := r.conn
+	working := r.conn
 	for range front.MaxEvictions + 5 {
 		r.conn = r.dial()
 		r.write("\x94\x00\x63\xa6health\x91\x80")
@@ -97,7 +97,7 @@
 			runtime.Gosched() // until they are closed
 		}
 	}
-	r.conn, r.buf = sound, nil
+	r.conn, r.buf = working, nil
 	r.write(rpc(2, "view", "b"))
 	r.completeRun("b")
 	r.expect("2 ok r-b")
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 )
 
-const waitLimit = 10 * time.Second // timeout for operations that normally complete at once
+const testTimeout = 10 * time.Second // upper bound for operations that normally complete at once
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -105,7 +105,7 @@
 					if got != want {
 						t.Errorf("received report %s, want %s", got, want)
 					}
-				case <-time.After(waitLimit):
+				case <-time.After(testTimeout):
 					t.Fatalf("no report received, want %s", want)
 				}
 			}
@@ -126,7 +126,7 @@
 		}
 		in := bufio.NewReader(conn)
 		for len(answers) > 0 {
-			if conn.SetDeadline(time.Now().Add(waitLimit)) != nil {
+			if conn.SetDeadline(time.Now().Add(testTimeout)) != nil {
 				break
 			}
 			request, err := http.ReadRequest(in)
@@ -165,7 +165,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		noError(t, conn.SetDeadline(time.Now().Add(waitLimit)))
+		noError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			t.Fatal(err)
 		}
@@ -239,13 +239,13 @@
 // next accepts a connection and returns the report on it, and a function that answers the report.
 func (rig *changeRig) next() (phase string, answer func()) {
 	rig.Helper()
-	noError(rig.T, rig.ln.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit)))
+	noError(rig.T, rig.ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout)))
 	conn, err := rig.ln.Accept()
 	if err != nil {
 		rig.Fatalf("no report received: %v", err)
 	}
 	rig.Cleanup(func() { noError(rig.T, conn.Close()) })
-	noError(rig.T, conn.SetDeadline(time.Now().Add(waitLimit)))
+	noError(rig.T, conn.SetDeadline(time.Now().Add(testTimeout)))
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		rig.Fatal(err)
