--- a/internal/fleet/budgets_test.go
+++ b/internal/fleet/budgets_test.go
@@ -48,7 +48,7 @@
 		for i, m := range messages {
 			ledger.Receive(2000+float64(i), "p", m)
 			if capacity := ledger.Capacity(2000+float64(i), m.Key); capacity < 5-1e-9 || capacity > 50+1e-9 {
-				t.Fatalf("capacity %g after message %+v", capacity, m)
+				t.Fatalf("capacity: got %g after message %+v, want 5 to 50", capacity, m)
 			}
 		}
 	})
@@ -151,10 +151,10 @@
 	b.clockOffset -= time.Minute // as if the machine had been suspended for a minute
 	b.nowMs()
 	if b.clockSteps != 1 {
-		t.Errorf("clock steps after one step: got %d", b.clockSteps)
+		t.Errorf("clock steps after one step: got %d, want 1", b.clockSteps)
 	}
 	if b.nowMs(); b.clockSteps != 1 {
-		t.Errorf("clock steps after a second reading without a step: got %d", b.clockSteps)
+		t.Errorf("clock steps after a second reading without a step: got %d, want 1", b.clockSteps)
 	}
 }
 
--- a/internal/fleet/compat_test.go
+++ b/internal/fleet/compat_test.go
@@ -21,8 +21,8 @@
 // testdata/b631b89 was written by version b631b89 of this code. It holds a status and a reply about permits with every exported field set, the
 // data folder of a server that runs version 2 of the settings and version 3 of the program, and one body of each record and packet.
 
-// testdata returns the contents of a file that b631b89 wrote.
-func testdata(t *testing.T, name string) []byte {
+// readTestdata returns the contents of a file that b631b89 wrote.
+func readTestdata(t *testing.T, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", "b631b89", name))
 	if err != nil {
@@ -35,7 +35,7 @@
 // same bytes.
 func TestStatusJSONOfB631b89(t *testing.T) {
 	for name, value := range map[string]any{"status.json": &Status{}, "permits.json": &permitclient.Status{}} {
-		old := testdata(t, name)
+		old := readTestdata(t, name)
 		if err := json.Unmarshal(old, value); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -54,7 +54,7 @@
 func TestReadsFolderOfB631b89(t *testing.T) {
 	dir := t.TempDir()
 	for _, name := range []string{"version.json", "program.json", "program"} {
-		if err := os.WriteFile(filepath.Join(dir, name), testdata(t, filepath.Join("folder", name)), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), readTestdata(t, filepath.Join("folder", name)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -85,7 +85,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if old := testdata(t, filepath.Join("folder", name)); !bytes.Equal(got, old) {
+		if old := readTestdata(t, filepath.Join("folder", name)); !bytes.Equal(got, old) {
 			t.Errorf("%s: stored again as %s, was %s", name, got, old)
 		}
 	}
@@ -95,18 +95,18 @@
 func TestReadsRecordsOfB631b89(t *testing.T) {
 	checkEncoded := func(name string, got []byte) {
 		t.Helper()
-		if old := testdata(t, name); !bytes.Equal(got, old) {
+		if old := readTestdata(t, name); !bytes.Equal(got, old) {
 			t.Errorf("%s: encoded again as %x, was %x", name, got, old)
 		}
 	}
 	server := ServerRecord{Zone: "z1", Version: "v1", SettingsHash: "0123456789ab", Phase: Draining, WarmupProgress: 0.25, Addr: "10.0.0.4:7801"}
-	if got, ok := parseServer(testdata(t, "server.bin")); !ok || got != server {
+	if got, ok := parseServer(readTestdata(t, "server.bin")); !ok || got != server {
 		t.Errorf("server.bin: parsed as %+v, ok %v", got, ok)
 	}
 	checkEncoded("server.bin", server.appendTo(nil))
 
 	removed := removal{name: "n17", generation: 7, operator: "me", reason: "scrapped"}
-	if got, ok := parseRemoval(testdata(t, "gone.bin")); !ok || got != removed {
+	if got, ok := parseRemoval(readTestdata(t, "gone.bin")); !ok || got != removed {
 		t.Errorf("gone.bin: parsed as %+v, ok %v", got, ok)
 	}
 	checkEncoded("gone.bin", removed.appendTo(nil))
@@ -116,7 +116,7 @@
 		{Key: "calls/p", Message: quota.Message{Kind: quota.Grant, RequestID: 8, Incarnation: 1, Amount: 1e6, Duration: 4000}},
 		{Key: "retries/p", Message: quota.Message{Kind: quota.Deny, RequestID: 9, Incarnation: 2, Reason: quota.Contended}},
 	}
-	if got, ok := parseLeases(testdata(t, "loans.bin")); !ok || !reflect.DeepEqual(got, leases) {
+	if got, ok := parseLeases(readTestdata(t, "loans.bin")); !ok || !reflect.DeepEqual(got, leases) {
 		t.Errorf("loans.bin: parsed as %+v, ok %v", got, ok)
 	}
 	var raw []byte
@@ -130,12 +130,12 @@
 		{Member: "10.0.0.2:80", Run: 9, Age: 5, Attempts: 64, LatencySamples: 7},
 	}
 	report := outlier.Report{Zone: "z1", Summaries: summaries, Ejected: []string{"10.0.0.1:80"}, Recoveries: []outlier.Recovery{{Member: "10.0.0.3:80", Elapsed: 1500}}}
-	if got, ok := parseObservations(testdata(t, "seen.bin")); !ok || !reflect.DeepEqual(got, report) {
+	if got, ok := parseObservations(readTestdata(t, "seen.bin")); !ok || !reflect.DeepEqual(got, report) {
 		t.Errorf("seen.bin: parsed as %+v, ok %v", got, ok)
 	}
 	checkEncoded("seen.bin", appendObservations(summaries, report.Zone, report.Ejected, report.Recoveries))
 
-	counters, rest, ok := parseCounts(testdata(t, "counts.bin"))
+	counters, rest, ok := parseCounts(readTestdata(t, "counts.bin"))
 	want := []count.Counter{{Key: "acme|view", Value: 11.289106369018555}, {Key: "in hand|p", Value: 3}}
 	if !ok || rest != 0 || !reflect.DeepEqual(counters, want) {
 		t.Errorf("counts.bin: parsed as %+v, rest %v, ok %v", counters, rest, ok)
@@ -149,7 +149,7 @@
 
 // The tables of valvefleet status for the same statuses are those that b631b89 wrote.
 func TestViewsOfB631b89(t *testing.T) {
-	raw := string(testdata(t, "status.json"))
+	raw := string(readTestdata(t, "status.json"))
 	status := func(changes ...string) (s Status) {
 		t.Helper()
 		text := strings.NewReplacer(append([]string{`"Listening": true`, `"Listening": false`}, changes...)...).Replace(raw)
@@ -179,7 +179,7 @@
 	if err := WriteJSON(&out, []Status{status(), other}); err != nil {
 		t.Fatal(err)
 	}
-	if old := testdata(t, "views.txt"); !bytes.Equal(out.Bytes(), old) {
+	if old := readTestdata(t, "views.txt"); !bytes.Equal(out.Bytes(), old) {
 		t.Errorf("views.txt: written as\n%s\nwas\n%s", out.Bytes(), old)
 	}
 }
--- a/internal/fleet/drain_permit.go
+++ b/internal/fleet/drain_permit.go
@@ -69,7 +69,7 @@
 }
 
 // noteOutcome records and logs why a drain did not begin. The same reason is logged only once in a row, however often an operator repeats the
-// request.
+// request; the operator receives the error each time.
 func (d *DrainCoordinator) noteOutcome(operator string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -242,8 +242,8 @@
 	return nil
 }
 
-// reportReturn returns the permit that a previous generation of this server held. It is retried until the permit servers accept it, which they
-// do not before this server has learnt that it is a later generation.
+// reportReturn returns the permit that a previous generation of this server held. It is retried until the permit servers accept it. They accept
+// it only once this server has learnt that it is a later generation.
 func (d *DrainCoordinator) reportReturn(generation uint64) {
 	ctx, cancel := context.WithTimeout(d.ctx, permitTimeout)
 	defer cancel()
--- a/internal/fleet/drain_process_test.go
+++ b/internal/fleet/drain_process_test.go
@@ -39,16 +39,16 @@
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	server, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", RaftAddr: freeAddr()}}, DataDir: t.TempDir(), Bootstrap: true, Log: logrus.NewEntry(log)})
+	permitServer, err := permitserver.Start(permitserver.Options{Name: "k0", Peers: []permitserver.Peer{{Name: "k0", RaftAddr: freeAddr()}}, DataDir: t.TempDir(), Bootstrap: true, Log: logrus.NewEntry(log)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(server.Close)
+	t.Cleanup(permitServer.Close)
 	ln, err := net.Listen("tcp", loopbackAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	serveClients(t, server, ln)
+	serveClients(t, permitServer, ln)
 	bed := startBed(t, testbed.Options{Names: names, Seed: 6, Cores: 2, PermitServers: []string{ln.Addr().String()}})
 	client := permitclient.New([]string{ln.Addr().String()})
 	t.Cleanup(client.Close)
@@ -102,7 +102,7 @@
 	}
 	drainEventually("n1") // once n0 is back and warm, and has reported that
 	awaitExit("n1")
-	state, _, err := server.State()
+	state, _, err := permitServer.State()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,14 +114,14 @@
 	}
 	await(t, bed, names, testbed.ExpectView("whole", 3))
 	for end := time.Now().Add(waitTimeout); ; time.Sleep(50 * time.Millisecond) { // n1 returns its permit by itself
-		if state, _, err := server.State(); err == nil && len(state.Granted()) == 0 {
+		if state, _, err := permitServer.State(); err == nil && len(state.Granted()) == 0 {
 			break
 		}
 		if time.Now().After(end) {
 			t.Fatal("n1 is back, but its permit has not been returned")
 		}
 	}
-	server.Close()
+	permitServer.Close()
 	if err := drain("n2"); err == nil {
 		t.Error("a drain began without a permit server")
 	}
@@ -136,11 +136,11 @@
 }
 
 // serveClients serves a permit server's clients until the end of the test, when it closes the server.
-func serveClients(t *testing.T, server *permitserver.Server, ln net.Listener) {
+func serveClients(t *testing.T, permitServer *permitserver.Server, ln net.Listener) {
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(ln) }()
+	go func() { served <- permitServer.Serve(ln) }()
 	t.Cleanup(func() {
-		server.Close()
+		permitServer.Close()
 		if err := <-served; err != nil {
 			t.Errorf("permit server: %v", err)
 		}
@@ -151,37 +151,37 @@
 type permitCluster struct {
 	*testing.T
 	*permitclient.Client
-	addrs   []string
-	servers []*permitserver.Server
-	peers   []permitserver.Peer
-	dirs    []string
+	addrs         []string
+	permitServers []*permitserver.Server
+	peers         []permitserver.Peer
+	dirs          []string
 }
 
-// stopAll stops all servers.
+// stopAll stops all permit servers.
 func (cluster *permitCluster) stopAll() {
-	for _, server := range cluster.servers {
-		server.Close()
+	for _, permitServer := range cluster.permitServers {
+		permitServer.Close()
 	}
-	cluster.servers = nil
+	cluster.permitServers = nil
 }
 
-// restartAll starts all servers again with their data folders.
+// restartAll starts all permit servers again with their data folders.
 func (cluster *permitCluster) restartAll() {
 	cluster.Helper()
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	for i, peer := range cluster.peers {
-		server, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: cluster.peers, DataDir: cluster.dirs[i], Log: logrus.NewEntry(log)})
+		permitServer, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: cluster.peers, DataDir: cluster.dirs[i], Log: logrus.NewEntry(log)})
 		if err != nil {
 			cluster.Fatal(err)
 		}
-		cluster.Cleanup(server.Close)
+		cluster.Cleanup(permitServer.Close)
 		ln, err := net.Listen("tcp", peer.HTTPAddr)
 		if err != nil {
 			cluster.Fatal(err)
 		}
-		serveClients(cluster.T, server, ln)
-		cluster.servers = append(cluster.servers, server)
+		serveClients(cluster.T, permitServer, ln)
+		cluster.permitServers = append(cluster.permitServers, permitServer)
 	}
 }
 
@@ -210,13 +210,13 @@
 	}
 	for i, peer := range peers {
 		cluster.dirs = append(cluster.dirs, t.TempDir())
-		server, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: peers, DataDir: cluster.dirs[i], Bootstrap: true, Log: logrus.NewEntry(log)})
+		permitServer, err := permitserver.Start(permitserver.Options{Name: peer.Name, Peers: peers, DataDir: cluster.dirs[i], Bootstrap: true, Log: logrus.NewEntry(log)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(server.Close)
-		serveClients(t, server, clientListeners[i])
-		cluster.servers = append(cluster.servers, server)
+		t.Cleanup(permitServer.Close)
+		serveClients(t, permitServer, clientListeners[i])
+		cluster.permitServers = append(cluster.permitServers, permitServer)
 	}
 	cluster.peers = peers
 	cluster.Client = permitclient.New(cluster.addrs)
--- a/internal/fleet/drain_report.go
+++ b/internal/fleet/drain_report.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// startRequest runs a requested drain in its own goroutine, and marks it as pending until it returns. Callers start no other drain meanwhile.
+// startRequest runs a requested drain in its own goroutine, and marks it as pending until run returns. While a drain is pending, the callers
+// start no other one.
 func (d *DrainCoordinator) startRequest(run func()) {
 	d.mu.Lock()
 	d.requestPending = true
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -111,7 +111,8 @@
 // wallMs returns the time of the wall clock in ms. It serves only to find the clock's drift against the monotonic clock.
 func (f *Fleet) wallMs() float64 { return float64(time.Now().Round(0).UnixNano()) / 1e6 }
 
-// awake reports whether the server has run without a stall. Once it has found a stall, it returns false until memberlist has been restarted.
+// awake reports whether the server has run without a stall. Once it has found a stall, it returns false until memberlist has been
+// restarted. It also returns false while the server is excluded from the fleet.
 func (f *Fleet) awake() bool {
 	if f.silenced.Load() {
 		return false
@@ -131,8 +132,8 @@
 	return f.detector.View(f.elapsedMs(time.Now()))
 }
 
-// Close announces that this server leaves the fleet, and stops everything that Start started. It takes at most half a second in addition to an
-// exchange in progress.
+// Close announces that this server leaves the fleet, and stops everything that Start started. It takes at most half a second in addition to a
+// state exchange in progress.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if f.closed {
--- a/internal/fleet/membership.go
+++ b/internal/fleet/membership.go
@@ -137,7 +137,8 @@
 }
 
 // NotifyConflict handles a name that is in use at two addresses (memberlist.ConflictDelegate). If it is this server's own name and this server
-// is a newcomer, this server excludes itself from the fleet. Otherwise both stay, and the conflict is only reported.
+// is a newcomer, this server excludes itself from the fleet, provided that the other process has the later generation or incarnation, or that
+// this server reaches no peer. Otherwise both stay, and the conflict is only reported.
 func (in *instance) NotifyConflict(existing, other *memberlist.Node) {
 	f := in.fleet
 	f.mu.Lock()
--- a/internal/fleet/process_test.go
+++ b/internal/fleet/process_test.go
@@ -48,11 +48,11 @@
 
 func serve() testbed.Command { return testbed.Command{Path: os.Args[0], Args: []string{"serve"}} }
 
-func serverNames(count int) (all []string) {
+func serverNames(count int) (names []string) {
 	for i := range count {
-		all = append(all, fmt.Sprint("n", i))
+		names = append(names, fmt.Sprint("n", i))
 	}
-	return all
+	return names
 }
 
 // bedSlots limits the number of concurrent test beds. Each bed consists of several processes under the race detector; with more processes than
@@ -125,7 +125,8 @@
 	})
 }
 
-// waitTimeout limits the wait for a condition. It is long because the machine may be busy with other work; the experiments measure durations.
+// waitTimeout limits the wait for a condition. It is long because the machine may be busy with other work. These tests
+// measure no durations; the experiments do.
 const waitTimeout = 40 * time.Second
 
 // await waits until the observations at all viewers meet a condition.
--- a/internal/fleet/rollouts_process_test.go
+++ b/internal/fleet/rollouts_process_test.go
@@ -110,9 +110,9 @@
 		t.Errorf("plan of a second release during the first: got %+v", result)
 	}
 	awaitPhase(release.Running)
-	for _, server := range cluster.servers {
-		if server.IsLeader() {
-			server.Close()
+	for _, permitServer := range cluster.permitServers {
+		if permitServer.IsLeader() {
+			permitServer.Close()
 			break
 		}
 	}
@@ -275,10 +275,10 @@
 			return status.ProgramReleases.Release != nil && status.ProgramReleases.Release.Phase == want
 		})
 	}
-	two := begin("build-2")
+	programVersion := begin("build-2")
 	awaitPhase(release.Completed)
 	for _, name := range names {
-		if s, err := bed.Status(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != two {
+		if s, err := bed.Status(name); err != nil || s.Version != "build-2" || s.Drain.Version.Program != programVersion {
 			t.Errorf("%s does not run the released program: error %v, drain status %+v", name, err, s.Drain)
 		}
 	}
@@ -382,7 +382,7 @@
 	}
 
 	// All permit servers are lost during a wave. The servers keep their versions, and the release then continues from where it was.
-	_, one := begin(body("one"))
+	_, versionOne := begin(body("one"))
 	awaitWave(0)
 	before := map[string]uint64{}
 	cluster.stopAll()
@@ -400,35 +400,35 @@
 	}
 	cluster.restartAll()
 	awaitPhase(release.Completed)
-	awaitVersion(one, names...)
+	awaitVersion(versionOne, names...)
 
 	// Two of six servers stop reporting during a wave. The release pauses, and another one is denied with a reason that names the first one's
 	// number. The rollback does not wait for the two servers, and they follow when they continue.
-	two, _ := begin(body("two"))
+	releaseTwo, _ := begin(body("two"))
 	awaitWave(1)
 	playLines(t, bed, "0s stop n4\n0s stop n5")
 	awaitPhase(release.Paused)
-	if result := execute(release.Command{Kind: release.PlanRelease, Version: one, Rules: &rules}); result.OK || !strings.Contains(result.Reason, fmt.Sprint("release ", two)) {
+	if result := execute(release.Command{Kind: release.PlanRelease, Version: versionOne, Rules: &rules}); result.OK || !strings.Contains(result.Reason, fmt.Sprint("release ", releaseTwo)) {
 		t.Errorf("plan of another release meanwhile: got %+v", result)
 	}
-	if result := execute(release.Command{Kind: release.RollBack, Release: two}); !result.OK {
+	if result := execute(release.Command{Kind: release.RollBack, Release: releaseTwo}); !result.OK {
 		t.Errorf("rollback command: got %+v", result)
 	}
 	awaitPhase(release.RolledBack)
-	awaitVersion(one, names[:4]...)
+	awaitVersion(versionOne, names[:4]...)
 	playLines(t, bed, "0s cont n4\n0s cont n5")
-	awaitVersion(one, names...)
+	awaitVersion(versionOne, names...)
 
 	// During an operator's halt the next wave does not start.
 	cluster.waitFor("all have reported", func(status permitclient.Status) bool {
 		return len(status.Observations) == 0 && status.State.AutoHaltReason == ""
 	})
-	three, _ := begin(body("three"))
+	releaseThree, _ := begin(body("three"))
 	awaitWave(0)
 	cluster.command(permit.Command{Kind: permit.Halt, Actor: "me", Reason: "look"})
 	awaitPhase(release.Paused)
 	cluster.command(permit.Command{Kind: permit.Resume, Actor: "me"})
-	if result := execute(release.Command{Kind: release.RollBack, Release: three}); !result.OK {
+	if result := execute(release.Command{Kind: release.RollBack, Release: releaseThree}); !result.OK {
 		t.Errorf("rollback command: got %+v", result)
 	}
 	awaitPhase(release.RolledBack)
@@ -437,10 +437,10 @@
 	if result := execute(release.Command{Kind: release.PutVersion}); result.OK {
 		t.Errorf("put of an empty body: got %+v", result)
 	}
-	if result := execute(release.Command{Kind: release.PutVersion, Body: body("one")}); result.Version != one {
+	if result := execute(release.Command{Kind: release.PutVersion, Body: body("one")}); result.Version != versionOne {
 		t.Errorf("put of an existing body: got %+v, want the existing version", result)
 	}
 	begin([]byte("{ this is no record"))
 	awaitPhase(release.RolledBack)
-	awaitVersion(one, names...)
+	awaitVersion(versionOne, names...)
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -9,7 +9,8 @@
 )
 
 // Status is one server's view of the fleet, as the status socket serves it. The JSON names are part of that interface and do not change.
-// Durations are in milliseconds. Ages are measured from the last time that this server received something.
+// Durations are in milliseconds. Ages are measured from when this server last received a message about the
+// subject.
 type Status struct {
 	Name           string
 	Zone           string
@@ -77,7 +78,7 @@
 	PacketsOut       uint64
 	BytesIn          uint64
 	BytesOut         uint64
-	Dropped          uint64 // packets and streams over a limit, or during a stall of this server
+	Dropped          uint64 // packets and streams over a limit, or while this server was silenced after a stall or by its exclusion
 	Damaged          uint64 // packets with a wrong checksum
 	Streams          uint64
 	MemberlistErrors uint64 `json:"Complaints"` // errors and warnings that memberlist logged
--- a/internal/fleet/versions.go
+++ b/internal/fleet/versions.go
@@ -22,7 +22,7 @@
 // ExitProgram is the exit code with which a server asks its supervisor to start the program that its data folder names.
 const ExitProgram = 85
 
-// shortHashLength is the number of characters of a hash that are logged.
+// shortHashLength is the number of characters of a hash that logs and the gossiped server record contain.
 const shortHashLength = 12
 
 // errHashMismatch is returned for a version whose body does not match its hash. The text is reported to the permit servers.
--- a/internal/fleet/views.go
+++ b/internal/fleet/views.go
@@ -59,7 +59,7 @@
 	return &table{writer: tabwriter.NewWriter(out, tablePadding, 0, tablePadding, ' ', 0)}
 }
 
-// row writes a row.
+// row writes one row. format separates the columns by tabs, without the line end.
 func (t *table) row(format string, values ...any) {
 	if t.err == nil {
 		_, t.err = fmt.Fprintf(t.writer, format+"\n", values...)
