--- a/internal/back/pools/pools_test.go
+++ b/internal/back/pools/pools_test.go
@@ -143,7 +143,7 @@
 		}
 	}
 	if succeeded != 4 || noCapacity != 6 || r.apps[0].TakeMaxInFlight() != 2 {
-		t.Errorf("RPCs succeeded: got %d, want 4; without capacity: got %d, want 6", succeeded, noCapacity)
+		t.Errorf("RPCs succeeded: got %d, want 4; without capacity: got %d, want 6 (or the maximum of requests in flight is not 2)", succeeded, noCapacity)
 	}
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -15,8 +15,9 @@
 	EvictionPriority(now time.Time) (class EvictionClass, last time.Time)
 	// Evict closes the connection unless it has been active since last.
 	Evict(last time.Time)
-	// CloseIdle closes the connection, in the way of its protocol, if it has been idle for at least idle. After GoAway
-	// it closes the connection if it has been idle for at least linger.
+	// CloseIdle closes the connection, in the way of its protocol, if it has been idle for longer than idle. After
+	// GoAway it closes the connection if it has been idle for longer than linger, or for TransitTime if its protocol does
+	// not linger.
 	CloseIdle(idle, linger time.Duration)
 	// GoAway asks the peer to send no more RPCs on this connection.
 	GoAway()
@@ -33,10 +34,10 @@
 	Busy EvictionClass = iota
 	// Idle means that the connection has carried RPCs and none is in flight.
 	Idle
-	// AwaitingFirstMessage means that the connection's first message may be in transit. No idle connection is evicted
-	// while there is such a connection.
+	// AwaitingFirstMessage means that the connection's first message may be in transit, or that the connection has
+	// carried no valid RPC and is being closed. No idle connection is evicted while there is such a connection.
 	AwaitingFirstMessage
-	// Closing means that the connection has been asked to close and is still open.
+	// Closing means that the connection has carried RPCs and that the server has begun to close it.
 	Closing
 	// Unused means that the connection has carried no valid RPC: nothing at all, invalid messages or health checks.
 	// Unused connections are evicted first.
--- a/internal/front/mprpc/lifecycle_test.go
+++ b/internal/front/mprpc/lifecycle_test.go
@@ -61,8 +61,8 @@
 			r.write(rpc(1, "view", "b"))
 			r.completeRun("b")
 			r.expect("1 ok r-b")
-			if gone := time.Since(began); gone > 100/7*2*front.TransitTime+testTimeout/10 {
-				t.Errorf("new connection was served only after %v", gone)
+			if elapsed := time.Since(began); elapsed > 100/7*2*front.TransitTime+testTimeout/10 {
+				t.Errorf("new connection was served only after %v", elapsed)
 			}
 			r.conn, r.buf = sound, nil
 			r.write(rpc(2, "view", "c"))
--- a/internal/front/mprpc/rig_test.go
+++ b/internal/front/mprpc/rig_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// show returns a message as "id error result", or the name of a notification.
+// formatMessage returns a message as "id error result", or the name of a notification.
 func formatMessage(b []byte) string {
 	p := msgpack.Parse(b)
 	if p.Array() == 3 {
--- a/internal/front/mprpc/server_test.go
+++ b/internal/front/mprpc/server_test.go
@@ -182,8 +182,8 @@
 				r.write(rpc(id, "sell", ""))
 				r.expect(fmt.Sprint(id, " Invalid"))
 			}
-			if gone := time.Since(began); gone < 4*front.FaultDelay {
-				r.Errorf("%d responses took only %v", front.MaxUndelayedFaults+5, gone)
+			if elapsed := time.Since(began); elapsed < 4*front.FaultDelay {
+				r.Errorf("%d responses took only %v", front.MaxUndelayedFaults+5, elapsed)
 			}
 		}},
 		{"a half-closed connection gets its responses", func(r *rig) {
--- a/internal/front/uwsgi/lifecycle_test.go
+++ b/internal/front/uwsgi/lifecycle_test.go
@@ -16,12 +16,12 @@
 // At the connection limit that both fronts share, a large number of unused connections to one front must not keep
 // working peers out of either front.
 func TestSharedLimit(t *testing.T) {
-	for _, crowd := range []string{"uwsgi", "msgpack"} {
-		t.Run("unused connections by "+crowd, func(t *testing.T) {
+	for _, unusedProtocol := range []string{"uwsgi", "msgpack"} {
+		t.Run("unused connections by "+unusedProtocol, func(t *testing.T) {
 			t.Parallel()
 			r := start(t, 0) // the minimum: 8 connections
 			addr := r.webAddr
-			if crowd == "msgpack" {
+			if unusedProtocol == "msgpack" {
 				addr = r.rpcAddr
 			}
 			for range 60 {
--- a/internal/front/uwsgi/request.go
+++ b/internal/front/uwsgi/request.go
@@ -15,8 +15,8 @@
 
 // The values of operator.UWSGI.KeepAlive that keep connections open.
 const (
-	keepAliveAlways  = "always"
-	keepAliveOnAsked = "asked" // if the message has VALVE_KEEP=1
+	keepAliveAlways    = "always"
+	keepAliveOnRequest = "asked" // if the message has VALVE_KEEP=1
 )
 
 // request is a message as its block of variables describes it.
@@ -86,7 +86,7 @@
 	switch c.limits.KeepAlive {
 	case keepAliveAlways:
 		r.keepAlive = true
-	case keepAliveOnAsked:
+	case keepAliveOnRequest:
 		r.keepAlive = r.variable("VALVE_KEEP") == "1"
 	}
 	return nil
--- a/internal/front/uwsgi/response.go
+++ b/internal/front/uwsgi/response.go
@@ -45,7 +45,7 @@
 // The server's own header fields.
 const (
 	fieldRetryAfterMs = "Valve-Away-Ms" // the exact retry-after; Retry-After has whole seconds only
-	fieldDoNotRetry   = "Valve-Last"    // 1 if other servers are overloaded as well
+	fieldNoRetry      = "Valve-Last"    // 1 if other servers are overloaded as well
 	fieldReason       = "Valve-Why"
 )
 
@@ -150,7 +150,7 @@
 		b = appendIntField(b, fieldRetryAfterMs, int64(math.Ceil(v.RetryAfterMs)))
 	}
 	if v.NoRetry {
-		b = wire.AppendField(b, fieldDoNotRetry, "1")
+		b = wire.AppendField(b, fieldNoRetry, "1")
 	}
 	if v.Reason != "" {
 		b = wire.AppendField(b, fieldReason, printableASCII(v.Reason))
--- a/internal/front/uwsgi/server_test.go
+++ b/internal/front/uwsgi/server_test.go
@@ -137,17 +137,17 @@
 			r.write(packet("", "REQUEST_METHOD", "HEAD", "PATH_INFO", "/any", "VALVE_KEEP", "1"))
 			r.run().done(gate.Succeeded, 1, []byte("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"), nil)
 			if line, _ := r.in.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-				r.Errorf("line of the response head: got %q", line)
+				r.Errorf("status line of the response to HEAD: got %q", line)
 			}
 			if line, _ := r.in.ReadString('\n'); line != "Content-Length: 99\r\n" {
-				r.Errorf("line of the response head: got %q", line)
+				r.Errorf("Content-Length of the response to HEAD: got %q", line)
 			}
 			_, err := r.in.ReadString('\n')
 			r.noError(err)
 			r.write(packet("", "REQUEST_METHOD", "DELETE", "PATH_INFO", "/any"))
 			r.run().done(gate.Succeeded, 1, []byte("HTTP/1.1 204 No Content\r\n\r\n"), []byte("none"))
 			if head := r.expect("204", ""); strings.Contains(head, "Content-Length") {
-				r.Errorf("head of the response: got %q", head)
+				r.Errorf("head of the response with status 204: got %q, want no Content-Length", head)
 			}
 		}},
 		{"a client that leaves within a block", nil, func(r *rig) {
@@ -240,7 +240,7 @@
 			r.gate.Drain(time.Second)
 			r.write("\x64\x00\x00\x00")
 			if n, err := r.in.Read(b); n != 0 || err != io.EOF {
-				r.Errorf("ping response: got %q, error %v", b[:n], err)
+				r.Errorf("ping response during a drain: got %q, error %v", b[:n], err)
 			}
 		}},
 		{"after a reload, RPCs that were read before keep the old config", nil, func(r *rig) {
--- a/internal/msgpack/msgpack_test.go
+++ b/internal/msgpack/msgpack_test.go
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			p := Parse([]byte(c.in))
 			if got := c.read(&p); !errors.Is(p.Err(), c.wantErr) || c.wantErr == nil && got != c.want {
-				t.Errorf("got %v, error %v; want %v, error %v", got, p.Err(), c.want, c.wantErr)
+				t.Errorf("value read: got %v, error %v; want %v, error %v", got, p.Err(), c.want, c.wantErr)
 			}
 		})
 	}
--- a/internal/uwsgi/packet_test.go
+++ b/internal/uwsgi/packet_test.go
@@ -38,7 +38,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var v Variables
 			if err := v.Parse(c.block, 3); !errors.Is(err, c.want) {
-				t.Fatalf("error %v, want %v", err, c.want)
+				t.Fatalf("Parse: error %v, want %v", err, c.want)
 			}
 			if c.want == nil && strings.Contains(c.block, "PATH_INFO") {
 				if got, ok := v.Get("PATH_INFO"); got != "/a" || !ok {
@@ -76,7 +76,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			response, size, err := ParseResponse([]byte(c.in))
 			if !errors.Is(err, c.want) {
-				t.Fatalf("error %v, want %v", err, c.want)
+				t.Fatalf("ParseResponse: error %v, want %v", err, c.want)
 			}
 			if err == nil && (response.Status != c.status || size != c.size || response.Length != c.length) {
 				t.Errorf("response: got %+v with a head of %d bytes", response, size)
