--- a/valve/fleetvalve/fleetvalve.go
+++ b/valve/fleetvalve/fleetvalve.go
@@ -29,7 +29,7 @@
 	Socket          string   // path of a Unix socket that serves `valvefleet status`; "" for none
 
 	// Phase returns the progress of slow start, from 0 to 1, and whether the program is draining. It is called several times
-	// per second and must not block. Nil stands for a program that is fully warmed up.
+	// per second under a lock, and must neither block nor call the Fleet. Nil stands for a program that is fully warmed up.
 	Phase func() (warmUp float64, draining bool)
 	Log   io.Writer // receives log lines (docs/operate/fleet.md); nil to discard them
 }
@@ -39,9 +39,9 @@
 
 // The states of a fleet.
 const (
-	Isolated    = health.Isolated
-	Partitioned = health.Partitioned
-	Complete    = health.Complete
+	Isolated    = health.Isolated    // no peer is reachable
+	Partitioned = health.Partitioned // some peers are reachable, but not all that are known or expected
+	Complete    = health.Complete    // all known members are reachable, and no fewer than ExpectedServers
 )
 
 // View is the fleet as seen by this program. The bounds on its size describe the fleet of a few seconds ago.
--- a/valve/ginvalve/ginvalve.go
+++ b/valve/ginvalve/ginvalve.go
@@ -12,7 +12,7 @@
 )
 
 // New returns a gin middleware. Arguments and errors are those of httpvalve.New. Install it after gin.Recovery, so that
-// gin.Recovery logs panics of handlers.
+// gin.Recovery logs panics of handlers. The middleware is safe for use by several goroutines at once.
 func New(v *valve.Valve, o httpvalve.Options) (gin.HandlerFunc, error) {
 	m, err := httpvalve.New(v, o)
 	if err != nil {
@@ -20,7 +20,7 @@
 	}
 	return func(c *gin.Context) {
 		original := c.Writer
-		r := &request{context: c, writer: writer{ResponseWriter: original, status: http.StatusOK, size: noBody}}
+		r := &request{context: c, writer: writer{ResponseWriter: original, status: http.StatusOK, size: sizeNotWritten}}
 		defer func() { c.Writer = original }()
 		m.Serve(original, c.Request, r.next)
 		if !r.admitted { // the response is written here, because gin would add a body to a 404
@@ -49,8 +49,8 @@
 	r.context.Writer.WriteHeaderNow()
 }
 
-// noBody is the size that gin reports for a response whose header is not written.
-const noBody = -1
+// sizeNotWritten is the size that gin reports for a response whose header is not written.
+const sizeNotWritten = -1
 
 // writer adapts the writer of httpvalve to gin.ResponseWriter. As in gin, the header is written with the first byte of the
 // body.
--- a/valve/httpvalve/httpvalve.go
+++ b/valve/httpvalve/httpvalve.go
@@ -27,6 +27,7 @@
 	BodyTimeout  time.Duration // time within which that body must arrive; default 5 s
 
 	// Identify converts a request to an RPC, in place of Routes. It returns false to pass the request without admission.
+	// It is called by several goroutines at once.
 	Identify func(*http.Request) (valve.RPC, bool)
 }
 
--- a/valve/httpvalve/httpvalve_test.go
+++ b/valve/httpvalve/httpvalve_test.go
@@ -148,7 +148,7 @@
 		t.Errorf("status 504 after %v, want within 2 s", elapsed)
 	}
 	if r.valve.InFlight() != 1 {
-		t.Errorf("RPCs in flight: got %d", r.valve.InFlight())
+		t.Errorf("RPCs in flight: got %d, want 1", r.valve.InFlight())
 	}
 	close(release)
 	if err := <-wrote; !errors.Is(err, http.ErrHandlerTimeout) {
@@ -219,7 +219,7 @@
 		r.server.Config.Handler = http.TimeoutHandler(inner, 30*time.Millisecond, "outer")
 		r.expect("503 outer", "GET", "/view/1", "")
 		if r.valve.InFlight() != 1 {
-			t.Errorf("RPCs in flight: got %d", r.valve.InFlight())
+			t.Errorf("RPCs in flight: got %d, want 1", r.valve.InFlight())
 		}
 		once.Do(func() { close(release) })
 		r.waitIdle()
--- a/valve/httpvalve/identify.go
+++ b/valve/httpvalve/identify.go
@@ -126,7 +126,7 @@
 }
 
 // Hash returns a hash of s, for RPC.Caller and RPC.Subject in Options.Identify. The hash of a string differs between
-// processes.
+// processes. Hash is safe for use by several goroutines at once.
 func Hash(s string) uint64 { return maphash.String(hashSeed, s) }
 
 var hashSeed = maphash.MakeSeed()
--- a/valve/options.go
+++ b/valve/options.go
@@ -65,9 +65,9 @@
 	DisplaceableFor   time.Duration // time in the queue after which an RPC is no longer rejected in favour of another one; 0 for no limit
 
 	Seed   uint64                     // seed of all random numbers: the same seed and events give the same verdicts
-	Clock  func() time.Time           // nil for time.Now; a program that sets Clock must call Tick itself
+	Clock  func() time.Time           // nil for time.Now; called by several goroutines; a program that sets Clock must call Tick itself
 	Gauges func() (Gauges, bool)      // nil to measure this process; false means that the gauges can't be read at present
-	Log    func(event, detail string) // called for each log line, with a constant event name; nil to discard the log
+	Log    func(event, detail string) // called for each log line, with a constant event name; must neither block nor call the Valve; nil to discard the log
 
 	Observer func(Event)   // called for each event under a lock: must neither block nor call the Valve; nil for none
 	Trace    *TraceOptions // nil to record no trace
--- a/valve/store.go
+++ b/valve/store.go
@@ -47,14 +47,14 @@
 	if log == nil {
 		log = func(string, error) {}
 	}
-	folder, err := store.OpenDir(o.Dir)
+	dir, err := store.OpenDir(o.Dir)
 	if err != nil {
 		return nil, err
 	}
 	now := func() float64 { return float64(time.Now().UnixNano()) / 1e6 }
-	s, err := store.Open(folder, limits, o.Server, now, log)
+	s, err := store.Open(dir, limits, o.Server, now, log)
 	if err != nil {
-		_ = folder.Close() // err has the reason why the store is not opened
+		_ = dir.Close() // err has the reason why the store is not opened
 	}
 	return s, err
 }
--- a/valve/valve_test.go
+++ b/valve/valve_test.go
@@ -91,7 +91,7 @@
 	{"run completed once", func(t *testing.T, v *Valve, _ *clock) {
 		r := mustAdmit(t, v, RPC{Method: "view"})
 		if !r.Complete(Succeeded, Result{}) || r.Complete(Failed, Result{}) || v.InFlight() != 0 {
-			t.Errorf("RPCs in flight: got %d", v.InFlight())
+			t.Errorf("only the first Complete must return true; RPCs in flight: got %d, want 0", v.InFlight())
 		}
 	}},
 	{"queued until the first run ends", func(t *testing.T, v *Valve, _ *clock) {
@@ -142,7 +142,7 @@
 			t.Errorf("final error %v, RPCs in flight: got %d, want 1", got, v.InFlight())
 		}
 		if r.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("RPCs in flight: got %d", v.InFlight())
+			t.Errorf("Complete after the final error must return false; RPCs in flight: got %d, want 0", v.InFlight())
 		}
 	}},
 	{"duplicates get the cached result", func(t *testing.T, v *Valve, _ *clock) {
@@ -151,7 +151,7 @@
 		a.Complete(Succeeded, Result{[]byte("h"), []byte("done")})
 		for _, r := range []*Run{(<-b).Run, mustAdmit(t, v, RPC{Method: "buy", Token: "k", Body: []byte("x")})} {
 			if cached, ok := r.Cached(); !ok || string(cached.Body) != "done" || string(cached.Head) != "h" || r.Complete(Failed, Result{}) {
-				t.Errorf("cached result: got %+v", cached)
+				t.Errorf("result of a duplicate, for which Complete must return false: got %+v", cached)
 			}
 		}
 		if _, err := v.Admit(context.Background(), RPC{Method: "buy", Token: "k", Body: []byte("y")}); !errors.Is(err, ErrInvalidRPC) {
@@ -201,7 +201,7 @@
 			t.Error(err)
 		}
 		if a.Complete(Succeeded, Result{}) || v.InFlight() != 0 {
-			t.Errorf("RPCs in flight: got %d", v.InFlight())
+			t.Errorf("Complete after Close must return false; RPCs in flight: got %d, want 0", v.InFlight())
 		}
 	}},
 }
@@ -274,7 +274,7 @@
 	wg.Wait()
 	for _, v := range valves {
 		if v.InFlight() != 0 {
-			t.Errorf("RPCs in flight: got %d", v.InFlight())
+			t.Errorf("RPCs in flight: got %d, want 0", v.InFlight())
 		}
 		v.Close()
 		v.Close()
