--- a/internal/back/pools/fleet.go
+++ b/internal/back/pools/fleet.go
@@ -21,7 +21,8 @@
 	// AllowCall takes one call in flight from the pool's budget, for at most maxMs. It returns false if the budget is used up;
 	// otherwise CompleteCall is called once.
 	AllowCall(pool string, weight, maxMs float64) bool
-	// CompleteCall ends a call that was allowed. timedOut means that the pool may still be processing the call.
+	// CompleteCall ends a call that was allowed. failed means that a request was sent and has no result; timedOut means that
+	// the pool may still be processing the call.
 	CompleteCall(pool string, failed, timedOut bool)
 }
 
