--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -88,8 +88,11 @@
 			for _, span := range backquoted.FindAll(line, -1) {
 				for _, word := range identifier.FindAll(span, -1) {
 					checked++
-					isFlag := bytes.Contains(span, append([]byte("--"), word...))
-					if !known[string(word)] && !(isFlag && known[fieldOfFlag(string(word))]) {
+					exists := known[string(word)]
+					if bytes.Contains(span, append([]byte("--"), word...)) {
+						exists = exists || known[fieldOfFlag(string(word))]
+					}
+					if !exists {
 						t.Errorf("%s:%d: %s: %s stands nowhere in the source", page, i+1, span, word)
 					}
 				}
